--- a/crates/scheduler/src/lib.rs
+++ b/crates/scheduler/src/lib.rs
@@ -32,8 +32,10 @@
 use config::Config;
 use loomlb_control::orders::Orders;
 use loomlb_decide::{Dispatcher, Event};
+use loomlb_sockets::{AddressInUse, OpenRetry};
 use std::cell::RefCell;
 use std::io;
+use std::net::SocketAddr;
 use std::rc::Rc;
 use tokio::net::TcpListener;
 use tokio::task::{LocalSet, spawn_local};
@@ -95,21 +97,23 @@
     }
     config.keep();
     let named = |what: &str, e: io::Error| io::Error::new(e.kind(), format!("{what}: {e}"));
+    let opening = OpenRetry::start();
     let listener = match config.inherited {
         Some(number) => {
             let inherited = loomlb_inherit::listener(number).and_then(TcpListener::from_std);
             inherited.map_err(|e| named(&format!("LB_FD: descriptor {number}"), e))?
         }
-        None => TcpListener::bind(config.listen).await.map_err(|e| named("listen", e))?,
+        None => listen(&opening, "listen", config.listen).await?,
     };
     let calls = match config.control {
-        Some(at) => Some(TcpListener::bind(at).await.map_err(|e| named("control", e))?),
+        Some(at) => Some(listen(&opening, "control", at).await?),
         None => None,
     };
-    let (tier, links) = loomlb_tier::open(tier, &config.name).await.map_err(|e| named("tier", e))?;
+    let opened = loomlb_tier::open(tier, &config.name, &opening).await;
+    let (tier, links) = opened.map_err(|e| named("tier", e))?;
     let mut before = upgrade::predecessor(&config).await;
     let socket = before.as_mut().and_then(upgrade::Before::peers);
-    let peers = peers::Peers::open(&config, socket).await.map_err(|e| named("peer_listen", e))?;
+    let peers = peers::Peers::open(&config, socket, &opening).await?;
     let clock = clock::Clock::default();
     let epoch = Rc::clone(&config.epoch);
     // Off on the platform: without quotas at the start nothing more is said among schedulers.
@@ -154,6 +158,12 @@
     Ok(())
 }
 
+/// Opens a listener. Its address may be that of a process which is ending.
+async fn listen(opening: &OpenRetry, key: &'static str, address: SocketAddr) -> io::Result<TcpListener> {
+    let bind = async || TcpListener::bind(address).await;
+    Ok(opening.open(key, address, AddressInUse::Retry, bind).await?)
+}
+
 /// A timer is due.
 pub fn due(s: &Rc<Scheduler>, due: Due) {
     match due {
--- a/crates/scheduler/src/peers.rs
+++ b/crates/scheduler/src/peers.rs
@@ -3,6 +3,7 @@
 use super::{Scheduler, route};
 use crate::config::Config;
 use loomlb_decide::{Event, PeerId, Receiver};
+use loomlb_sockets::{AddressInUse, OpenRetry};
 use std::cell::OnceCell;
 use std::io;
 use std::net::SocketAddr;
@@ -30,20 +31,27 @@
 impl Peers {
     /// Opens the socket if the configuration names one and the site allows messages, or takes over the one that came
     /// from the process before. Where one runs beside us that has it still, it is opened later.
-    pub async fn open(config: &Config, taken_over: Option<OwnedFd>) -> io::Result<Peers> {
+    pub async fn open(
+        config: &Config,
+        taken_over: Option<OwnedFd>,
+        opening: &OpenRetry,
+    ) -> io::Result<Peers> {
         let Some(at) = config.peer_listen.filter(|_| config.epoch.settings.limits.peers) else {
             return Ok(Peers::default());
         };
+        // Where the platform holds the listening socket the address is that of the process before, for as long as it runs.
+        let in_use = if config.inherited.is_some() { AddressInUse::Report } else { AddressInUse::Retry };
+        let bind = async || UdpSocket::bind(at).await;
         let socket = match taken_over {
-            Some(descriptor) => UdpSocket::from_std(descriptor.into()),
-            None => UdpSocket::bind(at).await,
-        };
-        let socket = match socket {
-            Err(e) if e.kind() == io::ErrorKind::AddrInUse && config.inherited.is_some() => {
-                tracing::warn!("peer_listen: {e}; waiting for the process that has it");
-                return Ok(Peers { socket: OnceCell::new(), later: Some(at) });
-            }
-            socket => socket?,
+            Some(descriptor) => UdpSocket::from_std(descriptor.into())?,
+            None => match opening.open("peer_listen", at, in_use, bind).await {
+                Ok(socket) => socket,
+                Err(e) if e.source.kind() == io::ErrorKind::AddrInUse && config.inherited.is_some() => {
+                    tracing::warn!("peer_listen: {}; waiting for the process that has it", e.source);
+                    return Ok(Peers { socket: OnceCell::new(), later: Some(at) });
+                }
+                Err(e) => return Err(e.into()),
+            },
         };
         // The runtime does not know yet that the socket is writable, and would drop the module's first word, by
         // which the schedulers find each other.
--- a/crates/scheduler/src/upgrade.rs
+++ b/crates/scheduler/src/upgrade.rs
@@ -12,13 +12,15 @@
 use loomlb_handover::link::{Inbox, Link};
 use loomlb_handover::machine::{Act, New, Old};
 use loomlb_handover::words::{Ask, Holds, VERSION, Word};
+use loomlb_sockets::faults::{ConnectFault, connect_fault};
+use loomlb_sockets::{AcceptRetry, AddressInUse, OpenRetry};
 use serde::{Deserialize, Serialize};
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
 use std::io;
 use std::net::SocketAddr;
 use std::os::fd::OwnedFd;
-use std::path::PathBuf;
+use std::path::{Path, PathBuf};
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::net::{TcpStream, UnixListener, UnixStream};
@@ -201,8 +203,8 @@
     }
 }
 
-async fn greet(path: &PathBuf) -> io::Result<Before> {
-    let link = Link::new(UnixStream::connect(path).await?);
+async fn greet(path: &Path) -> io::Result<Before> {
+    let link = Link::new(connect(path).await?);
     link.say(&Word::Hello { version: VERSION }, None);
     let mut inbox = Inbox::default();
     let (word, peers) = tokio::select! {
@@ -219,6 +221,17 @@
     }
 }
 
+/// Connects to the process that runs. What fails on this machine for a moment is tried again for as long as the caller
+/// waits.
+async fn connect(path: &Path) -> io::Result<UnixStream> {
+    loop {
+        match UnixStream::connect(path).await {
+            Err(e) if connect_fault(&e) == ConnectFault::Local => tokio::time::sleep(LOOK).await,
+            connected => return connected,
+        }
+    }
+}
+
 /// Starts from what the process before knows, if there is one; otherwise from the configuration.
 pub fn start(s: &Rc<Scheduler>, before: Option<Before>) {
     let Some(Before { link, inbox, snapshot, peers: _ }) = before else {
@@ -262,37 +275,43 @@
 /// Lets a successor find this process, in place of whatever was there.
 fn publish(s: &Rc<Scheduler>) {
     let Some(path) = &s.upgrade.path else { return };
-    let fresh = path.with_extension(std::process::id().to_string());
-    let _ = std::fs::remove_file(&fresh);
-    let bound = UnixListener::bind(&fresh).and_then(|listener| {
-        std::fs::rename(&fresh, path)?;
-        Ok(listener)
-    });
-    let listener = match bound {
+    let task = spawn_local(serve_successors(Rc::clone(s), path.clone()));
+    if let Some(earlier) = s.upgrade.listening.borrow_mut().replace(task.abort_handle()) {
+        earlier.abort();
+    }
+}
+
+/// Puts a listener in place of whatever was at the path, and hears the processes that call there.
+async fn serve_successors(s: Rc<Scheduler>, path: PathBuf) {
+    let bind = async || bind_in_place(&path);
+    let opened = OpenRetry::start().open("upgrade", path.display(), AddressInUse::Retry, bind).await;
+    let listener = match opened {
         Ok(listener) => listener,
         Err(e) => {
-            return tracing::warn!(
-                "{}: {e}; a process that replaces this one starts from its configuration",
-                path.display()
-            );
+            return tracing::warn!("{e}; a process that replaces this one starts from its configuration");
         }
     };
-    let s2 = Rc::clone(s);
-    let task = spawn_local(async move {
-        loop {
-            match listener.accept().await {
-                Ok((stream, _)) => {
-                    spawn_local(receive(Rc::clone(&s2), Link::new(stream)));
-                }
-                Err(_) => tokio::time::sleep(LOOK).await,
+    let mut retry = AcceptRetry::default();
+    loop {
+        match listener.accept().await {
+            Ok((stream, _)) => {
+                retry.accepted();
+                spawn_local(receive(Rc::clone(&s), Link::new(stream)));
             }
+            Err(e) => retry.pause(&e).await,
         }
-    });
-    if let Some(earlier) = s.upgrade.listening.borrow_mut().replace(task.abort_handle()) {
-        earlier.abort();
     }
 }
 
+/// Binds a listener beside the path and moves it there, so that the path always leads to one that listens.
+fn bind_in_place(path: &Path) -> io::Result<UnixListener> {
+    let fresh = path.with_extension(std::process::id().to_string());
+    let _ = std::fs::remove_file(&fresh);
+    let listener = UnixListener::bind(&fresh)?;
+    std::fs::rename(&fresh, path)?;
+    Ok(listener)
+}
+
 /// Hears the first word of a process that starts.
 async fn receive(s: Rc<Scheduler>, link: Link) {
     let mut inbox = Inbox::default();
--- /dev/null
+++ b/crates/sockets/src/lib.rs
@@ -0,0 +1,40 @@
+//! What a failed socket call means, in one place for all that open, accept, connect, read and write.
+//!
+//! [`faults`] sorts error numbers by what they are evidence of. [`OpenRetry`] opens sockets at a start, [`AcceptRetry`]
+//! says what follows a failed accept, [`connect`] opens a connection, and [`read_some`] and [`write_all`] move bytes
+//! without relying on what a short read or write says about the kernel's buffers.
+
+#![forbid(unsafe_code)]
+
+mod accepting;
+mod connecting;
+pub mod faults;
+mod opening;
+mod transfer;
+
+pub use accepting::{AcceptNext, AcceptRetry};
+pub use connecting::connect;
+pub use opening::{AddressInUse, OpenError, OpenRetry};
+pub use transfer::{is_momentary, read_some, write_all};
+
+use std::time::Duration;
+
+/// A pause that doubles each time, up to a bound.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct Backoff {
+    next: Duration,
+    most: Duration,
+}
+
+impl Backoff {
+    pub(crate) const fn new(first: Duration, most: Duration) -> Backoff {
+        Backoff { next: first, most }
+    }
+
+    /// The pause that comes now.
+    pub(crate) fn pause(&mut self) -> Duration {
+        let pause = self.next;
+        self.next = (pause * 2).min(self.most);
+        pause
+    }
+}
--- a/crates/tier/src/lib.rs
+++ b/crates/tier/src/lib.rs
@@ -27,6 +27,7 @@
 use loomlb_accord::state::State;
 use loomlb_accord::timing::Timing;
 use loomlb_accord::{Acting, Nanos};
+use loomlb_sockets::OpenRetry;
 use proposals::Waiting;
 use serde_json::Value;
 use std::cell::{Cell, RefCell};
@@ -194,15 +195,19 @@
     }
 }
 
-/// Opens what a tier needs: the listener of a voter and its file.
-pub async fn open(spec: Option<Spec>, name: &str) -> io::Result<(Tier, Option<TcpListener>)> {
+/// Opens what a tier needs: the listener of a voter and its file. `opening` limits how long the listener is tried.
+pub async fn open(
+    spec: Option<Spec>,
+    name: &str,
+    opening: &OpenRetry,
+) -> io::Result<(Tier, Option<TcpListener>)> {
     let Some(spec) = spec else { return Ok((Tier::default(), None)) };
     let timing = spec.timing().map_err(|(key, why)| io::Error::other(format!("{key}: {why}")))?;
     let number = spec.voters.iter().position(|v| v.name == name).map(|at| at as u64 + 1);
     let started = Instant::now();
     let (mut links, mut voter) = (None, None);
     if let Some(number) = number {
-        match vote_as(&spec, name, number, timing, 0) {
+        match vote_as(&spec, name, number, timing, 0, opening).await {
             Ok((listener, seat)) => (links, voter) = (Some(listener), Some(seat)),
             Err(e) if elsewhere(&e) => tracing::warn!("tier: {e}; another process of {name:?} votes"),
             Err(e) => return Err(e),
--- a/crates/tier/src/voter.rs
+++ b/crates/tier/src/voter.rs
@@ -11,6 +11,7 @@
 use loomlb_accord::promises::{Process, Promises};
 use loomlb_accord::state::Command;
 use loomlb_accord::timing::Timing;
+use loomlb_sockets::{AddressInUse, OpenRetry};
 use std::io;
 use std::rc::Rc;
 use std::time::Duration;
@@ -35,12 +36,13 @@
 }
 
 /// Takes a voter's file and address.
-pub(crate) fn vote_as(
+pub(crate) async fn vote_as(
     spec: &Spec,
     name: &str,
     number: u64,
     timing: Timing,
     now: Nanos,
+    opening: &OpenRetry,
 ) -> io::Result<(TcpListener, Voter)> {
     let needed = |key: &str| io::Error::other(format!("{key}: missing, and {name:?} is a voter"));
     let at = spec.listen.ok_or_else(|| needed("listen"))?;
@@ -48,20 +50,17 @@
     let names: Vec<&str> = spec.voters.iter().map(|v| &*v.name).collect();
     let owner = format!("{name} of {}", names.join(", "));
     let (log, loaded) = LogFile::open(store, &owner, spec.found)?;
-    let listener = std::net::TcpListener::bind(at)?;
-    listener.set_nonblocking(true)?;
+    let bind = async || TcpListener::bind(at).await;
+    let listener = opening.open("listen", at, AddressInUse::Report, bind).await?;
     let agreement = Agreement::new(number, spec.voters.len() as u64, loaded)?;
-    Ok((
-        TcpListener::from_std(listener)?,
-        Voter { agreement, promises: Promises::new(timing, now), lists: Lists::default(), log },
-    ))
+    Ok((listener, Voter { agreement, promises: Promises::new(timing, now), lists: Lists::default(), log }))
 }
 
 /// Takes over from the process of this scheduler that votes, once it has ended.
 pub(crate) async fn succeed(on: Rc<On>, number: u64) {
     loop {
         tokio::time::sleep(SUCCEED).await;
-        match vote_as(&on.spec, &on.name, number, on.timing, on.now()) {
+        match vote_as(&on.spec, &on.name, number, on.timing, on.now(), &OpenRetry::start()).await {
             Ok((listener, seat)) => {
                 tracing::info!("tier: this process votes now");
                 *on.voter.borrow_mut() = Some(seat);
--- a/crates/tier/tests/proposals.rs
+++ b/crates/tier/tests/proposals.rs
@@ -101,7 +101,8 @@
                 });
             }
             let spec: Spec = toml::from_str(&format!("key = \"{KEY}\"\nrenew_s = 0.25\n{voters}")).unwrap();
-            let (tier, listener) = loomlb_tier::open(Some(spec), "s").await.unwrap();
+            let (tier, listener) =
+                loomlb_tier::open(Some(spec), "s", &loomlb_sockets::OpenRetry::start()).await.unwrap();
             let around: Rc<dyn Application> = Rc::new(Idle);
             loomlb_tier::start(&tier, &around, listener);
             while !tier.may_act() {
--- a/tests/stage/mod.rs
+++ b/tests/stage/mod.rs
@@ -398,6 +398,7 @@
         let nowhere = ([127, 0, 0, 1], 0).into();
         let first_line: String = log.recv_timeout(LONG).unwrap();
         let mut stage = Stage { child, at: nowhere, control: nowhere, first_line, log, config, files };
+        assert!(!stage.first_line.starts_with("loomlb: "), "it does not start: {}", stage.first_line);
         let at = stage.first_line.split_once("serves at ").map(|(_, at)| at.to_string());
         stage.at = at.unwrap_or_else(|| stage.logged("serves at ")).parse().unwrap();
         if stage.config.contains("\"control\"") {
--- a/tests/system_calls.rs
+++ b/tests/system_calls.rs
@@ -1,28 +1,111 @@
-//! System calls of the real program that fail as Linux documents it.
+//! System calls of the real program that fail as Linux documents it, by turn at each place where the program makes them.
 
 mod stage;
 
-use loomlb_fault_plan::{Call, FaultPlan};
-use stage::{Server, Stage, job, response};
+use loomlb_fault_plan::{Call, FaultPlan, WITHOUT_END};
+use stage::{Platform, Server, Stage, job, response, until};
+use std::process::{Command, Stdio};
+use std::time::{Duration, Instant};
 
-/// What the target named `t` calls back with for a job that is done.
-fn done(id: &str) -> String {
-    format!(r#"{{"id":"{id}","from":"t","state":"done","result":"yes","load":{{"rif":1,"x0":3}}}}"#)
+const HEALTH: &str = "GET /healthz HTTP/1.1\r\nHost: h\r\n\r\n";
+/// A second address and a socket to peers: with the clients' listener all that a start opens.
+const ALL_ADDRESSES: &str =
+    r#""control":"127.0.0.1:0","peer_listen":"127.0.0.1:0","peers":["127.0.0.1:1","127.0.0.1:2"],"#;
+/// The places where a start opens a socket, in their order.
+const PLACES: [&str; 3] = ["listen", "control", "peer_listen"];
+/// What may fail for a moment as a socket is opened.
+const AT_A_START: [i32; 5] = [libc::ENFILE, libc::EMFILE, libc::ENOBUFS, libc::ENOMEM, libc::EINTR];
+
+/// What a target calls back with for a job that is done.
+fn done(target: &Server, id: &str) -> String {
+    let name = &target.name;
+    format!(r#"{{"id":"{id}","from":"{name}","state":"done","result":"yes","load":{{"rif":1,"x0":3}}}}"#)
+}
+
+/// Has the target take the next forward and call back, and says how often it has heard the job by then.
+fn serve(stage: &Stage, target: &Server, id: &str) {
+    let mut forward = target.accept();
+    let heard = forward.hear();
+    assert!(heard.contains(&format!("X-Correlation-Id: {id}\r\n")), "{heard}");
+    forward.say(&response("202 Accepted", ""));
+    stage.call_back(&done(target, id));
+}
+
+#[test]
+fn a_start_opens_each_socket_though_it_fails_for_a_moment() {
+    let (target, discovery) = (Server::new("t"), Server::new("d"));
+    for (call, places) in [(Call::Socket, 3), (Call::Bind, 3), (Call::Listen, 2)] {
+        for (place, key) in PLACES.iter().enumerate().take(places) {
+            for errno in AT_A_START {
+                let plan = FaultPlan::new().unwrap();
+                plan.fail_after(call, errno, place as u64, 3);
+                let stage = Stage::under(&plan, &[&target], &discovery, ALL_ADDRESSES);
+                assert_eq!(stage.ask(HEALTH), "HTTP/1.1 200 OK | ready", "{call:?} of {key}: {errno}");
+                assert!(plan.hits(call) == 3, "{call:?} of {key}: {errno}: {}", plan.hits(call));
+            }
+        }
+    }
 }
 
-/// The program runs under the plan: the wait of its event loop is interrupted, and it serves.
+/// As many files are open on the machine as can be, for the first second of a start.
 #[test]
-fn interrupted_waits_change_nothing() {
+fn a_start_waits_for_a_second_without_descriptors() {
     let (target, discovery) = (Server::new("t"), Server::new("d"));
     let plan = FaultPlan::new().unwrap();
-    plan.fail_every(Call::Wait, libc::EINTR, 3);
-    let stage = Stage::under(&plan, &[&target], &discovery, "");
-    let mut client = stage.connect();
-    client.say(&job("view", "a", "1.0"));
-    let mut forward = target.accept();
-    forward.hear();
-    forward.say(&response("202 Accepted", ""));
-    stage.call_back(&done("a"));
-    assert_eq!(client.answer(), "HTTP/1.1 200 OK | yes");
-    assert!(plan.hits(Call::Wait) > 0);
+    plan.fail(Call::Socket, libc::ENFILE, WITHOUT_END);
+    let stage = std::thread::scope(|scope| {
+        scope.spawn(|| {
+            std::thread::sleep(Duration::from_secs(1));
+            plan.pass(Call::Socket);
+        });
+        Stage::under(&plan, &[&target], &discovery, ALL_ADDRESSES)
+    });
+    assert_eq!(stage.ask(HEALTH), "HTTP/1.1 200 OK | ready");
+    assert!(plan.hits(Call::Socket) > 3);
+}
+
+/// What lasts ends the program within the time that it has to become ready, and says what to do.
+#[test]
+fn a_start_that_fails_for_good_ends_in_time_and_advises() {
+    let files = tempfile::tempdir().unwrap();
+    let file = files.path().join("config.json");
+    let (taken, discovery) = (Server::new("taken"), Server::new("d"));
+    let config = format!(
+        r#"{{"listen":"{}","discovery":"{}","settings":{{"classes":[{{"name":"view"}}]}}}}"#,
+        taken.at(),
+        discovery.at()
+    );
+    std::fs::write(&file, config).unwrap();
+    for (errno, code) in [(libc::ENFILE, "socket-machine-files"), (0, "socket-in-use")] {
+        let plan = FaultPlan::new().unwrap();
+        plan.fail(Call::Socket, errno, WITHOUT_END);
+        let mut command = Command::new(env!("CARGO_BIN_EXE_loomlb"));
+        command.args(["serve", "--config"]).arg(&file).env_clear().stderr(Stdio::piped());
+        plan.apply(&mut command);
+        let begun = Instant::now();
+        let output = command.output().unwrap();
+        let said = String::from_utf8(output.stderr).unwrap();
+        assert_eq!(output.status.code(), Some(1), "{said}");
+        assert!(said.contains(&format!("loomlb: listen: {}: ", taken.at())), "{said}");
+        assert!(said.contains(&format!("[{code}]")), "{said}");
+        assert!(begun.elapsed() < Duration::from_secs(9), "{:?}", begun.elapsed());
+    }
+}
+
+#[test]
+fn a_successor_finds_its_predecessor_through_failing_calls() {
+    let (target, discovery, platform) = (Server::new("t"), Server::new("d"), Platform::new());
+    let plan = FaultPlan::new().unwrap();
+    // Of the process before: its second address is bound first, then the socket by which it is found.
+    plan.fail_after(Call::Bind, libc::ENOBUFS, 1, 2);
+    let before = Stage::beside_under(&plan, &[&target], &discovery, &platform);
+    until("it can be found", || platform.link().exists());
+    plan.fail(Call::Accept, libc::ECONNABORTED, 3);
+    let its = FaultPlan::new().unwrap();
+    // The process after binds its second address, then connects to the one before.
+    its.fail(Call::Connect, libc::EAGAIN, 2);
+    let after = Stage::beside_under(&its, &[], &discovery, &platform);
+    after.logged("taken over from the process before");
+    assert_eq!((plan.hits(Call::Accept), its.hits(Call::Connect)), (3, 2));
+    drop(before);
 }
