--- a/crates/scheduler/src/book.rs
+++ b/crates/scheduler/src/book.rs
@@ -169,6 +169,8 @@
     pub accept_faults: u64,
     /// Panics of the decision module.
     pub panics: u64,
+    /// Of the connections that could not be accepted: those that were gone by then.
+    pub accept_gone: u64,
 }
 
 /// Statuses of plain answers to bad input.
@@ -229,7 +231,8 @@
         write!(f, "; adopted={} passed_on={}", c.adopted, c.passed_on)?;
         write!(f, " call_backs_passed={}", c.call_backs_passed)?;
         write!(f, "; reloads={} reload_faults={}", c.reloads, c.reload_faults)?;
-        write!(f, "; peers: in={} out={}; panics={}", c.peers_in, c.peers_out, c.panics)
+        write!(f, "; peers: in={} out={}; panics={}", c.peers_in, c.peers_out, c.panics)?;
+        write!(f, "; accept_gone={}", c.accept_gone)
     }
 }
 
--- a/crates/scheduler/src/control.rs
+++ b/crates/scheduler/src/control.rs
@@ -7,6 +7,7 @@
 use loomlb_control::call::{self, Call};
 use loomlb_control::service::State;
 use loomlb_handover::words::Ask;
+use loomlb_sockets::AcceptRetry;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -20,7 +21,7 @@
 const WHOLE: Duration = Duration::from_secs(4);
 /// An answer is read by its caller within this time.
 const TAKEN: Duration = Duration::from_secs(2);
-/// Pause after a failed accept.
+/// Pause before another look for a free seat.
 const PAUSE: Duration = Duration::from_millis(10);
 
 /// The callers that can be asked to leave, by their order of arrival: those that owe their call, or have their answer.
@@ -70,11 +71,16 @@
 /// a whole call makes room: whoever says nothing never keeps a new caller out.
 pub async fn accept(s: Rc<Scheduler>, listener: TcpListener) {
     let seats = Rc::new(Seats::default());
+    let mut retry = AcceptRetry::default();
     loop {
-        let Ok((stream, _)) = listener.accept().await else {
-            tokio::time::sleep(PAUSE).await;
-            continue;
+        let stream = match listener.accept().await {
+            Ok((stream, _)) => stream,
+            Err(e) => {
+                retry.pause(&e).await;
+                continue;
+            }
         };
+        retry.accepted();
         while seats.taken.get() >= SEATS {
             let first = seats.callers.borrow_mut().pop_first();
             if let Some((_, leave)) = first {
--- a/crates/scheduler/src/intake.rs
+++ b/crates/scheduler/src/intake.rs
@@ -6,6 +6,7 @@
 use super::relay::{self, Heard};
 use super::{Scheduler, upgrade};
 use loomlb_decide::Nanos;
+use loomlb_sockets::{AcceptNext, AcceptRetry};
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
 use std::io;
@@ -27,8 +28,8 @@
 const TAKEN: Duration = Duration::from_secs(10);
 /// Connections idle for longer are closed.
 const IDLE: Duration = Duration::from_secs(120);
-/// Pause after a failed accept, such as when no descriptor is left.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(10);
+/// Pause before another look for room.
+const ROOM_PAUSE: Duration = Duration::from_millis(10);
 
 /// Where workers report what becomes of a job.
 const CALL_BACKS: &str = "/v1/job-events";
@@ -182,7 +183,7 @@
 /// Accepts connections for as long as the program runs. At the limit others make room, and if all wait for
 /// their answers newcomers wait in the kernel's queue.
 pub async fn accept(s: Rc<Scheduler>, listener: TcpListener) {
-    let mut failing = false;
+    let mut retry = AcceptRetry::default();
     loop {
         if !s.upgrade.accepts() {
             s.upgrade.turned.notified().await;
@@ -190,7 +191,7 @@
         }
         if s.listener.full(s.upgrade.elsewhere().inbound) {
             s.listener.evict(s.clock.now(), JUST_COME + 1);
-            let _ = tokio::time::timeout(ACCEPT_PAUSE, s.listener.left.notified()).await;
+            let _ = tokio::time::timeout(ROOM_PAUSE, s.listener.left.notified()).await;
             continue;
         }
         let accepted = tokio::select! {
@@ -199,24 +200,35 @@
         };
         match accepted {
             Ok((stream, _)) => {
-                failing = false;
+                retry.accepted();
                 s.book.borrow_mut().counters.connections += 1;
                 s.listener.thin(s.clock.now(), s.upgrade.elsewhere().inbound);
                 tokio::task::spawn_local(serve(Seat::new(&s), stream, false, true));
             }
             Err(e) => {
-                s.book.borrow_mut().counters.accept_faults += 1;
-                // One line for a run of them: they come as fast as the pause allows.
-                if !std::mem::replace(&mut failing, true) {
+                let next = retry.failed(&e);
+                if retry.is_worth_a_line(next) {
                     tracing::warn!("accept: {e}");
                 }
-                s.listener.evict(s.clock.now(), JUST_COME + 1);
-                tokio::time::sleep(ACCEPT_PAUSE).await;
+                accept_failed(&s, next).await;
             }
         }
     }
 }
 
+/// Counts a failed accept, and prepares the next one. Connections of others are closed only where that helps.
+async fn accept_failed(s: &Scheduler, next: AcceptNext) {
+    s.book.borrow_mut().counters.accept_faults += 1;
+    match next {
+        AcceptNext::Again => s.book.borrow_mut().counters.accept_gone += 1,
+        AcceptNext::MakeRoom(pause) => {
+            s.listener.evict(s.clock.now(), JUST_COME + 1);
+            tokio::time::sleep(pause).await;
+        }
+        AcceptNext::Pause(pause) => tokio::time::sleep(pause).await,
+    }
+}
+
 /// Goes on with an idle connection that another process has passed on.
 pub fn adopt(s: &Rc<Scheduler>, descriptor: OwnedFd, calls_back: bool, fresh: bool) -> io::Result<()> {
     let stream = std::net::TcpStream::from(descriptor);
--- a/tests/system_calls.rs
+++ b/tests/system_calls.rs
@@ -15,6 +15,9 @@
 const PLACES: [&str; 3] = ["listen", "control", "peer_listen"];
 /// What may fail for a moment as a socket is opened.
 const AT_A_START: [i32; 5] = [libc::ENFILE, libc::EMFILE, libc::ENOBUFS, libc::ENOMEM, libc::EINTR];
+/// What accept passes on of a connection that is gone.
+const GONE: [i32; 6] =
+    [libc::ECONNABORTED, libc::EPROTO, libc::ENETDOWN, libc::EHOSTUNREACH, libc::ENETUNREACH, libc::EINTR];
 
 /// What a target calls back with for a job that is done.
 fn done(target: &Server, id: &str) -> String {
@@ -92,6 +95,62 @@
     }
 }
 
+#[test]
+fn an_aborted_accept_closes_no_other_connection_and_the_next_one_is_accepted() {
+    let (target, discovery) = (Server::new("t"), Server::new("d"));
+    let plan = FaultPlan::new().unwrap();
+    let stage = Stage::under(&plan, &[&target], &discovery, r#""control":"127.0.0.1:0","#);
+    // Idle and never of use: the first to make room.
+    let mut idle = stage.connect();
+    idle.say(HEALTH);
+    assert_eq!(idle.answer(), "HTTP/1.1 200 OK | ready");
+    for errno in GONE {
+        plan.fail(Call::Accept, errno, 5);
+        let mut client = stage.connect();
+        client.say(&job("view", &format!("a{errno}"), "3.0"));
+        serve(&stage, &target, &format!("a{errno}"));
+        assert_eq!(client.answer(), "HTTP/1.1 200 OK | yes", "{errno}");
+        idle.say(HEALTH);
+        assert_eq!(
+            idle.answer(),
+            "HTTP/1.1 200 OK | ready",
+            "closed for a connection that was gone: {errno}"
+        );
+    }
+    assert_eq!(plan.hits(Call::Accept), 5 * GONE.len() as u64);
+    let counted = stage.counters(&["accept_faults", "accept_gone"]);
+    assert_eq!(counted, format!("accept_faults={0} accept_gone={0}", 5 * GONE.len()));
+}
+
+#[test]
+fn without_descriptors_an_idle_connection_makes_room_for_a_new_one() {
+    let (target, discovery) = (Server::new("t"), Server::new("d"));
+    for errno in [libc::EMFILE, libc::ENFILE, libc::ENOBUFS, libc::ENOMEM] {
+        let plan = FaultPlan::new().unwrap();
+        let stage = Stage::under(&plan, &[&target], &discovery, "");
+        let mut idle = stage.connect();
+        idle.say(HEALTH);
+        assert_eq!(idle.answer(), "HTTP/1.1 200 OK | ready");
+        plan.fail(Call::Accept, errno, WITHOUT_END);
+        let mut client = stage.connect();
+        assert!(idle.closed());
+        plan.pass(Call::Accept);
+        client.say(HEALTH);
+        assert_eq!(client.answer(), "HTTP/1.1 200 OK | ready", "{errno}");
+    }
+}
+
+#[test]
+fn the_second_address_answers_after_accepts_that_failed() {
+    let (target, discovery) = (Server::new("t"), Server::new("d"));
+    let plan = FaultPlan::new().unwrap();
+    let stage = Stage::under(&plan, &[&target], &discovery, r#""control":"127.0.0.1:0","#);
+    for errno in GONE.into_iter().chain([libc::EMFILE, libc::ENFILE, libc::ENOBUFS, libc::ENOMEM]) {
+        plan.fail(Call::Accept, errno, 3);
+        assert!(stage.order("GET /control/ready").starts_with("HTTP/1.1 200"), "{errno}");
+    }
+}
+
 #[test]
 fn a_successor_finds_its_predecessor_through_failing_calls() {
     let (target, discovery, platform) = (Server::new("t"), Server::new("d"), Platform::new());
