--- a/crates/handover/src/link.rs
+++ b/crates/handover/src/link.rs
@@ -129,7 +129,7 @@
             match sent {
                 // With the first byte the descriptor has gone, and ours is closed.
                 Ok(n) => (written, descriptor) = (written + n, None),
-                Err(e) if e.kind() == io::ErrorKind::WouldBlock => {}
+                Err(e) if matches!(e.kind(), io::ErrorKind::WouldBlock | io::ErrorKind::Interrupted) => {}
                 Err(e) => return Err(e),
             }
         }
@@ -164,7 +164,7 @@
             match read {
                 Ok(0) => return Err(io::ErrorKind::UnexpectedEof.into()),
                 Ok(n) => inbox.frames.put(&piece[..n]),
-                Err(e) if e.kind() == io::ErrorKind::WouldBlock => {}
+                Err(e) if matches!(e.kind(), io::ErrorKind::WouldBlock | io::ErrorKind::Interrupted) => {}
                 Err(e) => return Err(e),
             }
         }
--- a/crates/scheduler/src/http.rs
+++ b/crates/scheduler/src/http.rs
@@ -1,12 +1,13 @@
 //! HTTP/1.1 framing on bytes: the edge where messages become plain data and back.
 
 use bytes::{Buf, Bytes, BytesMut};
+use loomlb_sockets::is_momentary;
 use std::future::Future;
 use std::io;
 use std::os::fd::{AsFd, OwnedFd};
 use std::task::{Context, Poll, Waker};
 use std::time::Duration;
-use tokio::io::{AsyncReadExt, AsyncWriteExt, Interest};
+use tokio::io::{AsyncWriteExt, Interest};
 use tokio::net::TcpStream;
 
 /// A head is no longer than this.
@@ -222,7 +223,7 @@
     /// Waits for more bytes; 0 if the other side has closed. Loses nothing when dropped half-way.
     pub async fn fill(&mut self) -> io::Result<usize> {
         self.buf.reserve(4096);
-        self.stream.read_buf(&mut self.buf).await
+        loomlb_sockets::read_some(&self.stream, &mut self.buf).await
     }
 
     /// Reads what is there without waiting; false if the other side has closed.
@@ -230,7 +231,7 @@
         self.buf.reserve(4096);
         match self.stream.try_read_buf(&mut self.buf) {
             Ok(n) => n > 0,
-            Err(e) => e.kind() == io::ErrorKind::WouldBlock,
+            Err(e) => is_momentary(&e),
         }
     }
 
@@ -308,7 +309,7 @@
     pub async fn read_body(&mut self, kind: Kind, mut message: Message) -> Result<Message, Fault> {
         let framing = framing(&message, kind, self.longest)?;
         if kind == Kind::Request && message.says("expect", "100-continue") && self.buf.is_empty() {
-            self.stream.write_all(b"HTTP/1.1 100 Continue\r\n\r\n").await?;
+            self.write(b"HTTP/1.1 100 Continue\r\n\r\n").await?;
         }
         message.body = match framing {
             Framing::Length(length) => {
@@ -379,7 +380,7 @@
 
     /// Writes all of it, or fails with at least one byte unwritten.
     pub async fn write(&mut self, bytes: &[u8]) -> io::Result<()> {
-        self.stream.write_all(bytes).await
+        loomlb_sockets::write_all(&self.stream, bytes).await
     }
 
     /// Reads what has come, for nobody.
@@ -387,7 +388,7 @@
         match self.stream.try_read(&mut [0; MAX_BODY]) {
             Ok(0) => Discarded::Closed,
             Ok(_) => Discarded::Some,
-            Err(e) if e.kind() == io::ErrorKind::WouldBlock => Discarded::Nothing,
+            Err(e) if is_momentary(&e) => Discarded::Nothing,
             Err(_) => Discarded::Closed,
         }
     }
--- a/crates/tier/src/link.rs
+++ b/crates/tier/src/link.rs
@@ -5,12 +5,12 @@
 use crate::voter::voter_hears;
 use crate::{Application, On, more};
 use loomlb_accord::frames::{self, Channel, FIRST, FORMAT, Nonce, Word};
+use loomlb_sockets::{AcceptRetry, read_some, write_all};
 use std::cell::RefCell;
 use std::collections::VecDeque;
 use std::io;
 use std::rc::Rc;
 use std::time::Duration;
-use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::Notify;
@@ -33,24 +33,29 @@
 }
 
 /// The numbers that both ends say first.
-async fn greet(stream: &mut TcpStream) -> io::Result<(Nonce, Nonce)> {
+async fn greet(stream: &TcpStream) -> io::Result<(Nonce, Nonce)> {
     stream.set_nodelay(true)?;
     let mut mine = Nonce::default();
     getrandom::fill(&mut mine).map_err(io::Error::other)?;
-    stream.write_all(&frames::greeting(&mine)).await?;
+    write_all(stream, &frames::greeting(&mine)).await?;
     let mut first = [0; FIRST];
-    stream.read_exact(&mut first).await?;
+    let mut left = &mut first[..];
+    while !left.is_empty() {
+        if read_some(stream, &mut left).await? == 0 {
+            return Err(io::ErrorKind::UnexpectedEof.into());
+        }
+    }
     let theirs = frames::greeted(&first).map_err(|e| io::Error::other(e.to_string()))?;
     Ok((mine, theirs))
 }
 
 /// The next word of a link; an error once it is over.
-async fn next(from: &mut OwnedReadHalf, channel: &mut Channel, bytes: &mut Vec<u8>) -> io::Result<Word> {
+async fn next(from: &OwnedReadHalf, channel: &mut Channel, bytes: &mut Vec<u8>) -> io::Result<Word> {
     loop {
         if let Some(word) = channel.open(bytes).map_err(|e| io::Error::other(e.to_string()))? {
             return Ok(word);
         }
-        let heard = tokio::time::timeout(SILENT, from.read_buf(bytes)).await;
+        let heard = tokio::time::timeout(SILENT, read_some(from.as_ref(), bytes)).await;
         match heard.map_err(|_| io::Error::from(io::ErrorKind::TimedOut))?? {
             0 => return Err(io::ErrorKind::UnexpectedEof.into()),
             _ => continue,
@@ -63,8 +68,8 @@
     loop {
         let VoterAt { name, at } = &on.spec.voters[voter];
         let opened = tokio::time::timeout(SILENT, async {
-            let mut stream = TcpStream::connect(at).await?;
-            let (mine, theirs) = greet(&mut stream).await?;
+            let stream = loomlb_sockets::connect(*at, |_| {}).await?;
+            let (mine, theirs) = greet(&stream).await?;
             Ok::<_, io::Error>((stream, frames::channels(&on.spec.key, &mine, &theirs)))
         });
         if let Ok(Ok((stream, (to, from)))) = opened.await {
@@ -89,25 +94,25 @@
     on: &On,
     around: &dyn Application,
     voter: usize,
-    mut from: OwnedReadHalf,
+    from: OwnedReadHalf,
     mut channel: Channel,
 ) -> io::Result<()> {
     let mut bytes = Vec::new();
     loop {
-        if let Word::Answer { number, yes, news, lists } = next(&mut from, &mut channel, &mut bytes).await? {
+        if let Word::Answer { number, yes, news, lists } = next(&from, &mut channel, &mut bytes).await? {
             answered(on, around, voter, number, yes, news.map(|n| *n));
             compare(on, around, &lists);
         }
     }
 }
 
-async fn tell_voter(on: &On, voter: usize, mut to: OwnedWriteHalf, mut channel: Channel) -> io::Result<()> {
+async fn tell_voter(on: &On, voter: usize, to: OwnedWriteHalf, mut channel: Channel) -> io::Result<()> {
     let hello = Word::Hello { format: FORMAT, name: on.name.clone(), process: on.process, voter: on.number };
-    to.write_all(&channel.seal(&hello)).await?;
+    write_all(to.as_ref(), &channel.seal(&hello)).await?;
     loop {
         let word = on.boxes[voter].words.borrow_mut().pop_front();
         match word {
-            Some(word) => to.write_all(&channel.seal(&word)).await?,
+            Some(word) => write_all(to.as_ref(), &channel.seal(&word)).await?,
             None => on.boxes[voter].more.notified().await,
         }
     }
@@ -115,12 +120,21 @@
 
 /// Accepts links at a voter for as long as the program runs.
 pub(crate) async fn accept(on: Rc<On>, listener: TcpListener) {
+    let mut retry = AcceptRetry::default();
     loop {
-        let accepted = listener.accept().await;
-        let Some((stream, from)) = accepted.ok().filter(|_| on.counts.links.get() < LINKS) else {
+        let (stream, from) = match listener.accept().await {
+            Ok(accepted) => accepted,
+            Err(e) => {
+                retry.pause(&e).await;
+                continue;
+            }
+        };
+        retry.accepted();
+        if on.counts.links.get() >= LINKS {
+            drop(stream);
             tokio::time::sleep(AGAIN).await;
             continue;
-        };
+        }
         let on = Rc::clone(&on);
         spawn_local(async move {
             on.counts.links.set(on.counts.links.get() + 1);
@@ -136,13 +150,13 @@
 }
 
 /// A link that another scheduler has opened to this voter.
-async fn called(on: &On, mut stream: TcpStream) -> io::Result<()> {
-    let greeted = tokio::time::timeout(SILENT, greet(&mut stream)).await;
+async fn called(on: &On, stream: TcpStream) -> io::Result<()> {
+    let greeted = tokio::time::timeout(SILENT, greet(&stream)).await;
     let (mine, theirs) = greeted.map_err(|_| io::Error::from(io::ErrorKind::TimedOut))??;
     let (mut from, mut to) = frames::channels(&on.spec.key, &theirs, &mine);
-    let (mut read, mut write) = stream.into_split();
+    let (read, write) = stream.into_split();
     let mut bytes = Vec::new();
-    let (name, process, voter) = match next(&mut read, &mut from, &mut bytes).await? {
+    let (name, process, voter) = match next(&read, &mut from, &mut bytes).await? {
         Word::Hello { format: FORMAT, name, process, voter } => (name, process, voter),
         Word::Hello { format, name, .. } => {
             return Err(io::Error::other(format!("{name} speaks format {format}, this build {FORMAT}")));
@@ -151,9 +165,9 @@
     };
     let who = (name, process);
     loop {
-        let word = next(&mut read, &mut from, &mut bytes).await?;
+        let word = next(&read, &mut from, &mut bytes).await?;
         if let Some(reply) = voter_hears(on, &who, voter, word) {
-            let written = tokio::time::timeout(SILENT, write.write_all(&to.seal(&reply))).await;
+            let written = tokio::time::timeout(SILENT, write_all(write.as_ref(), &to.seal(&reply))).await;
             written.map_err(|_| io::Error::from(io::ErrorKind::TimedOut))??;
         }
     }
--- a/tests/system_calls.rs
+++ b/tests/system_calls.rs
@@ -2,8 +2,8 @@
 
 mod stage;
 
-use loomlb_fault_plan::{Call, FaultPlan, WITHOUT_END};
-use stage::{Platform, Server, Stage, job, response, until};
+use loomlb_fault_plan::{Call, FaultPlan, Limit, WITHOUT_END};
+use stage::{Agent, Mode, Platform, Server, Stage, job, response, until};
 use std::process::{Command, Stdio};
 use std::time::{Duration, Instant};
 
@@ -168,3 +168,50 @@
     assert_eq!((plan.hits(Call::Accept), its.hits(Call::Connect)), (3, 2));
     drop(before);
 }
+
+#[test]
+fn short_and_interrupted_reads_and_writes_lose_nothing() {
+    let target = Server::new("t");
+    for bytes in [1, 7, 64] {
+        let discovery = Agent::new(Mode::Answers, &[target.entry("active")]);
+        let plan = FaultPlan::new().unwrap();
+        plan.short_reads(bytes).short_writes(bytes);
+        plan.fail_every(Call::SocketRead, libc::EINTR, 3).fail_every(Call::SocketWrite, libc::EINTR, 3);
+        plan.fail_every(Call::Wait, libc::EINTR, 3);
+        let stage = Stage::under(&plan, &[], &discovery.server, r#""control":"127.0.0.1:0","#);
+        discovery.called("from=2", 1);
+        let mut client = stage.connect();
+        client.say(&job("lodge", "a", "3.0"));
+        let mut forward = target.accept();
+        for id in ["a", "b", "c"] {
+            if id != "a" {
+                client.say(&job("lodge", id, "3.0"));
+            }
+            assert!(forward.hear().contains(&format!("X-Correlation-Id: {id}\r\n")), "{bytes} bytes: {id}");
+            forward.say(&response("202 Accepted", ""));
+            stage.call_back(&done(&target, id));
+            assert_eq!(client.answer(), "HTTP/1.1 200 OK | yes", "{bytes} bytes: {id}");
+        }
+        assert!(stage.order("GET /control/ready").starts_with("HTTP/1.1 200"));
+        assert_eq!(
+            stage.counters(&["served", "forwards", "list_faults"]),
+            "served=3 forwards=3 list_faults=0"
+        );
+        assert!(plan.cut(Limit::SocketRead) > 0 && plan.cut(Limit::SocketWrite) > 0);
+        assert!([Call::SocketRead, Call::SocketWrite, Call::Wait].iter().all(|call| plan.hits(*call) > 0));
+    }
+}
+
+/// Two requests in one packet: the second is there already when the first is read, and no edge tells of it.
+#[test]
+fn a_request_behind_a_short_read_is_answered_at_once() {
+    let (target, discovery) = (Server::new("t"), Server::new("d"));
+    let plan = FaultPlan::new().unwrap();
+    plan.short_reads(HEALTH.len() as u64);
+    let stage = Stage::under(&plan, &[&target], &discovery, "");
+    let mut client = stage.connect();
+    client.say(&HEALTH.repeat(3));
+    for _ in 0..3 {
+        assert_eq!(client.answer(), "HTTP/1.1 200 OK | ready");
+    }
+}
