--- a/crates/scheduler/src/book.rs
+++ b/crates/scheduler/src/book.rs
@@ -69,6 +69,8 @@
     pub started: Option<Nanos>,
     /// The task that writes it and reads the 202.
     pub task: Option<AbortHandle>,
+    /// The last try to connect for it failed on this machine, which is no evidence about its target.
+    pub local_fault: bool,
     /// Told once the target has been told to drop it, while that is under way.
     pub undoing: Option<Rc<Notify>>,
 }
@@ -171,6 +173,10 @@
     pub panics: u64,
     /// Of the connections that could not be accepted: those that were gone by then.
     pub accept_gone: u64,
+    /// Connects tried again, as they failed on this machine or on the way.
+    pub dials_again: u64,
+    /// Connects given up that failed on this machine to the end.
+    pub dials_local: u64,
 }
 
 /// Statuses of plain answers to bad input.
@@ -232,7 +238,8 @@
         write!(f, " call_backs_passed={}", c.call_backs_passed)?;
         write!(f, "; reloads={} reload_faults={}", c.reloads, c.reload_faults)?;
         write!(f, "; peers: in={} out={}; panics={}", c.peers_in, c.peers_out, c.panics)?;
-        write!(f, "; accept_gone={}", c.accept_gone)
+        write!(f, "; accept_gone={}", c.accept_gone)?;
+        write!(f, " dials_again={} dials_local={}", c.dials_again, c.dials_local)
     }
 }
 
--- a/crates/scheduler/src/discovery.rs
+++ b/crates/scheduler/src/discovery.rs
@@ -13,7 +13,6 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
-use tokio::net::TcpStream;
 use tokio::sync::Notify;
 use tokio::task::JoinSet;
 
@@ -408,7 +407,8 @@
 /// A connection of its own, and the answer to one call on it.
 async fn first_call(s: Rc<Scheduler>) -> Result<(Wire, Message), &'static str> {
     let address = s.group.address.get().unwrap_or(s.config.discovery);
-    let dial = tokio::time::timeout(PATIENCE, TcpStream::connect(address));
+    let count = |fault: Option<_>| s.book.borrow_mut().counters.dials_again += u64::from(fault.is_some());
+    let dial = tokio::time::timeout(PATIENCE, loomlb_sockets::connect(address, count));
     let Ok(Ok(stream)) = dial.await else { return Err("no connection") };
     let mut wire = Wire::new(stream).taking(s.config.list_bytes);
     let (call, patience) = question(&s, Duration::ZERO);
--- a/crates/scheduler/src/send.rs
+++ b/crates/scheduler/src/send.rs
@@ -6,6 +6,7 @@
 use super::wheel::Due;
 use super::{Scheduler, relay, route};
 use loomlb_decide::{Ended, Event, Nanos, Outcome, Report, Reports, RequestId, WorkerId};
+use loomlb_sockets::faults::ConnectFault;
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
 use std::os::fd::OwnedFd;
@@ -26,18 +27,26 @@
 /// Ticks kept before the end of a key's window for a repeat's way, as the module keeps them.
 const WAY: Nanos = 4;
 
+/// What an operator can do where this machine opens no connection.
+const SHORT_HERE: &str =
+    "look at its open files, memory and local ports; jobs are refused, and no worker is blamed";
+
 /// A connection to a target, counted for as long as it lives.
 #[derive(Debug)]
 struct Link {
     wire: Wire,
-    open: Rc<Cell<usize>>,
+    _permit: Permit,
     /// How long it was idle before this use; 0 for a new one.
     idle: Nanos,
 }
 
-impl Drop for Link {
+/// The place of a connection in the pool's count, from before it is dialled until it is closed.
+#[derive(Debug)]
+struct Permit(Rc<Cell<usize>>);
+
+impl Drop for Permit {
     fn drop(&mut self) {
-        self.open.set(self.open.get() - 1);
+        self.0.set(self.0.get() - 1);
     }
 }
 
@@ -60,6 +69,8 @@
     twice: Cell<Option<Nanos>>,
     /// Jobs that their targets are still to be told to drop.
     undoing: Cell<usize>,
+    /// The last new connection failed on this machine, and a line was logged for it.
+    short_here: Cell<bool>,
     /// The same for targets whose connections have proved to end sooner than they ought to, and when they
     /// did.
     shorter: RefCell<HashMap<WorkerId, (Nanos, Nanos)>>,
@@ -69,8 +80,8 @@
     /// An empty pool of so many connections at most, for targets that close idle ones after `keepalive`.
     pub fn new(limit: usize, keepalive: Nanos) -> Self {
         let (idle, open, shorter) = (RefCell::default(), Rc::default(), RefCell::default());
-        let (twice, undoing) = (Cell::default(), Cell::default());
-        Pool { idle, open, limit, keep: Cell::new(keepalive / 4 * 3), twice, undoing, shorter }
+        let (twice, undoing, short_here) = (Cell::default(), Cell::default(), Cell::default());
+        Pool { idle, open, limit, keep: Cell::new(keepalive / 4 * 3), twice, undoing, short_here, shorter }
     }
 
     /// A connection to the target broke at its next use: something on the way had dropped it while it was
@@ -124,11 +135,16 @@
 
     /// Takes over an idle connection to a target from another process.
     pub fn adopt(&self, to: WorkerId, stream: TcpStream, since: Nanos) {
-        self.open.set(self.open.get() + 1);
-        let link = Link { wire: Wire::new(stream), open: Rc::clone(&self.open), idle: 0 };
+        let link = Link { wire: Wire::new(stream), _permit: self.permit(), idle: 0 };
         self.put(to, link, since);
     }
 
+    /// Counts one more connection.
+    fn permit(&self) -> Permit {
+        self.open.set(self.open.get() + 1);
+        Permit(Rc::clone(&self.open))
+    }
+
     /// Closes the idle connections to a target.
     pub fn release(&self, target: WorkerId) {
         self.idle.borrow_mut().remove(&target);
@@ -173,27 +189,66 @@
     }
 }
 
-/// A connection to a target: an idle one, or a new one if it comes up in time.
-async fn connect(s: &Scheduler, id: WorkerId, target: &Target) -> Option<Link> {
+/// Why there is no connection to a target.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+enum NoConnection {
+    /// This machine or process had no descriptor, memory or port for it: no evidence about the target.
+    #[error("none could be opened on this machine")]
+    Local,
+    /// The target could not be reached in time.
+    #[error("the target could not be reached")]
+    Target,
+}
+
+impl NoConnection {
+    /// What it means for an attempt, of which nothing was sent.
+    fn outcome(self) -> Outcome {
+        match self {
+            NoConnection::Local => Outcome::NotSent,
+            NoConnection::Target => Outcome::NoConnection,
+        }
+    }
+}
+
+/// A connection to a target: an idle one, or a new one if it comes up in time. `observe` is told, as that changes,
+/// whether what it waits for is this machine.
+async fn connect(
+    s: &Scheduler,
+    id: WorkerId,
+    target: &Target,
+    observe: impl Fn(bool),
+) -> Result<Link, NoConnection> {
     if let Some(link) = s.pool.take(id, s.clock.now()) {
         s.book.borrow_mut().counters.reused += 1;
-        return Some(link);
+        return Ok(link);
     }
     if !s.pool.make_room(s.upgrade.elsewhere().outbound) {
         tracing::warn!("no descriptor left for a connection to {}", target.host);
-        return None;
+        s.book.borrow_mut().counters.dials_local += 1;
+        return Err(NoConnection::Local);
     }
     s.book.borrow_mut().counters.dials += 1;
-    s.pool.open.set(s.pool.open.get() + 1);
-    let open = Rc::clone(&s.pool.open);
+    let permit = s.pool.permit();
     let limit = Duration::from_nanos(s.epoch().terms.dial_timeout);
-    match tokio::time::timeout(limit, TcpStream::connect(target.dial)).await {
-        Ok(Ok(stream)) => Some(Link { wire: Wire::new(stream), open, idle: 0 }),
-        _ => {
-            open.set(open.get() - 1);
-            None
-        }
+    let local = Cell::new(false);
+    let progress = |fault: Option<ConnectFault>| {
+        s.book.borrow_mut().counters.dials_again += u64::from(fault.is_some());
+        local.set(fault == Some(ConnectFault::Local));
+        observe(local.get());
+    };
+    let connected = tokio::time::timeout(limit, loomlb_sockets::connect(target.dial, progress)).await;
+    if let Ok(Ok(stream)) = connected {
+        s.pool.short_here.set(false);
+        return Ok(Link { wire: Wire::new(stream), _permit: permit, idle: 0 });
+    }
+    if !local.get() {
+        return Err(NoConnection::Target);
+    }
+    s.book.borrow_mut().counters.dials_local += 1;
+    if !s.pool.short_here.replace(true) {
+        tracing::warn!(target = &*target.host, "no connection could be opened on this machine: {SHORT_HERE}");
     }
+    Err(NoConnection::Local)
 }
 
 /// Carries out one send of the module: one forward, written once.
@@ -221,6 +276,7 @@
         never_ran: false,
         started: None,
         task: None,
+        local_fault: false,
         undoing: None,
     });
     book.counters.forwards += 1;
@@ -304,8 +360,9 @@
 impl One {
     async fn run(&self, target: &Target, work: &Work) {
         let s = &self.s;
-        let Some(mut link) = connect(s, self.to, target).await else {
-            return relay::ended(s, self.id, self.n, Outcome::NoConnection, None);
+        let mut link = match connect(s, self.to, target, |local| self.connect_failed(local)).await {
+            Ok(link) => link,
+            Err(why) => return relay::ended(s, self.id, self.n, why.outcome(), None),
         };
         let (now, look) = (s.clock.now(), self.last_look(target));
         if let Err(stop) = look.verdict(now) {
@@ -380,6 +437,13 @@
         }
     }
 
+    /// Notes whose fault it is that no connection is up yet, for the end of the attempt's time.
+    fn connect_failed(&self, local: bool) {
+        if let Some(forward) = self.s.book.borrow_mut().forward(self.id, self.n) {
+            forward.local_fault = local;
+        }
+    }
+
     fn reached(&self, stage: Stage) {
         if let Some(f) = self.s.book.borrow_mut().forward(self.id, self.n)
             && f.stage != Stage::Ended
@@ -469,7 +533,7 @@
     let Some(forward) = book.forward(id, n).filter(|f| f.stage != Stage::Ended) else { return };
     let (to, stage, task) = (forward.target, forward.stage, forward.task.take());
     let outcome = match (stage, why) {
-        (Stage::Unsent, Outcome::Timeout) => Outcome::NoConnection,
+        (Stage::Unsent, Outcome::Timeout) if !forward.local_fault => Outcome::NoConnection,
         (Stage::Unsent, _) => Outcome::NotSent,
         _ => why,
     };
@@ -498,19 +562,36 @@
     relay::ended(s, id, n, outcome, None);
 }
 
+/// Why a small call has no answer.
+#[derive(Debug, thiserror::Error)]
+enum CallError {
+    /// There was no connection for it.
+    #[error("no connection: {0}")]
+    Unsent(#[from] NoConnection),
+    /// Its connection broke, or what came is no answer.
+    #[error("no answer: {0:?}")]
+    Unanswered(Fault),
+}
+
+impl From<Fault> for CallError {
+    fn from(fault: Fault) -> CallError {
+        CallError::Unanswered(fault)
+    }
+}
+
 /// A small call without a body, and its answer.
-async fn call(s: &Scheduler, to: WorkerId, method: &str, path: &str) -> Result<Message, Fault> {
+async fn call(s: &Scheduler, to: WorkerId, method: &str, path: &str) -> Result<Message, CallError> {
     let link = begin_call(s, to, method, path).await?;
-    end_call(s, to, link).await
+    Ok(end_call(s, to, link).await?)
 }
 
 /// Writes a small call.
-async fn begin_call(s: &Scheduler, to: WorkerId, method: &str, path: &str) -> Result<Link, Fault> {
-    let target = s.group.target(to).ok_or(Fault::Broken)?;
-    let mut link = connect(s, to, &target).await.ok_or(Fault::Broken)?;
+async fn begin_call(s: &Scheduler, to: WorkerId, method: &str, path: &str) -> Result<Link, CallError> {
+    let target = s.group.target(to).ok_or(NoConnection::Target)?;
+    let mut link = connect(s, to, &target, |_| {}).await?;
     let text = format!("{method} {path} HTTP/1.1\r\nHost: {}\r\nContent-Length: 0\r\n\r\n", target.dial);
     let written = tokio::time::timeout(CALL, link.wire.write(text.as_bytes())).await;
-    written.map_err(|_| Fault::Broken)??;
+    written.map_err(|_| Fault::Broken)?.map_err(Fault::from)?;
     Ok(link)
 }
 
@@ -534,6 +615,8 @@
                 let text = std::str::from_utf8(&answer.body).unwrap_or("").trim();
                 (outcome, (!text.is_empty()).then(|| read_report(&s, text)))
             }
+            // It says nothing about the target, and the module waits for no probe.
+            Err(CallError::Unsent(NoConnection::Local)) => return,
             Err(_) => (Outcome::NoConnection, None),
         };
         let latency = s.clock.now().saturating_sub(sent);
--- a/tests/system_calls.rs
+++ b/tests/system_calls.rs
@@ -2,8 +2,11 @@
 
 mod stage;
 
+use loomlb_emulator::rig::{self, Rig};
+use loomlb_emulator::{Options, Stop};
 use loomlb_fault_plan::{Call, FaultPlan, Limit, WITHOUT_END};
-use stage::{Agent, Mode, Platform, Server, Stage, job, response, until};
+use loomlb_model::Day;
+use stage::{Agent, Comers, Mode, Narrow, Platform, Server, Stage, job, response, until};
 use std::process::{Command, Stdio};
 use std::time::{Duration, Instant};
 
@@ -18,6 +21,8 @@
 /// What accept passes on of a connection that is gone.
 const GONE: [i32; 6] =
     [libc::ECONNABORTED, libc::EPROTO, libc::ENETDOWN, libc::EHOSTUNREACH, libc::ENETUNREACH, libc::EINTR];
+/// What fails a connect on this machine.
+const LOCAL: [i32; 5] = [libc::EADDRNOTAVAIL, libc::ENOBUFS, libc::ENFILE, libc::EMFILE, libc::ENOMEM];
 
 /// What a target calls back with for a job that is done.
 fn done(target: &Server, id: &str) -> String {
@@ -34,6 +39,15 @@
     stage.call_back(&done(target, id));
 }
 
+/// The program with these targets and its plan, once its discovery has told all and nothing is under way for a while.
+fn settled(targets: &[&Server]) -> (FaultPlan, Stage, Agent) {
+    let entries: Vec<String> = targets.iter().map(|target| target.entry("active")).collect();
+    let (plan, discovery) = (FaultPlan::new().unwrap(), Agent::new(Mode::Answers, &entries));
+    let stage = Stage::under(&plan, targets, &discovery.server, "");
+    discovery.called("from=2", 1);
+    (plan, stage, discovery)
+}
+
 #[test]
 fn a_start_opens_each_socket_though_it_fails_for_a_moment() {
     let (target, discovery) = (Server::new("t"), Server::new("d"));
@@ -169,6 +183,102 @@
     drop(before);
 }
 
+#[test]
+fn a_worker_is_not_blamed_for_a_connect_that_failed_on_this_machine() {
+    let (target, discovery) = (Server::new("t"), Server::new("d"));
+    for (call, errno) in
+        LOCAL.map(|errno| (Call::Connect, errno)).into_iter().chain([(Call::Socket, libc::EMFILE)])
+    {
+        let plan = FaultPlan::new().unwrap();
+        let stage = Stage::under(&plan, &[&target], &discovery, "");
+        plan.fail(call, errno, WITHOUT_END);
+        let mut client = stage.connect();
+        client.say(&job("lodge", "a", "3.0"));
+        let before = plan.hits(call);
+        until("it is tried again", || plan.hits(call) >= before + 4);
+        plan.pass(call);
+        serve(&stage, &target, "a");
+        assert_eq!(client.answer(), "HTTP/1.1 200 OK | yes", "{call:?}: {errno}");
+        let counted = stage.counters(&["served", "forwards", "NoConnection", "NotSent", "dials"]);
+        assert_eq!(counted, "served=1 forwards=1 NoConnection=0 NotSent=0 dials=1", "{call:?}: {errno}");
+        assert_ne!(stage.counters(&["dials_again"]), "dials_again=0");
+    }
+}
+
+#[test]
+fn a_job_that_this_machine_cannot_send_is_refused_and_counts_as_not_sent() {
+    let (target, discovery) = (Server::new("t"), Server::new("d"));
+    for errno in LOCAL {
+        let plan = FaultPlan::new().unwrap();
+        let stage = Stage::under(&plan, &[&target], &discovery, "");
+        plan.fail(Call::Connect, errno, WITHOUT_END);
+        // One ends with the time to connect, the other with its own.
+        for (id, seconds) in [("a", "3.0"), ("b", "0.3")] {
+            assert!(stage.ask(&job("lodge", id, seconds)).starts_with("HTTP/1.1 503"), "{errno}");
+        }
+        assert_eq!(stage.counters(&["NoConnection", "NotSent"]), "NoConnection=0 NotSent=2", "{errno}");
+    }
+}
+
+/// More dials than there may be connections, each given up with its job's time while it hangs.
+#[test]
+fn dials_that_are_given_up_take_no_place_of_later_ones() {
+    let (mut narrow, discovery) = (Narrow::new("t"), Server::new("d"));
+    let stage = Stage::new(&[&narrow.server], &discovery);
+    let ids: Vec<String> = (0..64).map(|number| format!("a{number}")).collect();
+    for some in ids.chunks(8) {
+        let mut clients: Vec<_> = some.iter().map(|_| stage.connect()).collect();
+        clients.iter_mut().zip(some).for_each(|(client, id)| client.say(&job("lodge", id, "0.2")));
+        assert!(clients.iter_mut().all(|client| client.answer().starts_with("HTTP/1.1 50")));
+    }
+    narrow.widen();
+    let mut client = stage.connect();
+    client.say(&job("lodge", "b", "3.0"));
+    let mut forward = loop {
+        // Dials that were given up may have come up all the same, and say nothing.
+        let mut line = narrow.server.accept();
+        if line.hear().contains("X-Correlation-Id: b\r\n") {
+            break line;
+        }
+    };
+    forward.say(&response("202 Accepted", ""));
+    stage.call_back(&done(&narrow.server, "b"));
+    assert_eq!(client.answer(), "HTTP/1.1 200 OK | yes");
+}
+
+#[test]
+fn a_way_that_fails_for_a_moment_is_tried_again_and_one_that_lasts_is_evidence() {
+    for errno in [libc::ENETUNREACH, libc::EHOSTUNREACH] {
+        let target = Server::new("t");
+        let (plan, stage, _discovery) = settled(&[&target]);
+        plan.fail(Call::Connect, errno, 1);
+        let mut client = stage.connect();
+        client.say(&job("lodge", "a", "3.0"));
+        serve(&stage, &target, "a");
+        assert_eq!(client.answer(), "HTTP/1.1 200 OK | yes", "{errno}");
+        // Another process, as the idle connection to the target would be used again.
+        let (plan, stage, _discovery) = settled(&[&target]);
+        plan.fail(Call::Connect, errno, WITHOUT_END);
+        assert!(stage.ask(&job("lodge", "b", "3.0")).starts_with("HTTP/1.1 503"), "{errno}");
+        assert_eq!(stage.counters(&["NoConnection", "NotSent"]), "NoConnection=1 NotSent=0", "{errno}");
+    }
+}
+
+/// A connect that failed on this machine is tried again at once: no fault of discovery's, and no pause for one.
+#[test]
+fn discovery_is_asked_again_at_once_after_a_connect_that_failed_on_this_machine() {
+    let target = Server::new("t");
+    for errno in LOCAL {
+        let discovery = Agent::new(Mode::Answers, &[target.entry("active")]);
+        let plan = FaultPlan::new().unwrap();
+        plan.fail(Call::Connect, errno, 3);
+        let stage = Stage::under(&plan, &[], &discovery.server, "");
+        discovery.called("servers", 2);
+        assert_eq!(plan.hits(Call::Connect), 3, "{errno}");
+        assert_eq!(stage.counters(&["list_faults"]), "list_faults=0", "{errno}");
+    }
+}
+
 #[test]
 fn short_and_interrupted_reads_and_writes_lose_nothing() {
     let target = Server::new("t");
@@ -215,3 +325,89 @@
         assert_eq!(client.answer(), "HTTP/1.1 200 OK | ready");
     }
 }
+
+/// However a connection shows that it is broken: what may have run is not sent again, and what cannot have run is.
+#[test]
+fn a_broken_connection_is_treated_like_a_reset_whatever_its_error() {
+    for errno in [libc::ECONNRESET, libc::ETIMEDOUT, libc::EHOSTUNREACH, libc::ENETUNREACH, libc::EPIPE] {
+        let alone = Server::new("t");
+        let (plan, stage, _discovery) = settled(&[&alone]);
+        let mut client = stage.connect();
+        client.say(&job("lodge", "a", "3.0"));
+        let mut forward = alone.accept();
+        forward.hear();
+        plan.fail(Call::SocketRead, errno, 1);
+        // Its connection is the only one on which something comes.
+        forward.say("HTTP/1.1 202");
+        assert_eq!(client.answer(), "HTTP/1.1 502 Bad Gateway | failed", "{errno}");
+        assert_eq!(plan.hits(Call::SocketRead), 1);
+        assert_eq!(stage.counters(&["forwards", "Reset"]), "forwards=1 Reset=1", "{errno}");
+        // Before the last byte is written it cannot have run.
+        let (first, second) = (Server::new("t"), Server::new("u"));
+        let (plan, stage, _discovery) = settled(&[&first, &second]);
+        let comers = Comers::new(&[&first, &second]);
+        plan.fail(Call::SocketWrite, errno, 1);
+        let mut client = stage.connect();
+        client.say(&job("lodge", "b", "3.0"));
+        let (name, mut forward) = loop {
+            let (name, mut forward) = comers.next();
+            if forward.hear().contains("X-Correlation-Id: b\r\n") {
+                break (name, forward);
+            }
+        };
+        forward.say(&response("202 Accepted", ""));
+        let target = if name == "t" { &first } else { &second };
+        stage.call_back(&done(target, "b"));
+        assert_eq!(client.answer(), "HTTP/1.1 200 OK | yes", "{errno}");
+        assert_eq!(stage.counters(&["forwards", "NoConnection"]), "forwards=2 NoConnection=1", "{errno}");
+    }
+}
+
+/// Voters open their listeners, accept and link through failing calls, and a lease holds in the end.
+#[test]
+fn a_tier_comes_up_through_failing_calls() {
+    let plan = FaultPlan::new().unwrap();
+    plan.fail_every(Call::Accept, libc::ECONNABORTED, 3).fail_every(Call::Connect, libc::EADDRNOTAVAIL, 3);
+    plan.fail_every(Call::Wait, libc::EINTR, 3);
+    plan.fail(Call::Socket, libc::ENFILE, 12).fail(Call::Bind, libc::ENOBUFS, 6).fail(
+        Call::Listen,
+        libc::ENOMEM,
+        6,
+    );
+    plan.limit_every(Limit::SocketRead, 40, 2).limit_every(Limit::SocketWrite, 40, 2);
+    let options = rig::Options {
+        program: plan.wrap(env!("CARGO_BIN_EXE_loomlb")),
+        schedulers: 3,
+        voters: 3,
+        tier: "bound_s = 3".into(),
+        load: Some(Duration::from_millis(40)),
+        show_logs: std::env::var_os("RUST_LOG").is_some(),
+    };
+    let rig = Rig::start(options).unwrap();
+    assert!((0..3).all(|n| rig.ready(n)), "not all serve");
+    assert!(rig.until(|rig| rig.all_on(&[0, 1, 2], 1)));
+    for call in [Call::Accept, Call::Connect, Call::Wait, Call::Socket, Call::Bind, Call::Listen] {
+        assert!(plan.hits(call) > 0, "{call:?}");
+    }
+}
+
+/// A day with every trouble where a fifth of the accepts, a third of the connects and of the waits fail and half of the
+/// reads and writes are short: what was taken is answered once and in time, and nothing runs twice that must not.
+#[test]
+fn a_day_of_failing_calls_breaks_no_rule() {
+    let plan = FaultPlan::new().unwrap();
+    plan.fail_every(Call::Accept, libc::ECONNABORTED, 5).fail_every(Call::Connect, libc::EADDRNOTAVAIL, 3);
+    plan.fail_every(Call::Wait, libc::EINTR, 3);
+    plan.limit_every(Limit::SocketRead, 100, 2).limit_every(Limit::SocketWrite, 100, 2);
+    let day = Day::read(include_str!("../crates/lab/days/every.toml")).unwrap();
+    let options = Options::new(plan.wrap(env!("CARGO_BIN_EXE_loomlb")));
+    let played = loomlb_emulator::run(&day, 7, options, Stop::default(), &mut |_| {}).unwrap();
+    let stories: Vec<String> = played.first.iter().map(ToString::to_string).collect();
+    assert_eq!(played.breaches, 0, "{}", stories.join("\n"));
+    assert_eq!((played.crashes, played.mangled, played.strangers), (0, 0, 0));
+    assert!(played.served * 10 > played.figures.requests * 6, "{played:?}");
+    for call in [Call::Accept, Call::Connect, Call::Wait] {
+        assert!(plan.hits(call) > 0, "{call:?}");
+    }
+    assert!(plan.cut(Limit::SocketRead) > 0 && plan.cut(Limit::SocketWrite) > 0);
+}
