--- a/crates/decide/tests/attempts.rs
+++ b/crates/decide/tests/attempts.rs
@@ -153,9 +153,9 @@
     Hang,
 }
 
-/// Plays requests at fifty a second for twenty seconds; the longest time in which all that came was turned away, 15 at
-/// the least, with no attempt in between.
-fn longest_without_an_attempt(set: &Settings, trouble: Trouble, seed: u64) -> Nanos {
+/// Plays requests at fifty a second for twenty seconds, after a time in which nothing came; the longest time in which all
+/// that came was turned away, 15 at the least, with no attempt in between.
+fn longest_without_an_attempt(set: &Settings, trouble: Trouble, quiet: Nanos, seed: u64) -> Nanos {
     let mut rng = fastrand::Rng::with_seed(seed);
     let mut stage = Stage { dispatcher: Dispatcher::new(set.clone(), seed), now: S, next: 0 };
     stage.list(ListKind::Complete, &workers(4));
@@ -163,8 +163,10 @@
     let mut due: BinaryHeap<(std::cmp::Reverse<Nanos>, usize)> = BinaryHeap::new();
     let mut events: Vec<Event> = Vec::new();
     let mut attempts: BTreeMap<RequestId, u32> = BTreeMap::new();
-    let (mut last, mut turned_away, mut longest, mut next) = (S, 0, 0, S);
-    while stage.now < 21 * S {
+    let begins = S + quiet;
+    stage.now = begins;
+    let (mut last, mut turned_away, mut longest, mut next) = (begins, 0, 0, begins);
+    while stage.now < begins + 20 * S {
         let first = due.peek().map(|d| d.0.0).filter(|at| *at <= next);
         let actions = match first {
             Some(at) => {
@@ -235,7 +237,7 @@
                 (set.reports, set.tells_start, set.limits.probes) = (reports, tells_start, true);
                 (set.zones, set.limits.peers, set.dispatchers) = (1, peers, 12);
                 for seed in 0..2 {
-                    let longest = longest_without_an_attempt(&set, trouble, seed);
+                    let longest = longest_without_an_attempt(&set, trouble, 0, seed);
                     let case = format!("{trouble:?}, {reports:?}, starts {tells_start}, peers {peers}");
                     silent
                         .extend((longest >= 4 * S).then(|| format!("{case}: none for {} ms", longest / MS)));
@@ -245,3 +247,24 @@
     }
     assert!(silent.is_empty(), "{silent:#?}");
 }
+
+/// The same where the trouble begins after a long time in which nothing came.
+#[test]
+fn a_dispatcher_whose_workers_fall_into_trouble_after_a_long_quiet_time_goes_on_trying() {
+    use Outcome::*;
+    for trouble in [Trouble::Ends(Error), Trouble::Ends(Reset), Trouble::Slow, Trouble::Hang] {
+        for reports in [Reports::None, Reports::Answers] {
+            for peers in [false, true] {
+                let mut set = settings(Effect::Safe);
+                (set.reports, set.tells_start) = (reports, peers);
+                (set.zones, set.limits.peers, set.dispatchers) = (1, peers, 12);
+                let longest = longest_without_an_attempt(&set, trouble, 90 * S, 1);
+                assert!(
+                    longest < 4 * S,
+                    "{trouble:?}, {reports:?}, peers {peers}: none for {} ms",
+                    longest / MS
+                );
+            }
+        }
+    }
+}
--- a/crates/decide/tests/cold_fleet.rs
+++ b/crates/decide/tests/cold_fleet.rs
@@ -1,4 +1,5 @@
-//! Cold workers under the sum of a whole fleet: thirty dispatchers that all want to send at once, also just restarted.
+//! Cold workers under the sum of a whole fleet, from one dispatcher to nine hundred that all want to send at once, also
+//! just restarted, or after a long quiet time.
 
 mod stage;
 
@@ -6,7 +7,6 @@
 use stage::*;
 use std::collections::BinaryHeap;
 
-const FLEET: u32 = 30;
 const WORKER: WorkerId = WorkerId(1);
 /// Slots of the worker, each as fast as the yardstick.
 const SLOTS: f64 = 4.0;
@@ -16,18 +16,32 @@
 /// What a fleet is like.
 #[derive(Clone, Copy, Debug)]
 struct Fleet {
+    /// Dispatchers.
+    size: u32,
     /// Mean work of a job; the classes' aim is much shorter.
     work: Nanos,
     /// Zones; in one zone with talk the worker is its group's alone.
     zones: usize,
     /// All processes start anew this long after the worker, knowing nothing.
     restart: Nanos,
+    /// How long before the worker's start all processes run and know it, warm, with nothing to send.
+    quiet: Nanos,
     seed: u64,
 }
 
+impl Fleet {
+    /// Time between two jobs of a dispatcher. In a large fleet none may send but now and then.
+    fn step(self) -> usize {
+        (if self.size <= 30 { 20 * MS } else { 200 * MS }) as usize
+    }
+}
+
+/// Thirty dispatchers in one zone that start with the worker.
+const THIRTY: Fleet = Fleet { size: 30, work: 200 * MS, zones: 1, restart: 13 * S, quiet: 0, seed: 1 };
+
 fn rules(fleet: Fleet, me: u32) -> Settings {
     let mut set = settings(Effect::Safe);
-    (set.dispatchers, set.me, set.zones) = (FLEET, PeerId(me), fleet.zones);
+    (set.dispatchers, set.me, set.zones) = (fleet.size, PeerId(me), fleet.zones);
     set.limits.peers = fleet.zones == 1;
     set.reports = Reports::Answers;
     set.free_slots_reported = true;
@@ -46,16 +60,28 @@
     stage
 }
 
+/// A dispatcher at the worker's start, which it is told of at once; it may have known the process before for long.
+fn start_before(fleet: Fleet, me: u32) -> Stage {
+    if fleet.quiet == 0 {
+        return start(fleet, STARTED, me);
+    }
+    let mut stage = start(fleet, STARTED - fleet.quiet, me);
+    stage.list(ListKind::Complete, &[Worker::new(WORKER)]);
+    stage.now = STARTED;
+    stage.list(ListKind::Partial, &[Worker { started: STARTED, ..Worker::new(WORKER) }]);
+    stage
+}
+
 /// When each call of the fleet reached the worker. Every dispatcher always has a job to send; jobs run for times of an
 /// exponential law, so that the first one seen tells next to nothing.
 fn calls(fleet: Fleet) -> Vec<Nanos> {
     let mut rng = fastrand::Rng::with_seed(fleet.seed);
-    let mut all: Vec<Stage> = (0..FLEET).map(|me| start(fleet, STARTED, me)).collect();
+    let mut all: Vec<Stage> = (0..fleet.size).map(|me| start_before(fleet, me)).collect();
     let (mut sent_at, mut ends) = (Vec::new(), BinaryHeap::new());
     let mut restarted = false;
-    for now in (STARTED..STARTED + 12 * S).step_by(20 * MS as usize) {
+    for now in (STARTED..STARTED + 12 * S).step_by(fleet.step()) {
         if !restarted && now >= STARTED + fleet.restart {
-            (restarted, all) = (true, (0..FLEET).map(|me| start(fleet, now, me)).collect());
+            (restarted, all) = (true, (0..fleet.size).map(|me| start(fleet, now, me)).collect());
             ends.clear();
         }
         while let Some((std::cmp::Reverse(at), me, id, sent)) = ends.pop() {
@@ -106,7 +132,7 @@
         for zones in [1, 3] {
             for restart in [2 * S, 13 * S] {
                 for seed in 1..=2 {
-                    let fleet = Fleet { work, zones, restart, seed };
+                    let fleet = Fleet { work, zones, restart, seed, ..THIRTY };
                     let calls = calls(fleet);
                     let (beyond, n, got) = excess(fleet, &calls);
                     assert!(beyond <= 2.0, "{fleet:?}: {got} calls where {n:.1} are allowed");
@@ -118,3 +144,35 @@
     // It is used all the same.
     assert!(some > 16 * 50, "{some}");
 }
+
+/// The bound holds for a fleet of any size: it binds one dispatcher that has the worker for itself as well as nine hundred
+/// of which each may hardly send a job in a window.
+#[test]
+fn a_cold_workers_budget_binds_fleets_of_one_to_nine_hundred_dispatchers() {
+    for size in [1, 2, 5, 30, 300, 900] {
+        let mut some = 0;
+        for (work, zones, restart) in [(200 * MS, 1, 2 * S), (600 * MS, 3, 13 * S)] {
+            let fleet = Fleet { size, work, zones, restart, ..THIRTY };
+            let calls = calls(fleet);
+            let (beyond, n, got) = excess(fleet, &calls);
+            assert!(beyond <= 2.0, "{fleet:?}: {got} calls where {n:.1} are allowed");
+            some += calls.len();
+        }
+        // It is used all the same.
+        assert!(some > 10, "{size} dispatchers: {some} calls");
+    }
+}
+
+/// What nobody sent in a long quiet time is no credit: the worker's process starts anew, and its budget with it.
+#[test]
+fn a_worker_that_restarts_after_a_long_quiet_time_gets_no_more_than_a_cold_workers_budget() {
+    for size in [1, 5, 30] {
+        for zones in [1, 3] {
+            let fleet = Fleet { size, zones, quiet: 90 * S, ..THIRTY };
+            let calls = calls(fleet);
+            let (beyond, n, got) = excess(fleet, &calls);
+            assert!(beyond <= 2.0, "{fleet:?}: {got} calls where {n:.1} are allowed");
+            assert!(calls.len() > 10, "{fleet:?}: {} calls", calls.len());
+        }
+    }
+}
