--- a/tests/stage/mod.rs
+++ b/tests/stage/mod.rs
@@ -261,6 +261,11 @@
         let (name, stream) = self.0.recv_timeout(LONG).unwrap();
         (name, Line::new(stream))
     }
+    /// The next connection, however late it comes; none once the servers are gone.
+    pub fn wait(&self) -> Option<(String, Line)> {
+        let (name, stream) = self.0.recv().ok()?;
+        Some((name, Line::new(stream)))
+    }
 }
 
 /// The first connection that comes to any of these servers.
