--- a/crates/scheduler/src/intake.rs
+++ b/crates/scheduler/src/intake.rs
@@ -298,8 +298,10 @@
             None => (Reply::plain(408, "request not whole in time"), false),
         };
         s.book.borrow_mut().counters.bad(reply.status);
-        // Call-backs go on: what was taken cannot finish without them.
-        let keep_alive = keep_alive && (calls_back || !s.shutdown.service().parting(s.clock.now()));
+        // Call-backs go on: what was taken cannot finish without them. So do requests that have come already: one that is
+        // read and then closed with no answer would be lost.
+        let closes = s.shutdown.service().parting(s.clock.now());
+        let keep_alive = keep_alive && (calls_back || !closes || wire.poll_input() && wire.has_input());
         let keep_alive = keep_alive && !wire.overrun();
         let wait = format!("{:.3}", reply.retry_after as f64 / 1e9);
         let headers: &[(&str, &str)] = if reply.retry_after > 0 { &[("Retry-After", &wait)] } else { &[] };
--- a/tests/standing_terms.rs
+++ b/tests/standing_terms.rs
@@ -673,6 +673,36 @@
     }
 }
 
+/// Requests that came in one piece with one that is answered at the end of a process have been read with it: each has its
+/// answer too.
+#[test]
+fn requests_read_together_are_all_answered_when_the_process_ends() {
+    let workers = workers_in_trouble(&[Trouble::Ignores]);
+    let discovery = Agent::new(Mode::Silent, &[]);
+    let short = (r#""aim":900000000,"give_up":5000000000"#, r#""aim":900000000,"give_up":3000000000"#);
+    let mut stage = Stage::changed(&[&workers[0]], &discovery.server, &[short, TWO_SCHEDULERS]);
+    let mut client = stage.connect();
+    client.say("GET /healthz HTTP/1.1\r\n\r\n");
+    assert!(client.answer().ends_with("ready"));
+    stage.signal("TERM");
+    stage.logged("asked to end");
+    std::thread::sleep(Duration::from_millis(800));
+    let all: String = (0..4).map(|n| job("lodge", &format!("a{n}"), "3.000")).collect();
+    client.say(&all);
+    let answers: Vec<String> = (0..4).map(|_| client.answer()).collect();
+    assert_eq!(
+        answers,
+        [
+            "HTTP/1.1 502 Bad Gateway | failed",
+            "HTTP/1.1 503 Service Unavailable | no room",
+            "HTTP/1.1 503 Service Unavailable | no room",
+            "HTTP/1.1 503 Service Unavailable | no room",
+        ]
+    );
+    assert!(client.closed());
+    assert!(stage.ended());
+}
+
 // ---- connections of workers that end
 
 /// A worker closes or resets an idle connection in the moment in which the next request comes: nothing is written to it.
