--- a/crates/scheduler/src/discovery.rs
+++ b/crates/scheduler/src/discovery.rs
@@ -12,7 +12,7 @@
 use std::collections::{HashMap, HashSet};
 use std::net::SocketAddr;
 use std::rc::Rc;
-use std::time::Duration;
+use std::time::{Duration, Instant};
 use tokio::net::TcpStream;
 use tokio::sync::Notify;
 use tokio::task::JoinSet;
@@ -22,6 +22,9 @@
 const HOLD: Duration = Duration::from_secs(2);
 /// How much longer an answer may take before its connection counts as dead.
 const PATIENCE: Duration = Duration::from_millis(1000);
+/// Where lists are asked for, discovery may be crowded and answer late. After a call that was given up unanswered the next
+/// one waits for so long: given up after `PATIENCE` each, calls would add to the crowd and never bring a list.
+const PATIENCE_WHEN_CROWDED: Duration = Duration::from_millis(2400);
 /// Where lists are pushed, what the agent has counts as told, and it answers at once: a first call that is not answered
 /// in this time is not waited for alone, and another one goes out beside it,
 const BESIDE: Duration = Duration::from_millis(250);
@@ -73,6 +76,8 @@
     /// Where discovery answers, if a reload has named another address than the start did.
     address: Cell<Option<SocketAddr>>,
     moved: Notify,
+    /// The last call on a new connection was given up unanswered.
+    unanswered: Cell<bool>,
     /// The version of the list that was taken in last.
     seq: Cell<Option<u64>>,
 }
@@ -380,8 +385,7 @@
         if !answer.keep_alive {
             return Ok(());
         }
-        let (call, patience) = question(s, HOLD);
-        answer = ask(&mut wire, &call, patience).await?;
+        answer = ask(&mut wire, &question(s, HOLD), HOLD + PATIENCE).await?;
     }
 }
 
@@ -411,18 +415,29 @@
     let dial = tokio::time::timeout(PATIENCE, TcpStream::connect(address));
     let Ok(Ok(stream)) = dial.await else { return Err("no connection") };
     let mut wire = Wire::new(stream).taking(s.config.list_bytes);
-    let (call, patience) = question(&s, Duration::ZERO);
-    ask(&mut wire, &call, patience).await.map(|answer| (wire, answer))
+    let begun = Instant::now();
+    let answer = ask(&mut wire, &question(&s, Duration::ZERO), first_patience(&s)).await;
+    // An answer that comes late, or an error, leaves open whether the crowd is gone.
+    if begun.elapsed() >= PATIENCE {
+        s.group.unanswered.set(true);
+    } else if answer.is_ok() {
+        s.group.unanswered.set(false);
+    }
+    answer.map(|answer| (wire, answer))
+}
+
+/// How long the answer to the first call on a connection may take. An agent that has pushed lists answers at once.
+fn first_patience(s: &Scheduler) -> Duration {
+    let crowded = s.epoch().settings.ask_for_list && s.group.unanswered.get();
+    if crowded { PATIENCE_WHEN_CROWDED } else { PATIENCE }
 }
 
-/// A call for what has changed since the version we have, which may wait this long for news, and how long its answer may
-/// take.
-fn question(s: &Scheduler, hold: Duration) -> (String, Duration) {
+/// A call for what has changed since the version we have, which may wait this long for news.
+fn question(s: &Scheduler, hold: Duration) -> String {
     let address = s.group.address.get().unwrap_or(s.config.discovery);
     let seq = s.group.seq.get();
     let query = seq.map_or(String::new(), |seq| format!("?from={seq}&hold_ms={}", hold.as_millis()));
-    let patience = if seq.is_some() { hold + PATIENCE } else { PATIENCE };
-    (format!("GET /v1/servers{query} HTTP/1.1\r\nHost: {address}\r\n\r\n"), patience)
+    format!("GET /v1/servers{query} HTTP/1.1\r\nHost: {address}\r\n\r\n")
 }
 
 async fn ask(wire: &mut Wire, call: &str, patience: Duration) -> Result<Message, &'static str> {
@@ -470,6 +485,8 @@
             PATIENCE + RETRY + PATIENCE + RETRY <= Duration::from_secs(4),
             "after SIGHUP, one call in vain, what is there counts"
         );
+        // One that hangs when an outage ends, and the answer to the next, at whatever pace it came before.
+        assert!(PATIENCE_WHEN_CROWDED + RETRY + asked_at_most_every + PATIENCE_WHEN_CROWDED <= told);
     }
 
     #[test]
--- a/tests/standing_terms.rs
+++ b/tests/standing_terms.rs
@@ -3,10 +3,11 @@
 
 mod stage;
 
-use stage::{Agent, Comers, Line, Mode, Narrow, Server, Stage, job, response, until};
+use stage::{Agent, Comers, Line, Mode, Narrow, Server, Stage, job, list, response, until};
 use std::collections::HashMap;
 use std::net::{SocketAddr, TcpStream};
 use std::sync::atomic::{AtomicBool, Ordering};
+use std::sync::mpsc::{Receiver, channel};
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
@@ -753,6 +754,49 @@
 
 // ---- discovery
 
+/// Each call is answered after this long.
+fn answer_slowly(discovery: &Server, list: String, after: Duration) -> Receiver<String> {
+    let (tell, calls) = channel();
+    let comers = Comers::new(&[discovery]);
+    std::thread::spawn(move || {
+        while let Some((_, mut line)) = comers.wait() {
+            let (list, tell) = (list.clone(), tell.clone());
+            std::thread::spawn(move || {
+                loop {
+                    let call = line.hear();
+                    if call.is_empty() || tell.send(call).is_err() {
+                        return;
+                    }
+                    std::thread::sleep(after);
+                    if line.try_say(&response("200 OK", &list)).is_err() {
+                        return;
+                    }
+                }
+            });
+        }
+    });
+    calls
+}
+
+/// Discovery is asked, is crowded and answers each call late: its list is taken in, and not asked for ever anew.
+#[test]
+fn a_list_that_comes_slowly_is_taken_in_within_the_time_at_which_it_counts_as_told() {
+    let (discovery, worker) = (Server::new("d"), Server::new("s-00000001"));
+    let calls =
+        answer_slowly(&discovery, list(7, true, &[worker.entry("active")]), Duration::from_millis(1500));
+    let asks = (r#""registry_mode":"automatic""#, r#""registry_mode":"subscribe""#);
+    let bound = (r#""obligations":{"#, r#""obligations":{"must_ask_in":10000000000,"#);
+    let stage = Stage::changed(&[], &discovery, &[asks, bound]);
+    calls.recv_timeout(Duration::from_secs(10)).unwrap();
+    let first_call = Instant::now();
+    until("a list", || stage.counters(&["lists"]) != "lists=0");
+    assert!(first_call.elapsed() < Duration::from_secs(6), "{:?}", first_call.elapsed());
+    let mut client = stage.connect();
+    client.say(&job("view", "a1", "3.000"));
+    serve(&stage, &mut worker.accept(), &worker, "a1");
+    assert!(client.answer().ends_with(&worker.name));
+}
+
 /// Discovery is down for longer than any disruption of the bench: the last list serves all the while, and what has changed
 /// counts at its return, where lists are pushed and where they are asked for. One more process is told to end just then.
 #[test]
