--- a/crates/control/src/orders.rs
+++ b/crates/control/src/orders.rs
@@ -10,7 +10,7 @@
 /// What was ordered of a worker last.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Order {
-    /// Out since then, as Unix time.
+    /// Out since then, on the scheduler's own clock.
     Out(Nanos),
     /// Out since the first time, back since the second.
     Back(Nanos, Nanos),
@@ -71,6 +71,14 @@
         }
     }
 
+    /// When a worker was last ordered out or back; 0 without orders.
+    pub fn latest(&self) -> Nanos {
+        let of_order = |order: &Order| match order {
+            Order::Out(at) | Order::Back(_, at) => *at,
+        };
+        self.by_host.values().map(of_order).max().unwrap_or(0)
+    }
+
     /// Forgets returns older than `span`, after which no worker is cold any more.
     pub fn age(&mut self, now: Nanos, span: Nanos) {
         self.by_host.retain(|_, o| !matches!(o, Order::Back(_, back) if now >= back.saturating_add(span)));
--- a/crates/control/src/service.rs
+++ b/crates/control/src/service.rs
@@ -27,6 +27,16 @@
     Ending(Nanos),
 }
 
+impl State {
+    /// Since when it is so; 0 in service.
+    pub fn since(self) -> Nanos {
+        match self {
+            State::In => 0,
+            State::Draining(at) | State::Ending(at) => at,
+        }
+    }
+}
+
 /// The machine.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Service {
--- a/crates/decide/src/rules/carry.rs
+++ b/crates/decide/src/rules/carry.rs
@@ -74,6 +74,23 @@
         arrange(&mut self.zones, &places(&new.zones, &old.zones));
         self
     }
+
+    /// The same with each worker's start replaced by what `start` makes of its id and that start.
+    pub fn with_starts(mut self, start: impl Fn(WorkerId, Nanos) -> Nanos) -> Carried {
+        for worker in &mut self.workers {
+            worker.started = start(WorkerId(worker.id), worker.started);
+        }
+        self
+    }
+
+    /// The latest time at which any of it is known to have happened; 0 if none is.
+    pub fn latest_event(&self) -> Nanos {
+        let of_worker = |worker: &OfWorker| {
+            let peers = worker.told.iter().map(|told| told.3).max().unwrap_or(0);
+            peers.max(worker.reported).max(worker.cold_at)
+        };
+        self.workers.iter().map(of_worker).max().unwrap_or(0)
+    }
 }
 
 impl Dispatcher {
--- a/crates/handover/src/words.rs
+++ b/crates/handover/src/words.rs
@@ -37,7 +37,7 @@
     Target {
         /// The target's name.
         host: String,
-        /// Since when it is idle, as Unix time.
+        /// Since when it is idle, on the sender's clock, which its snapshot relates to the machine's.
         since: Nanos,
     },
     /// What the sender holds now.
--- a/crates/scheduler/src/discovery.rs
+++ b/crates/scheduler/src/discovery.rs
@@ -1,7 +1,7 @@
 //! Discovery: the target group, as the platform's list tells of it.
 
-use super::clock::from_unix_ms;
 use super::http::{Kind, Message, Wire};
+use super::worker_starts::{Incarnation, WorkerStarts};
 use super::{Scheduler, route};
 use loomlb_accord::lists::{LEAVING, Leaving, Mine};
 use loomlb_control::orders::{Effect, Orders};
@@ -61,7 +61,12 @@
 
     /// Whether another look at a target found the same process at the same address.
     pub fn same_life(&self, other: &Target) -> bool {
-        self.dial == other.dial && self.word.started == other.word.started
+        self.dial == other.dial && self.said.born_ms == other.said.born_ms
+    }
+
+    /// Its process, and when that started.
+    pub fn incarnation(&self) -> Incarnation {
+        Incarnation { born_ms: self.said.born_ms, started: self.word.started }
     }
 }
 
@@ -75,6 +80,8 @@
     moved: Notify,
     /// The version of the list that was taken in last.
     seq: Cell<Option<u64>>,
+    /// When workers started, on our own scale.
+    starts: RefCell<WorkerStarts>,
 }
 
 /// The list, in discovery's form.
@@ -147,6 +154,13 @@
         List { seq: self.seq.get().unwrap_or(0), whole: self.seq.get().is_some(), hosts: hosts.collect() }
     }
 
+    /// What is known of the workers' starts, for a successor.
+    pub fn starts_for_successor(&self, now: Nanos) -> WorkerStarts {
+        let targets = self.targets.borrow();
+        let listed = targets.values().map(|t| (t.host.to_string(), t.incarnation()));
+        self.starts.borrow().handed_over(now, listed)
+    }
+
     /// Where discovery answers, if a reload has named another address than the start did.
     pub fn moved_to(&self) -> Option<SocketAddr> {
         self.address.get()
@@ -273,28 +287,22 @@
             s.pool.release(*id);
         }
     }
-    let mut entries = Vec::with_capacity(list.hosts.len());
-    for host in list.hosts {
+    let hosts: Vec<(Host, SocketAddr)> =
+        list.hosts.into_iter().filter_map(|host| dialable(&targets, host)).collect();
+    let mut starts = s.group.starts.borrow_mut();
+    let news = hosts.iter().filter(|(host, _)| known_start(&targets, host).is_none());
+    starts.observe(now, news.map(|(host, _)| (&*host.host, host.born_ms)));
+    let mut entries = Vec::with_capacity(hosts.len());
+    for (host, dial) in hosts {
         let id = number(&host.host);
-        let state = match &*host.health {
-            "active" => WorkerState::Ready,
-            "left" => WorkerState::Gone,
-            "leaving" => WorkerState::Draining,
-            other => {
-                tracing::warn!("discovery: {}: unknown health {other:?}, taken as leaving", host.host);
-                WorkerState::Draining
-            }
-        };
+        let state = listed_state(&host);
         let known = targets.get(&id);
-        let hearsay = known.filter(|t| t.said.born_ms == host.born_ms).and_then(|t| t.hearsay);
         if known.is_some_and(|t| *t.host != *host.host) {
             tracing::error!("discovery: {}: shares its number with another target, left out", host.host);
             continue;
         }
-        let Some(dial) = host.dial.parse().ok().or(known.map(|t| t.dial)) else {
-            tracing::error!("discovery: {}: dial {:?} is no address, left out", host.host, host.dial);
-            continue;
-        };
+        let same_process = known.filter(|t| t.said.born_ms == host.born_ms);
+        let hearsay = same_process.and_then(|t| t.hearsay);
         let epoch = s.epoch();
         if known.is_none_or(|t| (&t.said.site, &t.said.class) != (&host.site, &host.class)) {
             for fault in strange(&epoch.names, &host) {
@@ -302,12 +310,13 @@
                 tracing::warn!("discovery: {}: {fault}, used all the same", host.host);
             }
         }
-        let started = from_unix_ms(host.born_ms);
+        let started =
+            known_start(&targets, &host).unwrap_or_else(|| starts.appeared(now, &host.host, host.born_ms));
         let leaving = match state {
             WorkerState::Ready => None,
             _ => Some(known.and_then(|t| t.leaving).unwrap_or(now)),
         };
-        if leaving.is_some() || known.is_some_and(|t| t.word.started != started || t.dial != dial) {
+        if leaving.is_some() || known.is_some_and(|t| t.said.born_ms != host.born_ms || t.dial != dial) {
             // Connections to a process that has ended or is about to: the next use would only find that out.
             s.pool.release(id);
         }
@@ -320,23 +329,76 @@
         targets.insert(id, target);
     }
     s.orders.borrow_mut().age(now, s.epoch().settings.rules.cold.saturating_add(REMEMBER));
-    targets.retain(|_, t| t.leaving.is_none_or(|at| now < at + REMEMBER));
+    let departed = targets.extract_if(|_, target| target.leaving.is_some_and(|at| now >= at + REMEMBER));
+    starts.departed(now, departed.map(|(_, target)| (target.host.to_string(), target.incarnation())));
     drop(targets);
+    drop(starts);
     route::feed(s, Event::Workers { kind, entries });
 }
 
-/// Starts from this list, or from the one that the configuration brought, and follows discovery from its version on if
-/// it was a whole one.
-pub fn start(s: &Rc<Scheduler>, list: Option<List>) {
-    let known = list.unwrap_or_else(|| match &s.config.known {
+/// An entry with the address to dial, its own or the one known so far; none where that is no address, or where another
+/// target has its number.
+fn dialable(targets: &HashMap<WorkerId, Target>, host: Host) -> Option<(Host, SocketAddr)> {
+    let known = targets.get(&number(&host.host));
+    if known.is_some_and(|t| *t.host != *host.host) {
+        tracing::error!("discovery: {}: shares its number with another target, left out", host.host);
+        return None;
+    }
+    let dial = host.dial.parse().ok().or(known.map(|t| t.dial));
+    if dial.is_none() {
+        tracing::error!("discovery: {}: dial {:?} is no address, left out", host.host, host.dial);
+    }
+    Some((host, dial?))
+}
+
+/// The state that discovery gives an entry.
+fn listed_state(host: &Host) -> WorkerState {
+    match &*host.health {
+        "active" => WorkerState::Ready,
+        "left" => WorkerState::Gone,
+        "leaving" => WorkerState::Draining,
+        other => {
+            tracing::warn!("discovery: {}: unknown health {other:?}, taken as leaving", host.host);
+            WorkerState::Draining
+        }
+    }
+}
+
+/// The start that was assigned to this incarnation when the list named it before.
+fn known_start(targets: &HashMap<WorkerId, Target>, host: &Host) -> Option<Nanos> {
+    let known = targets.get(&number(&host.host))?;
+    let same = *known.host == *host.host && known.said.born_ms == host.born_ms;
+    same.then_some(known.word.started)
+}
+
+/// Starts from the list that the configuration brought.
+pub fn start(s: &Rc<Scheduler>) {
+    let known = match &s.config.known {
         serde_json::Value::Null => List::default(),
         known => List::deserialize(known).unwrap_or_else(|e| {
             tracing::error!("configuration: known: {e}; starting without targets");
             List::default()
         }),
-    });
-    s.group.seq.set(known.whole.then_some(known.seq));
-    take(s, known, ListKind::Persisted);
+    };
+    start_from(s, known);
+}
+
+/// Starts from the list of the process before this one, and from what that one knows of the workers' starts. A build
+/// that does not tell them had its list from discovery just now, as far as we know.
+pub fn take_over(s: &Rc<Scheduler>, list: List, starts: Option<WorkerStarts>) {
+    let answered = list.whole;
+    let told = starts.is_some();
+    s.group.starts.replace(starts.unwrap_or_default());
+    start_from(s, list);
+    if answered && !told {
+        s.group.starts.borrow_mut().answered(s.clock.now());
+    }
+}
+
+/// Takes in the first list, and follows discovery from its version on if it was a whole one.
+fn start_from(s: &Rc<Scheduler>, list: List) {
+    s.group.seq.set(list.whole.then_some(list.seq));
+    take(s, list, ListKind::Persisted);
 }
 
 /// Keeps up with discovery for as long as the program runs. While it is silent the last list stays. What has changed
@@ -447,6 +509,7 @@
     if kind == ListKind::Complete || !list.hosts.is_empty() {
         take(s, list, kind);
     }
+    s.group.starts.borrow_mut().answered(s.clock.now());
     Ok(())
 }
 
--- a/crates/scheduler/src/lib.rs
+++ b/crates/scheduler/src/lib.rs
@@ -28,6 +28,7 @@
 pub mod shutdown;
 pub mod upgrade;
 pub mod wheel;
+pub mod worker_starts;
 
 use config::Config;
 use loomlb_control::orders::Orders;
@@ -110,7 +111,7 @@
     let mut before = upgrade::predecessor(&config).await;
     let socket = before.as_mut().and_then(upgrade::Before::peers);
     let peers = peers::Peers::open(&config, socket).await.map_err(|e| named("peer_listen", e))?;
-    let clock = clock::Clock::default();
+    let clock = before.as_ref().map(upgrade::Before::clock).unwrap_or_default();
     let epoch = Rc::clone(&config.epoch);
     // Off on the platform: without quotas at the start nothing more is said among schedulers.
     let quotas_on = quotas.spec.is_some();
--- a/crates/scheduler/src/upgrade.rs
+++ b/crates/scheduler/src/upgrade.rs
@@ -1,22 +1,20 @@
 //! Upgrade: this process takes over from one that runs, and hands over to one that starts. Only where the platform holds
 //! the listening socket (`LB_FD`). Who accepts when is decided in `loomlb-handover`.
 
+use super::clock::Clock;
 use super::config::{Config, beside};
-use super::discovery::{self, List, number};
+use super::discovery::{self, number};
 use super::relay::{self, Heard};
 use super::{Scheduler, control, intake, route};
-use loomlb_control::orders::Orders;
-use loomlb_control::service::State;
-use loomlb_decide::boot::Names;
-use loomlb_decide::{Carried, Event, Holds as Held, Message, Nanos, WorkerId, ZoneId};
+use loomlb_decide::{Event, Holds as Held, Message, Nanos, WorkerId, ZoneId};
 use loomlb_handover::link::{Inbox, Link};
 use loomlb_handover::machine::{Act, New, Old};
 use loomlb_handover::words::{Ask, Holds, VERSION, Word};
-use serde::{Deserialize, Serialize};
+use serde::Deserialize;
+use snapshot::Snapshot;
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
 use std::io;
-use std::net::SocketAddr;
 use std::os::fd::OwnedFd;
 use std::path::PathBuf;
 use std::rc::Rc;
@@ -25,6 +23,8 @@
 use tokio::sync::{Notify, oneshot};
 use tokio::task::{AbortHandle, spawn_local};
 
+mod snapshot;
+
 /// A partner that says nothing for this long while it is waited for is passed over.
 const PATIENCE: Duration = Duration::from_millis(700);
 /// What is asked of a partner is answered in this time, or counts as unanswered.
@@ -36,21 +36,6 @@
 /// Questions that may wait for their answers at once.
 const ASKED: usize = 1024;
 
-/// All that one process tells the next.
-#[derive(Serialize, Deserialize)]
-struct Snapshot {
-    classes: Vec<String>,
-    tenants: Vec<String>,
-    kinds: Vec<String>,
-    zones: Vec<String>,
-    carried: Carried,
-    orders: Orders,
-    service: State,
-    list: List,
-    /// Where discovery answers, if a reload has named another address than the start did.
-    discovery: Option<SocketAddr>,
-}
-
 /// Another process of this scheduler.
 #[derive(Debug)]
 pub struct Partner {
@@ -180,6 +165,11 @@
     pub fn peers(&mut self) -> Option<OwnedFd> {
         self.peers.take()
     }
+
+    /// A clock on the scale of that process's times.
+    pub fn clock(&self) -> Clock {
+        self.snapshot.clock()
+    }
 }
 
 /// Asks the process that runs for all that it knows. None if there is none, or it cannot or will not say: this one then
@@ -222,17 +212,10 @@
 /// Starts from what the process before knows, if there is one; otherwise from the configuration.
 pub fn start(s: &Rc<Scheduler>, before: Option<Before>) {
     let Some(Before { link, inbox, snapshot, peers: _ }) = before else {
-        discovery::start(s, None);
+        discovery::start(s);
         return publish(s);
     };
-    let Snapshot { classes, tenants, kinds, zones, carried, orders, service, list, discovery } = snapshot;
-    *s.orders.borrow_mut() = orders;
-    s.shutdown.turn(|ours| ours.adopt(service));
-    if let Some(address) = discovery {
-        s.group.follow_at(address);
-    }
-    discovery::start(s, Some(list));
-    s.router.restore(carried.arranged(&Names { classes, tenants, zones, kinds }, &s.epoch().names));
+    snapshot.restore(s);
     let partner = Partner::new(link, false);
     let mut new = s.upgrade.new.get();
     if new.restored() {
@@ -303,7 +286,7 @@
     match s.upgrade.turn(|old| old.hello(version)) {
         Act::Offer => {
             let partner = Partner::new(link, true);
-            match serde_json::to_value(snapshot(&s)) {
+            match serde_json::to_value(Snapshot::of(&s)) {
                 Ok(value) => {
                     tracing::info!("upgrade: another process starts, and gets what is known here");
                     partner.link.say(&Word::Snapshot(value), s.peers.descriptor());
@@ -327,22 +310,6 @@
     }
 }
 
-fn snapshot(s: &Scheduler) -> Snapshot {
-    let epoch = s.epoch();
-    let names = &epoch.names;
-    Snapshot {
-        classes: names.classes.clone(),
-        tenants: names.tenants.clone(),
-        kinds: names.kinds.clone(),
-        zones: names.zones.clone(),
-        carried: s.router.carried(),
-        orders: s.orders.borrow().clone(),
-        service: s.shutdown.service().state(),
-        list: s.group.list(),
-        discovery: s.group.moved_to(),
-    }
-}
-
 /// Talks with another process until the link is over.
 fn meet(s: &Rc<Scheduler>, partner: &Rc<Partner>, inbox: Inbox) {
     s.upgrade.partners.borrow_mut().push(Rc::clone(partner));
@@ -423,7 +390,7 @@
                 && s.group.names(&host)
             {
                 s.book.borrow_mut().counters.adopted += 1;
-                s.pool.adopt(number(&host), stream, since);
+                s.pool.adopt(number(&host), stream, since.min(s.clock.now()));
             }
         }
         (Word::Holds(holds), _) => tell_module(s, partner, holds),
