--- a/crates/emulator/src/stage.rs
+++ b/crates/emulator/src/stage.rs
@@ -207,6 +207,7 @@
     pub(crate) fn now(&self) -> Nanos {
         self.start.get().map_or(0, |start| start.elapsed().as_nanos() as Nanos)
     }
+    #[expect(clippy::disallowed_methods, reason = "discovery dates its workers by the wall clock")]
     fn begin(&self) {
         self.start.set(Some(Instant::now()));
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
--- a/crates/lab/src/scale/play.rs
+++ b/crates/lab/src/scale/play.rs
@@ -398,6 +398,7 @@
 }
 
 impl Stage {
+    #[expect(clippy::disallowed_methods, reason = "discovery dates its workers by the wall clock")]
     fn suffer(&mut self, fault: Fault, sizes: &Sizes) -> Result<(), Error> {
         let now = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH);
         let born = now.map_or(1, |t| t.as_millis() as u64);
--- a/tests/endings.rs
+++ b/tests/endings.rs
@@ -627,6 +627,7 @@
 /// Thirty processes start at once before a worker that has just started, and each has jobs for it all the time: what reaches
 /// the worker in a window is within the budget that the settings give, and what is put down to chance.
 #[test]
+#[expect(clippy::disallowed_methods, reason = "discovery dates its workers by the wall clock")]
 fn thirty_processes_that_start_at_once_stay_within_a_cold_workers_budget() {
     const FLEET: usize = 30;
     let cold = Server::new("s-00000001");
