--- a/crates/accord/src/check.rs
+++ b/crates/accord/src/check.rs
@@ -8,12 +8,16 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Line {
     /// When, in nanoseconds of the machine's monotonic clock.
+    #[serde(rename = "at")]
     pub at: Nanos,
     /// Which scheduler.
+    #[serde(rename = "who")]
     pub who: String,
     /// Which of its processes.
+    #[serde(rename = "process")]
     pub process: u64,
     /// What it did.
+    #[serde(rename = "event")]
     pub event: Event,
 }
 
@@ -22,17 +26,23 @@
 #[serde(rename_all = "snake_case")]
 pub enum Event {
     /// It put these rules in force for itself.
+    #[serde(rename = "takes")]
     Takes(Acting),
     /// It sent a job on under these rules.
+    #[serde(rename = "acts")]
     Acts {
         /// The rules.
+        #[serde(rename = "on")]
         on: Acting,
         /// By its own clock it might have acted for so much longer.
+        #[serde(rename = "left")]
         left: Nanos,
     },
     /// It found that it may act no more.
+    #[serde(rename = "lapsed")]
     Lapsed,
     /// It may act again.
+    #[serde(rename = "renewed")]
     Renewed,
 }
 
--- a/crates/accord/src/frames.rs
+++ b/crates/accord/src/frames.rs
@@ -24,43 +24,61 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Word {
     /// The caller's first word.
+    #[serde(rename = "Hello")]
     Hello {
         /// Its format.
+        #[serde(rename = "format")]
         format: u32,
         /// Its scheduler's name.
+        #[serde(rename = "name")]
         name: String,
         /// A number that no other process has.
+        #[serde(rename = "process")]
         process: u64,
         /// Its number as a voter, if it is one.
+        #[serde(rename = "voter")]
         voter: Option<u64>,
     },
     /// A scheduler asks to go on acting.
+    #[serde(rename = "Ask")]
     Ask {
         /// Number of the question.
+        #[serde(rename = "number")]
         number: u64,
         /// What it acts on, if it knows of a document.
+        #[serde(rename = "acting")]
         acting: Option<Acting>,
         /// The state that it has.
+        #[serde(rename = "index")]
         index: u64,
         /// Its list of workers.
+        #[serde(rename = "list")]
         list: Mine,
     },
     /// A voter's answer.
+    #[serde(rename = "Answer")]
     Answer {
         /// To which question.
+        #[serde(rename = "number")]
         number: u64,
         /// Whether it promised.
+        #[serde(rename = "yes")]
         yes: bool,
         /// The state, if it is newer than the asker's.
+        #[serde(rename = "news")]
         news: Option<Box<State>>,
         /// The lists of all.
+        #[serde(rename = "lists")]
         lists: Theirs,
     },
     /// A scheduler proposes; it asks again until it sees the outcome.
+    #[serde(rename = "Propose")]
     Propose(Command),
     /// A voter is ready for a version.
+    #[serde(rename = "Ready")]
     Ready(u64),
     /// A message among voters, in the library's bytes.
+    #[serde(rename = "Raft")]
     Raft(#[serde(with = "hex")] Vec<u8>),
 }
 
--- a/crates/accord/src/lib.rs
+++ b/crates/accord/src/lib.rs
@@ -30,8 +30,10 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, serde::Serialize, serde::Deserialize)]
 pub enum Acting {
     /// One version's rules.
+    #[serde(rename = "On")]
     On(Version),
     /// What both this version and the next one allow.
+    #[serde(rename = "Between")]
     Between(Version),
 }
 
--- a/crates/accord/src/lists.rs
+++ b/crates/accord/src/lists.rs
@@ -20,8 +20,10 @@
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Leaving {
     /// Its name.
+    #[serde(rename = "host")]
     pub host: String,
     /// When that life began, in Unix milliseconds.
+    #[serde(rename = "born_ms")]
     pub born_ms: u64,
 }
 
@@ -29,8 +31,10 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Mine {
     /// Its version; 0 without one.
+    #[serde(rename = "version")]
     pub version: u64,
     /// Workers that it was told to be leaving lately, [`LEAVING`] at the most.
+    #[serde(rename = "leaving")]
     pub leaving: Vec<Leaving>,
 }
 
@@ -38,10 +42,13 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Theirs {
     /// The newest version that anybody has.
+    #[serde(rename = "newest")]
     pub newest: u64,
     /// The oldest that somebody still has.
+    #[serde(rename = "oldest")]
     pub oldest: u64,
     /// Workers that somebody was told to be leaving.
+    #[serde(rename = "leaving")]
     pub leaving: Vec<Leaving>,
 }
 
--- a/crates/accord/src/rules.rs
+++ b/crates/accord/src/rules.rs
@@ -9,9 +9,11 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Body {
     /// The settings, without what is each scheduler's own.
+    #[serde(rename = "settings")]
     pub settings: Value,
     /// Workers that staff have taken out.
     #[serde(default)]
+    #[serde(rename = "out")]
     pub out: BTreeSet<String>,
 }
 
--- a/crates/accord/src/state.rs
+++ b/crates/accord/src/state.rs
@@ -12,17 +12,23 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Command {
     /// A new document in place of version `base`.
+    #[serde(rename = "Propose")]
     Propose {
         /// Names the proposal, so that one sent twice counts once.
+        #[serde(rename = "token")]
         token: u64,
         /// Who proposed it.
+        #[serde(rename = "by")]
         by: String,
         /// The version that the proposer knew.
+        #[serde(rename = "base")]
         base: Version,
         /// The document.
+        #[serde(rename = "body")]
         body: Body,
     },
     /// The version that was coming is in force: nobody acts on rules that it contradicts.
+    #[serde(rename = "Activate")]
     Activate(Version),
 }
 
@@ -30,10 +36,13 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Document {
     /// Its number.
+    #[serde(rename = "version")]
     pub version: Version,
     /// Who proposed it.
+    #[serde(rename = "by")]
     pub by: String,
     /// What it says.
+    #[serde(rename = "body")]
     pub body: Body,
 }
 
@@ -41,12 +50,16 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Outcome {
     /// It is this version.
+    #[serde(rename = "Agreed")]
     Agreed(Version),
     /// It says what this version says already.
+    #[serde(rename = "Same")]
     Same(Version),
     /// Another came before it: the version that it missed.
+    #[serde(rename = "Missed")]
     Missed(Version),
     /// It cannot be brought into force while the tier runs, because of these keys.
+    #[serde(rename = "Unordered")]
     Unordered(Vec<String>),
 }
 
@@ -54,14 +67,19 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct State {
     /// The number of the last command that is in here; a later state has a higher one.
+    #[serde(rename = "index")]
     pub index: u64,
     /// In force.
+    #[serde(rename = "active")]
     pub active: Option<Document>,
     /// Agreed, and not yet in force everywhere.
+    #[serde(rename = "coming")]
     pub coming: Option<Document>,
     /// What became of the latest proposals, by their tokens.
+    #[serde(rename = "outcomes")]
     pub outcomes: VecDeque<(u64, Outcome)>,
     /// The latest versions: number, proposer, what changed, and whether that can contradict.
+    #[serde(rename = "history")]
     pub history: VecDeque<Past>,
 }
 
@@ -69,12 +87,16 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Past {
     /// Its number.
+    #[serde(rename = "version")]
     pub version: Version,
     /// Who proposed it.
+    #[serde(rename = "by")]
     pub by: String,
     /// The keys that it changed.
+    #[serde(rename = "keys")]
     pub keys: Vec<String>,
     /// It contradicts the version before it.
+    #[serde(rename = "contradicts")]
     pub contradicts: bool,
 }
 
--- a/crates/control/src/orders.rs
+++ b/crates/control/src/orders.rs
@@ -11,8 +11,10 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Order {
     /// Out since then, as Unix time.
+    #[serde(rename = "Out")]
     Out(Nanos),
     /// Out since the first time, back since the second.
+    #[serde(rename = "Back")]
     Back(Nanos, Nanos),
 }
 
@@ -30,6 +32,7 @@
 /// All orders that are in force, by the workers' names.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Orders {
+    #[serde(rename = "by_host")]
     by_host: BTreeMap<String, Order>,
 }
 
--- a/crates/control/src/service.rs
+++ b/crates/control/src/service.rs
@@ -20,10 +20,13 @@
 pub enum State {
     /// It takes clients.
     #[default]
+    #[serde(rename = "In")]
     In,
     /// Staff took it out of service then.
+    #[serde(rename = "Draining")]
     Draining(Nanos),
     /// Its process was told to end then; nothing leads back.
+    #[serde(rename = "Ending")]
     Ending(Nanos),
 }
 
--- a/crates/decide/src/boot.rs
+++ b/crates/decide/src/boot.rs
@@ -44,6 +44,7 @@
 /// The settings as they are sent at a start, in the simulator's words.
 #[derive(Clone, Debug, Deserialize, Default)]
 #[serde(default)]
+#[serde(expecting = "struct BootInfo")]
 pub struct BootInfo {
     balancers: u32,
     rank: u32,
@@ -66,6 +67,7 @@
 
 #[derive(Clone, Debug, Deserialize, Default)]
 #[serde(default)]
+#[serde(expecting = "struct RawClass")]
 struct RawClass {
     name: String,
     aim: Nanos,
@@ -80,6 +82,7 @@
 
 #[derive(Clone, Debug, Deserialize, Default)]
 #[serde(default)]
+#[serde(expecting = "struct RawTenant")]
 struct RawTenant {
     name: String,
     quota_rps: f64,
@@ -87,6 +90,7 @@
 
 #[derive(Clone, Debug, Deserialize, Default)]
 #[serde(default)]
+#[serde(expecting = "struct LoadReport")]
 struct LoadReport {
     fields: Vec<String>,
     how: String,
@@ -94,6 +98,7 @@
 
 #[derive(Clone, Debug, Deserialize)]
 #[serde(default)]
+#[serde(expecting = "struct Ceilings")]
 struct Ceilings {
     cancel: bool,
     dial_timeout: Nanos,
@@ -126,6 +131,7 @@
 
 #[derive(Clone, Debug, Deserialize, Default)]
 #[serde(default)]
+#[serde(expecting = "struct Obligations")]
 struct Obligations {
     cold: Nanos,
     cold_from: f64,
@@ -137,6 +143,7 @@
 
 #[derive(Clone, Debug, Deserialize, Default)]
 #[serde(default)]
+#[serde(expecting = "struct Penalties")]
 struct Penalties {
     cross_zone: f64,
     waste: f64,
@@ -148,6 +155,7 @@
 
 #[derive(Clone, Debug, Deserialize, Default)]
 #[serde(default)]
+#[serde(expecting = "struct Extra")]
 struct Extra {
     class_kind: Vec<i64>,
     class_stretch: Vec<f64>,
--- a/crates/handover/src/words.rs
+++ b/crates/handover/src/words.rs
@@ -14,39 +14,55 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Word {
     /// The new process is there, and speaks this version.
+    #[serde(rename = "Hello")]
     Hello {
         /// See [`VERSION`].
+        #[serde(rename = "version")]
         version: u32,
     },
     /// The old process gives nothing, and why.
+    #[serde(rename = "Refused")]
     Refused(String),
     /// All that the old process knows; the peers' socket comes with it, if there is one.
+    #[serde(rename = "Snapshot")]
     Snapshot(serde_json::Value),
     /// The new process is ready to accept.
+    #[serde(rename = "Ready")]
     Ready,
     /// The old process accepts no more.
+    #[serde(rename = "Committed")]
     Committed,
     /// An idle connection of a client or of call-backs, with its descriptor.
+    #[serde(rename = "Client")]
     Client {
         /// Its last request was a call-back.
+        #[serde(rename = "calls_back")]
         calls_back: bool,
         /// It has said nothing yet.
+        #[serde(rename = "fresh")]
         fresh: bool,
     },
     /// An idle connection to a target, with its descriptor.
+    #[serde(rename = "Target")]
     Target {
         /// The target's name.
+        #[serde(rename = "host")]
         host: String,
         /// Since when it is idle, as Unix time.
+        #[serde(rename = "since")]
         since: Nanos,
     },
     /// What the sender holds now.
+    #[serde(rename = "Holds")]
     Holds(Holds),
     /// Something to be done by whoever can, and to be answered under the same number.
+    #[serde(rename = "Ask")]
     Ask(u64, Ask),
     /// The answer: whether it was for the other process.
+    #[serde(rename = "Answer")]
     Answer(u64, bool),
     /// The sender has nothing more to say, and ends.
+    #[serde(rename = "Bye")]
     Bye,
 }
 
@@ -54,10 +70,13 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Holds {
     /// Slots at targets, by their names.
+    #[serde(rename = "slots")]
     pub slots: Vec<(String, f64)>,
     /// Connections at its listener.
+    #[serde(rename = "inbound")]
     pub inbound: usize,
     /// Connections to targets.
+    #[serde(rename = "outbound")]
     pub outbound: usize,
 }
 
@@ -65,8 +84,10 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Ask {
     /// The body of a call-back for a flow that the sender does not have.
+    #[serde(rename = "CallBack")]
     CallBack(String),
     /// Method and path of a call of staff, which the sender has carried out on its side.
+    #[serde(rename = "Order")]
     Order(String, String),
 }
 
--- a/crates/quota/src/spec.rs
+++ b/crates/quota/src/spec.rs
@@ -23,6 +23,7 @@
 /// The quotas of an installation.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields, default)]
+#[serde(expecting = "struct Spec")]
 pub struct Spec {
     /// What a node may use at once of its guaranteed share, in seconds of it.
     pub burst_s: f64,
@@ -59,6 +60,7 @@
 /// One node: the installation, an organisation, a part of one, or a tenant.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
+#[serde(expecting = "struct NodeSpec")]
 pub struct NodeSpec {
     /// Its name; a tenant's is the name in its requests.
     pub name: String,
@@ -89,6 +91,7 @@
 /// The limits of a node for one measure.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Serialize, PartialEq)]
 #[serde(deny_unknown_fields, default)]
+#[serde(expecting = "struct Limit")]
 pub struct Limit {
     /// What it may always use; none where it is not given: the measure is then not limited by shares.
     pub guarantee: Option<f64>,
@@ -99,6 +102,7 @@
 /// A ceiling over a window of time.
 #[derive(Clone, Copy, Debug, Deserialize, Serialize, PartialEq)]
 #[serde(deny_unknown_fields)]
+#[serde(expecting = "struct WindowSpec")]
 pub struct WindowSpec {
     /// What is counted.
     pub measure: Measure,
--- a/crates/scheduler/src/config.rs
+++ b/crates/scheduler/src/config.rs
@@ -86,6 +86,7 @@
 
 #[derive(Deserialize, Default)]
 #[serde(default)]
+#[serde(expecting = "struct Raw")]
 struct Raw {
     name: Option<String>,
     listen: Option<String>,
@@ -102,6 +103,7 @@
 
 #[derive(Deserialize)]
 #[serde(default)]
+#[serde(expecting = "struct Limits")]
 struct Limits {
     memory_mb: usize,
     sockets: usize,
--- a/crates/tier/src/spec.rs
+++ b/crates/tier/src/spec.rs
@@ -14,6 +14,7 @@
 /// The operator file's words on the tier.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
+#[serde(expecting = "struct Spec")]
 pub struct Spec {
     /// What all schedulers of the tier know and nobody else does.
     pub(crate) key: String,
@@ -52,6 +53,7 @@
 /// A voter as the operator names it.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
+#[serde(expecting = "struct VoterAt")]
 pub struct VoterAt {
     /// Its scheduler's name.
     pub(crate) name: String,
--- a/src/operator.rs
+++ b/src/operator.rs
@@ -10,6 +10,7 @@
 /// The operator file, checked.
 #[derive(Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields, default)]
+#[serde(expecting = "struct Operator")]
 pub(crate) struct Operator {
     /// The log.
     pub(crate) log: Log,
@@ -22,6 +23,7 @@
 /// How to log.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
+#[serde(expecting = "struct Log")]
 pub(crate) struct Log {
     /// Lines for people or JSON.
     pub(crate) format: Format,
