--- a/crates/decide/tests/pins.rs
+++ b/crates/decide/tests/pins.rs
@@ -5,7 +5,7 @@
 mod golden;
 
 use loomlb_decide::boot::key;
-use loomlb_decide::{Carried, Holds, Message, WorkerId, ZoneId};
+use loomlb_decide::{Carried, Holds, Message, Outcome, WorkerId, WorkerState, ZoneId};
 
 fn messages() -> Vec<Message> {
     let holds =
@@ -62,3 +62,22 @@
     let text: String = ["", "7f", "é"].map(|subject| format!("{subject:?} {}\n", key(subject).0)).concat();
     golden::check("subject-numbers.txt", text.as_bytes());
 }
+
+/// The digests of days in virtual time are taken over these numbers, not over names.
+#[test]
+fn the_numbers_of_states_and_outcomes_stay() {
+    let states = [WorkerState::Ready, WorkerState::Draining, WorkerState::Gone];
+    assert_eq!(states.map(|state| state as u64), [0, 1, 2]);
+    let outcomes = [
+        Outcome::Served,
+        Outcome::Error,
+        Outcome::Full,
+        Outcome::Timeout,
+        Outcome::NoConnection,
+        Outcome::Reset,
+        Outcome::Cancelled,
+        Outcome::NotSent,
+        Outcome::Rejected,
+    ];
+    assert_eq!(outcomes.map(|outcome| outcome as u64), [0, 1, 2, 3, 4, 5, 6, 7, 8]);
+}
