--- a/crates/accord/tests/pins.rs
+++ b/crates/accord/tests/pins.rs
@@ -197,10 +197,7 @@
 /// The messages among voters are the library's own; one of each kind that carries our bytes is enough.
 #[test]
 fn a_raft_message_keeps_its_bytes() {
-    let mut message = loomlb_accord::agreement::Message::default();
-    message.from = 1;
-    message.to = 2;
-    message.term = 3;
+    let mut message = loomlb_accord::agreement::Message { from: 1, to: 2, term: 3, ..Default::default() };
     message.entries.push(entry(12, 3, &Command::Activate(3)));
     let bytes = loomlb_accord::agreement::bytes(&message);
     assert_eq!(bytes, message.write_to_bytes().unwrap());
--- a/tests/pins/log.rs
+++ b/tests/pins/log.rs
@@ -24,6 +24,25 @@
     golden::check("counters.txt", (words.join(" ") + "\n").as_bytes());
 }
 
+/// What the log says of calls of staff, in lines for people.
+#[test]
+fn lines_on_calls_of_staff_stay() {
+    let target = Server::new("s-00000001");
+    let discovery = Agent::new(Mode::Answers, &[target.entry("active")]);
+    let stage = Stage::operated(&[&target], &discovery.server);
+    let (_, first) = stage.first_line.split_once(' ').unwrap();
+    let mut text = format!("<time> {}\n", first.replace(&stage.at.to_string(), "<listen>"));
+    for call in ["workers/s-00000001/offline", "workers/s-00000001/online", "out-of-service", "in-service"] {
+        for _ in 0..2 {
+            stage.order(&format!("PUT /control/{call}"));
+            // The name of the module stands before the message, and may be the same word.
+            let said = stage.logged("control: ");
+            text += &format!("control: {}\n", said.trim_start_matches("control: "));
+        }
+    }
+    golden::check("log-staff.txt", text.as_bytes());
+}
+
 /// A line with its time, its measured figures and the address masked; all else stays byte for byte.
 fn masked(line: &str, at: &str) -> String {
     let (start, rest) = line.split_once("\"timestamp\":\"").unwrap();
--- a/tests/pins/restart.rs
+++ b/tests/pins/restart.rs
@@ -89,6 +89,20 @@
     golden::check("snapshot.txt", text.as_bytes());
 }
 
+/// The configuration that is kept for a process that takes over: where it lies, and what stands in it.
+#[test]
+fn the_configuration_kept_for_a_successor_is_the_file_that_is_in_force() {
+    let (discovery, target) = (Server::new("d"), Server::new("s-00000001"));
+    let platform = Platform::new();
+    let mut stage = Stage::beside(&[&target], &discovery, &platform);
+    stage.ready();
+    stage.reload(r#""name":"lodge""#, r#""name":"sign""#);
+    stage.logged("configuration reloaded");
+    let kept = std::fs::read_to_string(platform.folder.path().join("loomlb-127.0.0.1-0.json")).unwrap();
+    let in_force: Value = serde_json::from_str(stage.config()).unwrap();
+    assert_eq!(kept, in_force.to_string());
+}
+
 /// About when the fixture was recorded, as Unix time in nanoseconds.
 const RECORDED: i64 = 1_796_207_381_262_118_251;
 
