--- a/crates/control/src/service.rs
+++ b/crates/control/src/service.rs
@@ -7,7 +7,8 @@
 const NOTICE: Nanos = 700_000_000;
 /// of which it counts no more than this.
 const LONGEST: Nanos = 3_000_000_000;
-/// Time kept free before the platform may kill, for answers to get out.
+/// Time kept free before the platform may kill, for answers to get out: a process may be held up for 0.15 s between its
+/// clock and its write. Always less than [`NOTICE`].
 const MARGIN: Nanos = 200_000_000;
 /// In a drain the front sends new connections for 0.2 s after it has seen health fail, which it asks every 0.1 s: only
 /// from here on are clients told to leave their connections with an answer.
@@ -113,8 +114,10 @@
         match self.state {
             State::In => None,
             State::Draining(at) => Some(at + TAKES),
-            State::Ending(at) if self.alone => Some(at + NOTICE + self.wait() - 2 * self.margin()),
-            State::Ending(at) => Some(at + NOTICE + self.wait() / 2),
+            State::Ending(at) => {
+                let last_moment = self.last_answer(at) - self.last_job_time();
+                Some(if self.alone { last_moment } else { last_moment.min(at + NOTICE + self.wait() / 2) })
+            }
         }
     }
 
@@ -131,14 +134,19 @@
     /// By when a flow that is taken now must have its answer: what is taken after the notice of an end is lost if the
     /// platform's kill finds it open.
     pub fn answer_by(&self) -> Option<Nanos> {
-        let wait = self.wait();
         match self.state {
-            State::Ending(at) => Some(at + NOTICE + wait - self.margin()),
+            State::Ending(at) => Some(self.last_answer(at)),
             _ => None,
         }
     }
 
-    fn margin(&self) -> Nanos {
+    /// When the last answer has to be out, after a notice at this time.
+    fn last_answer(&self, notice: Nanos) -> Nanos {
+        notice + NOTICE + self.wait() - MARGIN
+    }
+
+    /// The least time left to what is taken last.
+    fn last_job_time(&self) -> Nanos {
         MARGIN.min(self.wait() / 4)
     }
 
