--- a/crates/fault-shim/tests/smoke.rs
+++ b/crates/fault-shim/tests/smoke.rs
@@ -1,6 +1,8 @@
 //! Each kind of call fails under a plan that says so, in a process that has the library preloaded. Each test starts its
 //! own file again for that; a variable tells the process under the plan that it is the one.
 
+#![expect(clippy::disallowed_methods, reason = "the wall clock is one of the things that a plan moves")]
+
 use loomlb_fault_plan::{Call, FaultPlan, Limit, Turns, WITHOUT_END};
 use std::fs::File;
 use std::io::{self, Read, Seek, Write};
--- a/tests/stage/mod.rs
+++ b/tests/stage/mod.rs
@@ -352,6 +352,22 @@
     pub fn under(plan: &FaultPlan, known: &[&Server], discovery: &Server, more: &str) -> Stage {
         Stage::launch(known, discovery, more, |command| plan.apply(command))
     }
+    /// Under a plan, with words of its configuration changed.
+    pub fn changed_under(plan: &FaultPlan, discovery: &Server, changes: &[(&str, &str)]) -> Stage {
+        Stage::start(&[], discovery, "", changes, |command| plan.apply(command))
+    }
+    /// The same beside the process that has the platform's socket already.
+    pub fn changed_beside_under(
+        plan: &FaultPlan,
+        discovery: &Server,
+        platform: &Platform,
+        changes: &[(&str, &str)],
+    ) -> Stage {
+        Stage::start(&[], discovery, r#""control":"127.0.0.1:0","#, changes, |command| {
+            platform.lend(command);
+            plan.apply(command);
+        })
+    }
     /// Beside the process that has the platform's socket already, with system calls that fail as planned.
     pub fn beside_under(
         plan: &FaultPlan,
--- /dev/null
+++ b/tests/wall_clock.rs
@@ -0,0 +1,170 @@
+//! Stories of a wall clock that is wrong from the start or is stepped: spans of time go on as if nothing had happened. The
+//! program's wall clock is moved by a preloaded shim; its monotonic clock and the clock of the test stay true.
+
+mod stage;
+
+use loomlb_fault_plan::FaultPlan;
+use stage::{Agent, Mode, Platform, Server, Stage, job, until};
+use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
+
+const SECOND: i64 = 1_000_000_000;
+const HOUR: i64 = 3_600 * SECOND;
+const STEPS: [i64; 4] = [HOUR, -HOUR, 5 * SECOND, -5 * SECOND];
+
+/// Clients that ask all the time.
+const CLIENTS: usize = 4;
+/// What a cold worker of one slot may be sent in the 4 s of the rule below, and what is put down to chance.
+const COLD_BUDGET: f64 = 2.5 * 0.3 * 4.0;
+/// More than a cold worker may be sent in the time that a story waits at most.
+const WARM_SENDS: usize = 60;
+
+/// The settings' rule: a worker is cold for this long, in nanoseconds.
+fn slow_start(cold: &str) -> String {
+    format!(
+        r#""obligations":{{"cold":{cold},"cold_from":0.3,"overload_factor":2.5,"overload_for":4000000000,"#
+    )
+}
+
+/// An aim that tells nothing of what a job takes: a second, on a worker of one slot.
+const AIM: (&str, &str) =
+    (r#""aim":900000000,"give_up":5000000000"#, r#""aim":20000000,"give_up":16000000000"#);
+
+/// The worker's entry, born at this moment by the true wall clock.
+#[expect(clippy::disallowed_methods, reason = "discovery dates its workers by the wall clock")]
+fn born_now(worker: &Server) -> String {
+    let born = SystemTime::now().duration_since(UNIX_EPOCH).unwrap().as_millis();
+    worker.entry("active").replace(r#""born_ms":0"#, &format!(r#""born_ms":{born}"#))
+}
+
+fn forwards(stage: &Stage) -> usize {
+    stage.counters(&["forwards"])[9..].parse().unwrap()
+}
+
+/// Has clients ask for this long, each again as soon as it is answered; the worker answers nothing.
+fn ask_all_the_time(stage: &Stage, long: Duration) {
+    let begun = Instant::now();
+    std::thread::scope(|scope| {
+        for client in 0..CLIENTS {
+            let mut line = stage.connect();
+            scope.spawn(move || {
+                for n in 0.. {
+                    if begun.elapsed() > long {
+                        break;
+                    }
+                    line.say(&job("view", &format!("c{client}-{n}"), "0.300"));
+                    line.answer();
+                }
+            });
+        }
+    });
+}
+
+/// Two seconds are half a window of the rule.
+fn stays_within_the_cold_budget(stage: &Stage, step: i64) {
+    let before = forwards(stage);
+    ask_all_the_time(stage, Duration::from_secs(2));
+    let sent = forwards(stage) - before;
+    let most = COLD_BUDGET + 2.0 * COLD_BUDGET.sqrt() + 2.0;
+    assert!(sent as f64 <= most, "{step} ns: {sent} calls, {COLD_BUDGET} allowed");
+}
+
+/// A worker that has just started is cold, whatever the scheduler's wall clock says and however it is stepped.
+#[test]
+fn a_worker_that_appears_is_cold_whatever_the_wall_clock_says() {
+    for step in STEPS {
+        let plan = FaultPlan::new().unwrap();
+        plan.step_wall_clock(step);
+        let (worker, discovery) = (Server::new("s-00000001"), Agent::new(Mode::Answers, &[]));
+        let rule = slow_start("600000000000");
+        let changes = [(r#""obligations":{"#, &*rule), AIM];
+        let stage = Stage::changed_under(&plan, &discovery.server, &changes);
+        discovery.called("from=2", 1);
+        discovery.lists(&[born_now(&worker)]);
+        discovery.called("from=3", 1);
+        plan.step_wall_clock(-step);
+        stays_within_the_cold_budget(&stage, step);
+    }
+}
+
+/// It is warm after the time that the settings give, and not an hour later.
+#[test]
+fn a_worker_that_appears_warms_up_in_time_whatever_the_wall_clock_says() {
+    for step in [-HOUR, HOUR] {
+        let plan = FaultPlan::new().unwrap();
+        plan.step_wall_clock(step);
+        let (worker, discovery) = (Server::new("s-00000001"), Agent::new(Mode::Answers, &[]));
+        let rule = slow_start("2000000000");
+        let changes = [(r#""obligations":{"#, &*rule), AIM];
+        let stage = Stage::changed_under(&plan, &discovery.server, &changes);
+        discovery.called("from=2", 1);
+        discovery.lists(&[born_now(&worker)]);
+        discovery.called("from=3", 1);
+        until(&format!("{step} ns: {WARM_SENDS} calls"), || {
+            ask_all_the_time(&stage, Duration::from_millis(500));
+            forwards(&stage) >= WARM_SENDS
+        });
+    }
+}
+
+/// The wall clock is stepped between the starts of two processes: a worker is no older for the second one.
+#[test]
+fn a_cold_worker_stays_cold_through_a_hot_restart_across_a_step() {
+    for step in STEPS {
+        let plan = FaultPlan::new().unwrap();
+        let (worker, discovery) = (Server::new("s-00000001"), Agent::new(Mode::Answers, &[]));
+        let (platform, rule) = (Platform::new(), slow_start("600000000000"));
+        let changes = [(r#""obligations":{"#, &*rule), AIM];
+        let old = Stage::changed_beside_under(&plan, &discovery.server, &platform, &changes);
+        old.ready();
+        discovery.called("from=2", 1);
+        discovery.lists(&[born_now(&worker)]);
+        discovery.called("from=3", 1);
+        plan.step_wall_clock(step);
+        let new = Stage::changed_beside_under(&plan, &discovery.server, &platform, &changes);
+        new.ready();
+        stays_within_the_cold_budget(&new, step);
+    }
+}
+
+/// The wall clock is stepped in the midst of a drain, before a successor starts: idle connections close in time, and the
+/// successor takes no job after that.
+#[test]
+fn a_drain_ends_in_time_across_a_step_and_a_hot_restart() {
+    for step in STEPS {
+        let (discovery, target) = (Server::new("d"), Server::new("s-00000001"));
+        let (platform, plan) = (Platform::new(), FaultPlan::new().unwrap());
+        let old = Stage::beside_under(&plan, &[&target], &discovery, &platform);
+        old.ready();
+        let mut kept = old.connect();
+        assert!(old.order("PUT /control/out-of-service").starts_with("HTTP/1.1 200"));
+        plan.step_wall_clock(step);
+        assert!(kept.closed(), "{step} ns");
+        let new = Stage::beside_under(&plan, &[&target], &discovery, &platform);
+        new.ready();
+        assert!(new.order("GET /control/ready").contains(r#""service":"draining""#));
+        // The time for jobs is over, as the first process has shown: none is taken any more.
+        let mut late = new.connect();
+        let _ = late.try_say(&job("view", "a1", "0.500"));
+        late.hear();
+        assert_eq!(new.counters(&["forwards"]), "forwards=0", "{step} ns: a job is taken");
+    }
+}
+
+/// The wall clock is stepped while discovery is silent: it is asked again as soon as without.
+#[test]
+fn a_silent_discovery_is_asked_again_across_a_step() {
+    for step in STEPS {
+        let (discovery, plan) = (Agent::new(Mode::Answers, &[]), FaultPlan::new().unwrap());
+        let stage = Stage::under(&plan, &[], &discovery.server, "");
+        discovery.called("from=2", 1);
+        discovery.mode(Mode::Silent);
+        plan.step_wall_clock(step);
+        let before = discovery.calls("from=2").len();
+        discovery.called("from=2", before + 2);
+        discovery.mode(Mode::Answers);
+        let worker = Server::new("s-00000001");
+        discovery.lists(&[worker.entry("active")]);
+        discovery.called("from=3", 1);
+        drop(stage);
+    }
+}
