--- a/tests/wall_clock.rs
+++ b/tests/wall_clock.rs
@@ -4,7 +4,7 @@
 mod stage;
 
 use loomlb_fault_plan::FaultPlan;
-use stage::{Agent, Mode, Platform, Server, Stage, job, until};
+use stage::{Agent, Mode, Narrow, Platform, Server, Stage, job, until};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 const SECOND: i64 = 1_000_000_000;
@@ -150,6 +150,55 @@
     }
 }
 
+/// Clients that wait for long, so that nothing here ends for its time.
+const PATIENT: (&str, &str) =
+    (r#""aim":900000000,"give_up":5000000000"#, r#""aim":20000000000,"give_up":20000000000"#);
+/// Dials may take long.
+const SLOW_DIALS: (&str, &str) = (r#""dial_timeout":1000000000"#, r#""dial_timeout":15000000000"#);
+
+/// A job with an idempotency key whose first attempt breaks; its repeat hangs in a dial while the wall clock is stepped,
+/// and the dial comes up after `wait`. The client's answer, and what became of the attempts.
+fn repeat_across_a_step(window: &str, step: i64, wait: Duration) -> (Stage, Server, String) {
+    let (one, mut narrow) = (Server::new("s-00000001"), Narrow::new("s-00000002"));
+    let (discovery, plan) = (Agent::new(Mode::Answers, &[one.entry("active")]), FaultPlan::new().unwrap());
+    let keyed = format!(r#""effect":"deduplicated","group":"cell","repeat_window":{window}"#);
+    let changes = [PATIENT, SLOW_DIALS, (r#""effect":"idempotent""#, &*keyed)];
+    let stage = Stage::changed_under(&plan, &discovery.server, &changes);
+    stage.until("lists=1");
+    let mut client = stage.connect();
+    client.say(&job("view", "a1", "19.000").replace("X-Service", "Idempotency-Key: k\r\nX-Service"));
+    let mut first = one.accept();
+    assert!(first.hear().contains("Idempotency-Key: k\r\n"));
+    discovery.lists(&[one.entry("leaving"), narrow.server.entry("active")]);
+    stage.until("forwards=1 lists=2");
+    drop(first);
+    stage.until("forwards=2 Reset=1 dials=2");
+    plan.step_wall_clock(step);
+    std::thread::sleep(wait);
+    narrow.widen();
+    if wait.is_zero() {
+        let heard = narrow.server.accept().hear();
+        return (stage, narrow.server, heard);
+    }
+    let answer = client.answer();
+    (stage, narrow.server, answer)
+}
+
+/// The window of a key is a span of real time: once it has passed the repeat is not written, and until then it is.
+#[test]
+fn a_repeat_is_held_to_its_keys_window_across_a_step() {
+    for step in [-HOUR, -5 * SECOND] {
+        let late = Duration::from_millis(2100);
+        let (stage, _, answer) = repeat_across_a_step("2000000000", step, late);
+        assert_eq!(answer, "HTTP/1.1 502 Bad Gateway | failed", "{step} ns");
+        assert_eq!(stage.counters(&["forwards", "NotSent"]), "forwards=2 NotSent=1", "{step} ns");
+    }
+    for step in [HOUR, 5 * SECOND] {
+        let (_, _, heard) = repeat_across_a_step("60000000000", step, Duration::ZERO);
+        assert!(heard.contains("Idempotency-Key: k\r\n"), "{step} ns: {heard:?}");
+    }
+}
+
 /// The wall clock is stepped while discovery is silent: it is asked again as soon as without.
 #[test]
 fn a_silent_discovery_is_asked_again_across_a_step() {
