--- a/tests/stage/mod.rs
+++ b/tests/stage/mod.rs
@@ -1,6 +1,7 @@
 //! A stage for stories: the built program between scripted clients, targets and discovery on loopback.
 #![allow(dead_code, reason = "each file of stories uses a part of it")]
 
+use loomlb_fault_plan::FaultPlan;
 use socket2::{Domain, SockRef, Socket, Type};
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -347,6 +348,22 @@
             std::fs::write(file, text).unwrap();
         })
     }
+    /// The same with further keys of the configuration and system calls that fail as planned.
+    pub fn under(plan: &FaultPlan, known: &[&Server], discovery: &Server, more: &str) -> Stage {
+        Stage::launch(known, discovery, more, |command| plan.apply(command))
+    }
+    /// Beside the process that has the platform's socket already, with system calls that fail as planned.
+    pub fn beside_under(
+        plan: &FaultPlan,
+        known: &[&Server],
+        discovery: &Server,
+        platform: &Platform,
+    ) -> Stage {
+        Stage::launch(known, discovery, r#""control":"127.0.0.1:0","#, |command| {
+            platform.lend(command);
+            plan.apply(command);
+        })
+    }
     fn launch(known: &[&Server], discovery: &Server, more: &str, with: impl FnOnce(&mut Command)) -> Stage {
         Stage::start(known, discovery, more, &[], with)
     }
