--- a/crates/accord/src/agreement.rs
+++ b/crates/accord/src/agreement.rs
@@ -2,6 +2,7 @@
 //! written in the order that the library states: entries and votes first, then the messages that tell of them.
 
 use crate::Version;
+use crate::agreement_error::AgreementError;
 use crate::disk::{Disk, Loaded};
 use crate::state::{Command, State};
 use protobuf::Message as _;
@@ -10,7 +11,6 @@
 use raft::{GetEntriesContext, RaftState, RawNode, StateRole, Storage};
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet};
-use std::io;
 use std::rc::Rc;
 
 pub use raft::eraftpb::Message;
@@ -93,33 +93,29 @@
     }
 }
 
-fn other(e: impl std::fmt::Display) -> io::Error {
-    io::Error::other(e.to_string())
-}
-
 impl Agreement {
     /// Voter `id`, from 1 to `voters`, with what its disk held.
-    pub fn new(id: u64, voters: u64, loaded: Loaded) -> io::Result<Agreement> {
+    pub fn new(id: u64, voters: u64, loaded: Loaded) -> Result<Agreement, AgreementError> {
         let mem = MemStorage::new();
         let mut state = State::default();
         let mut from = 0;
         match loaded.snapshot {
             Some(snapshot) => {
                 from = snapshot.get_metadata().index;
-                state = serde_json::from_slice(snapshot.get_data()).map_err(other)?;
-                mem.wl().apply_snapshot(snapshot).map_err(other)?;
+                state = serde_json::from_slice(snapshot.get_data())?;
+                mem.wl().apply_snapshot(snapshot)?;
             }
             None => {
                 mem.initialize_with_conf_state(ConfState::from(((1..=voters).collect::<Vec<_>>(), vec![])))
             }
         }
-        mem.wl().append(&loaded.entries).map_err(other)?;
-        let last = mem.last_index().map_err(other)?;
+        mem.wl().append(&loaded.entries)?;
+        let last = mem.last_index()?;
         let mut hard = loaded.hard;
         // The commit index is written with the next vote or entry, so it may be behind the snapshot.
         hard.commit = hard.commit.clamp(from, last);
         mem.wl().set_hardstate(hard);
-        let applied = Rc::new(RefCell::new((from, serde_json::to_vec(&state).map_err(other)?)));
+        let applied = Rc::new(RefCell::new((from, serde_json::to_vec(&state)?)));
         let store = Store { mem, applied };
         let config = raft::Config {
             id,
@@ -136,7 +132,7 @@
             ..Default::default()
         };
         let logger = slog::Logger::root(slog::Discard, slog::o!());
-        let node = RawNode::new(&config, store.clone(), &logger).map_err(other)?;
+        let node = RawNode::new(&config, store.clone(), &logger)?;
         let voters = voters as usize;
         Ok(Agreement { node, store, state, begun_at: last, ready: BTreeMap::new(), voters, broken: false })
     }
@@ -162,7 +158,9 @@
         self.node.raft.leader_id
     }
 
-    /// The disk failed: this voter takes part no more until it is started anew.
+    /// [`Agreement::turn`] has failed: this voter takes part no more. Where the error was
+    /// [transient](AgreementError::is_transient), another one is built from what its disk
+    /// [recovers](Disk::recover), as after a restart.
     pub fn broken(&self) -> bool {
         self.broken
     }
@@ -203,16 +201,17 @@
     }
 
     /// Does what the library has to do: writes to the disk, applies what is agreed, and gives back the messages to send.
-    pub fn turn(&mut self, disk: &mut dyn Disk) -> io::Result<Vec<Message>> {
+    /// After an error no message of this call may be sent, and every later call does nothing.
+    pub fn turn(&mut self, disk: &mut dyn Disk) -> Result<Vec<Message>, AgreementError> {
         if self.broken {
             return Ok(Vec::new());
         }
-        let turned = self.work(disk);
-        self.broken = turned.is_err();
-        turned
+        let messages = self.work(disk);
+        self.broken = messages.is_err();
+        messages
     }
 
-    fn work(&mut self, disk: &mut dyn Disk) -> io::Result<Vec<Message>> {
+    fn work(&mut self, disk: &mut dyn Disk) -> Result<Vec<Message>, AgreementError> {
         let mut out = Vec::new();
         while self.node.has_ready() {
             let mut ready = self.node.ready();
@@ -220,15 +219,15 @@
             if !ready.snapshot().is_empty() {
                 let snapshot = ready.snapshot().clone();
                 disk.replace(&snapshot, &[], ready.hs())?;
-                self.state = serde_json::from_slice(snapshot.get_data()).map_err(other)?;
+                self.state = serde_json::from_slice(snapshot.get_data())?;
                 *self.store.applied.borrow_mut() =
                     (snapshot.get_metadata().index, snapshot.get_data().to_vec());
-                self.store.mem.wl().apply_snapshot(snapshot).map_err(other)?;
+                self.store.mem.wl().apply_snapshot(snapshot)?;
             }
             self.apply(ready.take_committed_entries())?;
             if !ready.entries().is_empty() || ready.hs().is_some() {
                 disk.append(ready.entries(), ready.hs())?;
-                self.store.mem.wl().append(ready.entries()).map_err(other)?;
+                self.store.mem.wl().append(ready.entries())?;
                 if let Some(hard) = ready.hs() {
                     self.store.mem.wl().set_hardstate(hard.clone());
                 }
@@ -246,36 +245,34 @@
         Ok(out)
     }
 
-    fn apply(&mut self, entries: Vec<Entry>) -> io::Result<()> {
+    fn apply(&mut self, entries: Vec<Entry>) -> Result<(), AgreementError> {
         for entry in entries {
             if entry.get_entry_type() == EntryType::EntryNormal && !entry.data.is_empty() {
                 // Written by a build that knows more than this one: to go on would be to guess.
                 let command = serde_json::from_slice(&entry.data)
-                    .map_err(|e| other(format!("entry {}: {e}; this build cannot read it", entry.index)))?;
+                    .map_err(|source| AgreementError::Unreadable { index: entry.index, source })?;
                 self.state.apply(entry.index, command);
             }
             self.store.applied.borrow_mut().0 = entry.index;
-            self.store.applied.borrow_mut().1 = serde_json::to_vec(&self.state).map_err(other)?;
+            self.store.applied.borrow_mut().1 = serde_json::to_vec(&self.state)?;
         }
         Ok(())
     }
 
     /// Cuts the log where a picture of the document can stand for it.
-    fn cut(&mut self, disk: &mut dyn Disk) -> io::Result<()> {
+    fn cut(&mut self, disk: &mut dyn Disk) -> Result<(), AgreementError> {
         let applied = self.store.applied.borrow().0;
-        let first = self.store.first_index().map_err(other)?;
+        let first = self.store.first_index()?;
         if applied < first + 2 * KEPT {
             return Ok(());
         }
-        let snapshot = self.store.picture().map_err(other)?;
-        let last = self.store.last_index().map_err(other)?;
-        let rest = self
-            .store
-            .entries(applied + 1, last + 1, None, GetEntriesContext::empty(false))
-            .map_err(other)?;
-        let hard = self.store.initial_state().map_err(other)?.hard_state;
+        let snapshot = self.store.picture()?;
+        let last = self.store.last_index()?;
+        let rest = self.store.entries(applied + 1, last + 1, None, GetEntriesContext::empty(false))?;
+        let hard = self.store.initial_state()?.hard_state;
         disk.replace(&snapshot, &rest, Some(&hard))?;
-        self.store.mem.wl().compact(applied - KEPT).map_err(other)
+        self.store.mem.wl().compact(applied - KEPT)?;
+        Ok(())
     }
 }
 
@@ -290,69 +287,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-    use crate::disk::LogFile;
-    use crate::place::{Fault, Memory};
-    use crate::rules::Body;
-
-    fn propose(token: u64, base: Version, tick: u64) -> Command {
-        let body = Body { settings: serde_json::json!({ "tick": tick }), out: BTreeSet::new() };
-        Command::Propose { token, by: "a".into(), base, body }
-    }
-
-    /// A lone voter elects itself, agrees with itself, and knows all again after a start, the log cut or not.
-    #[test]
-    fn a_voter_knows_after_a_start_what_was_agreed_and_is_unsettled_until_then() {
-        let place = Memory::default();
-        let (mut disk, loaded) = LogFile::open(&place, "v", true).unwrap();
-        let mut voter = Agreement::new(1, 1, loaded).unwrap();
-        for _ in 0..30 {
-            voter.tick();
-            voter.turn(&mut disk).unwrap();
-        }
-        assert!(voter.leads());
-        for version in 0..600 {
-            assert!(voter.propose(&propose(version, version, version)));
-            voter.turn(&mut disk).unwrap();
-        }
-        assert_eq!(voter.state().newest(), 600);
-        drop(disk);
-        let (mut disk, loaded) = LogFile::open(&place, "v", false).unwrap();
-        assert!(loaded.entries.len() < 2 * KEPT as usize + 8, "{}", loaded.entries.len());
-        let mut again = Agreement::new(1, 1, loaded).unwrap();
-        assert!(!again.settled(), "what follows the commit that was written is not known to be agreed yet");
-        for _ in 0..30 {
-            again.tick();
-            again.turn(&mut disk).unwrap();
-        }
-        assert!(again.settled());
-        assert_eq!(again.state(), voter.state());
-        // The first to be agreed wins, the other is told what it missed; a proposal said twice counts once.
-        for (token, base) in [(1001, 600), (1002, 600), (1001, 600)] {
-            again.propose(&propose(token, base, 7000 + token));
-        }
-        again.turn(&mut disk).unwrap();
-        assert_eq!(again.state().outcome(1002), Some(&crate::state::Outcome::Missed(601)));
-        assert_eq!(again.state().newest(), 601);
-    }
-
-    /// A disk that fails once: nothing is acknowledged any more.
-    #[test]
-    fn a_voter_whose_disk_failed_takes_part_no_more() {
-        let place = Memory::default();
-        let (mut disk, loaded) = LogFile::open(&place, "v", true).unwrap();
-        let mut voter = Agreement::new(1, 1, loaded).unwrap();
-        let mut failed = 0;
-        for n in 0..60 {
-            if n == 30 {
-                place.plan(Fault::Sync);
-            }
-            voter.tick();
-            voter.propose(&propose(n, voter.state().newest(), n));
-            failed += u32::from(voter.turn(&mut disk).is_err());
-        }
-        assert_eq!((failed, voter.broken(), voter.settled()), (1, true, false));
-        assert!(!voter.propose(&propose(99, 0, 1)));
-    }
-}
+mod tests;
--- a/crates/accord/src/disk.rs
+++ b/crates/accord/src/disk.rs
@@ -28,6 +28,12 @@
         entries: &[Entry],
         hard: Option<&HardState>,
     ) -> Result<(), StoreError>;
+    /// After an error: reads what was acknowledged, and writes it anew so that it lasts. What was not acknowledged is
+    /// dropped, or there completely. Until this succeeds every other call is answered by [`StoreError::Stopped`]; it may
+    /// be called again after a [transient](StoreError::is_transient) error. The file stays locked throughout.
+    ///
+    /// Whoever has built a state on the entries must build it anew from what this returns.
+    fn recover(&mut self) -> Result<Loaded, StoreError>;
 }
 
 const OWNER: u8 = 0;
@@ -44,9 +50,41 @@
 pub struct LogFile {
     file: Box<dyn Lasting>,
     place: String,
-    owner: Vec<u8>,
-    /// A write or a sync failed. Another sync would say that all is well, and it would not be.
-    stopped: bool,
+    owner: String,
+    /// Bytes from the start of the file that a successful call has put on the disk.
+    acknowledged: usize,
+    /// The operation that failed, and after which this handle takes nothing more until it has recovered. Another sync
+    /// would say that all is well, and it would not be.
+    failed: Option<Operation>,
+}
+
+/// An operation on the file.
+#[derive(Clone, Copy, Debug)]
+enum Operation {
+    /// Records are added behind those that are acknowledged.
+    Append,
+    /// All contents are replaced by others of this length.
+    Replace { length: usize },
+}
+
+impl Operation {
+    /// What it is called in an error.
+    fn name(self) -> &'static str {
+        match self {
+            Operation::Append => "write",
+            Operation::Replace { .. } => "replace",
+        }
+    }
+}
+
+/// The records at the start of a file.
+#[derive(Debug, Default)]
+struct Records {
+    loaded: Loaded,
+    /// Where the first record begins that is not complete.
+    length: usize,
+    /// Whether the record of the owner is there.
+    owned: bool,
 }
 
 fn record(out: &mut Vec<u8>, kind: u8, payload: &[u8]) {
@@ -89,86 +127,130 @@
     M::parse_from_bytes(bytes).map_err(|e| io::Error::new(io::ErrorKind::InvalidData, e))
 }
 
+impl Records {
+    /// Reads the records of a voter's file. One that was not written to its end is left out; damage before others, or
+    /// another voter's file, is refused.
+    fn parse(place: &str, owner: &str, bytes: &[u8]) -> Result<Records, StoreError> {
+        let mut records = Records::default();
+        while let Some((kind, payload, length)) = first(&bytes[records.length..]) {
+            if !records.owned && (kind != OWNER || payload != owner.as_bytes()) {
+                let whose = String::from_utf8_lossy(payload).into_owned();
+                return Err(StoreError::Foreign { place: place.into(), whose, mine: owner.into() });
+            }
+            records.owned = true;
+            let at = records.length;
+            records.loaded.add(kind, payload).map_err(|what| StoreError::Newer {
+                place: place.into(),
+                at,
+                what,
+            })?;
+            records.length += length;
+        }
+        let at = records.length;
+        // A torn record was never acknowledged; one that is complete further on was, so what lies before it is damaged.
+        let is_record = |i: &usize| first(&bytes[*i..]).is_some_and(|(kind, ..)| kind <= PICTURE);
+        match (at + 1..bytes.len()).find(is_record) {
+            Some(next) => Err(StoreError::Damaged { place: place.into(), at, next }),
+            None => Ok(records),
+        }
+    }
+}
+
+impl Loaded {
+    /// Takes in the next record of a file; what it is if this build does not know it.
+    fn add(&mut self, kind: u8, payload: &[u8]) -> Result<(), String> {
+        let unreadable = |e: io::Error| format!("a record of kind {kind} ({e})");
+        match kind {
+            OWNER => {}
+            ENTRY => {
+                let entry: Entry = read(payload).map_err(unreadable)?;
+                self.entries.retain(|e| e.index < entry.index);
+                self.entries.push(entry);
+            }
+            HARD => self.hard = read(payload).map_err(unreadable)?,
+            PICTURE => {
+                self.entries.clear();
+                self.snapshot = Some(read(payload).map_err(unreadable)?);
+            }
+            other => return Err(format!("a record of kind {other}")),
+        }
+        Ok(())
+    }
+}
+
 impl LogFile {
     /// Opens the file of a voter, or founds it where `found` says that there is none yet. A record that was not written
     /// to its end is cut off; damage before others, or another voter's file, is refused.
+    ///
+    /// What is read is written anew before it is returned. The process before may have ended after a sync that failed,
+    /// and then the kernel shows records that are not on the disk and that no later sync would write.
     pub fn open(place: &dyn Place, owner: &str, found: bool) -> Result<(LogFile, Loaded), StoreError> {
         let name = place.name();
-        let fault = |doing| {
-            let name = name.clone();
-            move |e| StoreError::of(&name, doing, e)
-        };
-        let mut file = place.open(found).map_err(fault("open"))?;
-        let bytes = file.read().map_err(fault("read"))?;
-        let (mut at, mut loaded, mut owned) = (0, Loaded::default(), false);
-        while let Some((kind, payload, length)) = first(&bytes[at..]) {
-            if !owned && (kind != OWNER || payload != owner.as_bytes()) {
-                let whose = String::from_utf8_lossy(payload).into_owned();
-                return Err(StoreError::Foreign { place: name, whose, mine: owner.into() });
-            }
-            owned = true;
-            let newer = |what: String| StoreError::Newer { place: name.clone(), at, what };
-            let unread = |e: io::Error| newer(format!("a record of kind {kind} ({e})"));
-            match kind {
-                OWNER => {}
-                ENTRY => {
-                    let entry: Entry = read(payload).map_err(unread)?;
-                    loaded.entries.retain(|e| e.index < entry.index);
-                    loaded.entries.push(entry);
-                }
-                HARD => loaded.hard = read(payload).map_err(unread)?,
-                PICTURE => {
-                    loaded.entries.clear();
-                    loaded.snapshot = Some(read(payload).map_err(unread)?);
-                }
-                other => return Err(newer(format!("a record of kind {other}"))),
-            }
-            at += length;
-        }
-        // A torn record was never acknowledged; one that is whole further on was, so what lies before it is damaged.
-        let good = |i: &usize| first(&bytes[*i..]).is_some_and(|r| r.0 <= PICTURE);
-        if let Some(next) = (at + 1..bytes.len()).find(good) {
-            return Err(StoreError::Damaged { place: name, at, next });
-        }
-        file.cut(at as u64).map_err(fault("cut"))?;
-        let mut log = LogFile { file, place: name, owner: owner.as_bytes().to_vec(), stopped: false };
-        if !owned {
-            let mut out = Vec::new();
-            record(&mut out, OWNER, &log.owner);
-            log.write(&out)?;
-            log.guarded("sync of the name", |file| file.sync_name())?;
+        let mut file = place.open(found).map_err(|e| StoreError::of(&name, "open", e))?;
+        let bytes = file.read().map_err(|e| StoreError::of(&name, "read", e))?;
+        let records = Records::parse(&name, owner, &bytes)?;
+        let mut log =
+            LogFile { file, place: name, owner: owner.into(), acknowledged: records.length, failed: None };
+        if records.owned {
+            log.rewrite(&bytes[..records.length])?;
+        } else {
+            let mut founding = Vec::new();
+            record(&mut founding, OWNER, owner.as_bytes());
+            log.rewrite(&founding)?;
         }
-        Ok((log, loaded))
+        Ok((log, records.loaded))
     }
 
-    /// An operation after whose failure nothing more is taken.
+    /// Does an operation after whose failure nothing more is taken until [`Disk::recover`] succeeds.
     fn guarded(
         &mut self,
-        doing: &'static str,
+        operation: Operation,
         work: impl FnOnce(&mut dyn Lasting) -> io::Result<()>,
     ) -> Result<(), StoreError> {
-        if self.stopped {
+        if self.failed.is_some() {
             return Err(StoreError::Stopped { place: self.place.clone() });
         }
-        self.stopped = true;
-        work(&mut *self.file).map_err(|e| StoreError::of(&self.place, doing, e))?;
-        self.stopped = false;
+        self.failed = Some(operation);
+        work(&mut *self.file).map_err(|e| StoreError::of(&self.place, operation.name(), e))?;
+        self.failed = None;
         Ok(())
     }
 
-    fn write(&mut self, mut bytes: &[u8]) -> Result<(), StoreError> {
-        self.guarded("write", |file| {
-            while !bytes.is_empty() {
-                match file.write(bytes) {
-                    Ok(0) => return Err(io::ErrorKind::WriteZero.into()),
-                    Ok(some) => bytes = &bytes[some..],
-                    Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
-                    Err(e) => return Err(e),
-                }
-            }
+    fn write(&mut self, bytes: &[u8]) -> Result<(), StoreError> {
+        self.guarded(Operation::Append, |file| {
+            write_all(file, bytes)?;
             file.sync()
-        })
+        })?;
+        self.acknowledged += bytes.len();
+        Ok(())
+    }
+
+    fn rewrite(&mut self, bytes: &[u8]) -> Result<(), StoreError> {
+        self.guarded(Operation::Replace { length: bytes.len() }, |file| file.swap(bytes))?;
+        self.acknowledged = bytes.len();
+        Ok(())
+    }
+
+    /// How much of a file with `length` bytes holds, after this operation failed. A replacement may have taken place
+    /// before the error; a file that has its length is then complete, as is the one from before.
+    fn kept_after(&self, failed: Operation, length: usize) -> usize {
+        match failed {
+            Operation::Replace { length: replaced } if replaced == length => length,
+            Operation::Replace { .. } | Operation::Append => self.acknowledged,
+        }
+    }
+}
+
+fn write_all(file: &mut dyn Lasting, mut bytes: &[u8]) -> io::Result<()> {
+    while !bytes.is_empty() {
+        match file.write(bytes) {
+            Ok(0) => return Err(io::ErrorKind::WriteZero.into()),
+            Ok(some) => bytes = &bytes[some..],
+            Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
+            Err(e) => return Err(e),
+        }
     }
+    Ok(())
 }
 
 impl Disk for LogFile {
@@ -185,68 +267,33 @@
         hard: Option<&HardState>,
     ) -> Result<(), StoreError> {
         let mut out = Vec::new();
-        record(&mut out, OWNER, &self.owner);
+        record(&mut out, OWNER, self.owner.as_bytes());
         let encoded = written(snapshot).and_then(|picture| {
             record(&mut out, PICTURE, &picture);
             records(&mut out, entries, hard)
         });
         encoded.map_err(|e| StoreError::of(&self.place, "encode", e))?;
-        self.guarded("replace", |file| file.swap(&out))
-    }
-}
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    fn entry(index: u64) -> Entry {
-        Entry { index, term: 1, data: vec![7; 40].into(), ..Entry::default() }
+        self.rewrite(&out)
     }
 
-    #[test]
-    fn a_file_cut_at_any_byte_loses_its_last_record_alone_and_damage_in_the_middle_is_refused() {
-        let place = tempfile::tempdir().unwrap();
-        let path = place.path().join("v");
-        assert!(LogFile::open(&path, "v of t", false).unwrap_err().advice().contains("tier.found"));
-        let (mut log, _) = LogFile::open(&path, "v of t", true).unwrap();
-        let mut ends = vec![std::fs::metadata(&path).unwrap().len() as usize];
-        for index in 1..=4 {
-            log.append(&[entry(index)], None).unwrap();
-            ends.push(std::fs::metadata(&path).unwrap().len() as usize);
+    fn recover(&mut self) -> Result<Loaded, StoreError> {
+        let failed = self.failed.unwrap_or(Operation::Append);
+        self.failed = Some(failed);
+        let mut bytes = self.file.read().map_err(|e| StoreError::of(&self.place, "read", e))?;
+        let kept = self.kept_after(failed, bytes.len());
+        bytes.truncate(kept);
+        let records = Records::parse(&self.place, &self.owner, &bytes)?;
+        if records.length < kept {
+            let place = self.place.clone();
+            return Err(StoreError::Lost { place, acknowledged: kept, left: records.length });
         }
-        drop(log);
-        let whole = std::fs::read(&path).unwrap();
-        for cut in ends[0]..=whole.len() {
-            std::fs::write(&path, &whole[..cut]).unwrap();
-            let (mut log, loaded) = LogFile::open(&path, "v of t", false).unwrap();
-            let kept = ends.iter().filter(|e| **e <= cut).count() - 1;
-            assert_eq!(loaded.entries.len(), kept, "cut at {cut}");
-            // What comes next is not lost behind the torn one.
-            log.append(&[entry(kept as u64 + 1)], None).unwrap();
-            assert_eq!(LogFile::open(&path, "v of t", false).unwrap_err().code(), "store-taken");
-            drop(log);
-            assert_eq!(LogFile::open(&path, "v of t", false).unwrap().1.entries.len(), kept + 1);
-        }
-        let mut damaged = whole.clone();
-        damaged[ends[1] + HEAD + 3] ^= 1;
-        std::fs::write(&path, &damaged).unwrap();
-        assert!(LogFile::open(&path, "v of t", false).unwrap_err().to_string().contains("damaged"));
-        std::fs::write(&path, &whole).unwrap();
-        assert!(
-            LogFile::open(&path, "w of t", false).unwrap_err().to_string().contains("belongs to \"v of t\"")
-        );
-        // A vote and a picture, and entries that replace others.
-        let (mut log, _) = LogFile::open(&path, "v of t", false).unwrap();
-        let mut picture = Snapshot::default();
-        picture.mut_metadata().index = 4;
-        log.replace(&picture, &[entry(5)], Some(&HardState { term: 3, vote: 2, ..HardState::default() }))
-            .unwrap();
-        log.append(&[entry(6), entry(5)], None).unwrap();
-        drop(log);
-        let (_, loaded) = LogFile::open(&path, "v of t", false).unwrap();
-        assert_eq!(
-            (loaded.entries.len(), loaded.hard.vote, loaded.snapshot.unwrap().get_metadata().index),
-            (1, 2, 4)
-        );
+        // Not appended to: what was read need not be on the disk. See `Lasting`.
+        self.file.swap(&bytes).map_err(|e| StoreError::of(&self.place, "replace", e))?;
+        self.acknowledged = kept;
+        self.failed = None;
+        Ok(records.loaded)
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/accord/src/lib.rs
+++ b/crates/accord/src/lib.rs
@@ -9,6 +9,7 @@
 #![forbid(unsafe_code)]
 
 pub mod agreement;
+pub mod agreement_error;
 pub mod check;
 pub mod disk;
 pub mod frames;
@@ -20,6 +21,7 @@
 pub mod state;
 pub mod store_error;
 pub mod timing;
+pub mod votes;
 
 /// A point in time or a span, in nanoseconds of whoever's clock is at hand.
 pub type Nanos = u64;
--- a/crates/accord/src/place.rs
+++ b/crates/accord/src/place.rs
@@ -1,9 +1,11 @@
-//! A place for what must last: the file operations under a voter's log, as a trait, so that a failing disk can be put
-//! beneath it. The real file, and one in memory that tears, shortens, fills up, fails to sync and loses power.
+//! Storage for what must survive a crash: the file operations under a voter's log, as a trait, so that a failing disk can
+//! be put beneath it. The real file is here, and one in memory that tears, shortens, fills up, fails to sync and loses
+//! power.
 
 use std::cell::RefCell;
 use std::fs::{File, OpenOptions};
-use std::io::{self, Read, Write};
+use std::io::{self, Read, Seek, Write};
+use std::os::unix::fs::MetadataExt;
 use std::path::{Path, PathBuf};
 use std::rc::Rc;
 
@@ -16,20 +18,21 @@
     fn open(&self, create: bool) -> io::Result<Box<dyn Lasting>>;
 }
 
-/// An opened file that grows at its end.
+/// An opened file that grows at its end. After an error of [`Lasting::write`] or [`Lasting::sync`] nobody knows which of
+/// the bytes written since the last successful sync are on the disk, not even after reading them back: the kernel may
+/// show pages that it failed to write, and take them for written. Only [`Lasting::swap`] is of use then.
 pub trait Lasting: std::fmt::Debug {
-    /// All that it holds.
+    /// All that it holds, from its first byte on.
     fn read(&mut self) -> io::Result<Vec<u8>>;
     /// Writes some of these bytes at the end, at least one; how many. They last once [`Lasting::sync`] returns well.
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize>;
-    /// What was written lasts. After an error nobody knows what does, and another call tells nothing.
+    /// What was written lasts.
     fn sync(&mut self) -> io::Result<()>;
-    /// Cuts it to this length.
-    fn cut(&mut self, length: u64) -> io::Result<()>;
-    /// Puts these bytes in the place of all: whoever opens it after a crash finds the old ones or the new ones, whole.
+    /// Replaces all contents by these bytes, on fresh pages of the disk: whoever opens the file after a crash finds the
+    /// old contents or the new, complete. Once it returns well they last. After an error this handle reads either the
+    /// old or the new contents, and another call may be made. The opener keeps the file for itself throughout;
+    /// `WouldBlock` if somebody has put another file in its place.
     fn swap(&mut self, bytes: &[u8]) -> io::Result<()>;
-    /// Its name lasts.
-    fn sync_name(&mut self) -> io::Result<()>;
 }
 
 impl Place for PathBuf {
@@ -40,7 +43,9 @@
     fn open(&self, create: bool) -> io::Result<Box<dyn Lasting>> {
         let file = OpenOptions::new().create(create).read(true).append(true).open(self)?;
         lock(&file)?;
-        Ok(Box::new(OnDisk { file, path: self.clone() }))
+        // Between the opening and the lock another process may have replaced the file; its lock is on the new one.
+        ensure_current(&file, self)?;
+        Ok(Box::new(OnDisk { file, path: self.clone(), directory: directory_of(self) }))
     }
 }
 
@@ -49,15 +54,72 @@
     Ok(rustix::fs::flock(file, rustix::fs::FlockOperation::NonBlockingLockExclusive)?)
 }
 
+/// `WouldBlock` if the path names another file than this one by now, `NotFound` if it names none.
+fn ensure_current(file: &File, path: &Path) -> io::Result<()> {
+    let opened = file.metadata()?;
+    let named = path.metadata()?;
+    if (opened.dev(), opened.ino()) == (named.dev(), named.ino()) {
+        Ok(())
+    } else {
+        Err(io::ErrorKind::WouldBlock.into())
+    }
+}
+
+/// Creates a file with these bytes on the disk, in place of one that a killed process left there; none is left after an
+/// error.
+fn write_fresh(fresh: &Path, bytes: &[u8]) -> io::Result<File> {
+    let created = OpenOptions::new().read(true).write(true).create(true).truncate(true).open(fresh)?;
+    let written = write_synced(created, bytes);
+    if written.is_err() {
+        // On a full disk the half-written file would take the room that the next attempt needs.
+        let _ = std::fs::remove_file(fresh);
+    }
+    written
+}
+
+fn write_synced(mut file: File, bytes: &[u8]) -> io::Result<File> {
+    file.write_all(bytes)?;
+    match file.sync_all() {
+        // Not a file of a disk, but a pipe or a device: nothing of it can be synced, or lasts.
+        Err(e) if e.kind() == io::ErrorKind::InvalidInput => Ok(file),
+        synced => synced.map(|()| file),
+    }
+}
+
+fn directory_of(path: &Path) -> PathBuf {
+    path.parent().filter(|p| !p.as_os_str().is_empty()).unwrap_or(Path::new(".")).into()
+}
+
+/// Has the names in a directory last.
+fn sync_directory(directory: &Path) -> io::Result<()> {
+    File::open(directory)?.sync_all()
+}
+
+/// Replaces a file by these bytes through `fresh`, a name beside it that nobody else uses: a crash at any point leaves
+/// the old contents or the new, complete. After an error nothing has been left behind at `fresh`.
+pub fn write_atomically(path: &Path, fresh: &Path, bytes: &[u8]) -> io::Result<()> {
+    let written = File::create(fresh)
+        .and_then(|file| write_synced(file, bytes))
+        .and_then(|_| std::fs::rename(fresh, path));
+    if let Err(e) = written {
+        let _ = std::fs::remove_file(fresh);
+        return Err(e);
+    }
+    sync_directory(&directory_of(path))
+}
+
 #[derive(Debug)]
 struct OnDisk {
     file: File,
     path: PathBuf,
+    /// Where its name is.
+    directory: PathBuf,
 }
 
 impl Lasting for OnDisk {
     fn read(&mut self) -> io::Result<Vec<u8>> {
         let mut bytes = Vec::new();
+        self.file.rewind()?;
         self.file.read_to_end(&mut bytes)?;
         Ok(bytes)
     }
@@ -67,36 +129,38 @@
     fn sync(&mut self) -> io::Result<()> {
         self.file.sync_data()
     }
-    fn cut(&mut self, length: u64) -> io::Result<()> {
-        self.file.set_len(length)
-    }
     fn swap(&mut self, bytes: &[u8]) -> io::Result<()> {
+        ensure_current(&self.file, &self.path)?;
         let fresh = self.path.with_extension("new");
-        let mut file = File::create(&fresh)?;
-        file.write_all(bytes)?;
-        file.sync_all()?;
-        lock(&file)?;
-        std::fs::rename(&fresh, &self.path)?;
-        self.sync_name()?;
-        // It goes on where the new file ends; the lock on the old one goes with it.
+        let file = write_fresh(&fresh, bytes)?;
+        if let Err(e) = lock(&file).and_then(|()| std::fs::rename(&fresh, &self.path)) {
+            let _ = std::fs::remove_file(&fresh);
+            return Err(e);
+        }
+        // From here on the path names the new file. Its lock is the one that counts, whatever fails below; the lock on
+        // the old file goes with its handle.
         self.file = file;
-        Ok(())
-    }
-    fn sync_name(&mut self) -> io::Result<()> {
-        let directory = self.path.parent().filter(|p| !p.as_os_str().is_empty()).unwrap_or(Path::new("."));
-        File::open(directory)?.sync_all()
+        sync_directory(&self.directory)
     }
 }
 
-/// What goes wrong at the next operation that it concerns, once.
+/// What goes wrong at the next operation that it concerns: once, where nothing else is said.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
     /// No write puts down more than so many bytes at a time, from now on.
     Short(usize),
-    /// So many bytes find room in the next write, and none after it.
+    /// So many bytes find room in the next write, and none after it, until there is room again.
     Full(usize),
     /// The next sync fails; what it was for is lost.
     Sync,
+    /// The next sync fails, and what it was for can still be read until power goes: its pages count as written, and no
+    /// later sync writes them.
+    SyncUnnoticed,
+    /// Every sync fails, until the disk works again; what it was for is lost.
+    EverySync,
+    /// The next replacement takes place, but whether its name lasts is not known: an error, and what stands there after
+    /// a loss of power may be the old contents or the new.
+    SyncDirectory,
     /// Power goes after so many bytes of the next write have reached the disk; nothing works until it is opened anew.
     Power(usize),
 }
@@ -104,15 +168,81 @@
 #[derive(Debug, Default)]
 struct Held {
     there: bool,
-    /// What lasts, and what was written since the last sync.
+    /// What lasts.
     lasts: Vec<u8>,
+    /// Pages that can be read and that no sync will write any more.
+    unwritten: Vec<u8>,
+    /// What was written since the last sync.
     since: Vec<u8>,
+    /// Contents that replaced all of this, by a name that does not last yet.
+    renamed: Option<Vec<u8>>,
     fault: Option<Fault>,
     /// Who has it open; 0 for nobody.
     opener: u64,
     openers: u64,
 }
 
+impl Held {
+    /// What can be read, though it may not last.
+    fn visible(&self) -> Vec<u8> {
+        match &self.renamed {
+            Some(contents) => [&contents[..], &self.since].concat(),
+            None => [&self.lasts[..], &self.unwritten, &self.since].concat(),
+        }
+    }
+
+    fn replace_all(&mut self, bytes: &[u8]) {
+        self.since.clear();
+        self.unwritten.clear();
+        self.renamed = None;
+        self.lasts = bytes.to_vec();
+    }
+
+    fn sync(&mut self) -> io::Result<()> {
+        let since = std::mem::take(&mut self.since);
+        match self.fault {
+            // As a kernel does: the pages are dropped, and the next sync says that all is well.
+            Some(Fault::Sync) => self.fault = None,
+            Some(Fault::EverySync) => {}
+            Some(Fault::SyncUnnoticed) => {
+                self.fault = None;
+                self.unwritten.extend(since);
+            }
+            _ => {
+                self.lasts.extend(since);
+                return Ok(());
+            }
+        }
+        Err(io::Error::other("a sync failed"))
+    }
+
+    fn swap(&mut self, bytes: &[u8]) -> io::Result<()> {
+        match self.fault {
+            Some(Fault::Full(room)) if room < bytes.len() => Err(io::ErrorKind::StorageFull.into()),
+            Some(Fault::Power(_)) => {
+                self.opener = 0;
+                self.fault = None;
+                Err(io::Error::other("power was lost"))
+            }
+            Some(Fault::Sync | Fault::SyncUnnoticed) => {
+                self.fault = None;
+                Err(io::Error::other("a sync failed"))
+            }
+            Some(Fault::EverySync) => Err(io::Error::other("a sync failed")),
+            Some(Fault::SyncDirectory) => {
+                self.fault = None;
+                self.since.clear();
+                self.renamed = Some(bytes.to_vec());
+                Err(io::Error::other("a sync of the directory failed"))
+            }
+            _ => {
+                self.replace_all(bytes);
+                Ok(())
+            }
+        }
+    }
+}
+
 /// A place in memory.
 #[derive(Clone, Debug, Default)]
 pub struct Memory(Rc<RefCell<Held>>);
@@ -122,12 +252,22 @@
     pub fn plan(&self, fault: Fault) {
         self.0.borrow_mut().fault = Some(fault);
     }
-    /// Power goes: what was not synced is lost, but for so many bytes of it, and whoever has it open has it no more.
+    /// The disk works again; whoever has it open still has it.
+    pub fn mend(&self) {
+        self.0.borrow_mut().fault = None;
+    }
+    /// Power goes: what was not synced is lost, but for so many bytes of it, and whoever has it open has it no more. A
+    /// replacement whose name was not synced is lost as well if no byte is kept.
     pub fn power_lost(&self, kept: usize) {
         let mut held = self.0.borrow_mut();
         let since = std::mem::take(&mut held.since);
+        held.unwritten.clear();
+        if let Some(contents) = held.renamed.take().filter(|_| kept > 0) {
+            held.lasts = contents;
+        }
         held.lasts.extend_from_slice(&since[..kept.min(since.len())]);
-        (held.opener, held.fault) = (0, None);
+        held.opener = 0;
+        held.fault = None;
     }
     /// What lasts.
     pub fn bytes(&self) -> Vec<u8> {
@@ -136,7 +276,8 @@
     /// Puts other bytes there, as damage would.
     pub fn set_bytes(&self, bytes: &[u8]) {
         let mut held = self.0.borrow_mut();
-        (held.there, held.lasts) = (true, bytes.to_vec());
+        held.there = true;
+        held.replace_all(bytes);
     }
 }
 
@@ -189,7 +330,7 @@
 
 impl Lasting for InMemory {
     fn read(&mut self) -> io::Result<Vec<u8>> {
-        self.with(|held| Ok([&held.lasts[..], &held.since[..]].concat()))
+        self.with(|held| Ok(held.visible()))
     }
 
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
@@ -221,48 +362,13 @@
     }
 
     fn sync(&mut self) -> io::Result<()> {
-        self.with(|held| {
-            if held.fault == Some(Fault::Sync) {
-                held.fault = None;
-                // As a kernel does: the pages are dropped, and the next sync says that all is well.
-                held.since.clear();
-                return Err(io::Error::other("a sync failed"));
-            }
-            let since = std::mem::take(&mut held.since);
-            held.lasts.extend(since);
-            Ok(())
-        })
-    }
-
-    fn cut(&mut self, length: u64) -> io::Result<()> {
-        self.with(|held| {
-            let all = [&held.lasts[..], &held.since[..]].concat();
-            held.since.clear();
-            held.lasts = all[..(length as usize).min(all.len())].to_vec();
-            Ok(())
-        })
+        self.with(Held::sync)
     }
 
     fn swap(&mut self, bytes: &[u8]) -> io::Result<()> {
-        self.with(|held| match held.fault {
-            Some(Fault::Full(room)) if room < bytes.len() => Err(io::ErrorKind::StorageFull.into()),
-            Some(Fault::Power(_)) => {
-                (held.opener, held.fault) = (0, None);
-                Err(io::Error::other("power was lost"))
-            }
-            Some(Fault::Sync) => {
-                held.fault = None;
-                Err(io::Error::other("a sync failed"))
-            }
-            _ => {
-                held.since.clear();
-                held.lasts = bytes.to_vec();
-                Ok(())
-            }
-        })
-    }
-
-    fn sync_name(&mut self) -> io::Result<()> {
-        self.with(|_| Ok(()))
+        self.with(|held| held.swap(bytes))
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/accord/src/store_error.rs
+++ b/crates/accord/src/store_error.rs
@@ -47,6 +47,16 @@
         /// What it is.
         what: String,
     },
+    /// What was acknowledged is not there any more, though the file was this process's alone.
+    #[error("{place}: {acknowledged} bytes were acknowledged, and {left} of them can be read")]
+    Lost {
+        /// Where.
+        place: String,
+        /// Bytes that were acknowledged.
+        acknowledged: usize,
+        /// Bytes that are left.
+        left: usize,
+    },
     /// The disk has no room.
     #[error("{place}: the disk is full")]
     Full {
@@ -81,6 +91,7 @@
             StoreError::Foreign { place: place(), whose: "a".into(), mine: "b".into() },
             StoreError::Damaged { place: place(), at: 1, next: 2 },
             StoreError::Newer { place: place(), at: 1, what: "a record of kind 9".into() },
+            StoreError::Lost { place: place(), acknowledged: 2, left: 1 },
             StoreError::Full { place: place() },
             StoreError::Failed { place: place(), doing: "sync", source: io::Error::other("x") },
             StoreError::Stopped { place: place() },
@@ -95,6 +106,7 @@
             StoreError::Foreign { .. } => "store-foreign",
             StoreError::Damaged { .. } => "store-damaged",
             StoreError::Newer { .. } => "store-newer",
+            StoreError::Lost { .. } => "store-lost",
             StoreError::Full { .. } => "store-full",
             StoreError::Failed { .. } => "store-failed",
             StoreError::Stopped { .. } => "store-stopped",
@@ -120,18 +132,39 @@
                  leave the voter out until the tier is founded anew"
             }
             StoreError::Newer { .. } => "start the build that wrote the file, or a newer one",
+            StoreError::Lost { .. } => {
+                "somebody has written to the file, or the disk has lost what it had taken: restore a copy of this very \
+                 file from after the loss, or leave the voter out until the tier is founded anew"
+            }
             StoreError::Full { .. } => {
-                "make room on the disk and start the voter again; the others go on meanwhile"
+                "make room on the disk: the voter comes back by itself, and the others go on meanwhile"
+            }
+            StoreError::Failed { .. } if !self.is_transient() => {
+                "mend the path or the rights on the file and its directory, and start the voter again"
             }
             StoreError::Failed { .. } => {
-                "look at the disk and the rights on the file, and start the voter again; the others go on meanwhile"
+                "look at the disk: the voter comes back by itself once it can be written, and the others go on meanwhile"
             }
             StoreError::Stopped { .. } => {
-                "look for the first error in the log, mend its cause, and start the voter again"
+                "look for the first error in the log and mend its cause: the voter comes back by itself"
             }
         }
     }
 
+    /// Whether the same call may succeed later without anybody at work on the file: the disk is full or fails, or
+    /// another process has it open. Any other error lasts until an operator mends its cause and starts the voter again.
+    pub fn is_transient(&self) -> bool {
+        match self {
+            StoreError::Taken { .. } | StoreError::Full { .. } | StoreError::Stopped { .. } => true,
+            StoreError::Failed { source, .. } => !is_misconfigured(source.kind()),
+            StoreError::Missing { .. }
+            | StoreError::Foreign { .. }
+            | StoreError::Damaged { .. }
+            | StoreError::Newer { .. }
+            | StoreError::Lost { .. } => false,
+        }
+    }
+
     /// What a failed operation at a place comes to.
     pub(crate) fn of(place: &str, doing: &'static str, source: io::Error) -> StoreError {
         let place = place.to_string();
@@ -155,3 +188,16 @@
         io::Error::new(kind, format!("{e}. [{}] {}", e.code(), e.advice()))
     }
 }
+
+/// Whether an error of the system comes of the path or its rights rather than of the disk.
+fn is_misconfigured(kind: io::ErrorKind) -> bool {
+    matches!(
+        kind,
+        io::ErrorKind::PermissionDenied
+            | io::ErrorKind::NotADirectory
+            | io::ErrorKind::IsADirectory
+            | io::ErrorKind::InvalidFilename
+            | io::ErrorKind::InvalidInput
+            | io::ErrorKind::Unsupported
+    )
+}
--- a/crates/contracts/src/lib.rs
+++ b/crates/contracts/src/lib.rs
@@ -24,7 +24,10 @@
     fn set_bytes(&self, bytes: &[u8]);
     /// Has this go wrong next.
     fn plan(&self, fault: Fault);
-    /// The machine starts again: what is planned is over, and what was open is open no more.
+    /// The disk works again; what was open still is.
+    fn mend(&self);
+    /// The machine starts again: what is planned is over, and what was open is open no more. What was not synced is lost
+    /// where the store can show that.
     fn restart(&self);
 }
 
@@ -66,6 +69,9 @@
     ("after a failed sync nothing is acknowledged, and nothing is lost", sync),
     ("power may go at any byte of an append", power),
     ("power may go in a replacement, which happened whole or not at all", power_in_swap),
+    ("it comes back after a failed append, once it can be written", recovers_from_an_append),
+    ("it comes back after a failed replacement, once it can be written", recovers_from_a_replacement),
+    ("what is read back after a failed sync lasts", read_back_lasts),
 ];
 
 /// Plays all clauses, each on a store of its own.
@@ -270,6 +276,66 @@
     }
 }
 
+/// Faults that an append or a replacement may meet, and that leave the process running.
+const PASSING: [Fault; 5] =
+    [Fault::Full(0), Fault::Full(11), Fault::Sync, Fault::SyncUnnoticed, Fault::EverySync];
+
+fn recovers_from_an_append(s: &dyn Subject) -> Result<(), Seen> {
+    founded(s, 2)?;
+    let (mut disk, _) = s.open(MINE, false)?;
+    let mut acknowledged = 2;
+    for fault in PASSING {
+        let next = [entry(acknowledged + 1, 1)];
+        s.plan(fault);
+        same("a write that fails", disk.append(&next, Some(&hard(9))).is_err(), true)?;
+        same("the next one", disk.append(&next, None).is_err(), true)?;
+        s.mend();
+        same("before it recovers", disk.append(&next, None).is_err(), true)?;
+        let loaded = disk.recover()?;
+        let entries = loaded.entries.iter().map(|e| (e.index, e.term)).collect();
+        same("recovered entries", entries, all(acknowledged))?;
+        same("the vote that was not acknowledged", loaded.hard.term, 0)?;
+        same("for a second opener", s.open(MINE, false).err().map(|e| e.code()), Some("store-taken"))?;
+        disk.append(&next, None)?;
+        acknowledged += 1;
+    }
+    drop(disk);
+    s.restart();
+    same("entries", found(s)?, all(acknowledged))
+}
+
+fn recovers_from_a_replacement(s: &dyn Subject) -> Result<(), Seen> {
+    founded(s, 3)?;
+    let (mut disk, _) = s.open(MINE, false)?;
+    for fault in PASSING {
+        s.plan(fault);
+        same("a replacement that fails", disk.replace(&snapshot(2), &[], None).is_err(), true)?;
+        s.mend();
+        let loaded = disk.recover()?;
+        same("the picture that was not acknowledged", loaded.snapshot.is_none(), true)?;
+        same("recovered entries", loaded.entries.len(), 3)?;
+    }
+    disk.append(&[entry(4, 1)], None)?;
+    drop(disk);
+    s.restart();
+    same("entries", found(s)?, all(4))
+}
+
+/// The kernel may show pages that it failed to write, and take them for written.
+fn read_back_lasts(s: &dyn Subject) -> Result<(), Seen> {
+    founded(s, 2)?;
+    let (mut disk, _) = s.open(MINE, false)?;
+    s.plan(Fault::SyncUnnoticed);
+    same("a write that fails", disk.append(&[entry(3, 1)], None).is_err(), true)?;
+    drop(disk);
+    s.mend();
+    let (disk, loaded) = s.open(MINE, false)?;
+    drop(disk);
+    s.restart();
+    let read = loaded.entries.iter().map(|e| (e.index, e.term)).collect();
+    same("entries after a loss of power", found(s)?, read)
+}
+
 /// A place that fails as planned, over another one.
 #[derive(Clone, Debug)]
 pub struct Faulty<P> {
@@ -330,21 +396,25 @@
     }
     fn sync(&mut self) -> io::Result<()> {
         self.lives()?;
-        if self.fault.get() == Some(Fault::Sync) {
-            self.fault.set(None);
-            return Err(io::Error::other("a sync failed"));
+        match self.fault.get() {
+            Some(Fault::Sync | Fault::SyncUnnoticed) => self.fault.set(None),
+            Some(Fault::EverySync) => {}
+            _ => return self.file.sync(),
         }
-        self.file.sync()
-    }
-    fn cut(&mut self, length: u64) -> io::Result<()> {
-        self.lives()?;
-        self.file.cut(length)
+        Err(io::Error::other("a sync failed"))
     }
     fn swap(&mut self, bytes: &[u8]) -> io::Result<()> {
         self.lives()?;
         match self.fault.get() {
             Some(Fault::Full(_)) => Err(io::ErrorKind::StorageFull.into()),
-            Some(Fault::Sync) => Err(io::Error::other("a sync failed")),
+            Some(Fault::Sync | Fault::SyncUnnoticed | Fault::EverySync) => {
+                Err(io::Error::other("a sync failed"))
+            }
+            Some(Fault::SyncDirectory) => {
+                self.fault.set(None);
+                self.file.swap(bytes)?;
+                Err(io::Error::other("a sync of the directory failed"))
+            }
             Some(Fault::Power(_)) => {
                 self.dead = true;
                 Err(io::Error::other("power was lost"))
@@ -352,8 +422,4 @@
             _ => self.file.swap(bytes),
         }
     }
-    fn sync_name(&mut self) -> io::Result<()> {
-        self.lives()?;
-        self.file.sync_name()
-    }
 }
--- a/crates/contracts/tests/store.rs
+++ b/crates/contracts/tests/store.rs
@@ -40,6 +40,9 @@
     fn plan(&self, fault: Fault) {
         self.place.fault.set(Some(fault));
     }
+    fn mend(&self) {
+        self.place.fault.set(None);
+    }
     fn restart(&self) {
         self.place.fault.set(None);
     }
@@ -70,6 +73,9 @@
     SyncTakenForDone,
     TornTakenForWhole,
     SwapInPlace,
+    StaysStopped,
+    RecoversUnreplaced,
+    ReadBackNotRewritten,
 }
 
 #[derive(Debug)]
@@ -111,19 +117,16 @@
             done => done,
         }
     }
-    fn cut(&mut self, length: u64) -> io::Result<()> {
-        self.file.cut(length)
-    }
     fn swap(&mut self, bytes: &[u8]) -> io::Result<()> {
+        if self.bad == Some(Bad::ReadBackNotRewritten) && self.file.read()? == bytes {
+            return Ok(());
+        }
         let swapped = self.file.swap(bytes);
         if swapped.is_err() && self.bad == Some(Bad::SwapInPlace) {
             self.place.set_bytes(&bytes[..bytes.len() / 2]);
         }
         swapped
     }
-    fn sync_name(&mut self) -> io::Result<()> {
-        self.file.sync_name()
-    }
 }
 
 /// A voter's log on the place in memory, with a planted fault or none.
@@ -153,6 +156,17 @@
             _ => self.0.replace(snapshot, entries, hard),
         }
     }
+    fn recover(&mut self) -> Result<Loaded, StoreError> {
+        let mut loaded = self.0.recover();
+        match (self.1, &mut loaded) {
+            (Some(Bad::StaysStopped), _) => Err(StoreError::Stopped { place: "stopped".into() }),
+            (Some(Bad::RecoversUnreplaced), Ok(kept)) => {
+                kept.snapshot = Some(Snapshot::default());
+                loaded
+            }
+            _ => loaded,
+        }
+    }
 }
 
 impl Subject for InMemory {
@@ -193,6 +207,9 @@
     fn plan(&self, fault: Fault) {
         self.0.plan(fault);
     }
+    fn mend(&self) {
+        self.0.mend();
+    }
     fn restart(&self) {
         self.0.power_lost(0);
     }
@@ -215,6 +232,9 @@
         Bad::SyncTakenForDone,
         Bad::TornTakenForWhole,
         Bad::SwapInPlace,
+        Bad::StaysStopped,
+        Bad::RecoversUnreplaced,
+        Bad::ReadBackNotRewritten,
     ];
     for ((clause, _), bad) in STORE.iter().zip(planted) {
         let found = broken(&|| Box::new(InMemory(Memory::default(), Some(bad))));
@@ -229,7 +249,9 @@
     let page = include_str!("../../../docs/operate/errors.md");
     for error in StoreError::samples() {
         let row = page.lines().find(|l| l.starts_with(&format!("| `{}` |", error.code())));
-        assert!(row.is_some_and(|row| row.split('|').count() >= 5), "{}: not on the page", error.code());
+        let columns: Vec<&str> = row.unwrap_or_default().split('|').map(str::trim).collect();
+        assert!(columns.len() >= 6, "{}: not on the page", error.code());
+        assert_eq!(columns[3].starts_with("yes"), error.is_transient(), "{}: by itself", error.code());
         assert!(error.advice().len() > 20, "{}: no advice", error.code());
     }
 }
--- a/crates/lab/src/capacity/voter.rs
+++ b/crates/lab/src/capacity/voter.rs
@@ -66,15 +66,9 @@
     fn sync(&mut self) -> io::Result<()> {
         Ok(())
     }
-    fn cut(&mut self, _length: u64) -> io::Result<()> {
-        Ok(())
-    }
     fn swap(&mut self, bytes: &[u8]) -> io::Result<()> {
         self.write(bytes).map(|_| ())
     }
-    fn sync_name(&mut self) -> io::Result<()> {
-        Ok(())
-    }
 }
 
 /// All series of a voter but those of its links.
