--- a/crates/lab/src/capacity/tier.rs
+++ b/crates/lab/src/capacity/tier.rs
@@ -83,7 +83,7 @@
 /// A calm tier.
 pub fn calm(schedulers: usize, voters: usize, seconds: u64, every: u64) -> Trial {
     let (terms, without) = (Terms::default(), Without::Nothing);
-    Trial { schedulers, voters, seconds, terms, faults: false, every, without }
+    Trial { schedulers, voters, seconds, terms, faults: false, disks: false, every, without }
 }
 
 /// A load where nobody has to act often, as only words are counted.
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -99,6 +99,9 @@
     /// Nothing goes wrong (in virtual time).
     #[arg(long)]
     calm: bool,
+    /// Disks of voters fail for a while as well.
+    #[arg(long)]
+    disks: bool,
     /// The scheduler's program (default: the scheduler that is built into this one).
     #[arg(long)]
     program: Option<PathBuf>,
@@ -360,6 +363,7 @@
         seconds: args.seconds,
         terms,
         faults: !args.calm,
+        disks: args.disks,
         every: 2_000_000_000,
         without: trial::Without::Nothing,
     };
--- a/crates/lab/src/trial.rs
+++ b/crates/lab/src/trial.rs
@@ -3,16 +3,18 @@
 //! same checker that reads the histories of real processes.
 
 use loomlb_accord::agreement::{self, Agreement, TICK};
+use loomlb_accord::agreement_error::AgreementError;
 use loomlb_accord::check::{Event as Did, Line, Verdict, judge};
-use loomlb_accord::disk::LogFile;
+use loomlb_accord::disk::{Disk, LogFile};
 use loomlb_accord::frames::{self, Channel, Word};
 use loomlb_accord::holder::Holder;
 use loomlb_accord::lists::{Mine, Theirs};
-use loomlb_accord::place::Memory;
+use loomlb_accord::place::{Fault, Memory};
 use loomlb_accord::promises::Promises;
 use loomlb_accord::rules::Body;
 use loomlb_accord::state::{Command, Outcome, State};
 use loomlb_accord::timing::{Terms, Timing};
+use loomlb_accord::votes::{Vote, Votes};
 use loomlb_accord::{Acting, Nanos, Version};
 use serde::Serialize;
 use serde_json::{Value, json};
@@ -26,6 +28,9 @@
 /// After the faults everything is whole for this long, and all must agree and act by its end.
 const HEALED: Nanos = 15 * S;
 
+/// Pause before a voter whose disk failed tries to recover.
+const RECOVERY_PAUSE: Nanos = 100 * MS;
+
 /// A part that is taken away, to show that the checker misses it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Without {
@@ -37,6 +42,10 @@
     Readiness,
     /// Clocks run apart by thirty times what the terms say.
     Drift,
+    /// A voter whose disk failed does not come back.
+    Recovery,
+    /// A voter whose disk failed comes back without its vote.
+    Vote,
 }
 
 /// A trial.
@@ -52,6 +61,8 @@
     pub terms: Terms,
     /// Whether anything goes wrong.
     pub faults: bool,
+    /// Whether voters' disks fail for a while as well, beside the other faults or alone.
+    pub disks: bool,
     /// Time between two proposals.
     pub every: Nanos,
     /// What is taken away.
@@ -167,6 +178,10 @@
     pub could_act: f64,
     /// Words a second and scheduler.
     pub words: f64,
+    /// Voters that came back after their disk had failed.
+    pub recoveries: u64,
+    /// Votes that were told.
+    pub votes: usize,
 }
 
 enum Due {
@@ -176,6 +191,9 @@
     Word(usize, usize, u64, Box<Word>),
     Propose,
     Fault,
+    DiskFault,
+    DiskWorks(usize, u64),
+    Recover(usize, u64),
     Start(usize),
     Continue(usize),
     Cut(Vec<(usize, usize)>, bool),
@@ -192,6 +210,8 @@
     voter: Option<(Agreement, Promises)>,
     place: Memory,
     log: Option<LogFile>,
+    /// How often the disk has begun to fail.
+    disk_faults: u64,
     may: bool,
     proposal: Option<Command>,
 }
@@ -219,6 +239,9 @@
     load: Load,
     tenants: Vec<Value>,
     count: Option<Count>,
+    recoveries: u64,
+    votes: Votes,
+    breaches: Vec<String>,
 }
 
 /// Plays a trial; the same seed has the same end.
@@ -257,6 +280,9 @@
         tenants: (0..load.tenants).map(tenant).collect(),
         load,
         count: counted.then(|| Count::new(trial.schedulers)),
+        recoveries: 0,
+        votes: Votes::default(),
+        breaches: Vec::new(),
     };
     host.run()?;
     Ok(host)
@@ -343,6 +369,7 @@
                 voter: None,
                 place: Memory::default(),
                 log: None,
+                disk_faults: 0,
                 may: false,
                 proposal: None,
             });
@@ -352,6 +379,9 @@
         if self.trial.faults {
             self.push(3 * S, Due::Fault);
         }
+        if self.trial.disks {
+            self.push(2 * S, Due::DiskFault);
+        }
         let faults = self.trial.seconds * S;
         while let Some(Reverse((at, _, key))) = self.queue.pop() {
             if at > faults + self.load.healed {
@@ -373,6 +403,7 @@
         self.healed = true;
         self.cut.clear();
         self.loss = 0.0;
+        self.nodes.iter().for_each(|node| node.place.mend());
         for n in 0..self.nodes.len() {
             if self.nodes[n].stopped {
                 self.push(self.now, Due::Continue(n));
@@ -413,7 +444,9 @@
 
     fn due(&mut self, due: Due) -> Result<(), String> {
         let of = match &due {
-            Due::Tick(n, run) | Due::Renew(n, run) | Due::Act(n, run) => Some((*n, *run)),
+            Due::Tick(n, run) | Due::Renew(n, run) | Due::Act(n, run) | Due::Recover(n, run) => {
+                Some((*n, *run))
+            }
             Due::Word(_, to, _, _) => Some((*to, self.nodes[*to].run)),
             _ => None,
         };
@@ -471,6 +504,19 @@
                     self.push(self.now + span, Due::Fault);
                 }
             }
+            Due::DiskFault => {
+                if !self.healed {
+                    self.disk_fault();
+                    let span = 500 * MS + self.rng.u64(0..4 * S);
+                    self.push(self.now + span, Due::DiskFault);
+                }
+            }
+            Due::DiskWorks(n, fault) => {
+                if self.nodes[n].disk_faults == fault {
+                    self.nodes[n].place.mend();
+                }
+            }
+            Due::Recover(n, run) => self.recover(n, run)?,
             Due::Start(n) => self.start(n)?,
             Due::Continue(n) => {
                 self.nodes[n].stopped = false;
@@ -520,7 +566,14 @@
         let Some(mut log) = self.nodes[n].log.take() else { return Ok(()) };
         let out = self.voter(n, |agreement, _, _| agreement.turn(&mut log));
         self.nodes[n].log = Some(log);
-        for message in out.transpose().map_err(|e| e.to_string())?.unwrap_or_default() {
+        let messages = match out.transpose() {
+            Ok(messages) => messages.unwrap_or_default(),
+            Err(e) => return self.store_failed(n, &e),
+        };
+        for message in messages {
+            if let Some(vote) = Vote::told_by(&message) {
+                self.breaches.extend(self.votes.record(vote).map(|breach| breach.to_string()));
+            }
             self.send(n, message.to as usize - 1, Word::Raft(agreement::bytes(&message)));
         }
         let Some((agreement, _)) = &self.nodes[n].voter else { return Ok(()) };
@@ -538,6 +591,61 @@
         Ok(())
     }
 
+    /// A voter takes part no more until its store recovers. Errors that no retry mends end the trial.
+    fn store_failed(&mut self, n: usize, e: &AgreementError) -> Result<(), String> {
+        if !e.is_transient() {
+            return Err(format!("n{n}: {e}"));
+        }
+        if self.trial.without != Without::Recovery {
+            self.push(self.now + RECOVERY_PAUSE, Due::Recover(n, self.nodes[n].run));
+        }
+        Ok(())
+    }
+
+    /// Rebuilds a voter from what its store has acknowledged, as after a restart.
+    fn recover(&mut self, n: usize, run: u64) -> Result<(), String> {
+        let Some(log) = self.nodes[n].log.as_mut() else { return Ok(()) };
+        let mut loaded = match log.recover() {
+            Ok(loaded) => loaded,
+            Err(e) if e.is_transient() => {
+                self.push(self.now + RECOVERY_PAUSE, Due::Recover(n, run));
+                return Ok(());
+            }
+            Err(e) => return Err(format!("n{n}: {e}")),
+        };
+        if self.trial.without == Without::Vote {
+            loaded.hard.vote = 0;
+        }
+        let (id, all) = (n as u64 + 1, self.trial.voters as u64);
+        let agreement = Agreement::new(id, all, loaded).map_err(|e| e.to_string())?;
+        let since = if self.trial.without == Without::Quiet { 0 } else { self.clock(n) };
+        self.nodes[n].voter = Some((agreement, Promises::new(self.timing, since)));
+        self.recoveries += 1;
+        Ok(())
+    }
+
+    /// The disks of some voters fail for a while, now and then of all of them.
+    fn disk_fault(&mut self) {
+        let voters = self.trial.voters;
+        let failing = if self.rng.u8(0..3) == 0 { voters } else { 1 + self.rng.usize(0..voters) };
+        let first = self.rng.usize(0..voters);
+        let lasts = 50 * MS + self.rng.u64(0..4 * S);
+        for n in (first..first + failing).map(|n| n % voters) {
+            let room = self.rng.usize(0..200);
+            let faults = [
+                Fault::Full(room),
+                Fault::EverySync,
+                Fault::Sync,
+                Fault::SyncUnnoticed,
+                Fault::SyncDirectory,
+            ];
+            let fault = faults[self.rng.usize(0..faults.len())];
+            self.nodes[n].disk_faults += 1;
+            self.nodes[n].place.plan(fault);
+            self.push(self.now + lasts, Due::DiskWorks(n, self.nodes[n].disk_faults));
+        }
+    }
+
     fn send(&mut self, from: usize, to: usize, word: Word) {
         if to >= self.nodes.len() {
             return;
@@ -808,6 +916,7 @@
     fn told(&self) -> Told {
         let verdict: Verdict = judge(&self.lines, 0, |version| self.contradicts.contains(&version));
         let mut breaches: Vec<String> = verdict.breaches.iter().map(ToString::to_string).collect();
+        breaches.extend(self.breaches.iter().cloned());
         let newest = self.force.keys().next_back().copied().unwrap_or(0);
         for (n, node) in self.nodes.iter().enumerate() {
             if !node.holder.may_act(self.clock(n)) || node.holder.acting() != Some(Acting::On(newest)) {
@@ -834,6 +943,8 @@
             everywhere_ms: spans(&self.everywhere),
             could_act: self.could.0 as f64 / self.could.1.max(1) as f64,
             words: self.words as f64 / (self.now as f64 / 1e9) / self.nodes.len() as f64,
+            recoveries: self.recoveries,
+            votes: self.votes.len(),
         }
     }
 }
--- a/crates/lab/tests/capacity.rs
+++ b/crates/lab/tests/capacity.rs
@@ -99,6 +99,7 @@
         seconds: 18,
         terms: Terms::default(),
         faults: false,
+        disks: false,
         every: 2_000_000_000,
         without: Without::Nothing,
     };
@@ -171,6 +172,7 @@
         seconds: 20,
         terms,
         faults: true,
+        disks: false,
         every: 2_000_000_000,
         without: Without::Nothing,
     };
--- a/crates/lab/tests/trials.rs
+++ b/crates/lab/tests/trials.rs
@@ -6,7 +6,16 @@
 
 fn trial(without: Without) -> Trial {
     let terms = Terms { bound: 2_500_000_000, ..Terms::default() };
-    Trial { schedulers: 6, voters: 3, seconds: 40, terms, faults: true, every: 2_000_000_000, without }
+    Trial {
+        schedulers: 6,
+        voters: 3,
+        seconds: 40,
+        terms,
+        faults: true,
+        disks: false,
+        every: 2_000_000_000,
+        without,
+    }
 }
 
 fn broken(without: Without, seeds: std::ops::Range<u64>) -> Vec<(u64, Told)> {
@@ -27,6 +36,36 @@
     assert_eq!(format!("{:?}", play(&trial(Without::Nothing), 1).unwrap()), format!("{told:?}"));
 }
 
+/// Voters' disks fill up, fail to sync and come back while all else breaks as well: the tier agrees again once they work,
+/// and no voter has voted twice in a term.
+#[test]
+fn voters_whose_disks_fail_for_a_while_come_back_and_vote_once_in_a_term() {
+    for faults in [false, true] {
+        let trial = Trial { faults, disks: true, ..trial(Without::Nothing) };
+        let told: Vec<Told> = (0..40).map(|seed| play(&trial, seed).unwrap()).collect();
+        let broken = told.iter().enumerate().find(|(_, t)| !t.breaches.is_empty());
+        assert!(broken.is_none(), "{broken:?}");
+        let recoveries: u64 = told.iter().map(|t| t.recoveries).sum();
+        let votes: usize = told.iter().map(|t| t.votes).sum();
+        println!("faults {faults}: {recoveries} recoveries, {votes} votes");
+        assert!(recoveries > 200 && votes > 200, "{recoveries} {votes}");
+    }
+}
+
+/// A voter that stays away after a failure, or comes back without its vote, is found.
+#[test]
+fn without_the_recovery_of_a_voter_or_of_its_vote_the_checker_finds_a_breach() {
+    let rules =
+        [(Without::Recovery, "all agree in the end"), (Without::Vote, "a voter votes once in a term")];
+    for (without, rule) in rules {
+        let trial = Trial { disks: true, ..trial(without) };
+        let mut told = (0..100).map(|seed| (seed, play(&trial, seed).unwrap()));
+        let found = told.find(|(_, t)| t.breaches.iter().any(|breach| breach.starts_with(rule)));
+        println!("{without:?}: {found:?}");
+        assert!(found.is_some(), "{without:?}");
+    }
+}
+
 /// Each part that the proof needs is taken away, and two schedulers are seen to act against each other.
 #[test]
 fn without_any_one_part_of_it_the_checker_finds_a_breach() {
