--- a/crates/emulator/src/rig.rs
+++ b/crates/emulator/src/rig.rs
@@ -120,6 +120,8 @@
     control: SocketAddr,
     config: Value,
     operator: String,
+    /// The program with its first arguments, where it is another than that of [`Options::program`].
+    program: Option<Vec<OsString>>,
     child: Vec<Child>,
 }
 
@@ -250,8 +252,12 @@
             self.nodes[n].operator
         );
         std::fs::write(&operator, text)?;
-        let (program, first) =
-            self.options.program.split_first().ok_or_else(|| io::Error::other("no program to start"))?;
+        let (program, first) = self.nodes[n]
+            .program
+            .as_ref()
+            .unwrap_or(&self.options.program)
+            .split_first()
+            .ok_or_else(|| io::Error::other("no program to start"))?;
         let mut command = Command::new(program);
         command
             .args(first)
@@ -270,6 +276,11 @@
         Ok(())
     }
 
+    /// Has later processes of a scheduler be of another program, given with its first arguments.
+    pub fn set_program(&mut self, n: usize, program: Vec<OsString>) {
+        self.nodes[n].program = Some(program);
+    }
+
     /// The file of a voter.
     pub fn store(&self, n: usize) -> PathBuf {
         self.path(n, "log")
@@ -463,7 +474,7 @@
             };
             operator += &format!("\n[[tier.voter]]\nname = \"n{j}\"\nat = \"{at}\"\n");
         }
-        nodes.push(Node { control, config, operator, child: Vec::new() });
+        nodes.push(Node { control, config, operator, program: None, child: Vec::new() });
     }
     Ok(nodes)
 }
--- /dev/null
+++ b/crates/tier/src/history/tests.rs
@@ -0,0 +1,29 @@
+//! Lines that follow one that was not written to its end.
+
+use super::*;
+use loomlb_accord::check::Event;
+
+fn line(at: u64) -> Line {
+    Line { at, who: "n0".into(), process: 7, event: Event::Renewed }
+}
+
+fn lines(path: &Path) -> Vec<Line> {
+    let text = std::fs::read_to_string(path).unwrap();
+    text.lines().filter_map(|line| serde_json::from_str(line).ok()).collect()
+}
+
+#[test]
+fn a_line_cut_at_any_byte_by_a_kill_costs_no_other_line() {
+    let directory = tempfile::tempdir().unwrap();
+    let path = directory.path().join("history");
+    History::open(&path).unwrap().write(&line(1)).unwrap();
+    let whole = std::fs::read(&path).unwrap();
+    for cut in 0..=whole.len() {
+        std::fs::write(&path, [&whole[..], &whole[..cut]].concat()).unwrap();
+        let mut history = History::open(&path).unwrap();
+        history.write(&line(2)).unwrap();
+        history.write(&line(3)).unwrap();
+        let complete = if cut + 1 >= whole.len() { vec![line(1), line(1)] } else { vec![line(1)] };
+        assert_eq!(lines(&path), [complete, vec![line(2), line(3)]].concat(), "cut at {cut}");
+    }
+}
--- a/crates/tier/src/lib.rs
+++ b/crates/tier/src/lib.rs
@@ -8,17 +8,21 @@
 
 #![forbid(unsafe_code)]
 
+mod history;
 mod lease;
 mod link;
 mod proposals;
 mod spec;
 mod status;
+mod store_health;
 mod voter;
+mod voter_error;
 
 pub use proposals::{order, proposed};
 pub use spec::{OnLapse, Spec, VoterAt};
 pub use status::state;
 
+use history::History;
 use link::Outbox;
 use loomlb_accord::check::{Event as Did, Line};
 use loomlb_accord::frames::Word;
@@ -31,19 +35,18 @@
 use serde_json::Value;
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet};
-use std::fs::File;
-use std::io::{self, Write};
+use std::io;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
+use store_health::StoreHealth;
 use tokio::net::TcpListener;
 use tokio::sync::Notify;
 use tokio::task::spawn_local;
-use voter::{Voter, elsewhere, vote_as};
+use voter::{Voter, vote_as};
+use voter_error::VoterError;
 
 /// Time between two looks at what a call or a change waits for.
 const LOOK: Duration = Duration::from_millis(10);
-/// Bytes of a history; what comes after them is counted and left out.
-const HISTORY: usize = 64 << 20;
 
 /// What acts by the tier's rules: the process around it. The tier asks no more of it than this.
 pub trait Application {
@@ -96,7 +99,8 @@
     /// The newest and the oldest list in use, and since when this one is behind.
     lists: Cell<(u64, u64)>,
     behind: Cell<Nanos>,
-    history: RefCell<Option<(File, usize)>>,
+    history: RefCell<Option<History>>,
+    store_health: RefCell<StoreHealth>,
     counts: Counts,
 }
 
@@ -132,16 +136,18 @@
         (self.started.elapsed().as_nanos() as f64 * self.spec.trial_clock) as Nanos
     }
 
+    /// Time since this process started, by the machine's clock.
+    fn age(&self) -> Duration {
+        self.started.elapsed()
+    }
+
     fn log(&self, event: Did) {
         let mut history = self.history.borrow_mut();
-        let Some((file, written)) = history.as_mut() else { return };
+        let Some(history) = history.as_mut() else { return };
         let line = Line { at: machine(), who: self.name.clone(), process: self.process, event };
-        let Ok(mut text) = serde_json::to_vec(&line) else { return };
-        text.push(b'\n');
-        if *written + text.len() > HISTORY || file.write_all(&text).is_err() {
-            return more(&self.counts.unwritten);
+        if history.write(&line).is_err() {
+            more(&self.counts.unwritten);
         }
-        *written += text.len();
     }
 
     fn put(&self, voter: usize, word: Word) {
@@ -200,18 +206,13 @@
     let timing = spec.timing().map_err(|(key, why)| io::Error::other(format!("{key}: {why}")))?;
     let number = spec.voters.iter().position(|v| v.name == name).map(|at| at as u64 + 1);
     let started = Instant::now();
-    let (mut links, mut voter) = (None, None);
-    if let Some(number) = number {
-        match vote_as(&spec, name, number, timing, 0) {
-            Ok((listener, seat)) => (links, voter) = (Some(listener), Some(seat)),
-            Err(e) if elsewhere(&e) => tracing::warn!("tier: {e}; another process of {name:?} votes"),
-            Err(e) => return Err(e),
-        }
-    }
-    let history = match &spec.history {
-        Some(path) => Some((File::options().create(true).append(true).open(path)?, 0)),
+    let mut store_health = StoreHealth::default();
+    let seat = match number {
+        Some(number) => seat(vote_as(&spec, name, number, timing, 0), name, &mut store_health)?,
         None => None,
     };
+    let (listener, voter) = seat.unzip();
+    let history = spec.history.as_deref().map(History::open).transpose()?;
     Ok((
         Tier(Some(Rc::new(On {
             name: name.into(),
@@ -232,19 +233,41 @@
             lists: Cell::default(),
             behind: Cell::new(Nanos::MAX / 2),
             history: RefCell::new(history),
+            store_health: RefCell::new(store_health),
             counts: Counts::default(),
             spec,
         }))),
-        links,
+        listener,
     ))
 }
 
+/// What a voter starts with; none while another process of its scheduler votes, or its file cannot be opened for a
+/// reason that passes by itself. It serves by the leases of the other voters meanwhile.
+fn seat(
+    taken: Result<(TcpListener, Voter), VoterError>,
+    name: &str,
+    store_health: &mut StoreHealth,
+) -> io::Result<Option<(TcpListener, Voter)>> {
+    match taken {
+        Ok(seat) => Ok(Some(seat)),
+        Err(e) if e.is_held_elsewhere() => {
+            tracing::warn!("tier: {}; another process of {name:?} votes", io::Error::from(e));
+            Ok(None)
+        }
+        Err(e) if e.is_transient() => {
+            store_health.failed(Duration::ZERO);
+            tracing::error!("tier: {}; serving without a vote until it passes", io::Error::from(e));
+            Ok(None)
+        }
+        Err(e) => Err(e.into()),
+    }
+}
+
 /// Starts the links and the timers, where there is a tier.
 pub fn start(tier: &Tier, around: &Rc<dyn Application>, listener: Option<TcpListener>) {
     let Some(on) = &tier.0 else { return };
     if let Some(listener) = listener {
-        spawn_local(link::accept(Rc::clone(on), listener));
-        spawn_local(voter::vote(Rc::clone(on)));
+        voter::start(on, listener);
     } else if let Some(number) = on.number {
         spawn_local(voter::succeed(Rc::clone(on), number));
     }
--- a/crates/tier/src/status.rs
+++ b/crates/tier/src/status.rs
@@ -7,6 +7,7 @@
 pub fn state(tier: &Tier, around: &dyn Application) -> Value {
     let Some(on) = &tier.0 else { return Value::Null };
     let (holder, voter) = (on.holder.borrow(), on.voter.borrow());
+    let health = on.store_health.borrow();
     let seen = holder.seen();
     let left = holder.until().unwrap_or(0).saturating_sub(on.now());
     let vote = voter.as_ref().map(|v| {
@@ -29,6 +30,7 @@
         "counts": {"lapses": on.counts.lapses.get(), "words_pushed_out": on.counts.crowded.get(),
             "link_faults": on.counts.faults.get(), "links": on.counts.links.get(),
             "history_unwritten": on.counts.unwritten.get(), "drains_by_hearsay": on.counts.hearsay.get(),
-            "lists_asked_anew": on.counts.asked_again.get()},
+            "lists_asked_anew": on.counts.asked_again.get(),
+            "store_failures": health.failures, "store_recoveries": health.recoveries},
     })
 }
--- a/crates/tier/src/voter.rs
+++ b/crates/tier/src/voter.rs
@@ -1,21 +1,26 @@
-//! The voter: its file, its promises, its part in the agreement, and the process that takes over its seat.
+//! The voter: its file, its promises, its part in the agreement, how it comes back after a failure of its file, and the
+//! process that takes over its seat.
 
 use crate::On;
 use crate::link::accept;
 use crate::spec::Spec;
+use crate::voter_error::VoterError;
 use loomlb_accord::Nanos;
 use loomlb_accord::agreement::{self, Agreement, TICK};
-use loomlb_accord::disk::LogFile;
+use loomlb_accord::agreement_error::AgreementError;
+use loomlb_accord::disk::{Disk, LogFile};
 use loomlb_accord::frames::Word;
 use loomlb_accord::lists::Lists;
 use loomlb_accord::promises::{Process, Promises};
 use loomlb_accord::state::Command;
+use loomlb_accord::store_error::StoreError;
 use loomlb_accord::timing::Timing;
 use std::io;
+use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::net::TcpListener;
-use tokio::task::spawn_local;
+use tokio::task::{AbortHandle, spawn_local};
 
 /// Pause before another look whether the process that votes has ended.
 const SUCCEED: Duration = Duration::from_millis(300);
@@ -27,11 +32,30 @@
     pub(crate) promises: Promises,
     pub(crate) lists: Lists,
     pub(crate) log: LogFile,
+    /// The task that accepts links of other schedulers, once it runs.
+    accepting: Option<AbortHandle>,
+    /// An error has ended its part that no retry mends; it stays out until the program is started again.
+    stopped: bool,
 }
 
-/// Whether a voter's file or address is taken, by an earlier process of the same scheduler: it votes until it ends.
-pub(crate) fn elsewhere(e: &io::Error) -> bool {
-    matches!(e.kind(), io::ErrorKind::WouldBlock | io::ErrorKind::AddrInUse)
+impl Voter {
+    /// Reads what its file has acknowledged and starts over from that, as after a kill: what it promised is forgotten,
+    /// so it grants nothing new until all of that has ended.
+    fn recover(&mut self, on: &On) -> Result<(), AgreementError> {
+        let loaded = self.log.recover()?;
+        let number = on.number.unwrap_or_default();
+        self.agreement = Agreement::new(number, on.spec.voters.len() as u64, loaded)?;
+        self.promises = Promises::new(on.timing, on.now());
+        Ok(())
+    }
+}
+
+impl Drop for Voter {
+    fn drop(&mut self) {
+        if let Some(accepting) = &self.accepting {
+            accepting.abort();
+        }
+    }
 }
 
 /// Takes a voter's file and address.
@@ -41,40 +65,68 @@
     number: u64,
     timing: Timing,
     now: Nanos,
-) -> io::Result<(TcpListener, Voter)> {
-    let needed = |key: &str| io::Error::other(format!("{key}: missing, and {name:?} is a voter"));
-    let at = spec.listen.ok_or_else(|| needed("listen"))?;
-    let store = spec.store.as_ref().ok_or_else(|| needed("store"))?;
+) -> Result<(TcpListener, Voter), VoterError> {
+    let missing = |key| VoterError::MissingKey { key, name: name.into() };
+    let at = spec.listen.ok_or_else(|| missing("listen"))?;
+    let store = spec.store.as_ref().ok_or_else(|| missing("store"))?;
     let names: Vec<&str> = spec.voters.iter().map(|v| &*v.name).collect();
     let owner = format!("{name} of {}", names.join(", "));
     let (log, loaded) = LogFile::open(store, &owner, spec.found)?;
+    let listener = listen(at).map_err(|source| VoterError::Listen { at, source })?;
+    let agreement = Agreement::new(number, spec.voters.len() as u64, loaded)?;
+    let promises = Promises::new(timing, now);
+    let voter = Voter { agreement, promises, lists: Lists::default(), log, accepting: None, stopped: false };
+    Ok((listener, voter))
+}
+
+fn listen(at: SocketAddr) -> io::Result<TcpListener> {
     let listener = std::net::TcpListener::bind(at)?;
     listener.set_nonblocking(true)?;
-    let agreement = Agreement::new(number, spec.voters.len() as u64, loaded)?;
-    Ok((
-        TcpListener::from_std(listener)?,
-        Voter { agreement, promises: Promises::new(timing, now), lists: Lists::default(), log },
-    ))
+    TcpListener::from_std(listener)
+}
+
+/// Starts the tasks of a voter that has its file and this listener.
+pub(crate) fn start(on: &Rc<On>, listener: TcpListener) {
+    let accepting = spawn_local(accept(Rc::clone(on), listener)).abort_handle();
+    if let Some(voter) = on.voter.borrow_mut().as_mut() {
+        voter.accepting = Some(accepting);
+    }
+    spawn_local(vote(Rc::clone(on)));
 }
 
-/// Takes over from the process of this scheduler that votes, once it has ended.
+/// Takes the seat of this scheduler once it is free: another process of it has ended, or its file can be opened.
 pub(crate) async fn succeed(on: Rc<On>, number: u64) {
+    let mut pause = SUCCEED;
     loop {
-        tokio::time::sleep(SUCCEED).await;
+        tokio::time::sleep(pause).await;
+        pause = SUCCEED;
         match vote_as(&on.spec, &on.name, number, on.timing, on.now()) {
-            Ok((listener, seat)) => {
+            Ok((listener, voter)) => {
                 tracing::info!("tier: this process votes now");
-                *on.voter.borrow_mut() = Some(seat);
-                spawn_local(accept(Rc::clone(&on), listener));
-                spawn_local(vote(Rc::clone(&on)));
-                return;
+                on.store_health.borrow_mut().recovered(on.age());
+                *on.voter.borrow_mut() = Some(voter);
+                return start(&on, listener);
+            }
+            Err(e) if e.is_held_elsewhere() => {}
+            Err(e) if e.is_transient() => {
+                store_failed(&on, &io::Error::from(e));
+                pause = on.store_health.borrow().pause(on.age());
+            }
+            Err(e) => {
+                let e = io::Error::from(e);
+                return tracing::error!("tier: {e}; this process does not vote");
             }
-            Err(e) if elsewhere(&e) => {}
-            Err(e) => return tracing::error!("tier: {e}; this process does not vote"),
         }
     }
 }
 
+/// Counts a failure that passes by itself, and tells of the first of a run.
+fn store_failed(on: &On, e: &io::Error) {
+    if on.store_health.borrow_mut().failed(on.age()) {
+        tracing::error!("tier.store: {e}; this voter takes part no more until it can be written again");
+    }
+}
+
 /// What this voter makes of a word, and its reply.
 pub(crate) fn voter_hears(on: &On, who: &Process, voter: Option<u64>, word: Word) -> Option<Word> {
     let now = on.now();
@@ -110,17 +162,45 @@
 
 /// Has the voter do what it has to, and sends what it has for others.
 fn turn(on: &On, held: &mut Option<Voter>) {
-    let Some(Voter { agreement, log, .. }) = held else { return };
-    match agreement.turn(log) {
+    let Some(voter) = held else { return };
+    match voter.agreement.turn(&mut voter.log) {
         Ok(messages) => {
             for message in messages {
                 on.put(message.to as usize - 1, Word::Raft(agreement::bytes(&message)));
             }
         }
-        Err(e) => tracing::error!("tier.store: {e}; this voter takes part no more until it is started anew"),
+        Err(e) => failed(on, voter, e),
+    }
+}
+
+/// The voter takes part no more: until its file recovers, or for good.
+fn failed(on: &On, voter: &mut Voter, e: AgreementError) {
+    voter.stopped = !e.is_transient();
+    let e = io::Error::from(e);
+    if voter.stopped {
+        tracing::error!("tier.store: {e}; this voter takes part no more until it is started anew");
+    } else {
+        store_failed(on, &e);
     }
 }
 
+/// Has a voter whose file failed come back, once it is time for another attempt. False if its file is another process's
+/// by now, so that the seat is lost.
+fn try_to_recover(on: &On, voter: &mut Voter) -> bool {
+    if voter.stopped || !on.store_health.borrow().retry_is_due(on.age()) {
+        return true;
+    }
+    match voter.recover(on) {
+        Ok(()) => on.store_health.borrow_mut().recovered(on.age()),
+        Err(AgreementError::Store(e @ StoreError::Taken { .. })) => {
+            tracing::warn!("tier.store: {e}; waiting until it is free");
+            return false;
+        }
+        Err(e) => failed(on, voter, e),
+    }
+    true
+}
+
 /// A voter's own time.
 pub(crate) async fn vote(on: Rc<On>) {
     let mut ticks = tokio::time::interval(Duration::from_nanos(TICK));
@@ -128,16 +208,32 @@
     loop {
         ticks.tick().await;
         let mut held = on.voter.borrow_mut();
-        let Some(Voter { agreement, promises, .. }) = held.as_mut() else { return };
-        agreement.tick();
-        let ready = promises.ready(on.now(), agreement.state()).filter(|_| agreement.settled());
-        if let Some(version) = ready {
-            match agreement.leader() {
-                0 => {}
-                leader if on.number == Some(leader) => agreement.ready(leader, version),
-                leader => on.put(leader as usize - 1, Word::Ready(version)),
+        let Some(voter) = held.as_mut() else { return };
+        if voter.agreement.broken() && !try_to_recover(&on, voter) {
+            *held = None;
+            if let Some(number) = on.number {
+                spawn_local(succeed(Rc::clone(&on), number));
             }
+            return;
         }
+        if let Some(lasted) = on.store_health.borrow_mut().ended_run(on.age()) {
+            tracing::info!("tier.store: can be written again after {lasted:?}; this voter takes part");
+        }
+        tick(&on, voter);
         turn(&on, &mut held);
     }
 }
+
+/// Lets time pass in the agreement, and tells the leader what this voter is ready for.
+fn tick(on: &On, voter: &mut Voter) {
+    let Voter { agreement, promises, .. } = voter;
+    agreement.tick();
+    let ready = promises.ready(on.now(), agreement.state()).filter(|_| agreement.settled());
+    if let Some(version) = ready {
+        match agreement.leader() {
+            0 => {}
+            leader if on.number == Some(leader) => agreement.ready(leader, version),
+            leader => on.put(leader as usize - 1, Word::Ready(version)),
+        }
+    }
+}
--- a/tests/tier.rs
+++ b/tests/tier.rs
@@ -4,6 +4,7 @@
 use loomlb_accord::check::{Verdict, judge};
 use loomlb_accord::disk::LogFile;
 use loomlb_emulator::rig::{Options, Rig, Way};
+use loomlb_fault_plan::{Call, FaultPlan, WITHOUT_END};
 use serde_json::{Value, json};
 use std::time::Duration;
 
@@ -321,3 +322,87 @@
     assert!(rig.until(|rig| rig.all_on(&[1, 2, 3], 3)));
     verdict(&rig);
 }
+
+/// A scheduler's count in what it says of the tier.
+fn count(rig: &Rig, n: usize, what: &str) -> u64 {
+    rig.tier(n).and_then(|tier| tier["counts"][what].as_u64()).unwrap_or(0)
+}
+
+/// Starts a scheduler anew, with its system calls under the plan.
+fn relaunch_under(rig: &mut Rig, n: usize, plan: &FaultPlan) {
+    rig.kill(n);
+    rig.set_program(n, plan.wrap(env!("CARGO_BIN_EXE_loomlb")));
+    rig.launch(n, false).unwrap();
+}
+
+/// The calls of one operation on the disk that fail together, and how.
+type DiskFault = (&'static [Call], i32);
+
+/// No room for a new byte anywhere.
+const DISK_FULL: DiskFault = (&[Call::FileWrite, Call::OpenForWriting], libc::ENOSPC);
+/// Writes pass, and do not reach the disk.
+const SYNC_FAILS: DiskFault = (&[Call::Sync], libc::EIO);
+
+fn fail(plan: &FaultPlan, (calls, errno): DiskFault) {
+    calls.iter().for_each(|call| _ = plan.fail(*call, errno, WITHOUT_END));
+}
+
+fn pass(plan: &FaultPlan, (calls, _): DiskFault) {
+    calls.iter().for_each(|call| _ = plan.pass(*call));
+}
+
+#[test]
+fn voters_whose_disks_fail_for_a_while_agree_again_without_a_restart() {
+    let mut rig = rig(4, false);
+    let all = [0, 1, 2, 3];
+    let plans = [FaultPlan::new().unwrap(), FaultPlan::new().unwrap()];
+    for (n, plan) in plans.iter().enumerate() {
+        relaunch_under(&mut rig, n, plan);
+        assert!(rig.ready(n));
+    }
+    let mut version = 1;
+    for fault in [DISK_FULL, SYNC_FAILS] {
+        let failures = [0, 1].map(|n| count(&rig, n, "store_failures"));
+        let recoveries = [0, 1].map(|n| count(&rig, n, "store_recoveries"));
+        // Two of three voters: no majority can write, so nothing more is agreed.
+        plans.iter().for_each(|plan| fail(plan, fault));
+        let word = if version == 1 { "at_most_once" } else { "deduplicated" };
+        assert!(rig.until(|rig| {
+            propose(rig, 3, word);
+            (0..2).all(|n| count(rig, n, "store_failures") > failures[n] + 1)
+        }));
+        assert!(rig.until(|rig| rig.tier(3).is_some_and(|tier| tier["may_act"] == false)));
+        assert!(!rig.all_on(&[2], version + 1), "agreed without a majority");
+        plans.iter().for_each(|plan| pass(plan, fault));
+        assert!(rig.until(|rig| (0..2).all(|n| count(rig, n, "store_recoveries") > recoveries[n])));
+        version += 1;
+        assert!(rig.until(|rig| propose(rig, 3, word).is_some_and(|answer| answer.0 < 300)));
+        assert!(rig.until(|rig| rig.all_on(&all, version)), "{:?}", rig.tier(3));
+    }
+    // Nothing of it is lost when all voters are killed.
+    (0..3).for_each(|n| rig.kill(n));
+    (0..3).for_each(|n| rig.launch(n, false).unwrap());
+    assert!(rig.until(|rig| rig.all_on(&all, version)), "{:?}", rig.tier(3));
+    assert_eq!(rig.tier(3).unwrap()["settings"]["classes"][1]["effect"], "deduplicated");
+    verdict(&rig);
+}
+
+#[test]
+fn a_voter_that_starts_on_a_full_disk_serves_and_votes_once_there_is_room() {
+    let mut rig = rig(4, false);
+    assert!(propose(&rig, 2, "at_most_once").unwrap().0 < 300);
+    assert!(rig.until(|rig| rig.all_on(&[0, 1, 2, 3], 2)));
+    let plan = FaultPlan::new().unwrap();
+    fail(&plan, DISK_FULL);
+    relaunch_under(&mut rig, 0, &plan);
+    assert!(rig.ready(0), "the other two are a majority");
+    assert!(rig.tier(0).unwrap()["voter"].is_null());
+    assert!(rig.until(|rig| count(rig, 0, "store_failures") > 1));
+    pass(&plan, DISK_FULL);
+    assert!(rig.until(|rig| rig.tier(0).is_some_and(|tier| !tier["voter"].is_null())));
+    // Its vote is needed.
+    rig.kill(1);
+    assert!(rig.until(|rig| propose(rig, 3, "deduplicated").is_some_and(|answer| answer.0 < 300)));
+    assert!(rig.until(|rig| rig.all_on(&[0, 2, 3], 3)), "{:?}", rig.tier(0));
+    verdict(&rig);
+}
