--- a/crates/scheduler/src/config.rs
+++ b/crates/scheduler/src/config.rs
@@ -2,10 +2,11 @@
 
 use super::changes;
 use super::epoch::Epoch;
+use loomlb_accord::place::write_atomically;
 use loomlb_decide::PeerId;
 use loomlb_decide::boot::BootInfo;
 use serde::Deserialize;
-use std::cell::RefCell;
+use std::cell::{Cell, RefCell};
 use std::fmt;
 use std::net::SocketAddr;
 use std::os::fd::RawFd;
@@ -59,6 +60,8 @@
     /// The file it was read from, and what stood there when it was last found good.
     file: PathBuf,
     keys: RefCell<Keys>,
+    /// What is in force is not in the file for the next process yet.
+    unkept: Cell<bool>,
 }
 
 /// A configuration as its file has it.
@@ -193,15 +196,34 @@
         self.keep();
     }
 
-    /// Keeps what is in force for the process that takes this one's place, where there may be one.
+    /// Keeps what is in force for the process that takes this one's place, where there may be one. After a failure the
+    /// file of an earlier process or reload is still there, complete, and [`Config::is_unkept`] until a later call
+    /// succeeds. Only the first failure of a run is logged.
     pub fn keep(&self) {
         let Some(file) = beside(&self.listen.to_string(), "json") else { return };
         let fresh = file.with_extension(std::process::id().to_string());
         let text = serde_json::Value::Object(self.keys.borrow().clone()).to_string();
-        if let Err(e) = std::fs::write(&fresh, text).and_then(|()| std::fs::rename(&fresh, &file)) {
-            tracing::warn!("{}: {e}; the next process has its own file alone", file.display());
+        match write_atomically(&file, &fresh, text.as_bytes()) {
+            Ok(()) => {
+                if self.unkept.replace(false) {
+                    tracing::info!("{}: written again", file.display());
+                }
+            }
+            Err(e) => {
+                if !self.unkept.replace(true) {
+                    tracing::warn!(
+                        "{}: {e}; a next process has its own file alone until this one is written",
+                        file.display()
+                    );
+                }
+            }
         }
     }
+
+    /// Whether the last attempt to keep what is in force has failed.
+    pub fn is_unkept(&self) -> bool {
+        self.unkept.get()
+    }
 }
 
 /// A file that the processes of a scheduler share, where one may take another's place (`LB_FD`): in `$TMPDIR`, named by
@@ -280,6 +302,7 @@
             passed_over: None,
             file,
             keys: RefCell::new(keys),
+            unkept: Cell::new(false),
         })
     }
 }
--- a/crates/scheduler/src/lib.rs
+++ b/crates/scheduler/src/lib.rs
@@ -133,6 +133,7 @@
         config,
     });
     reload::start(&s, hangup);
+    reload::retry_keeping(&s);
     tracing::info!("{} serves at {}", s.config.name, listener.local_addr()?);
     upgrade::start(&s, before);
     send::sweep(&s);
--- a/crates/scheduler/src/reload.rs
+++ b/crates/scheduler/src/reload.rs
@@ -6,9 +6,13 @@
 use loomlb_decide::{Event, Start};
 use std::io;
 use std::rc::Rc;
+use std::time::Duration;
 use tokio::signal::unix::{Signal, SignalKind, signal};
 use tokio::task::spawn_local;
 
+/// Pause between two looks whether the configuration in force has yet to be kept for the next process.
+const KEEP_RETRY: Duration = Duration::from_secs(1);
+
 /// Takes SIGHUP over, for as long as the program runs: left to its default it would end the program with
 /// every flow it has taken.
 pub fn take_over() -> io::Result<Signal> {
@@ -35,6 +39,20 @@
     });
 }
 
+/// Writes the configuration in force for the next process once more for as long as that has failed, also at the start.
+/// Once this process has handed over, the file is the next one's.
+pub fn retry_keeping(s: &Rc<Scheduler>) {
+    let s = Rc::clone(s);
+    spawn_local(async move {
+        loop {
+            tokio::time::sleep(KEEP_RETRY).await;
+            if s.config.is_unkept() && s.upgrade.accepts() {
+                s.config.keep();
+            }
+        }
+    });
+}
+
 /// Reads the file, and puts all of it in force or nothing.
 fn take(s: &Rc<Scheduler>) -> Result<(), String> {
     let fresh = s.config.reload()?;
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -2,8 +2,9 @@
 
 mod stage;
 
+use loomlb_fault_plan::{Call, FaultPlan, Limit, WITHOUT_END};
 use loomlb_handover::words::{Frames, VERSION, Word};
-use stage::{Line, Platform, Server, Stage, job, response};
+use stage::{Line, Platform, Server, Stage, job, response, until};
 use std::io::{Read, Write};
 use std::os::unix::net::UnixListener;
 use std::process::Command;
@@ -177,6 +178,30 @@
     assert!(reader.join().unwrap().contains(r#""name":"sign""#));
 }
 
+#[test]
+fn a_reload_on_a_full_disk_is_kept_for_the_next_process_once_there_is_room() {
+    let (discovery, target) = (Server::new("d"), Server::new("s-00000001"));
+    let (platform, plan) = (Platform::new(), FaultPlan::new().unwrap());
+    let mut old = Stage::beside_under(&plan, &[&target], &discovery, &platform);
+    old.ready();
+    let file = platform.folder.path().join("loomlb-127.0.0.1-0.json");
+    let kept = || std::fs::read_to_string(&file).unwrap();
+    let before = kept();
+    assert!(before.contains(r#""name":"lodge""#));
+    // The write ends half-way.
+    plan.limit(Limit::FileWrite, 40);
+    plan.fail_after(Call::FileWrite, libc::ENOSPC, 1, WITHOUT_END);
+    old.reload(r#""name":"lodge""#, r#""name":"sign""#);
+    old.logged("configuration reloaded");
+    assert_eq!(kept(), before, "the file of before, complete");
+    let names = || std::fs::read_dir(platform.folder.path()).unwrap().map(|entry| entry.unwrap().file_name());
+    let fresh = format!("loomlb-127.0.0.1-0.{}", old.id());
+    assert!(!names().any(|name| name == *fresh), "a half-written file is left");
+    plan.pass(Call::FileWrite);
+    plan.limit(Limit::FileWrite, 0);
+    until("the reload is kept", || kept().contains(r#""name":"sign""#));
+}
+
 #[test]
 fn a_descriptor_that_is_no_listening_socket_ends_the_start_at_once() {
     let files = tempfile::tempdir().unwrap();
