--- a/crates/decide/src/lib.rs
+++ b/crates/decide/src/lib.rs
@@ -26,6 +26,7 @@
 mod message;
 mod meter;
 mod network;
+mod neurons;
 pub mod rules;
 mod state;
 mod talk;
--- a/crates/decide/src/network.rs
+++ b/crates/decide/src/network.rs
@@ -1,6 +1,7 @@
 //! The random neural network of a class: decisions learned from payoffs. Its users are in `src/rules.rs`.
 
 use crate::api::KindId;
+use crate::neurons::Neurons;
 
 /// Smoothing of the threshold T: how much of it stays at a payoff.
 const ALPHA: f64 = 0.95;
@@ -16,7 +17,7 @@
 /// network, and "every k≠i" is one offset shared by all.
 #[derive(Clone, Debug, Default)]
 pub struct Network {
-    pub(crate) neurons: Vec<Neuron>,
+    pub(crate) neurons: Neurons,
     place: Vec<Option<u32>>,
     pub(crate) plus_all: f64,
     pub(crate) minus_all: f64,
@@ -24,15 +25,6 @@
     pub(crate) stale: bool,
 }
 
-#[derive(Clone, Debug)]
-pub(crate) struct Neuron {
-    pub(crate) worker: usize,
-    kind: KindId,
-    pub(crate) plus: f64,
-    pub(crate) minus: f64,
-    pub(crate) q: f64,
-}
-
 impl Network {
     /// Adds a neuron. The first ones start at 1/(2(N−1)); later ones at the level of their kind (of all, if
     /// it is the first): a joining worker neither leads nor trails its like.
@@ -43,12 +35,8 @@
         if self.place[worker].is_some() {
             return;
         }
-        let first = self.neurons.iter().all(|n| n.kind != kind);
-        let like = self.neurons.iter().filter(|n| first || n.kind == kind);
-        let sum = like.fold([0.0; 4], |s, n| [s[0] + n.plus, s[1] + n.minus, s[2] + n.q, s[3] + 1.0]);
-        let [plus, minus, q, _] = if sum[3] > 0.0 { sum.map(|s| s / sum[3]) } else { [0.5; 4] };
         self.place[worker] = Some(self.neurons.len() as u32);
-        self.neurons.push(Neuron { worker, kind, plus, minus, q });
+        self.neurons.join(worker, kind);
         self.stale = true;
     }
 
@@ -104,14 +92,14 @@
         let (plus_all, minus_all) = (self.plus_all, self.minus_all);
         (self.plus_all, self.minus_all) = (0.0, 0.0);
         let mut all = 0.0;
-        for x in &mut self.neurons {
+        for x in self.neurons.iter_mut() {
             x.plus = (x.plus + plus_all) * scale;
             x.minus = (x.minus + minus_all) * scale;
             all += x.q;
         }
         for _ in 0..SWEEPS {
             let (mut next, mut moved) = (0.0, 0.0f64);
-            for x in &mut self.neurons {
+            for x in self.neurons.iter_mut() {
                 let rest = all - x.q;
                 let rate = (total * scale - x.plus - x.minus).max(1e-9);
                 let q = ((0.25 + x.plus * rest) / (rate + x.minus * rest)).clamp(1e-6, 1.0);
--- a/crates/decide/src/rules.rs
+++ b/crates/decide/src/rules.rs
@@ -586,7 +586,7 @@
         let first = ranked.map(|n| self.lean(job, n.worker)).fold(0.0, f64::max);
         let reach = if reach < 1.0 { reach.max(1.0 - first) } else { reach };
         let (mut best, mut explored) = (Best::default(), Best::default());
-        for n in &self.nets[c].neurons {
+        for n in self.nets[c].neurons.iter() {
             let w = n.worker;
             let known = &self.workers[w];
             if 1.0 - self.lean(job, w) > reach || !self.usable(job, w, near) {
--- a/crates/decide/src/rules/carry.rs
+++ b/crates/decide/src/rules/carry.rs
@@ -126,7 +126,7 @@
                 (of_class.plus_all, of_class.minus_all, of_class.threshold, true);
             let by_id: rustc_hash::FxHashMap<u64, (f64, f64, f64)> =
                 of_class.neurons.into_iter().map(|(id, plus, minus, q)| (id, (plus, minus, q))).collect();
-            for n in &mut net.neurons {
+            for n in net.neurons.iter_mut() {
                 if let Some(known) = by_id.get(&self.workers[n.worker].entry.id.0) {
                     (n.plus, n.minus, n.q) = *known;
                 }
