--- a/crates/decide/src/rules.rs
+++ b/crates/decide/src/rules.rs
@@ -8,7 +8,7 @@
 use crate::api::*;
 use crate::cold;
 use crate::fading::{Fading, toward};
-use crate::groups::{Tier, lean};
+use crate::groups::{Dealt, Tier, lean};
 use crate::message::{Holds, Message};
 mod carry;
 pub use crate::network::Network;
@@ -81,6 +81,8 @@
     peers: std::collections::BTreeMap<PeerId, Peer>,
     group: Vec<PeerId>,
     groups: Vec<Vec<PeerId>>,
+    /// `near` of each worker in one stretch of memory: each pick looks at all of them.
+    near: Vec<bool>,
     regroup: bool,
     /// Words told to the group so far.
     turn: u16,
@@ -264,12 +266,14 @@
         let members = |g| tier.members(g).map(|i| near[i]).filter(|p| *p != self.set.me).collect();
         self.groups = (0..tier.groups).map(members).collect();
         self.group = self.groups[mine].clone();
-        order.sort_by_key(|&w| self.workers[w].entry.id);
-        let young = |w: usize| self.warmth(&self.workers[w].entry, self.now) < 1.0;
-        let ids: Vec<(u64, bool)> = order.iter().map(|&w| (self.workers[w].entry.id.0, young(w))).collect();
+        order.sort_by_cached_key(|&w| self.workers[w].entry.id);
+        let (rules, now) = (&self.set.rules, self.now);
+        let dealt: Vec<Dealt> = order.iter().map(|&w| self.workers[w].dealt(rules, now, tier)).collect();
         self.workers.iter_mut().for_each(|k| (k.near, k.part) = (false, mine));
-        for (&w, part) in order.iter().zip(tier.deal(&ids)) {
+        self.near = vec![false; self.workers.len()];
+        for (&w, part) in order.iter().zip(tier.deal(&dealt)) {
             (self.workers[w].near, self.workers[w].part) = (part == mine, part);
+            self.near[w] = part == mine;
         }
     }
 
@@ -375,8 +379,8 @@
         // Where no report tells of room nothing is held; in overload queues would grow until all is late.
         // Only jobs that go out tell that a wait is over, so one goes now and then.
         let patience = self.mean_run + slack * value / self.mean_value.max(1e-9);
-        let tries = self.workers.iter().any(|k| self.now < k.sent.max(k.heard) + TRY_AGAIN);
-        let refuse = self.blind() && tries && self.zone_wait(self.set.zone.0) > patience;
+        let tries = || self.workers.iter().any(|k| self.now < k.sent.max(k.heard) + TRY_AGAIN);
+        let refuse = self.blind() && tries() && self.zone_wait(self.set.zone.0) > patience;
         self.jobs.insert(id, job);
         if refuse {
             self.end(id, out);
@@ -588,6 +592,9 @@
         let (mut best, mut explored) = (Best::default(), Best::default());
         for n in self.nets[c].neurons.iter() {
             let w = n.worker;
+            if near && self.near.get(w) != Some(&true) {
+                continue;
+            }
             let known = &self.workers[w];
             if 1.0 - self.lean(job, w) > reach || !self.usable(job, w, near) {
                 continue;
@@ -621,12 +628,12 @@
 
     /// Whether a worker may have the job, as far as rules and its state go; room there is another matter.
     fn usable(&self, job: &Job, w: usize, near: bool) -> bool {
-        let (known, repeat) = (&self.workers[w], self.repeat(job));
+        let known = &self.workers[w];
         // Among the few that drop its repeats the one whose connection broke is as good as any.
-        let again = |a: &Attempt| repeat != Repeat::Anywhere && a.outcome == Some(Outcome::Reset);
+        let again = |a: &Attempt| a.outcome == Some(Outcome::Reset) && self.repeat(job) != Repeat::Anywhere;
         (known.near || !near)
             && known.full_until <= self.now
-            && repeat.allows(&known.entry)
+            && self.repeat(job).allows(&known.entry)
             && job.attempts.iter().all(|a| a.worker != w || again(a))
             && self.in_time(job, known)
             && self
--- a/crates/decide/src/state.rs
+++ b/crates/decide/src/state.rs
@@ -1,7 +1,9 @@
 //! What a dispatcher remembers of workers, requests, classes and tenants. Nothing is decided here.
 
 use crate::api::*;
+use crate::cold;
 use crate::fading::{Fading, fade, lower_median};
+use crate::groups::{Dealt, Tier};
 use crate::message::Holds;
 use crate::meter::Meter;
 use serde::{Deserialize, Serialize};
@@ -16,6 +18,13 @@
 /// What a further job adds to the mean of its class, at least.
 const FURTHER: f64 = 0.03;
 
+/// The group that a worker leans to most, among so many.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct Favorite {
+    pub(crate) of_groups: usize,
+    pub(crate) group: usize,
+}
+
 /// What is known of a worker.
 #[derive(Debug, Default)]
 pub(crate) struct Known {
@@ -25,6 +34,8 @@
     pub(crate) near: bool,
     /// The group that it belongs to.
     pub(crate) part: usize,
+    /// The group that it leans to most, once it has been dealt to one.
+    pub(crate) favorite: Option<Favorite>,
     /// Own attempts out, and the slots that they take.
     pub(crate) attempts: u32,
     /// The most of them at once since idle connections were closed.
@@ -55,6 +66,17 @@
 }
 
 impl Known {
+    /// As it is dealt out to groups. Its favorite is remembered for as long as there are as many groups.
+    pub(crate) fn dealt(&mut self, rules: &Rules, now: Nanos, tier: Tier) -> Dealt {
+        let id = self.entry.id.0;
+        let young = cold::warmth(rules, self.entry.started, now) < 1.0;
+        let favorite = match self.favorite {
+            Some(favorite) if favorite.of_groups == tier.groups => favorite.group,
+            _ => tier.favorite(id),
+        };
+        self.favorite = Some(Favorite { of_groups: tier.groups, group: favorite });
+        Dealt { id, young, favorite }
+    }
     /// Its process has started anew, or it is new: cold, out of step with the others, and holding none of what it held.
     pub(crate) fn restarted(&mut self, now: Nanos, phase: f64) {
         (self.others, self.failures, self.full_until) = (0.0, Fading::default(), 0);
