--- a/crates/lab/src/lib.rs
+++ b/crates/lab/src/lib.rs
@@ -4,6 +4,7 @@
 pub mod baselines;
 pub mod capacity;
 pub mod days;
+pub mod fleet;
 pub mod processes;
 pub mod scale;
 pub mod tables;
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -7,7 +7,7 @@
 use loomlb_emulator::{Live, Options, Stop};
 use loomlb_lab::baselines::{Baseline, Idea};
 use loomlb_lab::processes::{self, Schedule};
-use loomlb_lab::{capacity, days, scale, tables, trial};
+use loomlb_lab::{capacity, days, fleet, scale, tables, trial};
 use loomlb_model::Day;
 use loomlb_model::simulate::{self, Decider};
 use rayon::prelude::*;
@@ -40,6 +40,8 @@
     Capacity(capacity::Options),
     /// Run a part of the target: real schedulers beside hollow ones, workers, clients and changes; what the real ones cost.
     Scale(Scale),
+    /// Run one scheduler in a small and in a large fleet, and hold what it needs in the large one to its bounds.
+    Fleet(FleetArgs),
     /// Hollow workers, as `scale` starts them.
     #[command(hide = true)]
     ScaleWorkers(scale::workers::Args),
@@ -197,14 +199,66 @@
         stop: stop_on_signal()?,
     };
     let played = scale::run(&options, &mut |line| eprintln!("{line}")).map_err(|e| e.to_string())?;
-    if let Some(file) = &args.out {
-        let text = serde_json::to_string_pretty(&played).map_err(|e| e.to_string())?;
-        std::fs::write(file, text + "\n").map_err(|e| format!("{}: {e}", file.display()))?;
-    }
+    write_report(args.out.as_ref(), &played)?;
     report(args.json, &played, || played.table())?;
     Ok(verdict(u64::from(!played.counts())))
 }
 
+#[derive(clap::Args)]
+struct FleetArgs {
+    /// Workers and schedulers of the small fleet.
+    #[arg(long, default_value_t = fleet::SMALL)]
+    small: fleet::FleetSize,
+    /// Workers and schedulers of the large fleet.
+    #[arg(long, default_value_t = fleet::LARGE)]
+    large: fleet::FleetSize,
+    /// Length of a day, in seconds.
+    #[arg(long, default_value_t = 30, value_parser = clap::value_parser!(u64).range(2..=3600))]
+    seconds: u64,
+    /// Days at each size; the medians are compared.
+    #[arg(long, default_value_t = 1, value_parser = clap::value_parser!(u64).range(1..=100))]
+    days: u64,
+    /// Seed of the first day; the further ones follow it.
+    #[arg(long, default_value_t = 1)]
+    seed: u64,
+    /// The scheduler's program (default: the scheduler that is built into this one).
+    #[arg(long)]
+    program: Option<PathBuf>,
+    /// Show the scheduler's logs on standard error.
+    #[arg(long)]
+    logs: bool,
+    /// Print one JSON object instead of a table.
+    #[arg(long)]
+    json: bool,
+    /// Write the JSON object to this file as well.
+    #[arg(long)]
+    out: Option<PathBuf>,
+}
+
+fn measure_fleets(args: &FleetArgs) -> Result<ExitCode, String> {
+    let options = fleet::Options {
+        small: args.small,
+        large: args.large,
+        seconds: args.seconds,
+        days: args.days,
+        seed: args.seed,
+        program: program(args.program.as_ref())?,
+        logs: args.logs,
+        stop: stop_on_signal()?,
+    };
+    let measured = fleet::run(&options, &mut |line| eprintln!("{line}")).map_err(|e| e.to_string())?;
+    write_report(args.out.as_ref(), &measured)?;
+    report(args.json, &measured, || measured.table())?;
+    Ok(verdict(measured.rows.iter().filter(|row| !row.holds).count() as u64))
+}
+
+/// Writes a report to a file, if one is named.
+fn write_report<T: serde::Serialize>(file: Option<&PathBuf>, report: &T) -> Result<(), String> {
+    let Some(file) = file else { return Ok(()) };
+    let text = serde_json::to_string_pretty(report).map_err(|e| e.to_string())?;
+    std::fs::write(file, text + "\n").map_err(|e| format!("{}: {e}", file.display()))
+}
+
 #[derive(clap::Args)]
 struct Demo {
     /// How long requests arrive, in seconds.
@@ -572,6 +626,7 @@
         Command::Trial(args) => trials(&args),
         Command::Capacity(args) => costs(&args),
         Command::Scale(args) => scaled(&args),
+        Command::Fleet(args) => measure_fleets(&args),
         Command::ScaleWorkers(args) => {
             scale::workers::run(&args).map(|()| ExitCode::SUCCESS).map_err(|e| format!("workers: {e}"))
         }
--- a/crates/lab/src/scale/workers.rs
+++ b/crates/lab/src/scale/workers.rs
@@ -8,6 +8,8 @@
 use std::io::{self, Read, Write};
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use std::rc::Rc;
+use std::sync::Arc;
+use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Duration;
 use tokio::net::TcpListener;
 use tokio::task::{LocalSet, spawn_local};
@@ -52,13 +54,7 @@
         drop(over);
     });
     LocalSet::new().block_on(&runtime, async move {
-        let schedulers: Rc<Vec<Scheduler>> = Rc::new(
-            args.schedulers.iter().map(|at| Scheduler { at: *at, idle: RefCell::default() }).collect(),
-        );
-        for worker in args.first..args.first + args.count {
-            let listener = TcpListener::bind(address(args.net, worker, args.port)).await?;
-            spawn_local(listen(worker, listener, Rc::clone(&schedulers)));
-        }
+        open(args, Arc::default()).await?;
         println!("ready");
         io::stdout().flush()?;
         let _ = (&mut ends).await;
@@ -66,17 +62,34 @@
     })
 }
 
+/// Opens the listeners of the workers on the current thread; `accepted` counts the connections made to them.
+pub async fn open(args: &Args, accepted: Arc<AtomicU64>) -> io::Result<()> {
+    let schedulers = args.schedulers.iter().map(|at| Scheduler { at: *at, idle: RefCell::default() });
+    let schedulers: Rc<Vec<Scheduler>> = Rc::new(schedulers.collect());
+    for worker in args.first..args.first + args.count {
+        let listener = TcpListener::bind(address(args.net, worker, args.port)).await?;
+        spawn_local(listen(worker, listener, Rc::clone(&schedulers), Arc::clone(&accepted)));
+    }
+    Ok(())
+}
+
 struct Scheduler {
     at: SocketAddr,
     idle: RefCell<Vec<Wire>>,
 }
 
-async fn listen(worker: usize, listener: TcpListener, schedulers: Rc<Vec<Scheduler>>) {
+async fn listen(
+    worker: usize,
+    listener: TcpListener,
+    schedulers: Rc<Vec<Scheduler>>,
+    accepted: Arc<AtomicU64>,
+) {
     loop {
         let Ok((stream, _)) = listener.accept().await else {
             tokio::time::sleep(Duration::from_millis(10)).await;
             continue;
         };
+        accepted.fetch_add(1, Ordering::Relaxed);
         let schedulers = Rc::clone(&schedulers);
         spawn_local(async move {
             let mut wire = Wire::new(stream);
