--- a/crates/tier/src/lib.rs
+++ b/crates/tier/src/lib.rs
@@ -213,7 +213,9 @@
     let started = Instant::now();
     let mut store_health = StoreHealth::default();
     let seat = match number {
-        Some(number) => seat(vote_as(&spec, name, number, timing, 0, opening).await, name, &mut store_health)?,
+        Some(number) => {
+            seat(vote_as(&spec, name, number, timing, 0, opening).await, name, &mut store_health)?
+        }
         None => None,
     };
     let (listener, voter) = seat.unzip();
