--- a/crates/lab/src/fleet/day.rs
+++ b/crates/lab/src/fleet/day.rs
@@ -215,6 +215,7 @@
         Ok(Servers { hosts, list, discovery, accepted, clients, peers, listen })
     }
 
+    #[expect(clippy::disallowed_methods, reason = "discovery dates its workers by the wall clock")]
     fn apply(&self, change: &Change) {
         let now = SystemTime::now().duration_since(UNIX_EPOCH).map_or(1, |since| since.as_millis() as u64);
         self.list.change(change.workers.clone(), |worker| {
--- a/tests/pins/restart.rs
+++ b/tests/pins/restart.rs
@@ -122,6 +122,7 @@
 
 /// A predecessor of an earlier build, played by the test: it offers the snapshot that lies as a fixture.
 #[test]
+#[expect(clippy::disallowed_methods, reason = "a build before dates its snapshot by the wall clock")]
 fn a_successor_starts_from_the_snapshot_of_an_earlier_build() {
     let (discovery, one, two) =
         (Agent::new(Mode::Silent, &[]), Server::new("s-00000001"), Server::new("s-00000002"));
