--- a/crates/scheduler/src/clock.rs
+++ b/crates/scheduler/src/clock.rs
@@ -1,6 +1,6 @@
 //! The scheduler's clock: the machine's monotonic clock, shown on a scale that is near Unix time.
 //!
-//! Wall time is read once, by [`wall_time`], when a process starts without a predecessor. From then on only the
+//! Wall time is read once, by `wall_time`, when a process starts without a predecessor. From then on only the
 //! monotonic clock counts, so that a step of the wall clock moves no deadline, wait or age. A process that takes over
 //! from another keeps its predecessor's [`ClockOffset`]: `CLOCK_MONOTONIC` is one clock for all processes of a machine,
 //! so a time in nanoseconds means the same moment in both.
--- a/crates/scheduler/src/worker_starts.rs
+++ b/crates/scheduler/src/worker_starts.rs
@@ -2,7 +2,7 @@
 //!
 //! The endpoint list dates a worker's start (`born_ms`) by a wall clock that need not agree with ours. A worker that
 //! appears or restarts while we watch the list has at most the age of our previous answer, by our monotonic clock; the
-//! list's dates may only make it younger. They are compared with each other through [`OffsetBound`], never with our own
+//! list's dates may only make it younger. They are compared with each other through `OffsetBound`, never with our own
 //! wall clock. Only lists that came before the first answer of discovery are read with the wall clock, for want of
 //! anything better. `docs/design/0010-wall-clock.md` weighs this.
 //!
