--- a/crates/lab/tests/fleet.rs
+++ b/crates/lab/tests/fleet.rs
@@ -94,7 +94,9 @@
         let measured =
             bound.quantity == Quantity::CpuSeconds || figure("small") > 0.0 && figure("large") > 0.0;
         assert!(measured, "{row}");
-        assert_eq!(figure("bound"), bound.value(figure("small"), 320), "{row}");
+        // Numbers that are read back from JSON may be off in their last digit.
+        let expected = bound.value(figure("small"), 320);
+        assert!((figure("bound") - expected).abs() <= expected * 1e-12, "{row}: {expected}");
         let holds = match bound.side {
             Side::AtMost => figure("large") <= figure("bound"),
             Side::AtLeast => figure("large") >= figure("bound"),
