--- a/tests/stage/mod.rs
+++ b/tests/stage/mod.rs
@@ -470,11 +470,14 @@
     pub fn connect(&self) -> Line {
         Line::new(TcpStream::connect(self.at).unwrap())
     }
-    /// The answer to one request on a connection of its own.
+    /// The answer to one request on a connection of its own. The end of that is said by a shutdown: a process that another
+    /// story starts in this moment may hold a copy of the descriptor until it runs, and the connection would rest meanwhile.
     pub fn ask(&self, text: &str) -> String {
         let mut line = self.connect();
         line.say(text);
-        line.answer()
+        let answer = line.answer();
+        let _ = line.0.get_ref().shutdown(std::net::Shutdown::Both);
+        answer
     }
     /// The answer to a call at the second address.
     pub fn order(&self, call: &str) -> String {
