--- a/crates/accord/src/lib.rs
+++ b/crates/accord/src/lib.rs
@@ -9,6 +9,7 @@
 #![forbid(unsafe_code)]
 
 pub mod agreement;
+pub mod agreement_error;
 pub mod check;
 pub mod disk;
 pub mod frames;
@@ -20,6 +21,7 @@
 pub mod state;
 pub mod store_error;
 pub mod timing;
+pub mod votes;
 
 /// A point in time or a span, in nanoseconds of whoever's clock is at hand.
 pub type Nanos = u64;
@@ -30,8 +32,10 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, serde::Serialize, serde::Deserialize)]
 pub enum Acting {
     /// One version's rules.
+    #[serde(rename = "On")]
     On(Version),
     /// What both this version and the next one allow.
+    #[serde(rename = "Between")]
     Between(Version),
 }
 
--- a/crates/decide/src/rules/carry.rs
+++ b/crates/decide/src/rules/carry.rs
@@ -74,6 +74,23 @@
         arrange(&mut self.zones, &places(&new.zones, &old.zones));
         self
     }
+
+    /// The same with each worker's start replaced by what `start` makes of its id and that start.
+    pub fn with_starts(mut self, start: impl Fn(WorkerId, Nanos) -> Nanos) -> Carried {
+        for worker in &mut self.workers {
+            worker.started = start(WorkerId(worker.id), worker.started);
+        }
+        self
+    }
+
+    /// The latest time at which any of it is known to have happened; 0 if none is.
+    pub fn latest_event(&self) -> Nanos {
+        let of_worker = |worker: &OfWorker| {
+            let peers = worker.told.iter().map(|told| told.3).max().unwrap_or(0);
+            peers.max(worker.reported).max(worker.cold_at)
+        };
+        self.workers.iter().map(of_worker).max().unwrap_or(0)
+    }
 }
 
 impl Dispatcher {
@@ -126,7 +143,7 @@
                 (of_class.plus_all, of_class.minus_all, of_class.threshold, true);
             let by_id: rustc_hash::FxHashMap<u64, (f64, f64, f64)> =
                 of_class.neurons.into_iter().map(|(id, plus, minus, q)| (id, (plus, minus, q))).collect();
-            for n in &mut net.neurons {
+            for n in net.neurons.iter_mut() {
                 if let Some(known) = by_id.get(&self.workers[n.worker].entry.id.0) {
                     (n.plus, n.minus, n.q) = *known;
                 }
--- a/crates/scheduler/src/upgrade.rs
+++ b/crates/scheduler/src/upgrade.rs
@@ -1,30 +1,32 @@
 //! Upgrade: this process takes over from one that runs, and hands over to one that starts. Only where the platform holds
 //! the listening socket (`LB_FD`). Who accepts when is decided in `loomlb-handover`.
 
+use super::clock::Clock;
 use super::config::{Config, beside};
-use super::discovery::{self, List, number};
+use super::discovery::{self, number};
 use super::relay::{self, Heard};
 use super::{Scheduler, control, intake, route};
-use loomlb_control::orders::Orders;
-use loomlb_control::service::State;
-use loomlb_decide::boot::Names;
-use loomlb_decide::{Carried, Event, Holds as Held, Message, Nanos, WorkerId, ZoneId};
+use loomlb_decide::{Event, Holds as Held, Message, Nanos, WorkerId, ZoneId};
 use loomlb_handover::link::{Inbox, Link};
 use loomlb_handover::machine::{Act, New, Old};
 use loomlb_handover::words::{Ask, Holds, VERSION, Word};
-use serde::{Deserialize, Serialize};
+use loomlb_sockets::faults::{ConnectFault, connect_fault};
+use loomlb_sockets::{AcceptRetry, AddressInUse, OpenRetry};
+use serde::Deserialize;
+use snapshot::Snapshot;
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
 use std::io;
-use std::net::SocketAddr;
 use std::os::fd::OwnedFd;
-use std::path::PathBuf;
+use std::path::{Path, PathBuf};
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::net::{TcpStream, UnixListener, UnixStream};
 use tokio::sync::{Notify, oneshot};
 use tokio::task::{AbortHandle, spawn_local};
 
+mod snapshot;
+
 /// A partner that says nothing for this long while it is waited for is passed over.
 const PATIENCE: Duration = Duration::from_millis(700);
 /// What is asked of a partner is answered in this time, or counts as unanswered.
@@ -36,21 +38,6 @@
 /// Questions that may wait for their answers at once.
 const ASKED: usize = 1024;
 
-/// All that one process tells the next.
-#[derive(Serialize, Deserialize)]
-struct Snapshot {
-    classes: Vec<String>,
-    tenants: Vec<String>,
-    kinds: Vec<String>,
-    zones: Vec<String>,
-    carried: Carried,
-    orders: Orders,
-    service: State,
-    list: List,
-    /// Where discovery answers, if a reload has named another address than the start did.
-    discovery: Option<SocketAddr>,
-}
-
 /// Another process of this scheduler.
 #[derive(Debug)]
 pub struct Partner {
@@ -180,6 +167,11 @@
     pub fn peers(&mut self) -> Option<OwnedFd> {
         self.peers.take()
     }
+
+    /// A clock on the scale of that process's times.
+    pub fn clock(&self) -> Clock {
+        self.snapshot.clock()
+    }
 }
 
 /// Asks the process that runs for all that it knows. None if there is none, or it cannot or will not say: this one then
@@ -201,8 +193,8 @@
     }
 }
 
-async fn greet(path: &PathBuf) -> io::Result<Before> {
-    let link = Link::new(UnixStream::connect(path).await?);
+async fn greet(path: &Path) -> io::Result<Before> {
+    let link = Link::new(connect(path).await?);
     link.say(&Word::Hello { version: VERSION }, None);
     let mut inbox = Inbox::default();
     let (word, peers) = tokio::select! {
@@ -219,20 +211,24 @@
     }
 }
 
+/// Connects to the process that runs. What fails on this machine for a moment is tried again for as long as the caller
+/// waits.
+async fn connect(path: &Path) -> io::Result<UnixStream> {
+    loop {
+        match UnixStream::connect(path).await {
+            Err(e) if connect_fault(&e) == ConnectFault::Local => tokio::time::sleep(LOOK).await,
+            connected => return connected,
+        }
+    }
+}
+
 /// Starts from what the process before knows, if there is one; otherwise from the configuration.
 pub fn start(s: &Rc<Scheduler>, before: Option<Before>) {
     let Some(Before { link, inbox, snapshot, peers: _ }) = before else {
-        discovery::start(s, None);
+        discovery::start(s);
         return publish(s);
     };
-    let Snapshot { classes, tenants, kinds, zones, carried, orders, service, list, discovery } = snapshot;
-    *s.orders.borrow_mut() = orders;
-    s.shutdown.turn(|ours| ours.adopt(service));
-    if let Some(address) = discovery {
-        s.group.follow_at(address);
-    }
-    discovery::start(s, Some(list));
-    s.router.restore(carried.arranged(&Names { classes, tenants, zones, kinds }, &s.epoch().names));
+    snapshot.restore(s);
     let partner = Partner::new(link, false);
     let mut new = s.upgrade.new.get();
     if new.restored() {
@@ -262,37 +258,43 @@
 /// Lets a successor find this process, in place of whatever was there.
 fn publish(s: &Rc<Scheduler>) {
     let Some(path) = &s.upgrade.path else { return };
-    let fresh = path.with_extension(std::process::id().to_string());
-    let _ = std::fs::remove_file(&fresh);
-    let bound = UnixListener::bind(&fresh).and_then(|listener| {
-        std::fs::rename(&fresh, path)?;
-        Ok(listener)
-    });
-    let listener = match bound {
+    let task = spawn_local(serve_successors(Rc::clone(s), path.clone()));
+    if let Some(earlier) = s.upgrade.listening.borrow_mut().replace(task.abort_handle()) {
+        earlier.abort();
+    }
+}
+
+/// Puts a listener in place of whatever was at the path, and hears the processes that call there.
+async fn serve_successors(s: Rc<Scheduler>, path: PathBuf) {
+    let bind = async || bind_in_place(&path);
+    let opened = OpenRetry::start().open("upgrade", path.display(), AddressInUse::Retry, bind).await;
+    let listener = match opened {
         Ok(listener) => listener,
         Err(e) => {
-            return tracing::warn!(
-                "{}: {e}; a process that replaces this one starts from its configuration",
-                path.display()
-            );
+            return tracing::warn!("{e}; a process that replaces this one starts from its configuration");
         }
     };
-    let s2 = Rc::clone(s);
-    let task = spawn_local(async move {
-        loop {
-            match listener.accept().await {
-                Ok((stream, _)) => {
-                    spawn_local(receive(Rc::clone(&s2), Link::new(stream)));
-                }
-                Err(_) => tokio::time::sleep(LOOK).await,
+    let mut retry = AcceptRetry::default();
+    loop {
+        match listener.accept().await {
+            Ok((stream, _)) => {
+                retry.accepted();
+                spawn_local(receive(Rc::clone(&s), Link::new(stream)));
             }
+            Err(e) => retry.pause(&e).await,
         }
-    });
-    if let Some(earlier) = s.upgrade.listening.borrow_mut().replace(task.abort_handle()) {
-        earlier.abort();
     }
 }
 
+/// Binds a listener beside the path and moves it there, so that the path always leads to one that listens.
+fn bind_in_place(path: &Path) -> io::Result<UnixListener> {
+    let fresh = path.with_extension(std::process::id().to_string());
+    let _ = std::fs::remove_file(&fresh);
+    let listener = UnixListener::bind(&fresh)?;
+    std::fs::rename(&fresh, path)?;
+    Ok(listener)
+}
+
 /// Hears the first word of a process that starts.
 async fn receive(s: Rc<Scheduler>, link: Link) {
     let mut inbox = Inbox::default();
@@ -303,7 +305,7 @@
     match s.upgrade.turn(|old| old.hello(version)) {
         Act::Offer => {
             let partner = Partner::new(link, true);
-            match serde_json::to_value(snapshot(&s)) {
+            match serde_json::to_value(Snapshot::of(&s)) {
                 Ok(value) => {
                     tracing::info!("upgrade: another process starts, and gets what is known here");
                     partner.link.say(&Word::Snapshot(value), s.peers.descriptor());
@@ -327,22 +329,6 @@
     }
 }
 
-fn snapshot(s: &Scheduler) -> Snapshot {
-    let epoch = s.epoch();
-    let names = &epoch.names;
-    Snapshot {
-        classes: names.classes.clone(),
-        tenants: names.tenants.clone(),
-        kinds: names.kinds.clone(),
-        zones: names.zones.clone(),
-        carried: s.router.carried(),
-        orders: s.orders.borrow().clone(),
-        service: s.shutdown.service().state(),
-        list: s.group.list(),
-        discovery: s.group.moved_to(),
-    }
-}
-
 /// Talks with another process until the link is over.
 fn meet(s: &Rc<Scheduler>, partner: &Rc<Partner>, inbox: Inbox) {
     s.upgrade.partners.borrow_mut().push(Rc::clone(partner));
@@ -423,7 +409,7 @@
                 && s.group.names(&host)
             {
                 s.book.borrow_mut().counters.adopted += 1;
-                s.pool.adopt(number(&host), stream, since);
+                s.pool.adopt(number(&host), stream, since.min(s.clock.now()));
             }
         }
         (Word::Holds(holds), _) => tell_module(s, partner, holds),
--- a/tests/stage/mod.rs
+++ b/tests/stage/mod.rs
@@ -1,6 +1,7 @@
 //! A stage for stories: the built program between scripted clients, targets and discovery on loopback.
 #![allow(dead_code, reason = "each file of stories uses a part of it")]
 
+use loomlb_fault_plan::FaultPlan;
 use socket2::{Domain, SockRef, Socket, Type};
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -261,6 +262,11 @@
         let (name, stream) = self.0.recv_timeout(LONG).unwrap();
         (name, Line::new(stream))
     }
+    /// The next connection, however late it comes; none once the servers are gone.
+    pub fn wait(&self) -> Option<(String, Line)> {
+        let (name, stream) = self.0.recv().ok()?;
+        Some((name, Line::new(stream)))
+    }
 }
 
 /// The first connection that comes to any of these servers.
@@ -347,6 +353,38 @@
             std::fs::write(file, text).unwrap();
         })
     }
+    /// The same with further keys of the configuration and system calls that fail as planned.
+    pub fn under(plan: &FaultPlan, known: &[&Server], discovery: &Server, more: &str) -> Stage {
+        Stage::launch(known, discovery, more, |command| plan.apply(command))
+    }
+    /// Under a plan, with words of its configuration changed.
+    pub fn changed_under(plan: &FaultPlan, discovery: &Server, changes: &[(&str, &str)]) -> Stage {
+        Stage::start(&[], discovery, "", changes, |command| plan.apply(command))
+    }
+    /// The same beside the process that has the platform's socket already.
+    pub fn changed_beside_under(
+        plan: &FaultPlan,
+        discovery: &Server,
+        platform: &Platform,
+        changes: &[(&str, &str)],
+    ) -> Stage {
+        Stage::start(&[], discovery, r#""control":"127.0.0.1:0","#, changes, |command| {
+            platform.lend(command);
+            plan.apply(command);
+        })
+    }
+    /// Beside the process that has the platform's socket already, with system calls that fail as planned.
+    pub fn beside_under(
+        plan: &FaultPlan,
+        known: &[&Server],
+        discovery: &Server,
+        platform: &Platform,
+    ) -> Stage {
+        Stage::launch(known, discovery, r#""control":"127.0.0.1:0","#, |command| {
+            platform.lend(command);
+            plan.apply(command);
+        })
+    }
     fn launch(known: &[&Server], discovery: &Server, more: &str, with: impl FnOnce(&mut Command)) -> Stage {
         Stage::start(known, discovery, more, &[], with)
     }
@@ -381,6 +419,7 @@
         let nowhere = ([127, 0, 0, 1], 0).into();
         let first_line: String = log.recv_timeout(LONG).unwrap();
         let mut stage = Stage { child, at: nowhere, control: nowhere, first_line, log, config, files };
+        assert!(!stage.first_line.starts_with("loomlb: "), "it does not start: {}", stage.first_line);
         let at = stage.first_line.split_once("serves at ").map(|(_, at)| at.to_string());
         stage.at = at.unwrap_or_else(|| stage.logged("serves at ")).parse().unwrap();
         if stage.config.contains("\"control\"") {
@@ -431,11 +470,14 @@
     pub fn connect(&self) -> Line {
         Line::new(TcpStream::connect(self.at).unwrap())
     }
-    /// The answer to one request on a connection of its own.
+    /// The answer to one request on a connection of its own. The end of that is said by a shutdown: a process that another
+    /// story starts in this moment may hold a copy of the descriptor until it runs, and the connection would rest meanwhile.
     pub fn ask(&self, text: &str) -> String {
         let mut line = self.connect();
         line.say(text);
-        line.answer()
+        let answer = line.answer();
+        let _ = line.0.get_ref().shutdown(std::net::Shutdown::Both);
+        answer
     }
     /// The answer to a call at the second address.
     pub fn order(&self, call: &str) -> String {
