--- a/crates/accord/tests/model.rs
+++ b/crates/consensus/tests/model.rs
@@ -1,12 +1,12 @@
 //! A model check of leases and promises: the real cores, over every interleaving of asking, answering, losing, delaying,
 //! agreeing, crashing and time, in a small tier. That the voters agree is taken from the library; each sees it late.
 
-use loomlb_accord::holder::Holder;
-use loomlb_accord::promises::Promises;
-use loomlb_accord::rules::Body;
-use loomlb_accord::state::{Command, State};
-use loomlb_accord::timing::Timing;
-use loomlb_accord::{Acting, Nanos};
+use loomlb_consensus::holder::Holder;
+use loomlb_consensus::promises::Promises;
+use loomlb_consensus::rules::Body;
+use loomlb_consensus::state::{Command, State};
+use loomlb_consensus::timing::Timing;
+use loomlb_consensus::{Acting, Nanos};
 use serde_json::json;
 use stateright::{Checker, Model, Property};
 use std::collections::BTreeSet;
--- a/crates/accord/tests/pins.rs
+++ b/crates/consensus/tests/pins.rs
@@ -4,15 +4,15 @@
 #[path = "../../../tests/golden/mod.rs"]
 mod golden;
 
-use loomlb_accord::Acting;
-use loomlb_accord::agreement::Agreement;
-use loomlb_accord::check::{Event, Line};
-use loomlb_accord::disk::{Disk, LogFile};
-use loomlb_accord::frames::{Word, channels, greeting};
-use loomlb_accord::lists::{Leaving, Mine, Theirs};
-use loomlb_accord::place::Memory;
-use loomlb_accord::rules::Body;
-use loomlb_accord::state::{Command, Document, Outcome, Past, State};
+use loomlb_consensus::Acting;
+use loomlb_consensus::agreement::Agreement;
+use loomlb_consensus::check::{Event, Line};
+use loomlb_consensus::disk::{Disk, LogFile};
+use loomlb_consensus::frames::{Word, channels, greeting};
+use loomlb_consensus::lists::{Leaving, Mine, Theirs};
+use loomlb_consensus::place::Memory;
+use loomlb_consensus::rules::Body;
+use loomlb_consensus::state::{Command, Document, Outcome, Past, State};
 use protobuf::Message as _;
 use raft::eraftpb::{ConfState, Entry, EntryType, HardState, Snapshot};
 use serde_json::json;
@@ -197,10 +197,10 @@
 /// The messages among voters are the library's own; one of each kind that carries our bytes is enough.
 #[test]
 fn a_raft_message_keeps_its_bytes() {
-    let mut message = loomlb_accord::agreement::Message { from: 1, to: 2, term: 3, ..Default::default() };
+    let mut message = loomlb_consensus::agreement::Message { from: 1, to: 2, term: 3, ..Default::default() };
     message.entries.push(entry(12, 3, &Command::Activate(3)));
-    let bytes = loomlb_accord::agreement::bytes(&message);
+    let bytes = loomlb_consensus::agreement::bytes(&message);
     assert_eq!(bytes, message.write_to_bytes().unwrap());
-    assert_eq!(loomlb_accord::agreement::message(&bytes), Some(message));
+    assert_eq!(loomlb_consensus::agreement::message(&bytes), Some(message));
     golden::check("raft-message.txt", (golden::hex(&bytes) + "\n").as_bytes());
 }
--- a/crates/contracts/src/lib.rs
+++ b/crates/contracts/src/lib.rs
@@ -5,9 +5,9 @@
 
 pub mod tier_client;
 
-use loomlb_accord::disk::{Disk, Loaded};
-use loomlb_accord::place::{Fault, Lasting, Place};
-use loomlb_accord::store_error::StoreError;
+use loomlb_consensus::disk::{Disk, Loaded};
+use loomlb_consensus::place::{Fault, Lasting, Place};
+use loomlb_consensus::store_error::StoreError;
 use raft::eraftpb::{Entry, HardState, Snapshot};
 use std::cell::Cell;
 use std::fmt;
--- a/crates/contracts/src/tier_client.rs
+++ b/crates/contracts/src/tier_client.rs
@@ -5,11 +5,11 @@
 //! machine.
 
 use crate::Broken;
-use loomlb_accord::Acting;
-use loomlb_accord::frames::{self, Channel, FIRST, FORMAT, Nonce, Word};
-use loomlb_accord::lists::Theirs;
-use loomlb_accord::rules::Body;
-use loomlb_accord::state::{Command, Document, Outcome, State};
+use loomlb_consensus::Acting;
+use loomlb_consensus::frames::{self, Channel, FIRST, FORMAT, Nonce, Word};
+use loomlb_consensus::lists::Theirs;
+use loomlb_consensus::rules::Body;
+use loomlb_consensus::state::{Command, Document, Outcome, State};
 use std::collections::{BTreeMap, BTreeSet};
 use std::io::{self, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
--- a/crates/duty/src/holder.rs
+++ b/crates/duty/src/holder.rs
@@ -2,8 +2,8 @@
 
 use crate::table::{Command, Table};
 use crate::{Duty, Process, Token};
-use loomlb_accord::Nanos;
-use loomlb_accord::timing::Timing;
+use loomlb_consensus::Nanos;
+use loomlb_consensus::timing::Timing;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 /// Questions whose answers are still awaited, at most.
--- a/crates/duty/src/voter.rs
+++ b/crates/duty/src/voter.rs
@@ -2,8 +2,8 @@
 
 use crate::table::{Command, Table};
 use crate::{Duty, Process, Token};
-use loomlb_accord::Nanos;
-use loomlb_accord::timing::Timing;
+use loomlb_consensus::Nanos;
+use loomlb_consensus::timing::Timing;
 use std::collections::BTreeMap;
 
 /// The promises of one voter, in memory alone: a voter that starts is ready for nothing until all that it may have
--- a/crates/duty/tests/trial.rs
+++ b/crates/duty/tests/trial.rs
@@ -1,8 +1,8 @@
 //! Schedules drawn by seed: schedulers that die, stall for exactly a lease and go on, voters that forget, cut and lossy ways,
 //! clocks that run apart. Never do two hold a duty at once, and once the faults are over each duty is held again.
 
-use loomlb_accord::Nanos;
-use loomlb_accord::timing::{Terms, Timing};
+use loomlb_consensus::Nanos;
+use loomlb_consensus::timing::{Terms, Timing};
 use loomlb_duty::fence::{Fence, Refused};
 use loomlb_duty::holder::{Answer, Holder};
 use loomlb_duty::table::{Command, Table};
--- a/crates/emulator/src/rig.rs
+++ b/crates/emulator/src/rig.rs
@@ -9,7 +9,7 @@
 use crate::wire::{self, Body, Line as Connection};
 use hyper::body::Incoming;
 use hyper::{Request, Response};
-use loomlb_accord::check::Line;
+use loomlb_consensus::check::Line;
 use rustix::process::{Pid, Signal, kill_process};
 use serde_json::{Value, json};
 use std::cell::RefCell;
--- a/crates/lab/src/capacity.rs
+++ b/crates/lab/src/capacity.rs
@@ -1,6 +1,6 @@
 //! The bench of costs: what each role spends by the size of the fleet, measured on this machine.
 //!
-//! Bytes, words and memory are counted: words as `loomlb-accord` seals them, on the tier of [`crate::trial`] in virtual time;
+//! Bytes, words and memory are counted: words as `loomlb-consensus` seals them, on the tier of [`crate::trial`] in virtual time;
 //! allocations and live bytes by an allocator that counts. They are the same wherever the bench runs. Times are those of
 //! this machine, one thread at a time. Each module tells how its series are measured; docs/CAPACITY.md tells what follows.
 
--- a/crates/lab/src/capacity/tier.rs
+++ b/crates/lab/src/capacity/tier.rs
@@ -1,7 +1,7 @@
 //! The tier's links and what a scheduler does with what it hears there.
 //!
 //! What goes over the links is counted on the tier of [`crate::trial`] in virtual time, calm, renewals four a second, each
-//! word with the bytes that it is sealed to ([`loomlb_accord::frames::Channel::seal`]); headers of TCP and IP are not in it.
+//! word with the bytes that it is sealed to ([`loomlb_consensus::frames::Channel::seal`]); headers of TCP and IP are not in it.
 //! Three voters and six schedulers, voters included, unless the series says otherwise; all figures are of a scheduler that
 //! does not vote, or of a mean voter. Two proposals in three change a class's effect, one in four a worker that is out,
 //! so most versions contradict the one before and come into force in two steps.
@@ -22,13 +22,13 @@
 
 use super::meter::{self, Plan, live, point};
 use crate::trial::{self, Load, TENANT, Traffic, Trial, Without};
-use loomlb_accord::frames::{Channel, Word, channels};
-use loomlb_accord::holder::Holder;
-use loomlb_accord::lists::{Mine, Theirs};
-use loomlb_accord::state::{Command, State};
-use loomlb_accord::timing::Terms;
 use loomlb_capacity::fit::median;
 use loomlb_capacity::{Series, Source};
+use loomlb_consensus::frames::{Channel, Word, channels};
+use loomlb_consensus::holder::Holder;
+use loomlb_consensus::lists::{Mine, Theirs};
+use loomlb_consensus::state::{Command, State};
+use loomlb_consensus::timing::Terms;
 use rayon::prelude::*;
 use serde_json::json;
 use std::hint::black_box;
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -2,8 +2,8 @@
 #![forbid(unsafe_code)]
 
 use clap::{Parser, Subcommand, ValueEnum};
-use loomlb_accord::timing::Terms;
 use loomlb_capacity::plan;
+use loomlb_consensus::timing::Terms;
 use loomlb_emulator::{Live, Options, Stop};
 use loomlb_lab::baselines::{Baseline, Idea};
 use loomlb_lab::processes::{self, Schedule};
--- a/crates/lab/src/processes.rs
+++ b/crates/lab/src/processes.rs
@@ -1,7 +1,7 @@
 //! Trials of the tier with real processes: schedules of faults, drawn from a seed or read from a file, played in the fault
 //! rig and judged by the checker. A schedule that fails is made as short as it still fails.
 
-use loomlb_accord::check::judge;
+use loomlb_consensus::check::judge;
 use loomlb_emulator::rig::{Job, Options, Rig, Way};
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
--- a/crates/lab/src/scale/changes.rs
+++ b/crates/lab/src/scale/changes.rs
@@ -3,7 +3,7 @@
 use super::host::machine;
 use super::http::Wire;
 use super::list::name;
-use loomlb_accord::Nanos;
+use loomlb_consensus::Nanos;
 use serde_json::{Value, json};
 use std::cell::RefCell;
 use std::net::SocketAddr;
--- a/crates/lab/src/scale/hollow.rs
+++ b/crates/lab/src/scale/hollow.rs
@@ -2,13 +2,13 @@
 //! jobs behind them. What `loomlb-scheduler` does around the same core is told here once more, in little.
 
 use super::host::{Counted, machine};
-use loomlb_accord::frames::{self, Channel, FIRST, FORMAT, Nonce, Word};
-use loomlb_accord::holder::Holder;
-use loomlb_accord::lists::Mine;
-use loomlb_accord::rules::Body;
-use loomlb_accord::state::{Command, State};
-use loomlb_accord::timing::Timing;
-use loomlb_accord::{Acting, Nanos};
+use loomlb_consensus::frames::{self, Channel, FIRST, FORMAT, Nonce, Word};
+use loomlb_consensus::holder::Holder;
+use loomlb_consensus::lists::Mine;
+use loomlb_consensus::rules::Body;
+use loomlb_consensus::state::{Command, State};
+use loomlb_consensus::timing::Timing;
+use loomlb_consensus::{Acting, Nanos};
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
 use std::io;
--- a/crates/lab/src/scale/host.rs
+++ b/crates/lab/src/scale/host.rs
@@ -1,7 +1,7 @@
 //! Hosts: the threads in which stand-ins live, and what they cost, told apart from what is measured.
 
 use super::Error;
-use loomlb_accord::Nanos;
+use loomlb_consensus::Nanos;
 use std::future::Future;
 use std::sync::atomic::{AtomicBool, AtomicI32, AtomicU64, Ordering};
 use std::sync::{Arc, Mutex, PoisonError, mpsc};
--- a/crates/lab/src/scale/mod.rs
+++ b/crates/lab/src/scale/mod.rs
@@ -17,10 +17,10 @@
 pub use play::run;
 pub use report::Report;
 
-use loomlb_accord::timing::{Terms, Timing};
 use loomlb_capacity::predict::predict;
 use loomlb_capacity::report::Report as Slopes;
 use loomlb_capacity::{Costs, Workload};
+use loomlb_consensus::timing::{Terms, Timing};
 use loomlb_emulator::Stop;
 use std::ffi::OsString;
 use std::io;
--- a/crates/lab/src/trial.rs
+++ b/crates/lab/src/trial.rs
@@ -1,21 +1,21 @@
-//! Trials of the tier's agreement in virtual time: the cores of `loomlb-accord` on a network that loses, delays, doubles
+//! Trials of the tier's agreement in virtual time: the cores of `loomlb-consensus` on a network that loses, delays, doubles
 //! and cuts, with processes that stall, die and come back and clocks that run apart. What comes of it is judged by the
 //! same checker that reads the histories of real processes.
 
-use loomlb_accord::agreement::{self, Agreement, TICK};
-use loomlb_accord::agreement_error::AgreementError;
-use loomlb_accord::check::{Event as Did, Line, Verdict, judge};
-use loomlb_accord::disk::{Disk, LogFile};
-use loomlb_accord::frames::{self, Channel, Word};
-use loomlb_accord::holder::Holder;
-use loomlb_accord::lists::{Mine, Theirs};
-use loomlb_accord::place::{Fault, Memory};
-use loomlb_accord::promises::Promises;
-use loomlb_accord::rules::Body;
-use loomlb_accord::state::{Command, Outcome, State};
-use loomlb_accord::timing::{Terms, Timing};
-use loomlb_accord::votes::{Vote, Votes};
-use loomlb_accord::{Acting, Nanos, Version};
+use loomlb_consensus::agreement::{self, Agreement, TICK};
+use loomlb_consensus::agreement_error::AgreementError;
+use loomlb_consensus::check::{Event as Did, Line, Verdict, judge};
+use loomlb_consensus::disk::{Disk, LogFile};
+use loomlb_consensus::frames::{self, Channel, Word};
+use loomlb_consensus::holder::Holder;
+use loomlb_consensus::lists::{Mine, Theirs};
+use loomlb_consensus::place::{Fault, Memory};
+use loomlb_consensus::promises::Promises;
+use loomlb_consensus::rules::Body;
+use loomlb_consensus::state::{Command, Outcome, State};
+use loomlb_consensus::timing::{Terms, Timing};
+use loomlb_consensus::votes::{Vote, Votes};
+use loomlb_consensus::{Acting, Nanos, Version};
 use serde::Serialize;
 use serde_json::{Value, json};
 use std::cmp::Reverse;
--- a/crates/lab/tests/capacity.rs
+++ b/crates/lab/tests/capacity.rs
@@ -1,12 +1,12 @@
 //! The bench of costs: a quick run has every series, counts are the same twice and agree with counts made another way.
 
-use loomlb_accord::disk::LogFile;
-use loomlb_accord::frames::Word;
-use loomlb_accord::lists::Theirs;
-use loomlb_accord::place::Memory;
-use loomlb_accord::timing::Terms;
 use loomlb_capacity::Source;
 use loomlb_capacity::report::Report;
+use loomlb_consensus::disk::LogFile;
+use loomlb_consensus::frames::Word;
+use loomlb_consensus::lists::Theirs;
+use loomlb_consensus::place::Memory;
+use loomlb_consensus::timing::Terms;
 use loomlb_lab::capacity::voter::Counted;
 use loomlb_lab::capacity::{self, Options, meter, probe, tier};
 use loomlb_lab::trial::{self, Load, Trial, Without};
--- a/crates/lab/tests/tier_client.rs
+++ b/crates/lab/tests/tier_client.rs
@@ -1,7 +1,7 @@
 //! A process of the program and a hollow scheduler keep the same contract of messages to the voters, and what a hollow one
 //! does wrong is found by it.
 
-use loomlb_accord::timing::Terms;
+use loomlb_consensus::timing::Terms;
 use loomlb_contracts::tier_client::{self, BOUND_S, KEY, NAME, RENEW_S, VOTERS};
 use loomlb_lab::scale::changes::settings;
 use loomlb_lab::scale::fleet::Fleet;
--- a/crates/lab/tests/trials.rs
+++ b/crates/lab/tests/trials.rs
@@ -1,6 +1,6 @@
 //! The tier's agreement under faults, in virtual time.
 
-use loomlb_accord::timing::Terms;
+use loomlb_consensus::timing::Terms;
 use loomlb_lab::processes::{self, What};
 use loomlb_lab::trial::{Told, Trial, Without, play};
 
--- a/crates/scheduler/src/agreed.rs
+++ b/crates/scheduler/src/agreed.rs
@@ -1,7 +1,7 @@
 //! Agreed: what the tier has agreed on, put in force in this scheduler; and files that go to the tier as proposals.
 
 use super::{Scheduler, control, discovery, reload};
-use loomlb_accord::lists::{Leaving, Mine};
+use loomlb_consensus::lists::{Leaving, Mine};
 use loomlb_tier::Application;
 use serde_json::Value;
 use std::rc::Rc;
--- a/crates/scheduler/src/config.rs
+++ b/crates/scheduler/src/config.rs
@@ -2,7 +2,7 @@
 
 use super::changes;
 use super::epoch::Epoch;
-use loomlb_accord::place::write_atomically;
+use loomlb_consensus::place::write_atomically;
 use loomlb_decide::PeerId;
 use loomlb_decide::boot::BootInfo;
 use serde::Deserialize;
--- a/crates/scheduler/src/discovery.rs
+++ b/crates/scheduler/src/discovery.rs
@@ -3,7 +3,7 @@
 use super::http::{Kind, Message, Wire};
 use super::worker_starts::{Incarnation, WorkerStarts};
 use super::{Scheduler, route};
-use loomlb_accord::lists::{LEAVING, Leaving, Mine};
+use loomlb_consensus::lists::{LEAVING, Leaving, Mine};
 use loomlb_control::orders::{Effect, Orders};
 use loomlb_decide::boot::Names;
 use loomlb_decide::{CellId, Event, ListKind, Nanos, Worker, WorkerId, WorkerState};
--- a/crates/tier/src/history.rs
+++ b/crates/tier/src/history.rs
@@ -1,7 +1,7 @@
 //! The file of what this process acted upon, for the checker: a line of JSON each. Processes of the same scheduler may
 //! append to one file at the same time.
 
-use loomlb_accord::check::Line;
+use loomlb_consensus::check::Line;
 use std::fs::File;
 use std::io::{self, Write};
 use std::os::unix::fs::FileExt;
--- a/crates/tier/src/history/tests.rs
+++ b/crates/tier/src/history/tests.rs
@@ -1,7 +1,7 @@
 //! Lines that follow one that was not written to its end.
 
 use super::*;
-use loomlb_accord::check::Event;
+use loomlb_consensus::check::Event;
 
 fn line(at: u64) -> Line {
     Line { at, who: "n0".into(), process: 7, event: Event::Renewed }
--- a/crates/tier/src/lease.rs
+++ b/crates/tier/src/lease.rs
@@ -3,12 +3,12 @@
 use crate::proposals::settle;
 use crate::voter::voter_hears;
 use crate::{Application, LOOK, On, OnLapse, more, random};
-use loomlb_accord::Nanos;
-use loomlb_accord::check::Event as Did;
-use loomlb_accord::frames::Word;
-use loomlb_accord::lists::Theirs;
-use loomlb_accord::rules;
-use loomlb_accord::state::State;
+use loomlb_consensus::Nanos;
+use loomlb_consensus::check::Event as Did;
+use loomlb_consensus::frames::Word;
+use loomlb_consensus::lists::Theirs;
+use loomlb_consensus::rules;
+use loomlb_consensus::state::State;
 use std::rc::Rc;
 use std::time::Duration;
 
--- a/crates/tier/src/lib.rs
+++ b/crates/tier/src/lib.rs
@@ -1,7 +1,7 @@
 //! Tier: what the schedulers have agreed on, where the operator has them agree. Off otherwise: nothing is opened, asked or
 //! sent.
 //!
-//! What may be acted on, and for how long, is decided in `loomlb-accord`. Here are the sockets, the file and the timers
+//! What may be acted on, and for how long, is decided in `loomlb-consensus`. Here are the sockets, the file and the timers
 //! around it: a link to each voter, on which this scheduler asks for its lease and a voter sends what voters tell each
 //! other; at a voter the listener for those links; and the way of a version into force. What acts by the rules is an
 //! [`Application`], of which the tier knows no more than that.
@@ -24,13 +24,13 @@
 
 use history::History;
 use link::Outbox;
-use loomlb_accord::check::{Event as Did, Line};
-use loomlb_accord::frames::Word;
-use loomlb_accord::holder::Holder;
-use loomlb_accord::lists::{Leaving, Mine};
-use loomlb_accord::state::State;
-use loomlb_accord::timing::Timing;
-use loomlb_accord::{Acting, Nanos};
+use loomlb_consensus::check::{Event as Did, Line};
+use loomlb_consensus::frames::Word;
+use loomlb_consensus::holder::Holder;
+use loomlb_consensus::lists::{Leaving, Mine};
+use loomlb_consensus::state::State;
+use loomlb_consensus::timing::Timing;
+use loomlb_consensus::{Acting, Nanos};
 use loomlb_sockets::OpenRetry;
 use proposals::Waiting;
 use serde_json::Value;
--- a/crates/tier/src/link.rs
+++ b/crates/tier/src/link.rs
@@ -4,7 +4,7 @@
 use crate::spec::VoterAt;
 use crate::voter::voter_hears;
 use crate::{Application, On, more};
-use loomlb_accord::frames::{self, Channel, FIRST, FORMAT, Nonce, Word};
+use loomlb_consensus::frames::{self, Channel, FIRST, FORMAT, Nonce, Word};
 use loomlb_sockets::{AcceptRetry, read_some, write_all};
 use std::cell::RefCell;
 use std::collections::VecDeque;
--- a/crates/tier/src/proposals.rs
+++ b/crates/tier/src/proposals.rs
@@ -2,10 +2,10 @@
 
 use crate::voter::voter_hears;
 use crate::{Application, LOOK, On, Tier, random};
-use loomlb_accord::frames::Word;
-use loomlb_accord::rules::Body;
-use loomlb_accord::state::{Command, Outcome};
-use loomlb_accord::{Nanos, Version};
+use loomlb_consensus::frames::Word;
+use loomlb_consensus::rules::Body;
+use loomlb_consensus::state::{Command, Outcome};
+use loomlb_consensus::{Nanos, Version};
 use serde_json::{Value, json};
 use std::collections::BTreeSet;
 use std::time::Duration;
--- a/crates/tier/src/spec.rs
+++ b/crates/tier/src/spec.rs
@@ -1,7 +1,7 @@
 //! What the operator file says of the tier.
 
-use loomlb_accord::Nanos;
-use loomlb_accord::timing::{Terms, Timing};
+use loomlb_consensus::Nanos;
+use loomlb_consensus::timing::{Terms, Timing};
 use serde::Deserialize;
 use std::collections::BTreeSet;
 use std::fmt;
--- a/crates/tier/src/voter_error.rs
+++ b/crates/tier/src/voter_error.rs
@@ -1,7 +1,7 @@
 //! Why a process cannot take its scheduler's seat among the voters, or had to leave it.
 
-use loomlb_accord::agreement_error::AgreementError;
-use loomlb_accord::store_error::StoreError;
+use loomlb_consensus::agreement_error::AgreementError;
+use loomlb_consensus::store_error::StoreError;
 use std::io;
 use std::net::SocketAddr;
 
--- a/crates/tier/tests/proposals.rs
+++ b/crates/tier/tests/proposals.rs
@@ -1,9 +1,9 @@
 //! What a scheduler says to the voters, heard by stand-ins that never agree.
 
-use loomlb_accord::frames::{self, FIRST, Word};
-use loomlb_accord::lists::{Leaving, Mine, Theirs};
-use loomlb_accord::rules::Body;
-use loomlb_accord::state::{Command, Document, State};
+use loomlb_consensus::frames::{self, FIRST, Word};
+use loomlb_consensus::lists::{Leaving, Mine, Theirs};
+use loomlb_consensus::rules::Body;
+use loomlb_consensus::state::{Command, Document, State};
 use loomlb_tier::{Application, Spec};
 use serde_json::{Value, json};
 use std::cell::Cell;
--- a/tests/tier.rs
+++ b/tests/tier.rs
@@ -1,8 +1,8 @@
 //! Stories of several processes of the program that agree as a tier, with faults between them. Each ends in the checker
 //! that reads what all of them wrote of what they did.
 
-use loomlb_accord::check::{Verdict, judge};
-use loomlb_accord::disk::LogFile;
+use loomlb_consensus::check::{Verdict, judge};
+use loomlb_consensus::disk::LogFile;
 use loomlb_emulator::rig::{Options, Rig, Way};
 use loomlb_fault_plan::{Call, FaultPlan, WITHOUT_END};
 use serde_json::{Value, json};
