--- a/crates/duty/tests/trial.rs
+++ b/crates/leases/tests/trial.rs
@@ -3,11 +3,11 @@
 
 use loomlb_consensus::Nanos;
 use loomlb_consensus::timing::{Terms, Timing};
-use loomlb_duty::fence::{Fence, Refused};
-use loomlb_duty::holder::{Answer, Holder};
-use loomlb_duty::table::{Command, Table};
-use loomlb_duty::voter::Voter;
-use loomlb_duty::{Duty, Token};
+use loomlb_leases::fence::{Fence, Refused};
+use loomlb_leases::holder::{Answer, Holder};
+use loomlb_leases::table::{Command, Table};
+use loomlb_leases::voter::Voter;
+use loomlb_leases::{Duty, Token};
 use std::collections::{BTreeMap, BTreeSet};
 
 const MS: Nanos = 1_000_000;
