--- a/crates/handover/tests/pins.rs
+++ b/crates/hot-restart/tests/pins.rs
@@ -4,7 +4,7 @@
 #[path = "../../../tests/golden/mod.rs"]
 mod golden;
 
-use loomlb_handover::words::{Ask, Frames, Holds, VERSION, Word};
+use loomlb_hot_restart::words::{Ask, Frames, Holds, VERSION, Word};
 
 fn messages() -> Vec<(Word, bool)> {
     let holds = Holds { slots: vec![("s-00000001".into(), 1.5)], inbound: 2, outbound: 3 };
--- a/crates/scheduler/src/control.rs
+++ b/crates/scheduler/src/control.rs
@@ -6,7 +6,7 @@
 use super::{Scheduler, discovery, upgrade};
 use loomlb_control::call::{self, Call};
 use loomlb_control::service::State;
-use loomlb_handover::words::Ask;
+use loomlb_hot_restart::words::Ask;
 use loomlb_sockets::AcceptRetry;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
--- a/crates/scheduler/src/upgrade.rs
+++ b/crates/scheduler/src/upgrade.rs
@@ -1,5 +1,5 @@
 //! Upgrade: this process takes over from one that runs, and hands over to one that starts. Only where the platform holds
-//! the listening socket (`LB_FD`). Who accepts when is decided in `loomlb-handover`.
+//! the listening socket (`LB_FD`). Who accepts when is decided in `loomlb-hot-restart`.
 
 use super::clock::Clock;
 use super::config::{Config, beside};
@@ -7,9 +7,9 @@
 use super::relay::{self, Heard};
 use super::{Scheduler, control, intake, route};
 use loomlb_decide::{Event, Holds as Held, Message, Nanos, WorkerId, ZoneId};
-use loomlb_handover::link::{Inbox, Link};
-use loomlb_handover::machine::{Act, New, Old};
-use loomlb_handover::words::{Ask, Holds, VERSION, Word};
+use loomlb_hot_restart::link::{Inbox, Link};
+use loomlb_hot_restart::machine::{Act, New, Old};
+use loomlb_hot_restart::words::{Ask, Holds, VERSION, Word};
 use loomlb_sockets::faults::{ConnectFault, connect_fault};
 use loomlb_sockets::{AcceptRetry, AddressInUse, OpenRetry};
 use serde::Deserialize;
--- a/tests/pins/restart.rs
+++ b/tests/pins/restart.rs
@@ -3,7 +3,7 @@
 
 use crate::golden;
 use crate::stage::{Agent, Mode, Platform, Server, Stage, job, response, until};
-use loomlb_handover::words::{Frames, VERSION, Word};
+use loomlb_hot_restart::words::{Frames, VERSION, Word};
 use serde_json::Value;
 use std::io::{Read, Write};
 use std::os::unix::net::{UnixListener, UnixStream};
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -3,7 +3,7 @@
 mod stage;
 
 use loomlb_fault_plan::{Call, FaultPlan, Limit, WITHOUT_END};
-use loomlb_handover::words::{Frames, VERSION, Word};
+use loomlb_hot_restart::words::{Frames, VERSION, Word};
 use stage::{Line, Platform, Server, Stage, job, response, until};
 use std::io::{Read, Write};
 use std::os::unix::net::UnixListener;
