--- a/crates/model/src/day.rs
+++ b/crates/model/src/day.rs
@@ -3,11 +3,11 @@
 //! All times in a day file say their unit in the key (`_s`, `_ms`). A key that is unknown, of the wrong type or
 //! impossible is refused with its line and a reason; nothing is silently cut to fit.
 
-use loomlb_keys::line_of;
+use loomlb_config_file::line_of;
 use loomlb_quota::Spec;
 use serde::{Deserialize, Serialize};
 
-pub use loomlb_keys::Fault;
+pub use loomlb_config_file::Fault;
 
 /// A day of the platform.
 #[derive(Clone, Debug, Deserialize, Serialize)]
@@ -675,7 +675,7 @@
 impl Day {
     /// Reads a day file.
     pub fn read(text: &str) -> Result<Day, Fault> {
-        let day: Day = loomlb_keys::read(text)?;
+        let day: Day = loomlb_config_file::read(text)?;
         let checked = day.check();
         checked.map_err(|(key, reason)| Fault { line: line_of(text, &key), key, reason })?;
         Ok(day)
--- a/src/operator.rs
+++ b/src/operator.rs
@@ -1,6 +1,6 @@
 //! The operator file: what our own installations switch on beyond the platform's terms. Off where it says nothing.
 
-use loomlb_keys::{Fault, line_of};
+use loomlb_config_file::{Fault, line_of};
 use loomlb_quota::Spec;
 use loomlb_tier::Spec as Tier;
 use serde::Deserialize;
@@ -56,7 +56,7 @@
     }
 
     fn read(text: &str) -> Result<Operator, Fault> {
-        let operator: Operator = loomlb_keys::read(text)?;
+        let operator: Operator = loomlb_config_file::read(text)?;
         let fault = |key: String, reason: String| Fault { line: line_of(text, &key), key, reason };
         // A bare word that is no level would be taken for the name of a target, and nothing would be logged.
         let known = |part: &str| {
