--- a/crates/contracts/tests/store.rs
+++ b/crates/conformance/tests/store.rs
@@ -1,9 +1,9 @@
 //! Every store passes the same clauses, and a store with one planted fault breaks the clause that the fault is about.
 
+use loomlb_conformance::{Faulty, STORE, Subject, broken};
 use loomlb_consensus::disk::{Disk, Loaded, LogFile};
 use loomlb_consensus::place::{Fault, Lasting, Memory, Place};
 use loomlb_consensus::store_error::StoreError;
-use loomlb_contracts::{Faulty, STORE, Subject, broken};
 use raft::eraftpb::{Entry, HardState, Snapshot};
 use std::cell::Cell;
 use std::io;
--- a/crates/lab/tests/tier_client.rs
+++ b/crates/lab/tests/tier_client.rs
@@ -1,8 +1,8 @@
 //! A process of the program and a hollow scheduler keep the same contract of messages to the voters, and what a hollow one
 //! does wrong is found by it.
 
+use loomlb_conformance::tier_client::{self, BOUND_S, KEY, NAME, RENEW_S, VOTERS};
 use loomlb_consensus::timing::Terms;
-use loomlb_contracts::tier_client::{self, BOUND_S, KEY, NAME, RENEW_S, VOTERS};
 use loomlb_lab::scale::changes::settings;
 use loomlb_lab::scale::fleet::Fleet;
 use loomlb_lab::scale::hollow::{Flaw, Life, Marks, Spec};
@@ -27,7 +27,7 @@
     Box::new(opened.unwrap().0)
 }
 
-fn story(broken: &[loomlb_contracts::Broken]) -> String {
+fn story(broken: &[loomlb_conformance::Broken]) -> String {
     broken.iter().map(ToString::to_string).collect::<Vec<_>>().join("\n")
 }
 
