--- a/crates/emulator/src/stage.rs
+++ b/crates/emulator/src/stage.rs
@@ -3,13 +3,13 @@
 use crate::cost::{self, Cost};
 use crate::{agent, clients, peers, schedulers, workers};
 use hdrhistogram::Histogram;
-use loomlb_decide::Nanos;
 use loomlb_model::clients::{Arrivals, Request};
 use loomlb_model::day::Day;
 use loomlb_model::figures::{Collector, Figures};
 use loomlb_model::referee::{Breach, Seen};
 use loomlb_model::seed::Stream;
 use loomlb_model::world::{Counters, Deed, World, secs};
+use loomlb_policy::Nanos;
 use rustc_hash::FxHashMap;
 use serde::Serialize;
 use std::cell::{Cell, RefCell};
--- a/crates/lab/src/capacity/scheduler.rs
+++ b/crates/lab/src/capacity/scheduler.rs
@@ -13,7 +13,7 @@
 use super::meter::{self, Plan, allocations, live, point};
 use super::probe::{Probe, listed, workers, world};
 use loomlb_capacity::{Series, Source};
-use loomlb_decide::{Event, ListKind};
+use loomlb_policy::{Event, ListKind};
 use loomlb_quota::parts::{Parts, number};
 use loomlb_scheduler::discovery::List;
 use serde_json::json;
--- a/crates/model/src/clients.rs
+++ b/crates/model/src/clients.rs
@@ -2,7 +2,7 @@
 
 use crate::day::{Backoff, Day, Effect, Shape, TroubleKind};
 use crate::seed::{Stream, Streams};
-use loomlb_decide::Nanos;
+use loomlb_policy::Nanos;
 
 /// The part of the fleet's capacity that is shared out to tenants.
 const SHARED: f64 = 0.8;
--- a/crates/model/src/figures.rs
+++ b/crates/model/src/figures.rs
@@ -3,7 +3,7 @@
 use crate::clients::Request;
 use crate::day::Day;
 use hdrhistogram::Histogram;
-use loomlb_decide::Nanos;
+use loomlb_policy::Nanos;
 use serde::Serialize;
 
 /// Seconds of the window whose worst is told.
--- a/crates/model/src/referee.rs
+++ b/crates/model/src/referee.rs
@@ -5,7 +5,7 @@
 //! knows nothing of why a scheduler did what it did.
 
 use crate::day::{Day, Effect};
-use loomlb_decide::Nanos;
+use loomlb_policy::Nanos;
 use rustc_hash::{FxHashMap, FxHashSet};
 use serde::Serialize;
 use std::collections::VecDeque;
--- a/crates/model/src/settings.rs
+++ b/crates/model/src/settings.rs
@@ -2,8 +2,8 @@
 
 use crate::day::{Day, Effect, Mode, Queue};
 use crate::world::{Entry, Health, World};
-use loomlb_decide::boot::{BootInfo, Names};
-use loomlb_decide::{CellId, Settings, Worker, WorkerId, WorkerState};
+use loomlb_policy::boot::{BootInfo, Names};
+use loomlb_policy::{CellId, Settings, Worker, WorkerId, WorkerState};
 use serde_json::{Value, json};
 
 /// The name of a zone: the one of a fleet in one place, or one of several by its number.
--- a/crates/model/src/simulate.rs
+++ b/crates/model/src/simulate.rs
@@ -11,8 +11,8 @@
 use crate::seed::Stream;
 use crate::settings;
 use crate::world::{Attempt, Counters, Deed, Dial, Reply, Signal, Word, World, ms};
-use loomlb_decide::boot::{Names, key};
-use loomlb_decide::{
+use loomlb_policy::boot::{Names, key};
+use loomlb_policy::{
     Action, ClassId, Dispatcher, Ended, Event, ListKind, Nanos, Note, Outcome, PeerId, Receiver, Report,
     Request as Asked, RequestId, Settings, TenantId,
 };
@@ -348,7 +348,7 @@
         let (_, entries) = self.world.told(s);
         let names = &self.nodes[s].names;
         let mut entries: Vec<_> = entries.iter().map(|e| settings::worker(&self.world, names, e)).collect();
-        entries.retain(|e| e.state != loomlb_decide::WorkerState::Gone);
+        entries.retain(|e| e.state != loomlb_policy::WorkerState::Gone);
         self.feed(s, Event::Workers { kind, entries });
     }
 
@@ -683,7 +683,7 @@
                 let report = if up { self.world.probe(now, s, w) } else { None };
                 let outcome = if report.is_some() { Outcome::Served } else { Outcome::NoConnection };
                 let ended = Ended { outcome, latency: 0, closed: false, report: report.map(told) };
-                self.feed(s, Event::Probed { worker: loomlb_decide::WorkerId(w as u64 + 1), ended });
+                self.feed(s, Event::Probed { worker: loomlb_policy::WorkerId(w as u64 + 1), ended });
             }
             Due::Answer(id, code) => self.answered(id, code),
             Due::Leave(id) => self.leave(id),
--- a/crates/model/src/worker.rs
+++ b/crates/model/src/worker.rs
@@ -3,7 +3,7 @@
 //! A job takes its slots for as long as it runs. Jobs that run share the cores evenly, so one rate holds for all of
 //! them; it changes only at moments the machine knows, and between two of them the service is a product.
 
-use loomlb_decide::{Nanos, QueueOrder};
+use loomlb_policy::{Nanos, QueueOrder};
 use std::collections::VecDeque;
 
 /// How often the rate of a cold or overfull worker is brought up to date.
--- a/crates/model/src/world.rs
+++ b/crates/model/src/world.rs
@@ -9,7 +9,7 @@
 use crate::referee::{Ended, Referee};
 use crate::seed::{Stream, Streams};
 use crate::worker::{Job, Said, Spec, Worker};
-use loomlb_decide::{Nanos, QueueOrder};
+use loomlb_policy::{Nanos, QueueOrder};
 use rustc_hash::{FxHashMap, FxHashSet};
 use serde::Serialize;
 use std::cmp::Reverse;
--- a/crates/decide/benches/decision.rs
+++ b/crates/policy/benches/decision.rs
@@ -3,7 +3,7 @@
 #![allow(missing_docs)]
 
 use criterion::{BenchmarkId, Criterion, criterion_group, criterion_main};
-use loomlb_decide::*;
+use loomlb_policy::*;
 use std::collections::VecDeque;
 use std::hint::black_box;
 
--- a/crates/decide/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -6,7 +6,7 @@
 //! that it learns by.
 //!
 //! ```
-//! use loomlb_decide::*;
+//! use loomlb_policy::*;
 //! let settings = Settings { classes: vec![Class::default()], ..Settings::default() };
 //! let mut dispatcher = Dispatcher::new(settings, 7);
 //! let mut actions = Vec::new();
--- a/crates/decide/tests/attempts.rs
+++ b/crates/policy/tests/attempts.rs
@@ -3,7 +3,7 @@
 
 mod stage;
 
-use loomlb_decide::*;
+use loomlb_policy::*;
 use stage::*;
 use std::collections::{BTreeMap, BinaryHeap};
 
--- a/crates/decide/tests/module.rs
+++ b/crates/policy/tests/module.rs
@@ -2,8 +2,8 @@
 
 mod stage;
 
-use loomlb_decide::rules::Network;
-use loomlb_decide::*;
+use loomlb_policy::rules::Network;
+use loomlb_policy::*;
 use stage::*;
 
 // ---- rule 1: one final answer
--- a/crates/decide/tests/pins.rs
+++ b/crates/policy/tests/pins.rs
@@ -4,8 +4,8 @@
 #[path = "../../../tests/golden/mod.rs"]
 mod golden;
 
-use loomlb_decide::boot::key;
-use loomlb_decide::{Carried, Holds, Message, Outcome, WorkerId, WorkerState, ZoneId};
+use loomlb_policy::boot::key;
+use loomlb_policy::{Carried, Holds, Message, Outcome, WorkerId, WorkerState, ZoneId};
 
 fn messages() -> Vec<Message> {
     let holds =
--- a/crates/decide/tests/stage/mod.rs
+++ b/crates/policy/tests/stage/mod.rs
@@ -1,7 +1,7 @@
 //! A dispatcher on a stage of its own, for tests that play a short story through the public interface.
 #![allow(dead_code)]
 
-use loomlb_decide::*;
+use loomlb_policy::*;
 
 pub const MS: Nanos = 1_000_000;
 pub const S: Nanos = 1_000 * MS;
--- a/crates/decide/tests/starts.rs
+++ b/crates/policy/tests/starts.rs
@@ -2,7 +2,7 @@
 
 mod stage;
 
-use loomlb_decide::*;
+use loomlb_policy::*;
 use stage::*;
 
 /// A site that tells of load by probes alone, at this price, and of starts; jobs carry hints.
--- a/crates/scheduler/src/admit.rs
+++ b/crates/scheduler/src/admit.rs
@@ -4,8 +4,8 @@
 use super::shares::Share;
 use super::wheel::Due;
 use super::{Scheduler, route};
-use loomlb_decide::boot::key;
-use loomlb_decide::{ClassId, Effect, Event, Nanos, Request, RequestId, TenantId};
+use loomlb_policy::boot::key;
+use loomlb_policy::{ClassId, Effect, Event, Nanos, Request, RequestId, TenantId};
 use std::rc::Rc;
 use tokio::sync::oneshot;
 
--- a/crates/scheduler/src/book.rs
+++ b/crates/scheduler/src/book.rs
@@ -2,7 +2,7 @@
 
 use super::shares::Holding;
 use bytes::Bytes;
-use loomlb_decide::{Nanos, Outcome, RequestId, WorkerId};
+use loomlb_policy::{Nanos, Outcome, RequestId, WorkerId};
 use std::collections::HashMap;
 use std::fmt;
 use std::rc::Rc;
--- a/crates/scheduler/src/clock.rs
+++ b/crates/scheduler/src/clock.rs
@@ -5,7 +5,7 @@
 //! from another keeps its predecessor's [`ClockOffset`]: `CLOCK_MONOTONIC` is one clock for all processes of a machine,
 //! so a time in nanoseconds means the same moment in both.
 
-use loomlb_decide::Nanos;
+use loomlb_policy::Nanos;
 use rustix::time::{ClockId, clock_gettime};
 use serde::{Deserialize, Serialize};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
--- a/crates/scheduler/src/config.rs
+++ b/crates/scheduler/src/config.rs
@@ -3,8 +3,8 @@
 use super::changes;
 use super::epoch::Epoch;
 use loomlb_consensus::place::write_atomically;
-use loomlb_decide::PeerId;
-use loomlb_decide::boot::BootInfo;
+use loomlb_policy::PeerId;
+use loomlb_policy::boot::BootInfo;
 use serde::Deserialize;
 use std::cell::{Cell, RefCell};
 use std::fmt;
--- a/crates/scheduler/src/epoch.rs
+++ b/crates/scheduler/src/epoch.rs
@@ -1,7 +1,7 @@
 //! Epochs: settings in force, and how the next ones follow from a file that has changed. Pure: nothing is read here.
 
-use loomlb_decide::boot::{Names, Terms};
-use loomlb_decide::{Class, ClassId, KindId, Nanos, Settings, Start, Tenant, ZoneId};
+use loomlb_policy::boot::{Names, Terms};
+use loomlb_policy::{Class, ClassId, KindId, Nanos, Settings, Start, Tenant, ZoneId};
 
 /// Classes that may have a number at once, those kept for open flows included.
 const CLASSES: usize = 256;
@@ -113,7 +113,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use loomlb_decide::Effect;
+    use loomlb_policy::Effect;
 
     fn epoch(classes: &[(&str, Nanos)]) -> Epoch {
         let class = |c: &(&str, Nanos)| Class { deadline: c.1, ..Class::default() };
--- a/crates/scheduler/src/intake.rs
+++ b/crates/scheduler/src/intake.rs
@@ -5,7 +5,7 @@
 use super::http::{Fault, Kind, Message, Wire, response};
 use super::relay::{self, Heard};
 use super::{Scheduler, upgrade};
-use loomlb_decide::Nanos;
+use loomlb_policy::Nanos;
 use loomlb_sockets::{AcceptNext, AcceptRetry};
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
--- a/crates/scheduler/src/lib.rs
+++ b/crates/scheduler/src/lib.rs
@@ -32,7 +32,7 @@
 
 use config::Config;
 use loomlb_control::orders::Orders;
-use loomlb_decide::{Dispatcher, Event};
+use loomlb_policy::{Dispatcher, Event};
 use loomlb_sockets::{AddressInUse, OpenRetry};
 use std::cell::RefCell;
 use std::io;
--- a/crates/scheduler/src/peers.rs
+++ b/crates/scheduler/src/peers.rs
@@ -2,7 +2,7 @@
 
 use super::{Scheduler, route};
 use crate::config::Config;
-use loomlb_decide::{Event, PeerId, Receiver};
+use loomlb_policy::{Event, PeerId, Receiver};
 use loomlb_sockets::{AddressInUse, OpenRetry};
 use std::cell::OnceCell;
 use std::io;
--- a/crates/scheduler/src/relay.rs
+++ b/crates/scheduler/src/relay.rs
@@ -4,7 +4,7 @@
 use super::shares::Holding;
 use super::{Scheduler, route};
 use bytes::Bytes;
-use loomlb_decide::{Ended, Event, Note, Outcome, Report, RequestId};
+use loomlb_policy::{Ended, Event, Note, Outcome, Report, RequestId};
 use serde::Deserialize;
 use std::borrow::Cow;
 use std::rc::Rc;
--- a/crates/scheduler/src/reload.rs
+++ b/crates/scheduler/src/reload.rs
@@ -3,7 +3,7 @@
 
 use super::config::Fresh;
 use super::{Scheduler, agreed, discovery, route};
-use loomlb_decide::{Event, Start};
+use loomlb_policy::{Event, Start};
 use std::io;
 use std::rc::Rc;
 use std::time::Duration;
--- a/crates/scheduler/src/route.rs
+++ b/crates/scheduler/src/route.rs
@@ -3,7 +3,7 @@
 use super::book::Answer;
 use super::wheel::Due;
 use super::{Scheduler, relay, send};
-use loomlb_decide::{Action, Carried, Dispatcher, Event};
+use loomlb_policy::{Action, Carried, Dispatcher, Event};
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
 use std::panic::{AssertUnwindSafe, catch_unwind};
--- a/crates/scheduler/src/send.rs
+++ b/crates/scheduler/src/send.rs
@@ -5,7 +5,7 @@
 use super::http::{Fault, Kind, Message, Wire};
 use super::wheel::Due;
 use super::{Scheduler, relay, route};
-use loomlb_decide::{Ended, Event, Nanos, Outcome, Report, Reports, RequestId, WorkerId};
+use loomlb_policy::{Ended, Event, Nanos, Outcome, Report, Reports, RequestId, WorkerId};
 use loomlb_sockets::faults::ConnectFault;
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
--- a/crates/scheduler/src/shares.rs
+++ b/crates/scheduler/src/shares.rs
@@ -3,7 +3,7 @@
 //! `admit` asks for every flow; what a flow really took, in slot seconds of the starts and ends that its targets told, is
 //! settled when it is over. Without quotas nothing is asked and the module's own shares hold.
 
-use loomlb_decide::Nanos;
+use loomlb_policy::Nanos;
 use loomlb_quota::parts::{self, Parts};
 use loomlb_quota::{Ask, Quota, Spec, Standing, Ticket, Verdict};
 use std::cell::RefCell;
--- a/crates/scheduler/src/shutdown.rs
+++ b/crates/scheduler/src/shutdown.rs
@@ -2,7 +2,7 @@
 
 use super::{Scheduler, upgrade};
 use loomlb_control::service::Service;
-use loomlb_decide::Nanos;
+use loomlb_policy::Nanos;
 use std::cell::Cell;
 use std::io;
 use std::rc::Rc;
--- a/crates/scheduler/src/wheel.rs
+++ b/crates/scheduler/src/wheel.rs
@@ -1,7 +1,7 @@
 //! Timers as coarse ticks on a wheel. Timers are not revoked: what no longer matters is ignored when due.
 
 use super::Scheduler;
-use loomlb_decide::{Nanos, RequestId};
+use loomlb_policy::{Nanos, RequestId};
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 use tokio::sync::Notify;
--- a/crates/scheduler/src/worker_starts.rs
+++ b/crates/scheduler/src/worker_starts.rs
@@ -9,7 +9,7 @@
 //! An incarnation of a worker is known by its host and `born_ms`; its start stays as it was assigned first.
 
 use super::clock::nanos_from_millis;
-use loomlb_decide::Nanos;
+use loomlb_policy::Nanos;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
--- a/crates/simhost/src/main.rs
+++ b/crates/simhost/src/main.rs
@@ -3,8 +3,8 @@
 mod wire;
 
 use base64::Engine as _;
-use loomlb_decide::boot::{Names, key};
-use loomlb_decide::{
+use loomlb_policy::boot::{Names, key};
+use loomlb_policy::{
     Action, ClassId, Dispatcher, Ended, Event, Nanos, Note, PeerId, Request, RequestId, TenantId, WorkerId,
 };
 use rustc_hash::FxHashMap;
--- a/crates/simhost/src/wire.rs
+++ b/crates/simhost/src/wire.rs
@@ -1,7 +1,7 @@
 //! The wire's lines as types. Unknown fields are skipped; what is missing or of a wrong type is named.
 
-use loomlb_decide::boot::BootInfo;
-use loomlb_decide::{Action, CellId, ListKind, Outcome, Receiver, Report, Worker, WorkerId, WorkerState};
+use loomlb_policy::boot::BootInfo;
+use loomlb_policy::{Action, CellId, ListKind, Outcome, Receiver, Report, Worker, WorkerId, WorkerState};
 use serde::{Deserialize, Serialize};
 use std::borrow::Cow;
 
--- a/tests/sites.rs
+++ b/tests/sites.rs
@@ -114,7 +114,7 @@
     let root = Path::new(env!("CARGO_MANIFEST_DIR"));
     let mut files = vec![root.join("deploy/balancer.toml")];
     for folder in
-        ["src", "crates/decide/src", "crates/decide/src/rules", "crates/scheduler/src", "crates/simhost/src"]
+        ["src", "crates/policy/src", "crates/policy/src/rules", "crates/scheduler/src", "crates/simhost/src"]
     {
         let all = std::fs::read_dir(root.join(folder)).unwrap().map(|e| e.unwrap().path());
         files.extend(all.filter(|p| p.extension().is_some_and(|e| e == "rs")));
