--- a/crates/emulator/src/clients.rs
+++ b/crates/emulator/src/clients.rs
@@ -3,11 +3,11 @@
 use crate::stage::{Stage, sent};
 use crate::wire::{self, Body, Line};
 use hyper::{Request as Http, Response};
-use loomlb_model::clients::{self, Outcome, Request};
-use loomlb_model::figures::Final;
-use loomlb_model::referee::Answered;
-use loomlb_model::world::ms;
 use loomlb_policy::Nanos;
+use loomlb_simulation::clients::{self, Outcome, Request};
+use loomlb_simulation::figures::Final;
+use loomlb_simulation::referee::Answered;
+use loomlb_simulation::world::ms;
 use std::cell::RefCell;
 use std::rc::Rc;
 use std::time::Duration;
--- a/crates/emulator/src/stage.rs
+++ b/crates/emulator/src/stage.rs
@@ -3,13 +3,13 @@
 use crate::cost::{self, Cost};
 use crate::{agent, clients, peers, schedulers, workers};
 use hdrhistogram::Histogram;
-use loomlb_model::clients::{Arrivals, Request};
-use loomlb_model::day::Day;
-use loomlb_model::figures::{Collector, Figures};
-use loomlb_model::referee::{Breach, Seen};
-use loomlb_model::seed::Stream;
-use loomlb_model::world::{Counters, Deed, World, secs};
 use loomlb_policy::Nanos;
+use loomlb_simulation::clients::{Arrivals, Request};
+use loomlb_simulation::day::Day;
+use loomlb_simulation::figures::{Collector, Figures};
+use loomlb_simulation::referee::{Breach, Seen};
+use loomlb_simulation::seed::Stream;
+use loomlb_simulation::world::{Counters, Deed, World, secs};
 use rustc_hash::FxHashMap;
 use serde::Serialize;
 use std::cell::{Cell, RefCell};
@@ -319,7 +319,7 @@
 fn live(stage: &Stage, second: u64, at: Nanos) -> Live {
     let world = stage.world.borrow();
     let at = at as f64 / 1e9;
-    let on = |t: &&loomlb_model::day::Trouble| at >= t.at_s && at < t.at_s + t.for_s.max(1.0);
+    let on = |t: &&loomlb_simulation::day::Trouble| at >= t.at_s && at < t.at_s + t.for_s.max(1.0);
     Live {
         second,
         listen: stage.schedulers.iter().map(|s| s.listen.to_string()).collect(),
--- a/crates/emulator/src/workers.rs
+++ b/crates/emulator/src/workers.rs
@@ -5,7 +5,7 @@
 use crate::wire::{self, Body, Line};
 use hyper::body::Incoming;
 use hyper::{Request, Response};
-use loomlb_model::world::{Attempt, Dial, Reply, Report, Word, World};
+use loomlb_simulation::world::{Attempt, Dial, Reply, Report, Word, World};
 use serde_json::{Value, json};
 use std::cell::Cell;
 use std::io;
--- a/crates/lab/src/baselines.rs
+++ b/crates/lab/src/baselines.rs
@@ -1,11 +1,11 @@
 //! Textbook policies, to compare the decision module with. They keep the rules that a day can break (repeats,
 //! drains, refusals), choose by their one idea, and learn nothing else.
 
-use loomlb_model::simulate::Decider;
 use loomlb_policy::{
     Action, Class, Effect, Ended, Event, Group, ListKind, Nanos, Outcome, Request, RequestId, Settings,
     Worker, WorkerId, WorkerState, ZoneId,
 };
+use loomlb_simulation::simulate::Decider;
 use rustc_hash::FxHashMap;
 
 /// Random draws for a usable worker, before the fleet is scanned for one.
--- a/crates/lab/src/capacity/probe.rs
+++ b/crates/lab/src/capacity/probe.rs
@@ -1,12 +1,12 @@
 //! The decision module under a steady load, as `crates/policy/benches/decision.rs` drives it, and real entries of the list.
 
-use loomlb_model::Day;
-use loomlb_model::settings::entry;
-use loomlb_model::world::{Entry, Health, World};
 use loomlb_policy::{
     Action, Class, ClassId, Dispatcher, Effect, Ended, Event, Limits, ListKind, Nanos, Note, Outcome, Report,
     Reports, Request, RequestId, Settings, Tenant, TenantId, Worker, WorkerId,
 };
+use loomlb_simulation::Day;
+use loomlb_simulation::settings::entry;
+use loomlb_simulation::world::{Entry, Health, World};
 use serde_json::Value;
 use std::collections::VecDeque;
 
--- a/crates/lab/src/days.rs
+++ b/crates/lab/src/days.rs
@@ -1,6 +1,6 @@
 //! Day files: those that ship with the laboratory, and those of a user.
 
-use loomlb_model::Day;
+use loomlb_simulation::Day;
 use std::path::Path;
 
 macro_rules! shipped {
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -8,8 +8,8 @@
 use loomlb_lab::baselines::{Baseline, Idea};
 use loomlb_lab::processes::{self, Schedule};
 use loomlb_lab::{capacity, days, fleet, scale, tables, trial};
-use loomlb_model::Day;
-use loomlb_model::simulate::{self, Decider};
+use loomlb_simulation::Day;
+use loomlb_simulation::simulate::{self, Decider};
 use rayon::prelude::*;
 use std::ffi::OsString;
 use std::io::Write;
@@ -639,7 +639,7 @@
         }
         Command::Days => {
             for (name, text) in days::SHIPPED {
-                match loomlb_model::Day::read(text) {
+                match loomlb_simulation::Day::read(text) {
                     Ok(day) => println!("{name:18} {}", day.about),
                     Err(e) => println!("{name:18} {e}"),
                 }
--- a/crates/lab/src/tables.rs
+++ b/crates/lab/src/tables.rs
@@ -1,7 +1,7 @@
 //! Tables for people.
 
-use loomlb_model::Day;
-use loomlb_model::simulate::Played;
+use loomlb_simulation::Day;
+use loomlb_simulation::simulate::Played;
 use std::fmt::Write;
 
 /// Lays out rows in columns, the first to the left and the others to the right.
--- a/crates/lab/tests/days.rs
+++ b/crates/lab/tests/days.rs
@@ -2,8 +2,8 @@
 
 use loomlb_lab::baselines::{Baseline, Idea};
 use loomlb_lab::days::SHIPPED;
-use loomlb_model::simulate::{self, Decider, Played};
-use loomlb_model::{Day, TroubleKind};
+use loomlb_simulation::simulate::{self, Decider, Played};
+use loomlb_simulation::{Day, TroubleKind};
 use std::process::Command;
 
 fn day(name: &str) -> Day {
--- a/crates/model/tests/day.rs
+++ b/crates/simulation/tests/day.rs
@@ -1,8 +1,8 @@
 //! A day file that asks for the impossible is refused with its line and a reason.
 
-use loomlb_model::Day;
-use loomlb_model::settings;
 use loomlb_policy::boot::BootInfo;
+use loomlb_simulation::Day;
+use loomlb_simulation::settings;
 
 const GOOD: &str = "name = \"d\"\nseconds = 10\n\n[fleet]\nworkers = 4\n\n[load]\npart = 0.5\n";
 
--- a/crates/model/tests/pins.rs
+++ b/crates/simulation/tests/pins.rs
@@ -4,7 +4,7 @@
 #[path = "../../../tests/golden/mod.rs"]
 mod golden;
 
-use loomlb_model::Day;
+use loomlb_simulation::Day;
 use std::fmt::Write;
 
 /// The least that a day has.
--- a/crates/model/tests/referee.rs
+++ b/crates/simulation/tests/referee.rs
@@ -1,12 +1,12 @@
 //! Each rule of the referee is able to fail: a scheduler with one fault is caught by the rule it breaks.
 
-use loomlb_model::referee::{Answered, End, Ended as HowEnded, Referee, Rule};
-use loomlb_model::simulate::{self, Decider};
-use loomlb_model::{Day, TroubleKind};
 use loomlb_policy::{
     Action, CellId, Effect, Ended, Event, ListKind, Nanos, Outcome, Request, RequestId, Settings, Worker,
     WorkerId, WorkerState,
 };
+use loomlb_simulation::referee::{Answered, End, Ended as HowEnded, Referee, Rule};
+use loomlb_simulation::simulate::{self, Decider};
+use loomlb_simulation::{Day, TroubleKind};
 use std::collections::BTreeMap;
 
 /// The one fault of a scheduler; without it the same scheduler breaks no rule.
--- a/crates/model/tests/worker.rs
+++ b/crates/simulation/tests/worker.rs
@@ -1,8 +1,8 @@
 //! Invariants of a worker under any order of events (property tests; a failing case is printed and replays).
 
-use loomlb_model::seed::Streams;
-use loomlb_model::worker::{Job, Said, Spec, Worker};
 use loomlb_policy::QueueOrder;
+use loomlb_simulation::seed::Streams;
+use loomlb_simulation::worker::{Job, Said, Spec, Worker};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use std::collections::BTreeMap;
--- a/tests/emulated.rs
+++ b/tests/emulated.rs
@@ -1,7 +1,7 @@
 //! The real program on the emulated platform, through every kind of trouble.
 
 use loomlb_emulator::{Options, Stop};
-use loomlb_model::{Day, TroubleKind};
+use loomlb_simulation::{Day, TroubleKind};
 
 /// A quarter of a minute with all eighteen troubles: what was taken is answered once and in time, nothing runs twice
 /// that must not, no drained, cold or gone worker gets what it should not, and no scheduler ends by itself.
--- a/tests/system_calls.rs
+++ b/tests/system_calls.rs
@@ -5,7 +5,7 @@
 use loomlb_emulator::rig::{self, Rig};
 use loomlb_emulator::{Options, Stop};
 use loomlb_fault_plan::{Call, FaultPlan, Limit, WITHOUT_END};
-use loomlb_model::Day;
+use loomlb_simulation::Day;
 use stage::{Agent, Comers, Mode, Narrow, Platform, Server, Stage, job, response, until};
 use std::process::{Command, Stdio};
 use std::time::{Duration, Instant};
