--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -2,14 +2,14 @@
 #![forbid(unsafe_code)]
 
 use clap::{Parser, Subcommand, ValueEnum};
-use loomlb_accord::timing::Terms;
 use loomlb_capacity::plan;
+use loomlb_consensus::timing::Terms;
 use loomlb_emulator::{Live, Options, Stop};
 use loomlb_lab::baselines::{Baseline, Idea};
 use loomlb_lab::processes::{self, Schedule};
 use loomlb_lab::{capacity, days, fleet, scale, tables, trial};
-use loomlb_model::Day;
-use loomlb_model::simulate::{self, Decider};
+use loomlb_simulation::Day;
+use loomlb_simulation::simulate::{self, Decider};
 use rayon::prelude::*;
 use std::ffi::OsString;
 use std::io::Write;
@@ -468,7 +468,7 @@
         Some(file) => {
             let named = |e: String| format!("{}: {e}", file.display());
             let text = std::fs::read_to_string(file).map_err(|e| named(e.to_string()))?;
-            vec![loomlb_keys::read(&text).map_err(|e| named(e.to_string()))?]
+            vec![loomlb_config_file::read(&text).map_err(|e| named(e.to_string()))?]
         }
         None => (args.seeds[0]..args.seeds[1])
             .map(|seed| processes::draw(seed, args.schedulers as usize, args.seconds))
@@ -639,7 +639,7 @@
         }
         Command::Days => {
             for (name, text) in days::SHIPPED {
-                match loomlb_model::Day::read(text) {
+                match loomlb_simulation::Day::read(text) {
                     Ok(day) => println!("{name:18} {}", day.about),
                     Err(e) => println!("{name:18} {e}"),
                 }
--- a/crates/scheduler/src/discovery.rs
+++ b/crates/scheduler/src/discovery.rs
@@ -3,10 +3,10 @@
 use super::http::{Kind, Message, Wire};
 use super::worker_starts::{Incarnation, WorkerStarts};
 use super::{Scheduler, route};
-use loomlb_accord::lists::{LEAVING, Leaving, Mine};
+use loomlb_consensus::lists::{LEAVING, Leaving, Mine};
 use loomlb_control::orders::{Effect, Orders};
-use loomlb_decide::boot::Names;
-use loomlb_decide::{CellId, Event, ListKind, Nanos, Worker, WorkerId, WorkerState};
+use loomlb_policy::boot::Names;
+use loomlb_policy::{CellId, Event, ListKind, Nanos, Worker, WorkerId, WorkerState};
 use serde::{Deserialize, Serialize};
 use std::cell::{Cell, RefCell};
 use std::collections::{HashMap, HashSet};
--- a/crates/scheduler/src/lib.rs
+++ b/crates/scheduler/src/lib.rs
@@ -32,7 +32,7 @@
 
 use config::Config;
 use loomlb_control::orders::Orders;
-use loomlb_decide::{Dispatcher, Event};
+use loomlb_policy::{Dispatcher, Event};
 use loomlb_sockets::{AddressInUse, OpenRetry};
 use std::cell::RefCell;
 use std::io;
@@ -101,7 +101,7 @@
     let opening = OpenRetry::start();
     let listener = match config.inherited {
         Some(number) => {
-            let inherited = loomlb_inherit::listener(number).and_then(TcpListener::from_std);
+            let inherited = loomlb_listen_fd::listener(number).and_then(TcpListener::from_std);
             inherited.map_err(|e| named(&format!("LB_FD: descriptor {number}"), e))?
         }
         None => listen(&opening, "listen", config.listen).await?,
