--- a/crates/scheduler/src/control.rs
+++ b/crates/scheduler/src/control.rs
@@ -2,7 +2,7 @@
 //! the clients' listener is at. What a call means is decided in `loomlb-control`.
 
 use super::agreed::Around;
-use super::http::{Fault, Kind, Message, Wire, response};
+use super::http::{Connection, Fault, Kind, Message, response};
 use super::{Scheduler, discovery, upgrade};
 use loomlb_control::call::{self, Call};
 use loomlb_control::service::State;
@@ -100,7 +100,7 @@
 }
 
 async fn serve(s: Rc<Scheduler>, seat: Seat, stream: TcpStream) {
-    let mut wire = Wire::new(stream);
+    let mut wire = Connection::new(stream);
     let read = tokio::select! {
         biased;
         read = tokio::time::timeout(WHOLE, wire.read(Kind::Request)) => read.ok(),
@@ -126,10 +126,10 @@
     let mut headers = vec![("Content-Type", "application/json")];
     headers.extend(allow);
     let text = response(reply.status, &headers, reply.body.as_bytes(), false);
-    if let Ok(Ok(())) = tokio::time::timeout(TAKEN, wire.write(&text)).await {
+    if let Ok(Ok(())) = tokio::time::timeout(TAKEN, wire.write_all(&text)).await {
         seat.release();
         tokio::select! {
-            () = wire.linger() => {}
+            () = wire.lingering_close() => {}
             () = seat.leave.notified() => {}
         }
     }
--- a/crates/scheduler/src/discovery.rs
+++ b/crates/scheduler/src/discovery.rs
@@ -1,6 +1,6 @@
 //! Discovery: the target group, as the platform's list tells of it.
 
-use super::http::{Kind, Message, Wire};
+use super::http::{Connection, Kind, Message};
 use super::worker_starts::{Incarnation, WorkerStarts};
 use super::{Scheduler, route};
 use loomlb_consensus::lists::{LEAVING, Leaving, Mine};
@@ -453,7 +453,7 @@
 /// A connection to discovery and the first answer on it, which waits for no news: after a call that failed nobody knows
 /// whether there are any. Where lists are pushed a call costs nothing, and another goes out beside one that hangs; where
 /// they are asked for there is one.
-async fn first(s: &Rc<Scheduler>) -> Result<(Wire, Message), &'static str> {
+async fn first(s: &Rc<Scheduler>) -> Result<(Connection, Message), &'static str> {
     let most = if s.epoch().settings.ask_for_list { 1 } else { CALLS };
     let (mut calls, mut again) = (JoinSet::new(), tokio::time::interval(BESIDE));
     loop {
@@ -471,12 +471,12 @@
 }
 
 /// A connection of its own, and the answer to one call on it.
-async fn first_call(s: Rc<Scheduler>) -> Result<(Wire, Message), &'static str> {
+async fn first_call(s: Rc<Scheduler>) -> Result<(Connection, Message), &'static str> {
     let address = s.group.address.get().unwrap_or(s.config.discovery);
     let count = |fault: Option<_>| s.book.borrow_mut().counters.dials_again += u64::from(fault.is_some());
     let dial = tokio::time::timeout(PATIENCE, loomlb_sockets::connect(address, count));
     let Ok(Ok(stream)) = dial.await else { return Err("no connection") };
-    let mut wire = Wire::new(stream).taking(s.config.list_bytes);
+    let mut wire = Connection::new(stream).with_max_body(s.config.list_bytes);
     let begun = Instant::now();
     let answer = ask(&mut wire, &question(&s, Duration::ZERO), first_patience(&s)).await;
     // An answer that comes late, or an error, leaves open whether the crowd is gone.
@@ -502,8 +502,8 @@
     format!("GET /v1/servers{query} HTTP/1.1\r\nHost: {address}\r\n\r\n")
 }
 
-async fn ask(wire: &mut Wire, call: &str, patience: Duration) -> Result<Message, &'static str> {
-    if wire.write(call.as_bytes()).await.is_err() {
+async fn ask(wire: &mut Connection, call: &str, patience: Duration) -> Result<Message, &'static str> {
+    if wire.write_all(call.as_bytes()).await.is_err() {
         return Err("the connection broke");
     }
     match tokio::time::timeout(patience, wire.read(Kind::Response)).await {
--- a/crates/scheduler/src/http.rs
+++ b/crates/scheduler/src/http.rs
@@ -178,7 +178,7 @@
 
 /// A connection that carries messages.
 #[derive(Debug)]
-pub struct Wire {
+pub struct Connection {
     stream: TcpStream,
     buf: BytesMut,
     overrun: bool,
@@ -197,17 +197,17 @@
     Closed,
 }
 
-impl Wire {
+impl Connection {
     /// Takes over a connection.
     pub fn new(stream: TcpStream) -> Self {
         // Without this a small message could wait for the acknowledgement of the one before.
         let _ = stream.set_nodelay(true);
-        Wire { stream, buf: BytesMut::new(), overrun: false, longest: MAX_BODY }
+        Connection { stream, buf: BytesMut::new(), overrun: false, longest: MAX_BODY }
     }
 
     /// The same where bodies may be of so many bytes.
-    pub fn taking(self, longest: usize) -> Self {
-        Wire { longest, ..self }
+    pub fn with_max_body(self, longest: usize) -> Self {
+        Connection { longest, ..self }
     }
 
     /// A second descriptor of the connection, which stays open when this one is dropped.
@@ -252,7 +252,7 @@
 
     /// Whether the other side has closed or reset by now. A new connection is read before the kernel's word on its end is
     /// heard, so that is waited for: one turn of the loop.
-    pub async fn is_gone(&mut self) -> bool {
+    pub async fn peer_has_closed(&mut self) -> bool {
         tokio::task::yield_now().await;
         self.is_closed() || !self.has_input() && !self.poll_input()
     }
@@ -309,7 +309,7 @@
     pub async fn read_body(&mut self, kind: Kind, mut message: Message) -> Result<Message, Fault> {
         let framing = framing(&message, kind, self.longest)?;
         if kind == Kind::Request && message.says("expect", "100-continue") && self.buf.is_empty() {
-            self.write(b"HTTP/1.1 100 Continue\r\n\r\n").await?;
+            self.write_all(b"HTTP/1.1 100 Continue\r\n\r\n").await?;
         }
         message.body = match framing {
             Framing::Length(length) => {
@@ -379,7 +379,7 @@
     }
 
     /// Writes all of it, or fails with at least one byte unwritten.
-    pub async fn write(&mut self, bytes: &[u8]) -> io::Result<()> {
+    pub async fn write_all(&mut self, bytes: &[u8]) -> io::Result<()> {
         loomlb_sockets::write_all(&self.stream, bytes).await
     }
 
@@ -396,7 +396,7 @@
     /// Ends a connection on which more may be coming: closing at once would reset it, and the answer just
     /// written could be lost with it. A client that writes a large body before it reads anything is let
     /// finish it, at a pace that leaves the core to others.
-    pub async fn linger(mut self) {
+    pub async fn lingering_close(mut self) {
         const PACE: Duration = Duration::from_millis(1);
         let _ = self.stream.shutdown().await;
         // No more memory for what nobody wants.
@@ -455,7 +455,7 @@
     async fn read(kind: Kind, pieces: &[&str]) -> Result<Message, Fault> {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let mut writer = TcpStream::connect(listener.local_addr().unwrap()).await.unwrap();
-        let mut wire = Wire::new(listener.accept().await.unwrap().0);
+        let mut wire = Connection::new(listener.accept().await.unwrap().0);
         let write = async {
             for piece in pieces {
                 writer.write_all(piece.as_bytes()).await.unwrap();
--- a/crates/scheduler/src/intake.rs
+++ b/crates/scheduler/src/intake.rs
@@ -2,7 +2,7 @@
 
 use super::admit::{Offer, Rejection, admit};
 use super::book::{Answer, Work};
-use super::http::{Fault, Kind, Message, Wire, response};
+use super::http::{Connection, Fault, Kind, Message, response};
 use super::relay::{self, Heard};
 use super::{Scheduler, upgrade};
 use loomlb_policy::Nanos;
@@ -256,7 +256,7 @@
 
 async fn serve(seat: Seat, stream: TcpStream, mut calls_back: bool, mut first: bool) {
     let s = Rc::clone(&seat.s);
-    let mut wire = Wire::new(stream);
+    let mut wire = Connection::new(stream);
     let begun = Instant::now();
     loop {
         if !wire.has_input() {
@@ -318,7 +318,7 @@
         let wait = format!("{:.3}", reply.retry_after as f64 / 1e9);
         let headers: &[(&str, &str)] = if reply.retry_after > 0 { &[("Retry-After", &wait)] } else { &[] };
         let text = response(reply.status, headers, &reply.body, keep_alive);
-        match tokio::time::timeout(TAKEN, wire.write(&text)).await {
+        match tokio::time::timeout(TAKEN, wire.write_all(&text)).await {
             Ok(Ok(())) if keep_alive => {}
             Ok(Ok(())) => return part(&seat, wire).await,
             _ => return,
@@ -329,10 +329,10 @@
 /// Ends a connection so that nothing which crosses the end resets it: what still comes is read, for nobody, and never
 /// sent on. The seat stays taken meanwhile: a connection that ends holds a descriptor like any other, and one that its
 /// client does not close would else go uncounted.
-async fn part(seat: &Seat, wire: Wire) {
+async fn part(seat: &Seat, wire: Connection) {
     seat.is(State::Ending);
     tokio::select! {
-        () = wire.linger() => {}
+        () = wire.lingering_close() => {}
         () = seat.close.notified() => {}
     }
 }
@@ -351,7 +351,7 @@
 
 /// Waits for the first byte of a request. A connection that we close is looked at once more: what has arrived by then
 /// is a request like any other.
-async fn wait(seat: &Seat, wire: &mut Wire, calls_back: bool, until: Instant) -> Next {
+async fn wait(seat: &Seat, wire: &mut Connection, calls_back: bool, until: Instant) -> Next {
     let s = &seat.s;
     if s.upgrade.heir().is_some() {
         return Next::PassOn;
@@ -385,7 +385,7 @@
 }
 
 /// The reply to a request; none if its client has gone.
-async fn handle(seat: &Seat, wire: &mut Wire, message: &Message) -> Option<Reply> {
+async fn handle(seat: &Seat, wire: &mut Connection, message: &Message) -> Option<Reply> {
     let s = &seat.s;
     let Ok(path) = std::str::from_utf8(&message.path) else {
         return Some(Reply::plain(400, "malformed path"));
@@ -419,7 +419,7 @@
         Err(reply) => return Some(reply),
     };
     // A request may have waited for long before it was read: in the kernel, or behind others of its connection.
-    if wire.is_gone().await {
+    if wire.peer_has_closed().await {
         s.book.borrow_mut().counters.gone_early += 1;
         return None;
     }
--- a/crates/scheduler/src/send.rs
+++ b/crates/scheduler/src/send.rs
@@ -2,7 +2,7 @@
 
 use super::book::{Forward, Stage, Work};
 use super::discovery::Target;
-use super::http::{Fault, Kind, Message, Wire};
+use super::http::{Connection, Fault, Kind, Message};
 use super::wheel::Due;
 use super::{Scheduler, relay, route};
 use loomlb_policy::{Ended, Event, Nanos, Outcome, Report, Reports, RequestId, WorkerId};
@@ -34,7 +34,7 @@
 /// A connection to a target, counted for as long as it lives.
 #[derive(Debug)]
 struct Link {
-    wire: Wire,
+    wire: Connection,
     _permit: Permit,
     /// How long it was idle before this use; 0 for a new one.
     idle: Nanos,
@@ -135,7 +135,7 @@
 
     /// Takes over an idle connection to a target from another process.
     pub fn adopt(&self, to: WorkerId, stream: TcpStream, since: Nanos) {
-        let link = Link { wire: Wire::new(stream), _permit: self.permit(), idle: 0 };
+        let link = Link { wire: Connection::new(stream), _permit: self.permit(), idle: 0 };
         self.put(to, link, since);
     }
 
@@ -239,7 +239,7 @@
     let connected = tokio::time::timeout(limit, loomlb_sockets::connect(target.dial, progress)).await;
     if let Ok(Ok(stream)) = connected {
         s.pool.short_here.set(false);
-        return Ok(Link { wire: Wire::new(stream), _permit: permit, idle: 0 });
+        return Ok(Link { wire: Connection::new(stream), _permit: permit, idle: 0 });
     }
     if !local.get() {
         return Err(NoConnection::Target);
@@ -376,7 +376,7 @@
             forward.written = Some(now);
         }
         let left = self.until.saturating_sub(now);
-        if link.wire.write(&request(target, work, left)).await.is_err() {
+        if link.wire.write_all(&request(target, work, left)).await.is_err() {
             return relay::ended(s, self.id, self.n, Outcome::NoConnection, None);
         }
         self.reached(Stage::Written);
@@ -590,7 +590,7 @@
     let target = s.group.target(to).ok_or(NoConnection::Target)?;
     let mut link = connect(s, to, &target, |_| {}).await?;
     let text = format!("{method} {path} HTTP/1.1\r\nHost: {}\r\nContent-Length: 0\r\n\r\n", target.dial);
-    let written = tokio::time::timeout(CALL, link.wire.write(text.as_bytes())).await;
+    let written = tokio::time::timeout(CALL, link.wire.write_all(text.as_bytes())).await;
     written.map_err(|_| Fault::Broken)?.map_err(Fault::from)?;
     Ok(link)
 }
