--- a/crates/scheduler/src/control.rs
+++ b/crates/scheduler/src/control.rs
@@ -2,7 +2,7 @@
 //! the clients' listener is at. What a call means is decided in `loomlb-control`.
 
 use super::agreed::Around;
-use super::http::{Connection, Fault, Kind, Message, response};
+use super::http::{Connection, Message, MessageKind, ReadError, encode_response};
 use super::{Scheduler, discovery, upgrade};
 use loomlb_control::call::{self, Call};
 use loomlb_control::service::State;
@@ -103,7 +103,7 @@
     let mut wire = Connection::new(stream);
     let read = tokio::select! {
         biased;
-        read = tokio::time::timeout(WHOLE, wire.read(Kind::Request)) => read.ok(),
+        read = tokio::time::timeout(WHOLE, wire.read(MessageKind::Request)) => read.ok(),
         () = seat.leave.notified() => {
             s.book.borrow_mut().counters.calls_cut += 1;
             return;
@@ -112,20 +112,20 @@
     seat.hold();
     let reply = match read {
         Some(Ok(message)) => answer(&s, &message).await,
-        Some(Err(Fault::Closed | Fault::Broken)) => {
+        Some(Err(ReadError::Closed | ReadError::Broken)) => {
             s.book.borrow_mut().counters.calls_cut += 1;
             return;
         }
-        Some(Err(Fault::Malformed)) => no(400, "malformed request"),
-        Some(Err(Fault::HeadTooLarge)) => no(431, "head too large"),
-        Some(Err(Fault::BodyTooLarge)) => no(413, "body too large"),
+        Some(Err(ReadError::Malformed)) => no(400, "malformed request"),
+        Some(Err(ReadError::HeadTooLarge)) => no(431, "head too large"),
+        Some(Err(ReadError::BodyTooLarge)) => no(413, "body too large"),
         None => no(408, "call not whole in time"),
     };
     s.book.borrow_mut().counters.called(reply.status);
     let allow = reply.allow.map(|method| ("Allow", method));
     let mut headers = vec![("Content-Type", "application/json")];
     headers.extend(allow);
-    let text = response(reply.status, &headers, reply.body.as_bytes(), false);
+    let text = encode_response(reply.status, &headers, reply.body.as_bytes(), false);
     if let Ok(Ok(())) = tokio::time::timeout(TAKEN, wire.write_all(&text)).await {
         seat.release();
         tokio::select! {
--- a/crates/scheduler/src/discovery.rs
+++ b/crates/scheduler/src/discovery.rs
@@ -1,6 +1,6 @@
 //! Discovery: the target group, as the platform's list tells of it.
 
-use super::http::{Connection, Kind, Message};
+use super::http::{Connection, Message, MessageKind};
 use super::worker_starts::{Incarnation, WorkerStarts};
 use super::{Scheduler, route};
 use loomlb_consensus::lists::{LEAVING, Leaving, Mine};
@@ -506,7 +506,7 @@
     if wire.write_all(call.as_bytes()).await.is_err() {
         return Err("the connection broke");
     }
-    match tokio::time::timeout(patience, wire.read(Kind::Response)).await {
+    match tokio::time::timeout(patience, wire.read(MessageKind::Response)).await {
         Ok(Ok(answer)) if answer.status == 200 => Ok(answer),
         Ok(Ok(_)) => Err("an answer other than 200"),
         Ok(Err(_)) => Err("the connection broke"),
--- a/crates/scheduler/src/http.rs
+++ b/crates/scheduler/src/http.rs
@@ -25,7 +25,7 @@
 
 /// Why no message could be read.
 #[derive(Debug)]
-pub enum Fault {
+pub enum ReadError {
     /// The other side closed between messages.
     Closed,
     /// The connection broke within one.
@@ -38,15 +38,15 @@
     BodyTooLarge,
 }
 
-impl From<io::Error> for Fault {
+impl From<io::Error> for ReadError {
     fn from(_: io::Error) -> Self {
-        Fault::Broken
+        ReadError::Broken
     }
 }
 
 /// What to read: a request or a response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Kind {
+pub enum MessageKind {
     /// From a client.
     Request,
     /// From a server.
@@ -76,12 +76,12 @@
     }
 
     /// The same as text, if it is.
-    pub fn text(&self, name: &str) -> Option<&str> {
+    pub fn header_text(&self, name: &str) -> Option<&str> {
         self.header(name).and_then(|v| std::str::from_utf8(v).ok()).map(str::trim)
     }
 
     /// Whether this header stands there more than once.
-    pub fn repeats(&self, name: &str) -> bool {
+    pub fn has_repeated_header(&self, name: &str) -> bool {
         self.headers.iter().filter(|h| h.0.eq_ignore_ascii_case(name.as_bytes())).count() > 1
     }
 
@@ -99,12 +99,12 @@
 }
 
 /// Parses the head at the start of `buf` and takes it out; `None` if it is not whole yet.
-fn take_head(buf: &mut BytesMut, kind: Kind) -> Result<Option<Message>, Fault> {
+fn take_head(buf: &mut BytesMut, kind: MessageKind) -> Result<Option<Message>, ReadError> {
     let mut room = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let at = |b: &[u8]| (b.as_ptr() as usize - buf.as_ptr() as usize, b.len());
     let (mut spans, mut message) = (Vec::new(), Message::default());
     let (parsed, version, start) = match kind {
-        Kind::Request => {
+        MessageKind::Request => {
             let mut head = httparse::Request::new(&mut room);
             let parsed = head.parse(buf);
             if let Ok(httparse::Status::Complete(_)) = parsed {
@@ -113,7 +113,7 @@
             let start = head.method.zip(head.path).map(|(m, p)| (at(m.as_bytes()), at(p.as_bytes())));
             (parsed, head.version, start)
         }
-        Kind::Response => {
+        MessageKind::Response => {
             let mut head = httparse::Response::new(&mut room);
             let parsed = head.parse(buf);
             if let Ok(httparse::Status::Complete(_)) = parsed {
@@ -126,8 +126,8 @@
     let length = match parsed {
         Ok(httparse::Status::Complete(length)) if length <= MAX_HEAD => length,
         Ok(httparse::Status::Partial) if buf.len() < MAX_HEAD => return Ok(None),
-        Ok(_) | Err(httparse::Error::TooManyHeaders) => return Err(Fault::HeadTooLarge),
-        Err(_) => return Err(Fault::Malformed),
+        Ok(_) | Err(httparse::Error::TooManyHeaders) => return Err(ReadError::HeadTooLarge),
+        Err(_) => return Err(ReadError::Malformed),
     };
     let head = buf.split_to(length).freeze();
     let cut = |(from, len): (usize, usize)| head.slice(from..from + len);
@@ -146,31 +146,31 @@
 
 /// How the body is framed. A message that says it twice is refused: the next reader on its way might believe
 /// the other one, and take what is hidden in the body for a request.
-fn framing(message: &Message, kind: Kind, longest: usize) -> Result<Framing, Fault> {
+fn framing(message: &Message, kind: MessageKind, longest: usize) -> Result<Framing, ReadError> {
     let all = |name: &'static str| {
         message.headers.iter().filter(move |h| h.0.eq_ignore_ascii_case(name.as_bytes())).map(|h| &h.1)
     };
     let (lengths, mut codings) = (all("content-length"), all("transfer-encoding"));
     let mut length = None;
     for value in lengths {
-        let text = std::str::from_utf8(value.trim_ascii()).map_err(|_| Fault::Malformed)?;
+        let text = std::str::from_utf8(value.trim_ascii()).map_err(|_| ReadError::Malformed)?;
         if text.is_empty() || !text.bytes().all(|b| b.is_ascii_digit()) || length.is_some() {
-            return Err(Fault::Malformed);
+            return Err(ReadError::Malformed);
         }
         length = Some(text);
     }
     match (codings.next(), length) {
         (Some(coding), None) if codings.next().is_none() => {
             let chunked = coding.trim_ascii().eq_ignore_ascii_case(b"chunked");
-            if chunked { Ok(Framing::Chunked) } else { Err(Fault::Malformed) }
+            if chunked { Ok(Framing::Chunked) } else { Err(ReadError::Malformed) }
         }
-        (Some(_), _) => Err(Fault::Malformed),
+        (Some(_), _) => Err(ReadError::Malformed),
         (None, Some(length)) => match length.parse() {
             Ok(length) if length <= longest => Ok(Framing::Length(length)),
-            _ => Err(Fault::BodyTooLarge),
+            _ => Err(ReadError::BodyTooLarge),
         },
         (None, None) => match (kind, message.status) {
-            (Kind::Request, _) | (_, 204 | 304) => Ok(Framing::Length(0)),
+            (MessageKind::Request, _) | (_, 204 | 304) => Ok(Framing::Length(0)),
             _ => Ok(Framing::UntilClose),
         },
     }
@@ -235,8 +235,8 @@
         }
     }
 
-    async fn more(&mut self) -> Result<(), Fault> {
-        if self.fill().await? == 0 { Err(Fault::Broken) } else { Ok(()) }
+    async fn more(&mut self) -> Result<(), ReadError> {
+        if self.fill().await? == 0 { Err(ReadError::Broken) } else { Ok(()) }
     }
 
     /// Whether the other side has closed or reset, as far as the kernel has told by now, without reading: what it sent
@@ -282,33 +282,33 @@
     }
 
     /// Reads one message, in as many parts as it comes in.
-    pub async fn read(&mut self, kind: Kind) -> Result<Message, Fault> {
+    pub async fn read(&mut self, kind: MessageKind) -> Result<Message, ReadError> {
         let message = self.read_head(kind).await?;
         self.read_body(kind, message).await
     }
 
     /// Reads the head of a message.
-    pub async fn read_head(&mut self, kind: Kind) -> Result<Message, Fault> {
+    pub async fn read_head(&mut self, kind: MessageKind) -> Result<Message, ReadError> {
         loop {
             if let Some(message) = take_head(&mut self.buf, kind)? {
-                if kind == Kind::Response && (100..200).contains(&message.status) {
+                if kind == MessageKind::Response && (100..200).contains(&message.status) {
                     continue;
                 }
                 return Ok(message);
             }
             let fresh = self.buf.is_empty();
             match self.fill().await {
-                Ok(0) | Err(_) if fresh => return Err(Fault::Closed),
-                Ok(0) | Err(_) => return Err(Fault::Broken),
+                Ok(0) | Err(_) if fresh => return Err(ReadError::Closed),
+                Ok(0) | Err(_) => return Err(ReadError::Broken),
                 Ok(_) => {}
             }
         }
     }
 
     /// Reads the body that belongs to a head.
-    pub async fn read_body(&mut self, kind: Kind, mut message: Message) -> Result<Message, Fault> {
+    pub async fn read_body(&mut self, kind: MessageKind, mut message: Message) -> Result<Message, ReadError> {
         let framing = framing(&message, kind, self.longest)?;
-        if kind == Kind::Request && message.says("expect", "100-continue") && self.buf.is_empty() {
+        if kind == MessageKind::Request && message.says("expect", "100-continue") && self.buf.is_empty() {
             self.write_all(b"HTTP/1.1 100 Continue\r\n\r\n").await?;
         }
         message.body = match framing {
@@ -323,7 +323,7 @@
                 message.keep_alive = false;
                 while self.fill().await? > 0 {
                     if self.buf.len() > self.longest {
-                        return Err(Fault::BodyTooLarge);
+                        return Err(ReadError::BodyTooLarge);
                     }
                 }
                 self.buf.split().freeze()
@@ -332,7 +332,7 @@
         Ok(message)
     }
 
-    async fn chunks(&mut self) -> Result<Bytes, Fault> {
+    async fn chunks(&mut self) -> Result<Bytes, ReadError> {
         let mut body = BytesMut::new();
         loop {
             let (skip, size) = loop {
@@ -340,11 +340,11 @@
                     Ok(httparse::Status::Complete(found)) => break found,
                     // A size line may carry extensions, but not without end.
                     Ok(httparse::Status::Partial) if self.buf.len() < 1024 => self.more().await?,
-                    _ => return Err(Fault::Malformed),
+                    _ => return Err(ReadError::Malformed),
                 }
             };
             if size > (self.longest - body.len()) as u64 {
-                return Err(Fault::BodyTooLarge);
+                return Err(ReadError::BodyTooLarge);
             }
             self.buf.advance(skip);
             if size == 0 {
@@ -356,7 +356,7 @@
             }
             body.extend_from_slice(&self.buf[..size]);
             if &self.buf[size..size + 2] != b"\r\n" {
-                return Err(Fault::Malformed);
+                return Err(ReadError::Malformed);
             }
             self.buf.advance(size + 2);
         }
@@ -373,7 +373,7 @@
                     }
                 }
                 None if seen + self.buf.len() < MAX_HEAD => self.more().await?,
-                None => return Err(Fault::HeadTooLarge),
+                None => return Err(ReadError::HeadTooLarge),
             }
         }
     }
@@ -414,7 +414,7 @@
 }
 
 /// The text of a response.
-pub fn response(status: u16, headers: &[(&str, &str)], body: &[u8], keep_alive: bool) -> Vec<u8> {
+pub fn encode_response(status: u16, headers: &[(&str, &str)], body: &[u8], keep_alive: bool) -> Vec<u8> {
     let reason = match status {
         200 => "OK",
         400 => "Bad Request",
@@ -452,7 +452,7 @@
         "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 202 Accepted\r\nContent-Length: 11\r\n\r\nhello world";
 
     /// Has these pieces written one after the other, then the side closed; what is read of them.
-    async fn read(kind: Kind, pieces: &[&str]) -> Result<Message, Fault> {
+    async fn read(kind: MessageKind, pieces: &[&str]) -> Result<Message, ReadError> {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let mut writer = TcpStream::connect(listener.local_addr().unwrap()).await.unwrap();
         let mut wire = Connection::new(listener.accept().await.unwrap().0);
@@ -469,7 +469,9 @@
 
     #[tokio::test]
     async fn messages_cut_at_any_byte_are_read_whole_or_end_as_broken() {
-        for (kind, text) in [(Kind::Request, CHUNKED), (Kind::Request, SIZED), (Kind::Response, ANSWER)] {
+        for (kind, text) in
+            [(MessageKind::Request, CHUNKED), (MessageKind::Request, SIZED), (MessageKind::Response, ANSWER)]
+        {
             for cut in 0..text.len() {
                 let (first, rest) = text.split_at(cut);
                 let message = read(kind, &[first, rest]).await.unwrap();
@@ -478,8 +480,8 @@
                 // Whoever leaves there has said nothing whole.
                 let fault = read(kind, &[first]).await.unwrap_err();
                 let between = cut == 0 || text[..cut].ends_with("100 Continue\r\n\r\n");
-                assert!(matches!(fault, Fault::Closed) == between, "left at {cut}: {fault:?}");
-                assert!(matches!(fault, Fault::Closed | Fault::Broken), "left at {cut}: {fault:?}");
+                assert!(matches!(fault, ReadError::Closed) == between, "left at {cut}: {fault:?}");
+                assert!(matches!(fault, ReadError::Closed | ReadError::Broken), "left at {cut}: {fault:?}");
             }
         }
     }
--- a/crates/scheduler/src/intake.rs
+++ b/crates/scheduler/src/intake.rs
@@ -2,7 +2,7 @@
 
 use super::admit::{Offer, Rejection, admit};
 use super::book::{Answer, Work};
-use super::http::{Connection, Fault, Kind, Message, response};
+use super::http::{Connection, Message, MessageKind, ReadError, encode_response};
 use super::relay::{self, Heard};
 use super::{Scheduler, upgrade};
 use loomlb_policy::Nanos;
@@ -291,7 +291,7 @@
         let whole_by = if first { begun } else { Instant::now() } + WHOLE;
         let read = tokio::select! {
             biased;
-            read = tokio::time::timeout_at(whole_by, wire.read(Kind::Request)) => read.ok(),
+            read = tokio::time::timeout_at(whole_by, wire.read(MessageKind::Request)) => read.ok(),
             () = seat.close.notified() => None,
         };
         first = false;
@@ -303,10 +303,10 @@
                 let Some(reply) = handle(&seat, &mut wire, &message).await else { return };
                 (reply, message.keep_alive)
             }
-            Some(Err(Fault::Closed | Fault::Broken)) => return,
-            Some(Err(Fault::Malformed)) => (Reply::plain(400, "malformed request"), false),
-            Some(Err(Fault::HeadTooLarge)) => (Reply::plain(431, "head too large"), false),
-            Some(Err(Fault::BodyTooLarge)) => (Reply::plain(413, "body too large"), false),
+            Some(Err(ReadError::Closed | ReadError::Broken)) => return,
+            Some(Err(ReadError::Malformed)) => (Reply::plain(400, "malformed request"), false),
+            Some(Err(ReadError::HeadTooLarge)) => (Reply::plain(431, "head too large"), false),
+            Some(Err(ReadError::BodyTooLarge)) => (Reply::plain(413, "body too large"), false),
             None => (Reply::plain(408, "request not whole in time"), false),
         };
         s.book.borrow_mut().counters.bad(reply.status);
@@ -317,7 +317,7 @@
         let keep_alive = keep_alive && !wire.overrun();
         let wait = format!("{:.3}", reply.retry_after as f64 / 1e9);
         let headers: &[(&str, &str)] = if reply.retry_after > 0 { &[("Retry-After", &wait)] } else { &[] };
-        let text = response(reply.status, headers, &reply.body, keep_alive);
+        let text = encode_response(reply.status, headers, &reply.body, keep_alive);
         match tokio::time::timeout(TAKEN, wire.write_all(&text)).await {
             Ok(Ok(())) if keep_alive => {}
             Ok(Ok(())) => return part(&seat, wire).await,
@@ -452,7 +452,7 @@
     let classes = &epoch.names.classes;
     let mut segments = path.split('/').filter(|p| !p.is_empty());
     let first = segments.next().unwrap_or_default();
-    let class = match message.text("X-Service-Class") {
+    let class = match message.header_text("X-Service-Class") {
         None if !classes.iter().any(|c| c == first) => return Err(Reply::plain(404, "unknown path")),
         None => first,
         Some(class) if !classes.iter().any(|c| c == class) => {
@@ -467,30 +467,30 @@
     // The targets may believe the other one.
     if ["X-Correlation-Id", "X-Service-Class", "X-Time-Left", "Idempotency-Key"]
         .iter()
-        .any(|h| message.repeats(h))
+        .any(|h| message.has_repeated_header(h))
     {
         return Err(Reply::plain(400, "repeated header"));
     }
-    let patience = match message.text("X-Time-Left").map(seconds) {
+    let patience = match message.header_text("X-Time-Left").map(seconds) {
         Some(None) => return Err(Reply::plain(400, "malformed X-Time-Left")),
         Some(patience) => patience,
         None => None,
     };
     let fact = |names: &[&str]| {
-        let facts = message.text("X-Facts")?.split(',').filter_map(|f| f.split_once('='));
+        let facts = message.header_text("X-Facts")?.split(',').filter_map(|f| f.split_once('='));
         let value = facts.filter(|f| names.contains(&f.0.trim())).find_map(|f| f.1.trim().parse().ok());
         value.filter(|v: &f64| v.is_finite() && *v >= 0.0)
     };
     Ok(Offer {
         class: class.to_string(),
-        tenant: message.text("X-Account").map(str::to_string),
+        tenant: message.header_text("X-Account").map(str::to_string),
         subject: segments.next_back().map(str::to_string),
         patience,
-        retry: message.text("X-Repeat") == Some("1"),
+        retry: message.header_text("X-Repeat") == Some("1"),
         slots: fact(&["slots"]),
         memory: fact(&["memory", "mem"]),
         expected: message
-            .text("X-Weight-Hint")
+            .header_text("X-Weight-Hint")
             .and_then(weight)
             .or_else(|| fact(&["expected", "hint"]).map(|v| v as Nanos)),
         work: Work {
--- a/crates/scheduler/src/send.rs
+++ b/crates/scheduler/src/send.rs
@@ -2,7 +2,7 @@
 
 use super::book::{Forward, Stage, Work};
 use super::discovery::Target;
-use super::http::{Connection, Fault, Kind, Message};
+use super::http::{Connection, Message, MessageKind, ReadError};
 use super::wheel::Due;
 use super::{Scheduler, relay, route};
 use loomlb_policy::{Ended, Event, Nanos, Outcome, Report, Reports, RequestId, WorkerId};
@@ -384,13 +384,13 @@
         let limit = Duration::from_nanos(left) + CALL;
         let taken = Cell::new(false);
         let read = async {
-            let head = link.wire.read_head(Kind::Response).await?;
+            let head = link.wire.read_head(MessageKind::Response).await?;
             if head.status == 202 {
                 // It has taken the job, whatever becomes of the rest of its answer: a give-up has to be told.
                 taken.set(true);
                 self.reached(Stage::Taken);
             }
-            link.wire.read_body(Kind::Response, head).await
+            link.wire.read_body(MessageKind::Response, head).await
         };
         let answer = tokio::time::timeout(limit, read).await;
         let (outcome, report) = match answer {
@@ -406,7 +406,7 @@
             Ok(Err(_)) | Err(_) if taken.get() => return,
             // The last byte is written, so it may have run.
             Ok(Err(fault)) => {
-                if link.idle > 0 && matches!(fault, Fault::Closed) {
+                if link.idle > 0 && matches!(fault, ReadError::Closed) {
                     s.pool.broke(self.to, link.idle, s.clock.now());
                 }
                 (Outcome::Reset, None)
@@ -478,8 +478,8 @@
 
 /// What a target's answer means for the forward; none if the target has taken it.
 fn read_answer(s: &Scheduler, answer: &Message) -> Option<(Outcome, Option<Report>)> {
-    let report = answer.text("X-Backend-Load").map(|text| read_report(s, text));
-    let unprocessed = answer.text("X-Unprocessed") == Some("1");
+    let report = answer.header_text("X-Backend-Load").map(|text| read_report(s, text));
+    let unprocessed = answer.header_text("X-Unprocessed") == Some("1");
     match answer.status {
         202 => None,
         503 | 504 if unprocessed => Some((Outcome::Full, report)),
@@ -570,11 +570,11 @@
     Unsent(#[from] NoConnection),
     /// Its connection broke, or what came is no answer.
     #[error("no answer: {0:?}")]
-    Unanswered(Fault),
+    Unanswered(ReadError),
 }
 
-impl From<Fault> for CallError {
-    fn from(fault: Fault) -> CallError {
+impl From<ReadError> for CallError {
+    fn from(fault: ReadError) -> CallError {
         CallError::Unanswered(fault)
     }
 }
@@ -591,14 +591,14 @@
     let mut link = connect(s, to, &target, |_| {}).await?;
     let text = format!("{method} {path} HTTP/1.1\r\nHost: {}\r\nContent-Length: 0\r\n\r\n", target.dial);
     let written = tokio::time::timeout(CALL, link.wire.write_all(text.as_bytes())).await;
-    written.map_err(|_| Fault::Broken)?.map_err(Fault::from)?;
+    written.map_err(|_| ReadError::Broken)?.map_err(ReadError::from)?;
     Ok(link)
 }
 
 /// Reads the answer to a small call.
-async fn end_call(s: &Scheduler, to: WorkerId, mut link: Link) -> Result<Message, Fault> {
-    let answer = tokio::time::timeout(CALL, link.wire.read(Kind::Response)).await;
-    let answer = answer.map_err(|_| Fault::Broken)??;
+async fn end_call(s: &Scheduler, to: WorkerId, mut link: Link) -> Result<Message, ReadError> {
+    let answer = tokio::time::timeout(CALL, link.wire.read(MessageKind::Response)).await;
+    let answer = answer.map_err(|_| ReadError::Broken)??;
     put_back(s, to, link, &answer);
     Ok(answer)
 }
