--- a/crates/scheduler/src/http.rs
+++ b/crates/scheduler/src/http.rs
@@ -11,9 +11,9 @@
 use tokio::net::TcpStream;
 
 /// A head is no longer than this.
-pub const MAX_HEAD: usize = 16 * 1024;
+pub const MAX_HEAD_BYTES: usize = 16 * 1024;
 /// Nor a body than this, unless its reader takes longer ones.
-pub const MAX_BODY: usize = 64 * 1024;
+pub const MAX_BODY_BYTES: usize = 64 * 1024;
 const MAX_HEADERS: usize = 64;
 /// Bytes that are kept of what a client sends while its last request is not answered.
 const AHEAD: usize = 8 * 1024;
@@ -124,8 +124,8 @@
         }
     };
     let length = match parsed {
-        Ok(httparse::Status::Complete(length)) if length <= MAX_HEAD => length,
-        Ok(httparse::Status::Partial) if buf.len() < MAX_HEAD => return Ok(None),
+        Ok(httparse::Status::Complete(length)) if length <= MAX_HEAD_BYTES => length,
+        Ok(httparse::Status::Partial) if buf.len() < MAX_HEAD_BYTES => return Ok(None),
         Ok(_) | Err(httparse::Error::TooManyHeaders) => return Err(ReadError::HeadTooLarge),
         Err(_) => return Err(ReadError::Malformed),
     };
@@ -202,7 +202,7 @@
     pub fn new(stream: TcpStream) -> Self {
         // Without this a small message could wait for the acknowledgement of the one before.
         let _ = stream.set_nodelay(true);
-        Connection { stream, buf: BytesMut::new(), overrun: false, longest: MAX_BODY }
+        Connection { stream, buf: BytesMut::new(), overrun: false, longest: MAX_BODY_BYTES }
     }
 
     /// The same where bodies may be of so many bytes.
@@ -372,7 +372,7 @@
                         return Ok(body.freeze());
                     }
                 }
-                None if seen + self.buf.len() < MAX_HEAD => self.more().await?,
+                None if seen + self.buf.len() < MAX_HEAD_BYTES => self.more().await?,
                 None => return Err(ReadError::HeadTooLarge),
             }
         }
@@ -385,7 +385,7 @@
 
     /// Reads what has come, for nobody.
     fn discard(&self) -> Discarded {
-        match self.stream.try_read(&mut [0; MAX_BODY]) {
+        match self.stream.try_read(&mut [0; MAX_BODY_BYTES]) {
             Ok(0) => Discarded::Closed,
             Ok(_) => Discarded::Some,
             Err(e) if is_momentary(&e) => Discarded::Nothing,
