--- a/crates/scheduler/src/admit.rs
+++ b/crates/scheduler/src/admit.rs
@@ -2,7 +2,7 @@
 
 use super::book::{Answer, Flow, Work};
 use super::shares::Share;
-use super::wheel::Due;
+use super::timers::TimerEvent;
 use super::{Scheduler, route};
 use loomlb_policy::boot::key;
 use loomlb_policy::{ClassId, Effect, Event, Nanos, Request, RequestId, TenantId};
@@ -117,7 +117,7 @@
     });
     drop(book);
     // A tick later than the last time-out, whose news lets the module answer by itself.
-    s.wheel.set(deadline.saturating_add(s.epoch().settings.tick), Due::Deadline(id));
+    s.timers.schedule(deadline.saturating_add(s.epoch().settings.tick), TimerEvent::FlowDeadline(id));
     let flow = id.0;
     tracing::debug!(
         flow,
--- a/crates/scheduler/src/lib.rs
+++ b/crates/scheduler/src/lib.rs
@@ -26,8 +26,8 @@
 pub mod send;
 pub mod shares;
 pub mod shutdown;
+pub mod timers;
 pub mod upgrade;
-pub mod wheel;
 pub mod worker_starts;
 
 use config::Config;
@@ -38,9 +38,9 @@
 use std::io;
 use std::net::SocketAddr;
 use std::rc::Rc;
+use timers::TimerEvent;
 use tokio::net::TcpListener;
 use tokio::task::{LocalSet, spawn_local};
-use wheel::Due;
 
 /// All that the stages share.
 #[derive(Debug)]
@@ -56,7 +56,7 @@
     /// The decision module.
     pub router: route::Router,
     /// Timers.
-    pub wheel: wheel::Wheel,
+    pub timers: timers::TimerWheel,
     /// Connections to targets.
     pub pool: send::Pool,
     /// The target group.
@@ -123,7 +123,7 @@
     let s = Rc::new(Scheduler {
         shares: shares.map_err(io::Error::other)?,
         router: route::Router::new(Dispatcher::new(epoch.settings.clone(), config.seed)),
-        wheel: wheel::Wheel::new(clock.now()),
+        timers: timers::TimerWheel::new(clock.now()),
         pool: send::Pool::new(config.outbound, epoch.terms.keepalive),
         listener: intake::Listener::new(config.inbound, config.ample),
         book: RefCell::default(),
@@ -142,7 +142,7 @@
     tracing::info!("{} serves at {}", s.config.name, listener.local_addr()?);
     upgrade::start(&s, before);
     send::sweep(&s);
-    spawn_local(wheel::turn(Rc::clone(&s)));
+    spawn_local(timers::run(Rc::clone(&s)));
     spawn_local(discovery::follow(Rc::clone(&s)));
     spawn_local(peers::listen(Rc::clone(&s)));
     if quotas_on {
@@ -167,11 +167,11 @@
 }
 
 /// A timer is due.
-pub fn due(s: &Rc<Scheduler>, due: Due) {
+pub fn handle_timer(s: &Rc<Scheduler>, due: TimerEvent) {
     match due {
-        Due::Module(token) => route::feed(s, Event::Timer(token)),
-        Due::Forward(id, n) => send::time_out(s, id, n),
-        Due::Deadline(id) => relay::overdue(s, id),
-        Due::Sweep => send::sweep(s),
+        TimerEvent::Dispatcher(token) => route::feed(s, Event::Timer(token)),
+        TimerEvent::ForwardTimeout(id, n) => send::time_out(s, id, n),
+        TimerEvent::FlowDeadline(id) => relay::overdue(s, id),
+        TimerEvent::PoolSweep => send::sweep(s),
     }
 }
--- a/crates/scheduler/src/route.rs
+++ b/crates/scheduler/src/route.rs
@@ -1,7 +1,7 @@
 //! Route: the only caller of the decision module. Events go in, actions come out and are carried out.
 
 use super::book::Answer;
-use super::wheel::Due;
+use super::timers::TimerEvent;
 use super::{Scheduler, relay, send};
 use loomlb_policy::{Action, Carried, Dispatcher, Event};
 use std::cell::{Cell, RefCell};
@@ -68,7 +68,7 @@
         }
         Action::Cancel(id, attempt) => send::cancel(s, id, attempt),
         Action::Timer { after, token } => {
-            s.wheel.set(s.clock.now().saturating_add(after), Due::Module(token));
+            s.timers.schedule(s.clock.now().saturating_add(after), TimerEvent::Dispatcher(token));
         }
         Action::Probe(worker) => send::probe(s, worker),
         Action::Close(worker) => s.pool.release(worker),
--- a/crates/scheduler/src/send.rs
+++ b/crates/scheduler/src/send.rs
@@ -3,7 +3,7 @@
 use super::book::{Forward, Stage, Work};
 use super::discovery::Target;
 use super::http::{Connection, Message, MessageKind, ReadError};
-use super::wheel::Due;
+use super::timers::TimerEvent;
 use super::{Scheduler, relay, route};
 use loomlb_policy::{Ended, Event, Nanos, Outcome, Report, Reports, RequestId, WorkerId};
 use loomlb_sockets::faults::ConnectFault;
@@ -285,7 +285,7 @@
         return relay::ended(s, id, n, Outcome::NotSent, None);
     };
     tracing::debug!(flow = id.0, target = &*target.host, attempt = n, "forwarded");
-    s.wheel.set(until, Due::Forward(id, n));
+    s.timers.schedule(until, TimerEvent::ForwardTimeout(id, n));
     let one = One { s: Rc::clone(s), id, n, to, until };
     let task = tokio::task::spawn_local(async move {
         for earlier in undoing {
@@ -629,7 +629,7 @@
 pub fn sweep(s: &Scheduler) {
     let now = s.clock.now();
     s.pool.sweep(now);
-    s.wheel.set(now + SWEEP, Due::Sweep);
+    s.timers.schedule(now + SWEEP, TimerEvent::PoolSweep);
 }
 
 #[cfg(test)]
--- a/crates/scheduler/src/wheel.rs
+++ b/crates/scheduler/src/timers.rs
@@ -12,27 +12,27 @@
 
 /// What to do when a timer is due.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Due {
+pub enum TimerEvent {
     /// A timer of the module.
-    Module(u64),
+    Dispatcher(u64),
     /// The time of a forward is over.
-    Forward(RequestId, u32),
+    ForwardTimeout(RequestId, u32),
     /// The deadline of a flow has come.
-    Deadline(RequestId),
+    FlowDeadline(RequestId),
     /// Connections are to be looked through.
-    Sweep,
+    PoolSweep,
 }
 
 #[derive(Debug)]
 struct Slots {
-    slots: Vec<Vec<(u64, Due)>>,
+    slots: Vec<Vec<(u64, TimerEvent)>>,
     /// The next tick to be served.
     next: u64,
 }
 
 /// The wheel: slot `t % SLOTS` holds what is due at tick `t`, this round or a later one.
 #[derive(Debug)]
-pub struct Wheel {
+pub struct TimerWheel {
     inner: RefCell<Slots>,
     /// When the turning task wakes by itself.
     wakes: Cell<Nanos>,
@@ -40,16 +40,16 @@
     earlier: Notify,
 }
 
-impl Wheel {
+impl TimerWheel {
     /// An empty wheel that starts now.
     pub fn new(now: Nanos) -> Self {
         let slots = vec![Vec::new(); SLOTS];
         let inner = RefCell::new(Slots { slots, next: now / TICK });
-        Wheel { inner, wakes: Cell::new(0), earlier: Notify::new() }
+        TimerWheel { inner, wakes: Cell::new(0), earlier: Notify::new() }
     }
 
     /// Sets a timer for the first tick at or after `at`.
-    pub fn set(&self, at: Nanos, due: Due) {
+    pub fn schedule(&self, at: Nanos, due: TimerEvent) {
         let mut inner = self.inner.borrow_mut();
         let tick = at.div_ceil(TICK).max(inner.next);
         inner.slots[tick as usize % SLOTS].push((tick, due));
@@ -67,7 +67,7 @@
     }
 
     /// Takes out what is due by now, in order.
-    fn take(&self, now: Nanos) -> Vec<Due> {
+    fn take(&self, now: Nanos) -> Vec<TimerEvent> {
         let mut inner = self.inner.borrow_mut();
         let (last, mut due) = (now / TICK, Vec::new());
         // After a long stall one round visits every slot.
@@ -87,16 +87,16 @@
 }
 
 /// Turns the wheel for as long as the program runs.
-pub async fn turn(s: Rc<Scheduler>) {
+pub async fn run(s: Rc<Scheduler>) {
     loop {
-        let at = s.wheel.upcoming();
-        s.wheel.wakes.set(at);
+        let at = s.timers.upcoming();
+        s.timers.wakes.set(at);
         tokio::select! {
             () = tokio::time::sleep_until(s.clock.instant(at)) => {}
-            () = s.wheel.earlier.notified() => {}
+            () = s.timers.earlier.notified() => {}
         }
-        for due in s.wheel.take(s.clock.now()) {
-            super::due(&s, due);
+        for due in s.timers.take(s.clock.now()) {
+            super::handle_timer(&s, due);
         }
     }
 }
@@ -107,15 +107,18 @@
 
     #[test]
     fn timers_come_due_in_order_across_rounds_and_stalls() {
-        let wheel = Wheel::new(0);
+        let wheel = TimerWheel::new(0);
         let round = SLOTS as Nanos * TICK;
         for at in [3 * round + 5, 7 * TICK, 2 * TICK + 1] {
-            wheel.set(at, Due::Module(at));
+            wheel.schedule(at, TimerEvent::Dispatcher(at));
         }
         assert_eq!(wheel.upcoming(), 3 * TICK);
         assert_eq!(wheel.take(2 * TICK + 1), []);
-        assert_eq!(wheel.take(round), [Due::Module(2 * TICK + 1), Due::Module(7 * TICK)]);
-        assert_eq!(wheel.take(9 * round), [Due::Module(3 * round + 5)]);
+        assert_eq!(
+            wheel.take(round),
+            [TimerEvent::Dispatcher(2 * TICK + 1), TimerEvent::Dispatcher(7 * TICK)]
+        );
+        assert_eq!(wheel.take(9 * round), [TimerEvent::Dispatcher(3 * round + 5)]);
         assert_eq!(wheel.upcoming(), 10 * round + TICK);
     }
 }
