--- a/crates/scheduler/src/admit.rs
+++ b/crates/scheduler/src/admit.rs
@@ -1,7 +1,7 @@
 //! Admit: whether an offer becomes a flow. It knows classes, tenants, deadlines and bounds, but no protocol.
 
 use super::book::{Answer, Flow, Work};
-use super::shares::Share;
+use super::quotas::QuotaDecision;
 use super::timers::TimerEvent;
 use super::{Scheduler, route};
 use loomlb_policy::boot::key;
@@ -87,11 +87,11 @@
     let most = epoch.settings.limits.max_attempts.max(1);
     let (slots, spread) = (offer.slots.unwrap_or(1.0), book.counters.flows ^ book.counters.turned_back << 32);
     let tenant = offer.tenant.as_deref().unwrap_or("");
-    let (holding, in_share) = match s.shares.ask(now, tenant, class, slots, offer.retry, spread) {
-        Share::Unasked => (None, None),
-        Share::Pass(holding, in_share) => (Some(holding), Some(in_share)),
-        Share::Stranger => (None, Some(false)),
-        Share::Refused(after) => {
+    let (holding, in_share) = match s.quotas.admit(now, tenant, class, slots, offer.retry, spread) {
+        QuotaDecision::Disabled => (None, None),
+        QuotaDecision::Admitted(holding, in_share) => (Some(holding), Some(in_share)),
+        QuotaDecision::UnknownTenant => (None, Some(false)),
+        QuotaDecision::Refused(after) => {
             book.counters.turned_back += 1;
             return Err(Rejection::NoRoom(after.min(longest)));
         }
--- a/crates/scheduler/src/book.rs
+++ b/crates/scheduler/src/book.rs
@@ -1,6 +1,6 @@
 //! Book: the table of open flows with their forwards, and the counters.
 
-use super::shares::Holding;
+use super::quotas::QuotaGrant;
 use bytes::Bytes;
 use loomlb_policy::{Nanos, Outcome, RequestId, WorkerId};
 use std::collections::HashMap;
@@ -87,7 +87,7 @@
     /// The forwards, by their numbers.
     pub forwards: Vec<Forward>,
     /// What it holds of its tenant's shares.
-    pub holding: Option<Holding>,
+    pub holding: Option<QuotaGrant>,
     /// Its class, by the number that it had when the flow was taken.
     pub class: usize,
     /// Forwards that it may have.
@@ -294,7 +294,7 @@
 
     /// Forgets a flow that is answered and has no forward out; what it held of shares, and the seconds its jobs ran.
     #[must_use]
-    pub fn tidy(&mut self, id: RequestId) -> Option<(Holding, f64)> {
+    pub fn tidy(&mut self, id: RequestId) -> Option<(QuotaGrant, f64)> {
         let over = |f: &Flow| f.reply.is_none() && f.forwards.iter().all(|x| x.stage == Stage::Ended);
         if !self.flows.get(&id).is_some_and(over) {
             return None;
--- a/crates/scheduler/src/lib.rs
+++ b/crates/scheduler/src/lib.rs
@@ -20,11 +20,11 @@
 pub mod http;
 pub mod intake;
 pub mod peers;
+pub mod quotas;
 pub mod relay;
 pub mod reload;
 pub mod route;
 pub mod send;
-pub mod shares;
 pub mod shutdown;
 pub mod timers;
 pub mod upgrade;
@@ -72,7 +72,7 @@
     /// The process before this one, and the one after it.
     pub upgrade: upgrade::Upgrade,
     /// Nested quotas, where the operator has them.
-    pub shares: shares::Shares,
+    pub quotas: quotas::TenantQuotas,
     /// What the tier has agreed on, where the operator has one.
     pub tier: loomlb_tier::Tier,
 }
@@ -85,12 +85,12 @@
 }
 
 /// Runs the scheduler until it is told to end.
-pub fn serve(config: Config, quotas: shares::Quotas, tier: Option<loomlb_tier::Spec>) -> io::Result<()> {
+pub fn serve(config: Config, quotas: quotas::QuotaSource, tier: Option<loomlb_tier::Spec>) -> io::Result<()> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     LocalSet::new().block_on(&runtime, run(config, quotas, tier))
 }
 
-async fn run(config: Config, quotas: shares::Quotas, tier: Option<loomlb_tier::Spec>) -> io::Result<()> {
+async fn run(config: Config, quotas: quotas::QuotaSource, tier: Option<loomlb_tier::Spec>) -> io::Result<()> {
     // Before anything that takes time: a signal that nobody has taken over ends the program.
     let (hangup, signals) = (reload::take_over()?, shutdown::Signals::new()?);
     if let Some(fault) = &config.passed_over {
@@ -119,9 +119,9 @@
     let epoch = Rc::clone(&config.epoch);
     // Off on the platform: without quotas at the start nothing more is said among schedulers.
     let quotas_on = quotas.spec.is_some();
-    let shares = shares::Shares::new(quotas, &epoch.aims(), epoch.settings.dispatchers, clock.now());
+    let shares = quotas::TenantQuotas::new(quotas, &epoch.aims(), epoch.settings.dispatchers, clock.now());
     let s = Rc::new(Scheduler {
-        shares: shares.map_err(io::Error::other)?,
+        quotas: shares.map_err(io::Error::other)?,
         router: route::Router::new(Dispatcher::new(epoch.settings.clone(), config.seed)),
         timers: timers::TimerWheel::new(clock.now()),
         pool: send::Pool::new(config.outbound, epoch.terms.keepalive),
--- a/crates/scheduler/src/peers.rs
+++ b/crates/scheduler/src/peers.rs
@@ -89,7 +89,7 @@
 pub async fn share(s: Rc<Scheduler>) {
     loop {
         tokio::time::sleep(TALK).await;
-        for word in s.shares.talk(s.clock.now()) {
+        for word in s.quotas.traffic_digests(s.clock.now()) {
             s.peers.tell(&s, Receiver::All, &word);
         }
     }
@@ -122,7 +122,7 @@
         let peer = s.config.peers.iter().position(|p| *p == from).filter(|p| *p != me && length <= MAX);
         if let Some(peer) = peer {
             s.book.borrow_mut().counters.peers_in += 1;
-            if !s.shares.hear(s.clock.now(), peer, &buf[..length]) {
+            if !s.quotas.handle_digest(s.clock.now(), peer, &buf[..length]) {
                 route::feed(&s, Event::Peer(PeerId(peer as u32), buf[..length].to_vec()));
             }
         }
--- a/crates/scheduler/src/shares.rs
+++ b/crates/scheduler/src/quotas.rs
@@ -1,4 +1,4 @@
-//! Shares: nested quotas between admit and the module, where the operator file has them.
+//! TenantQuotas: nested quotas between admit and the module, where the operator file has them.
 //!
 //! `admit` asks for every flow; what a flow really took, in slot seconds of the starts and ends that its targets told, is
 //! settled when it is over. Without quotas nothing is asked and the module's own shares hold.
@@ -20,16 +20,16 @@
 }
 
 /// The quotas of the operator file, and how to read them again.
-pub struct Quotas {
+pub struct QuotaSource {
     /// The tree; none where there are no quotas.
     pub spec: Option<Spec>,
     /// Reads the operator file again.
-    pub again: Box<dyn Fn() -> Result<Option<Spec>, String>>,
+    pub reload: Box<dyn Fn() -> Result<Option<Spec>, String>>,
 }
 
 /// What a flow holds of its tenant's shares until it is over.
 #[derive(Clone, Copy, Debug)]
-pub struct Holding {
+pub struct QuotaGrant {
     ticket: Ticket,
     /// Its class.
     pub class: usize,
@@ -38,62 +38,75 @@
 }
 
 /// The quota core with what it needs to know of classes.
-pub struct Shares {
+pub struct TenantQuotas {
     quota: RefCell<Option<Quota>>,
     /// Mean work of each class's jobs, in slot seconds of one slot.
     mean: RefCell<Vec<f64>>,
-    again: Box<dyn Fn() -> Result<Option<Spec>, String>>,
+    reload: Box<dyn Fn() -> Result<Option<Spec>, String>>,
     /// Schedulers that share the tree: each holds an equal part of it, or what its traffic calls for where they talk.
     schedulers: u32,
     parts: RefCell<Parts>,
 }
 
-impl fmt::Debug for Shares {
+impl fmt::Debug for TenantQuotas {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.debug_struct("Shares").field("quota", &self.quota).finish_non_exhaustive()
+        f.debug_struct("TenantQuotas").field("quota", &self.quota).finish_non_exhaustive()
     }
 }
 
 /// What admit is told.
 #[derive(Debug)]
-pub enum Share {
+pub enum QuotaDecision {
     /// There are no quotas.
-    Unasked,
+    Disabled,
     /// It may pass; whether it is within its tenant's share, lent room included.
-    Pass(Holding, bool),
+    Admitted(QuotaGrant, bool),
     /// No node has its tenant's name: over share, and nothing is held.
-    Stranger,
+    UnknownTenant,
     /// A ceiling is reached; come back after this time.
     Refused(Nanos),
 }
 
-impl Shares {
+impl TenantQuotas {
     /// The shares of one of so many schedulers. The tree is checked by whoever read it.
-    pub fn new(quotas: Quotas, aims: &[Nanos], schedulers: u32, now: Nanos) -> Result<Shares, String> {
+    pub fn new(
+        quotas: QuotaSource,
+        aims: &[Nanos],
+        schedulers: u32,
+        now: Nanos,
+    ) -> Result<TenantQuotas, String> {
         let schedulers = schedulers.max(1);
         let quota = quotas.spec.map(|spec| Quota::new(spec.part(1.0 / f64::from(schedulers)), now));
         let quota = quota.transpose().map_err(|e| format!("quota: {e}"))?;
         let mean = aims.iter().map(first_mean).collect();
-        Ok(Shares {
+        Ok(TenantQuotas {
             quota: RefCell::new(quota),
             mean: RefCell::new(mean),
-            again: quotas.again,
+            reload: quotas.reload,
             schedulers,
             parts: RefCell::new(Parts::new(schedulers as usize)),
         })
     }
 
     /// The classes' aims have changed: a class behind those known starts from its own.
-    pub fn classes(&self, aims: &[Nanos]) {
+    pub fn add_classes(&self, aims: &[Nanos]) {
         let mut mean = self.mean.borrow_mut();
         let known = mean.len();
         mean.extend(aims.iter().skip(known).map(first_mean));
     }
 
     /// Asks for a flow.
-    pub fn ask(&self, now: Nanos, tenant: &str, class: usize, slots: f64, retry: bool, spread: u64) -> Share {
+    pub fn admit(
+        &self,
+        now: Nanos,
+        tenant: &str,
+        class: usize,
+        slots: f64,
+        retry: bool,
+        spread: u64,
+    ) -> QuotaDecision {
         let mut quota = self.quota.borrow_mut();
-        let Some(quota) = quota.as_mut() else { return Share::Unasked };
+        let Some(quota) = quota.as_mut() else { return QuotaDecision::Disabled };
         let slots = slots.max(1.0);
         let work = self.mean.borrow().get(class).copied().unwrap_or(0.0) * slots;
         if self.schedulers > 1 {
@@ -101,15 +114,15 @@
         }
         match quota.admit(now, tenant, &Ask { slots, work, retry, spread }) {
             Verdict::Admitted(ticket, standing) => {
-                Share::Pass(Holding { ticket, class, slots }, standing != Standing::Over)
+                QuotaDecision::Admitted(QuotaGrant { ticket, class, slots }, standing != Standing::Over)
             }
-            Verdict::Refused(refusal) => Share::Refused(refusal.after),
-            Verdict::Unknown => Share::Stranger,
+            Verdict::Refused(refusal) => QuotaDecision::Refused(refusal.after),
+            Verdict::Unknown => QuotaDecision::UnknownTenant,
         }
     }
 
     /// A flow is over, and its jobs ran for so many seconds in all.
-    pub fn settle(&self, now: Nanos, holding: Holding, seconds: f64) {
+    pub fn settle(&self, now: Nanos, holding: QuotaGrant, seconds: f64) {
         if let Some(mean) = self.mean.borrow_mut().get_mut(holding.class).filter(|_| seconds > 0.0) {
             *mean += (seconds - *mean) * NEW;
         }
@@ -120,7 +133,7 @@
 
     /// What peers are to be told of the traffic here; this scheduler's own parts are brought up to date. Nothing
     /// without quotas or without peers.
-    pub fn talk(&self, now: Nanos) -> Vec<Vec<u8>> {
+    pub fn traffic_digests(&self, now: Nanos) -> Vec<Vec<u8>> {
         let mut quota = self.quota.borrow_mut();
         let Some(quota) = quota.as_mut().filter(|_| self.schedulers > 1) else { return Vec::new() };
         let mut parts = self.parts.borrow_mut();
@@ -131,7 +144,7 @@
     }
 
     /// Takes in a peer's datagram if it is a digest of traffic; false if it is for the module.
-    pub fn hear(&self, now: Nanos, peer: usize, bytes: &[u8]) -> bool {
+    pub fn handle_digest(&self, now: Nanos, peer: usize, bytes: &[u8]) -> bool {
         let ours = bytes.first() == Some(&parts::MARK) && self.quota.borrow().is_some();
         if ours {
             self.parts.borrow_mut().hear(now, peer, bytes);
@@ -141,7 +154,7 @@
 
     /// Reads the operator file again and puts its tree in place, whole; a faulty one changes nothing.
     pub fn reload(&self, now: Nanos) -> Result<(), String> {
-        let fresh = (self.again)()?;
+        let fresh = (self.reload)()?;
         let part = 1.0 / f64::from(self.schedulers);
         let mut quota = self.quota.borrow_mut();
         match (quota.as_mut(), fresh) {
@@ -157,7 +170,7 @@
     }
 
     /// Counters and the largest loans, for the log; none without quotas.
-    pub fn table(&self, now: Nanos) -> Option<String> {
+    pub fn summary(&self, now: Nanos) -> Option<String> {
         let mut quota = self.quota.borrow_mut();
         let quota = quota.as_mut()?;
         let mut loans = quota.loans(now);
--- a/crates/scheduler/src/relay.rs
+++ b/crates/scheduler/src/relay.rs
@@ -1,7 +1,7 @@
 //! Relay: what targets say of a forward goes to the module, and answers go to whoever fed the flow.
 
 use super::book::{Answer, Stage};
-use super::shares::Holding;
+use super::quotas::QuotaGrant;
 use super::{Scheduler, route};
 use bytes::Bytes;
 use loomlb_policy::{Ended, Event, Note, Outcome, Report, RequestId};
@@ -31,9 +31,9 @@
 }
 
 /// A flow is over: its shares are charged what it took.
-fn settle(s: &Scheduler, over: Option<(Holding, f64)>) {
+fn settle(s: &Scheduler, over: Option<(QuotaGrant, f64)>) {
     if let Some((holding, seconds)) = over {
-        s.shares.settle(s.clock.now(), holding, seconds);
+        s.quotas.settle(s.clock.now(), holding, seconds);
     }
 }
 
--- a/crates/scheduler/src/reload.rs
+++ b/crates/scheduler/src/reload.rs
@@ -24,7 +24,7 @@
     let s = Rc::clone(s);
     spawn_local(async move {
         while hangup.recv().await.is_some() {
-            if let Err(e) = s.shares.reload(s.clock.now()) {
+            if let Err(e) = s.quotas.reload(s.clock.now()) {
                 s.book.borrow_mut().counters.reload_faults += 1;
                 tracing::error!("operator file: {e}; the old one stays");
             }
@@ -76,7 +76,7 @@
     let changed = starts.iter().filter(|start| **start != Start::Kept).count();
     s.pool.keepalive(next.terms.keepalive);
     s.shutdown.turn(|service| service.patience(next.longest()));
-    s.shares.classes(&next.aims());
+    s.quotas.add_classes(&next.aims());
     let settings = Box::new(next.settings.clone());
     *s.epoch.borrow_mut() = Rc::new(next);
     route::feed(s, Event::Settings(settings, starts));
--- a/crates/scheduler/src/shutdown.rs
+++ b/crates/scheduler/src/shutdown.rs
@@ -83,7 +83,7 @@
 /// Logs the counters.
 pub fn report(s: &Scheduler) {
     tracing::info!("counters: {}", s.book.borrow().counters);
-    if let Some(table) = s.shares.table(s.clock.now()) {
+    if let Some(table) = s.quotas.summary(s.clock.now()) {
         tracing::info!("{table}");
     }
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -6,7 +6,7 @@
 
 use clap::{Parser, Subcommand};
 use loomlb_scheduler::config::Config;
-use loomlb_scheduler::shares::Quotas;
+use loomlb_scheduler::quotas::QuotaSource;
 use operator::{Format, Operator};
 use std::ffi::OsString;
 use std::path::PathBuf;
@@ -119,9 +119,9 @@
         return faulty("log", &e);
     }
     let file = args.operator.clone();
-    let quotas = Quotas {
+    let quotas = QuotaSource {
         spec: operator.quota,
-        again: Box::new(move || Operator::load(file.as_deref()).map(|fresh| fresh.quota)),
+        reload: Box::new(move || Operator::load(file.as_deref()).map(|fresh| fresh.quota)),
     };
     match loomlb_scheduler::serve(config, quotas, operator.tier) {
         Ok(()) => ExitCode::SUCCESS,
