--- a/crates/scheduler/src/admit.rs
+++ b/crates/scheduler/src/admit.rs
@@ -74,7 +74,7 @@
     let now = s.clock.now();
     let mut book = s.book.borrow_mut();
     // Two flows of one id could not be told apart in call-backs.
-    if book.find(&offer.work.correlation).is_some() {
+    if book.find_by_correlation_id(&offer.work.correlation).is_some() {
         return Err(Rejection::Bad("id already in use"));
     }
     let full =
@@ -103,7 +103,7 @@
     let (reply, answer) = oneshot::channel();
     let correlation = offer.work.correlation.clone();
     let work = Rc::new(offer.work);
-    let id = book.open(Flow {
+    let id = book.insert(Flow {
         work,
         deadline,
         reply: Some(reply),
--- a/crates/scheduler/src/book.rs
+++ b/crates/scheduler/src/book.rs
@@ -197,18 +197,18 @@
 
 impl Counters {
     /// Counts a plain answer to bad input.
-    pub fn bad(&mut self, status: u16) {
+    pub fn count_invalid_request(&mut self, status: u16) {
         BAD.iter().zip(&mut self.bad).filter(|b| *b.0 == status).for_each(|b| *b.1 += 1);
     }
 
     /// Counts the answer to a call of staff.
-    pub fn called(&mut self, status: u16) {
+    pub fn count_control_call(&mut self, status: u16) {
         self.calls += u64::from(status == 200);
         CALLS_NO.iter().zip(&mut self.calls_no).filter(|c| *c.0 == status).for_each(|c| *c.1 += 1);
     }
 
     /// Counts the end of a forward.
-    pub fn outcome(&mut self, outcome: Outcome) {
+    pub fn count_outcome(&mut self, outcome: Outcome) {
         OUTCOMES.iter().zip(&mut self.outcomes).filter(|o| *o.0 == outcome).for_each(|o| *o.1 += 1);
     }
 }
@@ -259,7 +259,7 @@
 
 impl Book {
     /// Enters a flow under a fresh number.
-    pub fn open(&mut self, flow: Flow) -> RequestId {
+    pub fn insert(&mut self, flow: Flow) -> RequestId {
         self.last += 1;
         let id = RequestId(self.last);
         self.counters.flows += 1;
@@ -281,12 +281,12 @@
     }
 
     /// The flow with this id of the client's.
-    pub fn find(&self, correlation: &[u8]) -> Option<RequestId> {
+    pub fn find_by_correlation_id(&self, correlation: &[u8]) -> Option<RequestId> {
         self.by_correlation.get(correlation).copied()
     }
 
     /// Takes out where the answer goes; none if the flow is answered.
-    pub fn settle(&mut self, id: RequestId) -> Option<oneshot::Sender<Answer>> {
+    pub fn take_reply(&mut self, id: RequestId) -> Option<oneshot::Sender<Answer>> {
         let reply = self.flows.get_mut(&id)?.reply.take()?;
         self.owed -= 1;
         Some(reply)
@@ -294,7 +294,7 @@
 
     /// Forgets a flow that is answered and has no forward out; what it held of shares, and the seconds its jobs ran.
     #[must_use]
-    pub fn tidy(&mut self, id: RequestId) -> Option<(QuotaGrant, f64)> {
+    pub fn remove_if_finished(&mut self, id: RequestId) -> Option<(QuotaGrant, f64)> {
         let over = |f: &Flow| f.reply.is_none() && f.forwards.iter().all(|x| x.stage == Stage::Ended);
         if !self.flows.get(&id).is_some_and(over) {
             return None;
@@ -306,12 +306,12 @@
     }
 
     /// Whether a flow of a class is in the table.
-    pub fn has_class(&self, class: usize) -> bool {
+    pub fn has_flow_of_class(&self, class: usize) -> bool {
         self.flows.values().any(|f| f.class == class)
     }
 
     /// Slots that forwards hold at targets, by these.
-    pub fn held(&self) -> HashMap<Rc<str>, f64> {
+    pub fn slots_by_host(&self) -> HashMap<Rc<str>, f64> {
         let mut held = HashMap::new();
         for flow in self.flows.values() {
             for forward in flow.forwards.iter().filter(|f| f.stage != Stage::Ended) {
@@ -322,7 +322,7 @@
     }
 
     /// Flows that are owed an answer.
-    pub fn owed(&self) -> usize {
+    pub fn unanswered(&self) -> usize {
         self.owed
     }
 
--- a/crates/scheduler/src/control.rs
+++ b/crates/scheduler/src/control.rs
@@ -121,7 +121,7 @@
         Some(Err(ReadError::BodyTooLarge)) => no(413, "body too large"),
         None => no(408, "call not whole in time"),
     };
-    s.book.borrow_mut().counters.called(reply.status);
+    s.book.borrow_mut().counters.count_control_call(reply.status);
     let allow = reply.allow.map(|method| ("Allow", method));
     let mut headers = vec![("Content-Type", "application/json")];
     headers.extend(allow);
@@ -228,7 +228,7 @@
     };
     let orders = s.orders.borrow();
     let out: Vec<&str> = orders.out().collect();
-    let flows = s.book.borrow().owed();
+    let flows = s.book.borrow().unanswered();
     format!(
         "{}\n",
         serde_json::json!({ "yes": true, "service": service, "workers_out": out, "flows": flows })
--- a/crates/scheduler/src/intake.rs
+++ b/crates/scheduler/src/intake.rs
@@ -309,7 +309,7 @@
             Some(Err(ReadError::BodyTooLarge)) => (Reply::plain(413, "body too large"), false),
             None => (Reply::plain(408, "request not whole in time"), false),
         };
-        s.book.borrow_mut().counters.bad(reply.status);
+        s.book.borrow_mut().counters.count_invalid_request(reply.status);
         // Call-backs go on: what was taken cannot finish without them. So do requests that have come already: one that is
         // read and then closed with no answer would be lost.
         let closes = s.shutdown.service().parting(s.clock.now());
--- a/crates/scheduler/src/relay.rs
+++ b/crates/scheduler/src/relay.rs
@@ -12,7 +12,7 @@
 /// Gives a flow its final answer; false if it has had one.
 pub fn answer(s: &Rc<Scheduler>, id: RequestId, answer: Answer) -> bool {
     let mut book = s.book.borrow_mut();
-    let Some(reply) = book.settle(id) else { return false };
+    let Some(reply) = book.take_reply(id) else { return false };
     let said = match answer {
         Answer::Served(_) => "served",
         Answer::Refused(_) => "refused",
@@ -24,7 +24,7 @@
         Answer::Refused(_) => book.counters.refused += 1,
         Answer::Failed => book.counters.failed += 1,
     }
-    settle(s, book.tidy(id));
+    settle(s, book.remove_if_finished(id));
     // If the client has hung up in this very moment, nobody listens any more.
     let _ = reply.send(answer);
     true
@@ -40,9 +40,9 @@
 /// The client of a flow has gone.
 pub fn gone(s: &Rc<Scheduler>, id: RequestId) {
     let mut book = s.book.borrow_mut();
-    if book.settle(id).is_some() {
+    if book.take_reply(id).is_some() {
         book.counters.gone += 1;
-        settle(s, book.tidy(id));
+        settle(s, book.remove_if_finished(id));
         drop(book);
         route::feed(s, Event::Gone(id));
     }
@@ -71,8 +71,8 @@
         f.ran += ran;
         f.reply.is_none()
     });
-    book.counters.outcome(outcome);
-    settle(s, book.tidy(id));
+    book.counters.count_outcome(outcome);
+    settle(s, book.remove_if_finished(id));
     drop(book);
     route::feed(s, Event::Ended { id, attempt: n, ended: Ended { outcome, latency, closed, report } });
 }
@@ -110,7 +110,7 @@
     }
     let mut book = s.book.borrow_mut();
     book.counters.call_backs += 1;
-    let Some(id) = book.find(said.id.as_bytes()) else { return Heard::Stranger };
+    let Some(id) = book.find_by_correlation_id(said.id.as_bytes()) else { return Heard::Stranger };
     let found = Some(id).and_then(|id| {
         let forwards = &book.flow(id)?.forwards;
         let n = forwards.iter().rposition(|f| *f.host == *said.from)?;
--- a/crates/scheduler/src/reload.rs
+++ b/crates/scheduler/src/reload.rs
@@ -71,7 +71,7 @@
 /// Puts settings in force, all of them or nothing. Discovery is followed on from the list that is there.
 pub fn put_in_force(s: &Rc<Scheduler>, fresh: Fresh) -> Result<(), String> {
     let book = s.book.borrow();
-    let (next, starts) = s.epoch().next((*fresh.epoch).clone(), |class| book.has_class(class.0))?;
+    let (next, starts) = s.epoch().next((*fresh.epoch).clone(), |class| book.has_flow_of_class(class.0))?;
     drop(book);
     let changed = starts.iter().filter(|start| **start != Start::Kept).count();
     s.pool.keepalive(next.terms.keepalive);
--- a/crates/scheduler/src/upgrade.rs
+++ b/crates/scheduler/src/upgrade.rs
@@ -345,7 +345,7 @@
 }
 
 fn holds(s: &Scheduler) -> Holds {
-    let held = s.book.borrow().held();
+    let held = s.book.borrow().slots_by_host();
     Holds {
         slots: held.into_iter().map(|(host, slots)| (host.to_string(), slots)).collect(),
         inbound: s.listener.taken(),
@@ -384,7 +384,7 @@
 fn heard(s: &Rc<Scheduler>, partner: &Rc<Partner>, word: Word, descriptor: Option<OwnedFd>) {
     match (word, descriptor) {
         (Word::Ready, _) if partner.successor && s.upgrade.turn(Old::ready) == Act::Commit => {
-            tracing::info!("upgrade: handed over, {} flows to finish", s.book.borrow().owed());
+            tracing::info!("upgrade: handed over, {} flows to finish", s.book.borrow().unanswered());
             s.upgrade.turned.notify_one();
             partner.link.say(&Word::Committed, None);
             for (to, descriptor, since) in s.pool.take_all() {
@@ -511,7 +511,7 @@
 /// its call-backs come through here.
 pub fn is_finished(s: &Scheduler) -> bool {
     s.upgrade.heir().is_some()
-        && s.book.borrow().owed() == 0
+        && s.book.borrow().unanswered() == 0
         && s.listener.taken() == 0
         && s.upgrade.partners.borrow().iter().all(|p| p.successor)
 }
