--- a/crates/scheduler/src/discovery.rs
+++ b/crates/scheduler/src/discovery.rs
@@ -209,7 +209,7 @@
 pub fn ordered(s: &Rc<Scheduler>, host: &str) {
     let id = number(host);
     let Some(target) = s.group.target(id).filter(|t| &*t.host == host) else { return };
-    s.pool.release(id);
+    s.pool.close_idle(id);
     let entry = effective(&s.orders.borrow(), &target);
     route::feed(s, Event::Workers { kind: ListKind::Partial, entries: vec![entry] });
 }
@@ -236,7 +236,7 @@
     target.hearsay = Some(now);
     let entry = effective(&s.orders.borrow(), target);
     drop(targets);
-    s.pool.release(id);
+    s.pool.close_idle(id);
     route::feed(s, Event::Workers { kind: ListKind::Partial, entries: vec![entry] });
     true
 }
@@ -288,7 +288,7 @@
         for (id, target) in targets.iter_mut().filter(|t| !named.contains(t.0)) {
             target.leaving.get_or_insert(now);
             target.word.state = WorkerState::Gone;
-            s.pool.release(*id);
+            s.pool.close_idle(*id);
         }
     }
     let hosts: Vec<(Host, SocketAddr)> =
@@ -322,7 +322,7 @@
         };
         if leaving.is_some() || known.is_some_and(|t| t.said.born_ms != host.born_ms || t.dial != dial) {
             // Connections to a process that has ended or is about to: the next use would only find that out.
-            s.pool.release(id);
+            s.pool.close_idle(id);
         }
         let worker =
             Worker { cell: CellId(host.block), state, weight: host.share, started, ..Worker::new(id) };
--- a/crates/scheduler/src/reload.rs
+++ b/crates/scheduler/src/reload.rs
@@ -74,7 +74,7 @@
     let (next, starts) = s.epoch().next((*fresh.epoch).clone(), |class| book.has_flow_of_class(class.0))?;
     drop(book);
     let changed = starts.iter().filter(|start| **start != Start::Kept).count();
-    s.pool.keepalive(next.terms.keepalive);
+    s.pool.set_keepalive(next.terms.keepalive);
     s.shutdown.turn(|service| service.patience(next.longest()));
     s.quotas.add_classes(&next.aims());
     let settings = Box::new(next.settings.clone());
--- a/crates/scheduler/src/route.rs
+++ b/crates/scheduler/src/route.rs
@@ -71,7 +71,7 @@
             s.timers.schedule(s.clock.now().saturating_add(after), TimerEvent::Dispatcher(token));
         }
         Action::Probe(worker) => send::probe(s, worker),
-        Action::Close(worker) => s.pool.release(worker),
+        Action::Close(worker) => s.pool.close_idle(worker),
         Action::Watch => s.group.ask(),
         Action::Tell(to, bytes) => s.peers.tell(s, to, &bytes),
     }
--- a/crates/scheduler/src/send.rs
+++ b/crates/scheduler/src/send.rs
@@ -98,12 +98,12 @@
     }
 
     /// Targets close idle connections after this time from now on.
-    pub fn keepalive(&self, keepalive: Nanos) {
+    pub fn set_keepalive(&self, keepalive: Nanos) {
         self.keep.set(keepalive / 4 * 3);
     }
 
     /// Jobs that their targets are still to be told to drop.
-    pub fn undoing(&self) -> usize {
+    pub fn unsent_cancellations(&self) -> usize {
         self.undoing.get()
     }
 
@@ -122,12 +122,12 @@
     }
 
     /// Connections to targets, idle ones included.
-    pub fn open(&self) -> usize {
+    pub fn open_count(&self) -> usize {
         self.open.get()
     }
 
     /// Takes out all that is idle, as descriptors, with their targets and since when they are idle.
-    pub fn take_all(&self) -> Vec<(WorkerId, OwnedFd, Nanos)> {
+    pub fn take_all_idle(&self) -> Vec<(WorkerId, OwnedFd, Nanos)> {
         let idle = std::mem::take(&mut *self.idle.borrow_mut());
         let all = idle.into_iter().flat_map(|(to, links)| links.into_iter().map(move |i| (to, i)));
         all.filter_map(|(to, i)| Some((to, i.link.wire.descriptor().ok()?, i.since))).collect()
@@ -146,7 +146,7 @@
     }
 
     /// Closes the idle connections to a target.
-    pub fn release(&self, target: WorkerId) {
+    pub fn close_idle(&self, target: WorkerId) {
         self.idle.borrow_mut().remove(&target);
     }
 
@@ -659,7 +659,7 @@
         pool.put(TO, link, SECOND);
         let mut twice = rested(&pool, SECOND).await;
         twice.write_all(b"HTTP/1.1 202 Accepted\r\n\r\n").await.unwrap();
-        while pool.open() > 1 {
+        while pool.open_count() > 1 {
             tokio::task::yield_now().await;
             pool.sweep(SECOND);
         }
@@ -674,7 +674,7 @@
     async fn idle_connections_that_their_target_has_closed_are_swept_and_never_taken() {
         let pool = Pool::new(8, 60 * SECOND);
         drop(rested(&pool, SECOND).await);
-        while pool.open() > 0 {
+        while pool.open_count() > 0 {
             tokio::task::yield_now().await;
             pool.sweep(SECOND);
         }
--- a/crates/scheduler/src/shutdown.rs
+++ b/crates/scheduler/src/shutdown.rs
@@ -103,7 +103,11 @@
     s.shutdown.turn(|service| service.end(now));
     tracing::info!("asked to end, {} flows to finish", s.book.borrow().unanswered());
     loop {
-        let over = || s.book.borrow().unanswered() == 0 && s.listener.engaged() == 0 && s.pool.undoing() == 0;
+        let over = || {
+            s.book.borrow().unanswered() == 0
+                && s.listener.engaged() == 0
+                && s.pool.unsent_cancellations() == 0
+        };
         // A process that ends resets connections on which something still comes, and what it wrote last with them.
         let parted = || s.listener.ending() == 0 || service_over(s);
         if upgrade::is_finished(s) {
--- a/crates/scheduler/src/upgrade.rs
+++ b/crates/scheduler/src/upgrade.rs
@@ -349,7 +349,7 @@
     Holds {
         slots: held.into_iter().map(|(host, slots)| (host.to_string(), slots)).collect(),
         inbound: s.listener.taken(),
-        outbound: s.pool.open(),
+        outbound: s.pool.open_count(),
     }
 }
 
@@ -387,7 +387,7 @@
             tracing::info!("upgrade: handed over, {} flows to finish", s.book.borrow().unanswered());
             s.upgrade.turned.notify_one();
             partner.link.say(&Word::Committed, None);
-            for (to, descriptor, since) in s.pool.take_all() {
+            for (to, descriptor, since) in s.pool.take_all_idle() {
                 partner.give_target(s, to, descriptor, since);
             }
             s.upgrade.moved.notify_waiters();
