--- a/crates/scheduler/src/intake.rs
+++ b/crates/scheduler/src/intake.rs
@@ -78,23 +78,23 @@
     }
 
     /// Connections.
-    pub fn taken(&self) -> usize {
+    pub fn connection_count(&self) -> usize {
         self.seats.borrow().len()
     }
 
     /// Connections that are within a request.
-    pub fn engaged(&self) -> usize {
+    pub fn active_count(&self) -> usize {
         self.seats.borrow().values().filter(|s| matches!(s.state, State::Partial(_) | State::Served)).count()
     }
 
     /// Connections whose end is said, and not seen by the other side yet.
-    pub fn ending(&self) -> usize {
+    pub fn closing_count(&self) -> usize {
         self.seats.borrow().values().filter(|s| matches!(s.state, State::Ending)).count()
     }
 
     /// Whether another connection would have to wait for room.
     fn full(&self, elsewhere: usize) -> bool {
-        self.taken() + elsewhere >= self.limit
+        self.connection_count() + elsewhere >= self.limit
     }
 
     /// Asks one connection to close: one that ends anyway; then the one that has owed a request for longest, or has been idle for
@@ -115,7 +115,7 @@
     /// limited number of connections to it, and clients whose requests come beyond that are turned away there, where
     /// nobody here hears of them.
     fn thin(&self, now: Nanos, elsewhere: usize) {
-        if self.taken() + elsewhere > self.ample {
+        if self.connection_count() + elsewhere > self.ample {
             self.evict(now, JUST_COME);
         }
     }
--- a/crates/scheduler/src/shutdown.rs
+++ b/crates/scheduler/src/shutdown.rs
@@ -105,11 +105,11 @@
     loop {
         let over = || {
             s.book.borrow().unanswered() == 0
-                && s.listener.engaged() == 0
+                && s.listener.active_count() == 0
                 && s.pool.unsent_cancellations() == 0
         };
         // A process that ends resets connections on which something still comes, and what it wrote last with them.
-        let parted = || s.listener.ending() == 0 || service_over(s);
+        let parted = || s.listener.closing_count() == 0 || service_over(s);
         if upgrade::is_finished(s) {
             return upgrade::finished(s).await;
         }
--- a/crates/scheduler/src/upgrade.rs
+++ b/crates/scheduler/src/upgrade.rs
@@ -348,7 +348,7 @@
     let held = s.book.borrow().slots_by_host();
     Holds {
         slots: held.into_iter().map(|(host, slots)| (host.to_string(), slots)).collect(),
-        inbound: s.listener.taken(),
+        inbound: s.listener.connection_count(),
         outbound: s.pool.open_count(),
     }
 }
@@ -512,7 +512,7 @@
 pub fn is_finished(s: &Scheduler) -> bool {
     s.upgrade.heir().is_some()
         && s.book.borrow().unanswered() == 0
-        && s.listener.taken() == 0
+        && s.listener.connection_count() == 0
         && s.upgrade.partners.borrow().iter().all(|p| p.successor)
 }
 
