--- a/crates/scheduler/src/admit.rs
+++ b/crates/scheduler/src/admit.rs
@@ -140,7 +140,7 @@
         in_share,
         expected: offer.expected,
     };
-    route::feed(s, Event::Request(request));
+    route::handle_event(s, Event::Request(request));
     Ok(Taken { id, answer })
 }
 
--- a/crates/scheduler/src/lib.rs
+++ b/crates/scheduler/src/lib.rs
@@ -169,7 +169,7 @@
 /// A timer is due.
 pub fn handle_timer(s: &Rc<Scheduler>, due: TimerEvent) {
     match due {
-        TimerEvent::Dispatcher(token) => route::feed(s, Event::Timer(token)),
+        TimerEvent::Dispatcher(token) => route::handle_event(s, Event::Timer(token)),
         TimerEvent::ForwardTimeout(id, n) => send::time_out(s, id, n),
         TimerEvent::FlowDeadline(id) => relay::overdue(s, id),
         TimerEvent::PoolSweep => send::sweep(s),
--- a/crates/scheduler/src/relay.rs
+++ b/crates/scheduler/src/relay.rs
@@ -44,7 +44,7 @@
         book.counters.gone += 1;
         settle(s, book.remove_if_finished(id));
         drop(book);
-        route::feed(s, Event::Gone(id));
+        route::handle_event(s, Event::Gone(id));
     }
 }
 
@@ -52,7 +52,7 @@
 pub fn overdue(s: &Rc<Scheduler>, id: RequestId) {
     if answer(s, id, Answer::Failed) {
         s.book.borrow_mut().counters.overdue += 1;
-        route::feed(s, Event::Gone(id));
+        route::handle_event(s, Event::Gone(id));
     }
 }
 
@@ -74,7 +74,10 @@
     book.counters.count_outcome(outcome);
     settle(s, book.remove_if_finished(id));
     drop(book);
-    route::feed(s, Event::Ended { id, attempt: n, ended: Ended { outcome, latency, closed, report } });
+    route::handle_event(
+        s,
+        Event::Ended { id, attempt: n, ended: Ended { outcome, latency, closed, report } },
+    );
 }
 
 #[derive(Deserialize)]
@@ -134,8 +137,8 @@
         report
     });
     match &*said.state {
-        "started" => route::feed(s, Event::Note(id, n, Note::Started)),
-        "running" => route::feed(s, Event::Note(id, n, Note::Progress(said.share.unwrap_or(0.0)))),
+        "started" => route::handle_event(s, Event::Note(id, n, Note::Started)),
+        "running" => route::handle_event(s, Event::Note(id, n, Note::Progress(said.share.unwrap_or(0.0)))),
         "done" => {
             answer(s, id, Answer::Served(Bytes::from(said.result.unwrap_or_default())));
             ended(s, id, n, Outcome::Served, report);
--- a/crates/scheduler/src/route.rs
+++ b/crates/scheduler/src/route.rs
@@ -19,12 +19,12 @@
 
 impl Router {
     /// What the module has learned.
-    pub fn carried(&self) -> Carried {
+    pub fn learned_state(&self) -> Carried {
         self.module.borrow().carried()
     }
 
     /// Gives the module what another had learned.
-    pub fn restore(&self, carried: Carried) {
+    pub fn restore_learned_state(&self, carried: Carried) {
         self.module.borrow_mut().restore(carried);
     }
 
@@ -35,7 +35,7 @@
 }
 
 /// Tells the module of an event and carries out what it wants. What happens on the way waits its turn.
-pub fn feed(s: &Rc<Scheduler>, event: Event) {
+pub fn handle_event(s: &Rc<Scheduler>, event: Event) {
     s.router.events.borrow_mut().push_back(event);
     if s.router.busy.replace(true) {
         return;
--- a/crates/scheduler/src/send.rs
+++ b/crates/scheduler/src/send.rs
@@ -621,7 +621,7 @@
         };
         let latency = s.clock.now().saturating_sub(sent);
         let ended = Ended { outcome, latency, closed: false, report };
-        route::feed(&s, Event::Probed { worker: to, ended });
+        route::handle_event(&s, Event::Probed { worker: to, ended });
     });
 }
 
--- a/crates/scheduler/src/upgrade.rs
+++ b/crates/scheduler/src/upgrade.rs
@@ -447,13 +447,13 @@
     for (host, slots) in changed.chain(gone) {
         let turn = s.upgrade.next.replace(s.upgrade.next.get() + 1) as u16;
         let held = Held { worker: number(host), slots: slots.round() as u8, turn, failed: false };
-        route::feed(s, Event::Peer(me, Message::Holds(held).bytes()));
+        route::handle_event(s, Event::Peer(me, Message::Holds(held).bytes()));
     }
 }
 
 /// The other process is over, and what it held with it.
 fn forget(s: &Rc<Scheduler>) {
-    route::feed(
+    route::handle_event(
         s,
         Event::Peer(s.epoch().settings.me, Message::Hello(ZoneId(s.epoch().settings.zone.0)).bytes()),
     );
--- a/crates/scheduler/src/upgrade/snapshot.rs
+++ b/crates/scheduler/src/upgrade/snapshot.rs
@@ -53,7 +53,7 @@
             tenants: names.tenants.clone(),
             kinds: names.kinds.clone(),
             zones: names.zones.clone(),
-            carried: s.router.carried().with_starts(|id, started| listed_start(&s.group, id, started)),
+            carried: s.router.learned_state().with_starts(|id, started| listed_start(&s.group, id, started)),
             orders: s.orders.borrow().clone(),
             service: s.shutdown.service().state(),
             list: s.group.list(),
@@ -84,7 +84,7 @@
         let carried = self.carried.with_starts(|id, listed| assigned_start(&s.group, id, listed));
         let names =
             Names { classes: self.classes, tenants: self.tenants, zones: self.zones, kinds: self.kinds };
-        s.router.restore(carried.arranged(&names, &s.epoch().names));
+        s.router.restore_learned_state(carried.arranged(&names, &s.epoch().names));
     }
 }
 
