--- a/crates/scheduler/src/intake.rs
+++ b/crates/scheduler/src/intake.rs
@@ -3,7 +3,7 @@
 use super::admit::{Offer, Rejection, admit};
 use super::book::{Answer, Work};
 use super::http::{Connection, Message, MessageKind, ReadError, encode_response};
-use super::relay::{self, Heard};
+use super::relay::{self, CallBackResult};
 use super::{Scheduler, upgrade};
 use loomlb_policy::Nanos;
 use loomlb_sockets::{AcceptNext, AcceptRetry};
@@ -401,9 +401,9 @@
         HEALTH => return Some(Reply::plain(200, "ready")),
         CALL_BACKS if method != b"POST" => return Some(Reply::plain(405, "only POST is served here")),
         CALL_BACKS => {
-            return Some(match relay::call_back(s, &message.body) {
-                Heard::Malformed => Reply::plain(400, "malformed call-back"),
-                Heard::Stranger if !upgrade::pass_call_back(s, &message.body).await => {
+            return Some(match relay::handle_call_back(s, &message.body) {
+                CallBackResult::Malformed => Reply::plain(400, "malformed call-back"),
+                CallBackResult::UnknownFlow if !upgrade::pass_call_back(s, &message.body).await => {
                     Reply::plain(503, "its process does not answer")
                 }
                 _ => {
--- a/crates/scheduler/src/relay.rs
+++ b/crates/scheduler/src/relay.rs
@@ -95,25 +95,27 @@
 
 /// What a call-back was.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Heard {
+pub enum CallBackResult {
     /// Malformed.
     Malformed,
     /// Of a flow that is here.
-    Noted,
+    Accepted,
     /// Of no flow that is here.
-    Stranger,
+    UnknownFlow,
 }
 
 /// Takes in a call-back. It may be early, late, repeated, or of a forward given up: only the last forward of
 /// that flow to that target counts, and only while it is out.
-pub fn call_back(s: &Rc<Scheduler>, body: &[u8]) -> Heard {
-    let Ok(said) = serde_json::from_slice::<CallBack>(body) else { return Heard::Malformed };
+pub fn handle_call_back(s: &Rc<Scheduler>, body: &[u8]) -> CallBackResult {
+    let Ok(said) = serde_json::from_slice::<CallBack>(body) else { return CallBackResult::Malformed };
     if !["started", "running", "done", "failed", "returned", "lost"].contains(&&*said.state) {
-        return Heard::Malformed;
+        return CallBackResult::Malformed;
     }
     let mut book = s.book.borrow_mut();
     book.counters.call_backs += 1;
-    let Some(id) = book.find_by_correlation_id(said.id.as_bytes()) else { return Heard::Stranger };
+    let Some(id) = book.find_by_correlation_id(said.id.as_bytes()) else {
+        return CallBackResult::UnknownFlow;
+    };
     let found = Some(id).and_then(|id| {
         let forwards = &book.flow(id)?.forwards;
         let n = forwards.iter().rposition(|f| *f.host == *said.from)?;
@@ -121,7 +123,7 @@
     });
     let Some((id, n)) = found else {
         book.counters.call_backs_unknown += 1;
-        return Heard::Noted;
+        return CallBackResult::Accepted;
     };
     if said.state == "started"
         && let Some(forward) = book.forward(id, n)
@@ -147,5 +149,5 @@
         "lost" => ended(s, id, n, Outcome::Reset, report),
         _ => ended(s, id, n, Outcome::Error, report),
     }
-    Heard::Noted
+    CallBackResult::Accepted
 }
--- a/crates/scheduler/src/upgrade.rs
+++ b/crates/scheduler/src/upgrade.rs
@@ -4,7 +4,7 @@
 use super::clock::Clock;
 use super::config::{Config, beside};
 use super::discovery::{self, number};
-use super::relay::{self, Heard};
+use super::relay::{self, CallBackResult};
 use super::{Scheduler, control, intake, route};
 use loomlb_hot_restart::link::{Inbox, Link};
 use loomlb_hot_restart::machine::{Act, New, Old};
@@ -419,7 +419,9 @@
                     control::passed_on(s, method, path);
                     false
                 }
-                Ask::CallBack(body) => relay::call_back(s, body.as_bytes()) == Heard::Noted,
+                Ask::CallBack(body) => {
+                    relay::handle_call_back(s, body.as_bytes()) == CallBackResult::Accepted
+                }
             };
             let (s, partner) = (Rc::clone(s), Rc::clone(partner));
             spawn_local(async move {
