--- a/crates/scheduler/src/agreed.rs
+++ b/crates/scheduler/src/agreed.rs
@@ -18,7 +18,7 @@
 
 impl Application for Around {
     fn list(&self) -> Mine {
-        self.0.group.mine(self.0.clock.now())
+        self.0.target_group.mine(self.0.clock.now())
     }
 
     fn settings(&self) -> Value {
@@ -46,7 +46,7 @@
     }
 
     fn ask_list_anew(&self) {
-        self.0.group.ask_anew();
+        self.0.target_group.ask_anew();
     }
 }
 
--- a/crates/scheduler/src/control.rs
+++ b/crates/scheduler/src/control.rs
@@ -156,7 +156,7 @@
         }
     };
     if let Call::Offline(host) | Call::Online(host) = &call
-        && !s.group.names(host)
+        && !s.target_group.names(host)
         && !s.orders.borrow().is_out(host)
     {
         return no(404, "unknown worker");
--- a/crates/scheduler/src/discovery.rs
+++ b/crates/scheduler/src/discovery.rs
@@ -208,7 +208,7 @@
 /// to be restarted, or has been, are of no use.
 pub fn ordered(s: &Rc<Scheduler>, host: &str) {
     let id = number(host);
-    let Some(target) = s.group.target(id).filter(|t| &*t.host == host) else { return };
+    let Some(target) = s.target_group.target(id).filter(|t| &*t.host == host) else { return };
     s.pool.close_idle(id);
     let entry = effective(&s.orders.borrow(), &target);
     route::handle_event(s, Event::Workers { kind: ListKind::Partial, entries: vec![entry] });
@@ -218,7 +218,7 @@
 /// list says what it is, or the word is over. True if that is news. Words never take more than a third of the targets.
 pub fn hearsay(s: &Rc<Scheduler>, host: &str, born_ms: u64) -> bool {
     let (now, id) = (s.clock.now(), number(host));
-    let mut targets = s.group.targets.borrow_mut();
+    let mut targets = s.target_group.targets.borrow_mut();
     let (all, said) = (targets.len(), targets.values().filter(|t| t.hearsay.is_some()).count());
     let Some(target) = targets.get_mut(&id).filter(|t| &*t.host == host && t.leaving.is_none()) else {
         return false;
@@ -244,7 +244,7 @@
 /// Words of others that were not said again for a while are over: the targets are as our own list says.
 pub fn forget_hearsay(s: &Rc<Scheduler>) {
     let now = s.clock.now();
-    let mut targets = s.group.targets.borrow_mut();
+    let mut targets = s.target_group.targets.borrow_mut();
     let over = targets.values_mut().filter(|t| t.hearsay.is_some_and(|at| now >= at + HEARD));
     let entries: Vec<Worker> = over
         .map(|target| {
@@ -261,7 +261,7 @@
 /// Zones and kinds may have other numbers since the settings have changed: the module is told of all targets anew.
 pub fn renamed(s: &Rc<Scheduler>) {
     let epoch = s.epoch();
-    let mut targets = s.group.targets.borrow_mut();
+    let mut targets = s.target_group.targets.borrow_mut();
     let listed = targets.values_mut().filter(|t| t.word.state != WorkerState::Gone);
     let entries = listed.map(|target| {
         target.word = epoch.names.worker(&target.said.site, &target.said.class, target.word.clone());
@@ -282,7 +282,7 @@
 /// Takes in a list and tells the module of it.
 fn take(s: &Rc<Scheduler>, list: List, kind: ListKind) {
     let now = s.clock.now();
-    let mut targets = s.group.targets.borrow_mut();
+    let mut targets = s.target_group.targets.borrow_mut();
     if kind != ListKind::Partial {
         let named: HashSet<WorkerId> = list.hosts.iter().map(|h| number(&h.host)).collect();
         for (id, target) in targets.iter_mut().filter(|t| !named.contains(t.0)) {
@@ -293,7 +293,7 @@
     }
     let hosts: Vec<(Host, SocketAddr)> =
         list.hosts.into_iter().filter_map(|host| dialable(&targets, host)).collect();
-    let mut starts = s.group.starts.borrow_mut();
+    let mut starts = s.target_group.starts.borrow_mut();
     let news = hosts.iter().filter(|(host, _)| known_start(&targets, host).is_none());
     starts.observe(now, news.map(|(host, _)| (&*host.host, host.born_ms)));
     let mut entries = Vec::with_capacity(hosts.len());
@@ -392,16 +392,16 @@
 pub fn take_over(s: &Rc<Scheduler>, list: List, starts: Option<WorkerStarts>) {
     let answered = list.whole;
     let told = starts.is_some();
-    s.group.starts.replace(starts.unwrap_or_default());
+    s.target_group.starts.replace(starts.unwrap_or_default());
     start_from(s, list);
     if answered && !told {
-        s.group.starts.borrow_mut().answered(s.clock.now());
+        s.target_group.starts.borrow_mut().answered(s.clock.now());
     }
 }
 
 /// Takes in the first list, and follows discovery from its version on if it was a whole one.
 fn start_from(s: &Rc<Scheduler>, list: List) {
-    s.group.seq.set(list.whole.then_some(list.seq));
+    s.target_group.seq.set(list.whole.then_some(list.seq));
     take(s, list, ListKind::Persisted);
 }
 
@@ -412,8 +412,8 @@
     loop {
         if s.epoch().settings.ask_for_list {
             tokio::select! {
-                () = s.group.asked.notified() => {}
-                () = s.group.moved.notified() => s.group.seq.set(None),
+                () = s.target_group.asked.notified() => {}
+                () = s.target_group.moved.notified() => s.target_group.seq.set(None),
             }
         }
         let fault = loop {
@@ -425,7 +425,7 @@
                 // At another address the versions may be others, and a watch that still waits at the old one
                 // would be told nothing more: the whole list is asked for at once. Until it comes the old
                 // stays.
-                () = s.group.moved.notified() => s.group.seq.set(None),
+                () = s.target_group.moved.notified() => s.target_group.seq.set(None),
             }
         };
         s.book.borrow_mut().counters.list_faults += 1;
@@ -472,7 +472,7 @@
 
 /// A connection of its own, and the answer to one call on it.
 async fn first_call(s: Rc<Scheduler>) -> Result<(Connection, Message), &'static str> {
-    let address = s.group.address.get().unwrap_or(s.config.discovery);
+    let address = s.target_group.address.get().unwrap_or(s.config.discovery);
     let count = |fault: Option<_>| s.book.borrow_mut().counters.dials_again += u64::from(fault.is_some());
     let dial = tokio::time::timeout(PATIENCE, loomlb_sockets::connect(address, count));
     let Ok(Ok(stream)) = dial.await else { return Err("no connection") };
@@ -481,23 +481,23 @@
     let answer = ask(&mut wire, &question(&s, Duration::ZERO), first_patience(&s)).await;
     // An answer that comes late, or an error, leaves open whether the crowd is gone.
     if begun.elapsed() >= PATIENCE {
-        s.group.unanswered.set(true);
+        s.target_group.unanswered.set(true);
     } else if answer.is_ok() {
-        s.group.unanswered.set(false);
+        s.target_group.unanswered.set(false);
     }
     answer.map(|answer| (wire, answer))
 }
 
 /// How long the answer to the first call on a connection may take. An agent that has pushed lists answers at once.
 fn first_patience(s: &Scheduler) -> Duration {
-    let crowded = s.epoch().settings.ask_for_list && s.group.unanswered.get();
+    let crowded = s.epoch().settings.ask_for_list && s.target_group.unanswered.get();
     if crowded { PATIENCE_WHEN_CROWDED } else { PATIENCE }
 }
 
 /// A call for what has changed since the version we have, which may wait this long for news.
 fn question(s: &Scheduler, hold: Duration) -> String {
-    let address = s.group.address.get().unwrap_or(s.config.discovery);
-    let seq = s.group.seq.get();
+    let address = s.target_group.address.get().unwrap_or(s.config.discovery);
+    let seq = s.target_group.seq.get();
     let query = seq.map_or(String::new(), |seq| format!("?from={seq}&hold_ms={}", hold.as_millis()));
     format!("GET /v1/servers{query} HTTP/1.1\r\nHost: {address}\r\n\r\n")
 }
@@ -518,13 +518,13 @@
 fn take_in(s: &Rc<Scheduler>, answer: &Message) -> Result<(), &'static str> {
     let Ok(list) = serde_json::from_slice::<List>(&answer.body) else { return Err("a malformed list") };
     let kind = if list.whole { ListKind::Complete } else { ListKind::Partial };
-    s.group.seq.set(Some(list.seq));
+    s.target_group.seq.set(Some(list.seq));
     s.book.borrow_mut().counters.lists += 1;
     tracing::debug!(seq = list.seq, whole = list.whole, entries = list.hosts.len(), "list");
     if kind == ListKind::Complete || !list.hosts.is_empty() {
         take(s, list, kind);
     }
-    s.group.starts.borrow_mut().answered(s.clock.now());
+    s.target_group.starts.borrow_mut().answered(s.clock.now());
     Ok(())
 }
 
--- a/crates/scheduler/src/lib.rs
+++ b/crates/scheduler/src/lib.rs
@@ -60,7 +60,7 @@
     /// Connections to targets.
     pub pool: send::Pool,
     /// The target group.
-    pub group: discovery::Group,
+    pub target_group: discovery::Group,
     /// The other schedulers.
     pub peers: peers::Peers,
     /// What staff ordered of workers.
@@ -127,7 +127,7 @@
         pool: send::Pool::new(config.outbound, epoch.terms.keepalive),
         listener: intake::Listener::new(config.inbound, config.ample),
         book: RefCell::default(),
-        group: discovery::Group::default(),
+        target_group: discovery::Group::default(),
         orders: RefCell::default(),
         shutdown: shutdown::Shutdown::new(epoch.longest(), epoch.settings.dispatchers <= 1),
         upgrade: upgrade::Upgrade::new(&config, before.is_some()),
--- a/crates/scheduler/src/reload.rs
+++ b/crates/scheduler/src/reload.rs
@@ -58,13 +58,13 @@
     let fresh = s.config.reload()?;
     if s.tier.on() {
         // Where the tier agrees on settings, a file is a proposal, and only what is this scheduler's own is taken in here.
-        s.group.follow_at(fresh.discovery);
+        s.target_group.follow_at(fresh.discovery);
         agreed::propose_settings(s, &fresh.settings());
         return Ok(());
     }
     let discovery = fresh.discovery;
     put_in_force(s, fresh)?;
-    s.group.follow_at(discovery);
+    s.target_group.follow_at(discovery);
     Ok(())
 }
 
--- a/crates/scheduler/src/route.rs
+++ b/crates/scheduler/src/route.rs
@@ -72,7 +72,7 @@
         }
         Action::Probe(worker) => send::probe(s, worker),
         Action::Close(worker) => s.pool.close_idle(worker),
-        Action::Watch => s.group.ask(),
+        Action::Watch => s.target_group.ask(),
         Action::Tell(to, bytes) => s.peers.tell(s, to, &bytes),
     }
 }
--- a/crates/scheduler/src/send.rs
+++ b/crates/scheduler/src/send.rs
@@ -254,7 +254,7 @@
 /// Carries out one send of the module: one forward, written once.
 pub fn forward(s: &Rc<Scheduler>, id: RequestId, to: WorkerId, timeout: Nanos) {
     let now = s.clock.now();
-    let target = s.group.target(to);
+    let target = s.target_group.target(to);
     let mut book = s.book.borrow_mut();
     let Some(flow) = book.flow(id) else {
         return tracing::error!("the module sends a flow that is over");
@@ -425,7 +425,7 @@
         let first =
             flow.as_ref().and_then(|f| f.forwards.iter().filter(|x| !x.never_ran).find_map(|x| x.written));
         let window = flow.as_ref().and_then(|f| f.window);
-        let target = s.group.target(self.to);
+        let target = s.target_group.target(self.to);
         LastLook {
             owed: flow.is_some_and(|f| f.reply.is_some()),
             until: self.until,
@@ -462,7 +462,7 @@
         s.pool.twice.set(Some(s.clock.now()));
     }
     let staying = |t: Target| t.leaving.is_none() && !s.orders.borrow().is_out(&t.host);
-    let staying = s.group.target(to).is_some_and(staying);
+    let staying = s.target_group.target(to).is_some_and(staying);
     if answer.keep_alive && !link.wire.has_input() && staying {
         // A process that has handed over needs few connections any more: the next job is the other's.
         match s.upgrade.heir() {
@@ -587,7 +587,7 @@
 
 /// Writes a small call.
 async fn begin_call(s: &Scheduler, to: WorkerId, method: &str, path: &str) -> Result<Link, CallError> {
-    let target = s.group.target(to).ok_or(NoConnection::Target)?;
+    let target = s.target_group.target(to).ok_or(NoConnection::Target)?;
     let mut link = connect(s, to, &target, |_| {}).await?;
     let text = format!("{method} {path} HTTP/1.1\r\nHost: {}\r\nContent-Length: 0\r\n\r\n", target.dial);
     let written = tokio::time::timeout(CALL, link.wire.write_all(text.as_bytes())).await;
--- a/crates/scheduler/src/upgrade.rs
+++ b/crates/scheduler/src/upgrade.rs
@@ -60,7 +60,7 @@
 
     /// Passes an idle connection to a target on.
     pub fn give_target(&self, s: &Scheduler, to: WorkerId, descriptor: OwnedFd, since: Nanos) {
-        if let Some(target) = s.group.target(to) {
+        if let Some(target) = s.target_group.target(to) {
             s.book.borrow_mut().counters.passed_on += 1;
             self.link.say(&Word::Target { host: target.host.to_string(), since }, Some(descriptor));
         }
@@ -406,7 +406,7 @@
             let stream = std::net::TcpStream::from(descriptor);
             let stream = stream.set_nonblocking(true).and_then(|()| TcpStream::from_std(stream));
             if let Ok(stream) = stream
-                && s.group.names(&host)
+                && s.target_group.names(&host)
             {
                 s.book.borrow_mut().counters.adopted += 1;
                 s.pool.adopt(number(&host), stream, since.min(s.clock.now()));
--- a/crates/scheduler/src/upgrade/snapshot.rs
+++ b/crates/scheduler/src/upgrade/snapshot.rs
@@ -53,13 +53,16 @@
             tenants: names.tenants.clone(),
             kinds: names.kinds.clone(),
             zones: names.zones.clone(),
-            carried: s.router.learned_state().with_starts(|id, started| listed_start(&s.group, id, started)),
+            carried: s
+                .router
+                .learned_state()
+                .with_starts(|id, started| listed_start(&s.target_group, id, started)),
             orders: s.orders.borrow().clone(),
             service: s.shutdown.service().state(),
-            list: s.group.list(),
-            discovery: s.group.moved_to(),
+            list: s.target_group.list(),
+            discovery: s.target_group.moved_to(),
             clock: Some(s.clock.offset()),
-            worker_starts: Some(s.group.starts_for_successor(s.clock.now())),
+            worker_starts: Some(s.target_group.starts_for_successor(s.clock.now())),
         }
     }
 
@@ -78,10 +81,10 @@
         *s.orders.borrow_mut() = self.orders;
         s.shutdown.turn(|ours| ours.adopt(self.service));
         if let Some(address) = self.discovery {
-            s.group.follow_at(address);
+            s.target_group.follow_at(address);
         }
         discovery::take_over(s, self.list, self.worker_starts);
-        let carried = self.carried.with_starts(|id, listed| assigned_start(&s.group, id, listed));
+        let carried = self.carried.with_starts(|id, listed| assigned_start(&s.target_group, id, listed));
         let names =
             Names { classes: self.classes, tenants: self.tenants, zones: self.zones, kinds: self.kinds };
         s.router.restore_learned_state(carried.arranged(&names, &s.epoch().names));
