--- a/crates/scheduler/src/send.rs
+++ b/crates/scheduler/src/send.rs
@@ -301,24 +301,24 @@
 
 /// What decides just before the first byte of a forward whether it may still leave.
 #[derive(Clone, Copy, Debug)]
-pub struct LastLook {
+pub struct SendCheck {
     /// The client waits, and its flow is not answered.
-    pub owed: bool,
+    pub awaits_answer: bool,
     /// When the forward's own time is over.
-    pub until: Nanos,
+    pub expires_at: Nanos,
     /// When the repeats of its key cease to be dropped, if one that may have run was sent before.
-    pub repeat_by: Option<Nanos>,
+    pub repeat_until: Option<Nanos>,
     /// The target takes new jobs, as far as has been told.
-    pub takes: bool,
+    pub target_accepts_jobs: bool,
     /// It is the process that was chosen: one that has started since is cold, and nothing is charged for it.
-    pub same: bool,
+    pub same_incarnation: bool,
     /// This scheduler may act.
     pub may_act: bool,
 }
 
 /// Why a forward does not leave.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Stop {
+pub enum NotSentReason {
     /// Nobody waits for it.
     Gone,
     /// Its time is over.
@@ -333,16 +333,16 @@
     Lease,
 }
 
-impl LastLook {
+impl SendCheck {
     /// Whether the forward may leave at this time.
-    pub fn verdict(&self, now: Nanos) -> Result<(), Stop> {
+    pub fn evaluate(&self, now: Nanos) -> Result<(), NotSentReason> {
         let stops = [
-            (!self.owed, Stop::Gone),
-            (now >= self.until, Stop::Late),
-            (!self.takes, Stop::Leaving),
-            (!self.same, Stop::Restarted),
-            (self.repeat_by.is_some_and(|by| now >= by), Stop::Window),
-            (!self.may_act, Stop::Lease),
+            (!self.awaits_answer, NotSentReason::Gone),
+            (now >= self.expires_at, NotSentReason::Late),
+            (!self.target_accepts_jobs, NotSentReason::Leaving),
+            (!self.same_incarnation, NotSentReason::Restarted),
+            (self.repeat_until.is_some_and(|by| now >= by), NotSentReason::Window),
+            (!self.may_act, NotSentReason::Lease),
         ];
         stops.iter().find(|stop| stop.0).map_or(Ok(()), |stop| Err(stop.1))
     }
@@ -364,10 +364,10 @@
             Ok(link) => link,
             Err(why) => return relay::ended(s, self.id, self.n, why.outcome(), None),
         };
-        let (now, look) = (s.clock.now(), self.last_look(target));
-        if let Err(stop) = look.verdict(now) {
+        let (now, look) = (s.clock.now(), self.send_check(target));
+        if let Err(stop) = look.evaluate(now) {
             tracing::debug!(flow = self.id.0, target = &*target.host, attempt = self.n, stop = ?stop, "not sent");
-            if stop != Stop::Restarted {
+            if stop != NotSentReason::Restarted {
                 s.pool.put(self.to, link, now);
             }
             return relay::ended(s, self.id, self.n, Outcome::NotSent, None);
@@ -417,7 +417,7 @@
     }
 
     /// What is known just before the first byte: a dial takes time, and meanwhile much may have changed.
-    fn last_look(&self, meant: &Target) -> LastLook {
+    fn send_check(&self, meant: &Target) -> SendCheck {
         let s = &self.s;
         let mut book = s.book.borrow_mut();
         let flow = book.flow(self.id);
@@ -426,12 +426,14 @@
             flow.as_ref().and_then(|f| f.forwards.iter().filter(|x| !x.never_ran).find_map(|x| x.written));
         let window = flow.as_ref().and_then(|f| f.window);
         let target = s.target_group.target(self.to);
-        LastLook {
-            owed: flow.is_some_and(|f| f.reply.is_some()),
-            until: self.until,
-            repeat_by: first.zip(window).map(|(first, window)| (first + window).saturating_sub(way)),
-            takes: target.as_ref().is_some_and(|t| t.takes_new() && !s.orders.borrow().is_out(&t.host)),
-            same: target.is_some_and(|t| t.same_life(meant)),
+        SendCheck {
+            awaits_answer: flow.is_some_and(|f| f.reply.is_some()),
+            expires_at: self.until,
+            repeat_until: first.zip(window).map(|(first, window)| (first + window).saturating_sub(way)),
+            target_accepts_jobs: target
+                .as_ref()
+                .is_some_and(|t| t.takes_new() && !s.orders.borrow().is_out(&t.host)),
+            same_incarnation: target.is_some_and(|t| t.same_life(meant)),
             // The lease is looked at last: this is the act that it is for.
             may_act: s.tier.acts(),
         }
