--- a/crates/scheduler/src/quotas.rs
+++ b/crates/scheduler/src/quotas.rs
@@ -1,7 +1,8 @@
-//! TenantQuotas: nested quotas between admit and the module, where the operator file has them.
+//! Quotas: nested tenant quotas, checked at admission if the operator file defines them.
 //!
-//! `admit` asks for every flow; what a flow really took, in slot seconds of the starts and ends that its targets told, is
-//! settled when it is over. Without quotas nothing is asked and the module's own shares hold.
+//! [`admit`](super::admit) asks for every flow. When a flow is finished, the work that it really took is charged, in slot
+//! seconds between the starts and ends that targets reported. Without quotas every flow passes, and the decision module
+//! applies its own shares.
 
 use loomlb_policy::Nanos;
 use loomlb_quota::parts::{self, Parts};
@@ -9,41 +10,42 @@
 use std::cell::RefCell;
 use std::fmt;
 
-/// How much of a class's mean work the newest job tells.
-const NEW: f64 = 0.05;
-/// Rows of the table of loans that are logged.
-const ROWS: usize = 20;
+/// Weight of the newest job in a class's mean work (exponential moving average).
+const MEAN_WORK_GAIN: f64 = 0.05;
+/// Number of loans in the log summary.
+const MAX_LOGGED_LOANS: usize = 20;
 
-/// What a class's jobs are taken to need, in seconds, before one has ended.
-fn first_mean(aim: &Nanos) -> f64 {
+/// The mean work of a class before its first job has finished, in seconds: its desired latency.
+fn initial_mean_work(aim: &Nanos) -> f64 {
     (*aim as f64 / 1e9).max(0.001)
 }
 
-/// The quotas of the operator file, and how to read them again.
+/// The quotas of the operator file, and a function that reads them again.
 pub struct QuotaSource {
-    /// The tree; none where there are no quotas.
+    /// The tree of quotas; `None` without quotas.
     pub spec: Option<Spec>,
     /// Reads the operator file again.
     pub reload: Box<dyn Fn() -> Result<Option<Spec>, String>>,
 }
 
-/// What a flow holds of its tenant's shares until it is over.
+/// The quota that a flow occupies until it is finished.
 #[derive(Clone, Copy, Debug)]
 pub struct QuotaGrant {
     ticket: Ticket,
-    /// Its class.
+    /// Index of the flow's class.
     pub class: usize,
-    /// Its slots.
+    /// The flow's slots.
     pub slots: f64,
 }
 
-/// The quota core with what it needs to know of classes.
+/// The quotas of all tenants, with the mean work by which new flows are charged.
 pub struct TenantQuotas {
     quota: RefCell<Option<Quota>>,
-    /// Mean work of each class's jobs, in slot seconds of one slot.
-    mean: RefCell<Vec<f64>>,
+    /// Mean work by class, in slot seconds per slot.
+    mean_work: RefCell<Vec<f64>>,
     reload: Box<dyn Fn() -> Result<Option<Spec>, String>>,
-    /// Schedulers that share the tree: each holds an equal part of it, or what its traffic calls for where they talk.
+    /// Number of schedulers that share the quotas. Each holds an equal part, or one in proportion to its traffic if the
+    /// schedulers exchange messages.
     schedulers: u32,
     parts: RefCell<Parts>,
 }
@@ -54,48 +56,50 @@
     }
 }
 
-/// What admit is told.
+/// The decision on a flow.
 #[derive(Debug)]
 pub enum QuotaDecision {
     /// There are no quotas.
     Disabled,
-    /// It may pass; whether it is within its tenant's share, lent room included.
+    /// Admitted; true if within its tenant's share, borrowed capacity included.
     Admitted(QuotaGrant, bool),
-    /// No node has its tenant's name: over share, and nothing is held.
+    /// The tenant is not in the tree: the flow counts as over its share and occupies no quota.
     UnknownTenant,
-    /// A ceiling is reached; come back after this time.
+    /// A ceiling is reached; the client may retry after this time.
     Refused(Nanos),
 }
 
 impl TenantQuotas {
-    /// The shares of one of so many schedulers. The tree is checked by whoever read it.
+    /// The quotas of one of this many schedulers. The tree must have been checked. `aims` holds the desired latency of
+    /// each class.
     pub fn new(
-        quotas: QuotaSource,
+        source: QuotaSource,
         aims: &[Nanos],
         schedulers: u32,
         now: Nanos,
     ) -> Result<TenantQuotas, String> {
         let schedulers = schedulers.max(1);
-        let quota = quotas.spec.map(|spec| Quota::new(spec.part(1.0 / f64::from(schedulers)), now));
-        let quota = quota.transpose().map_err(|e| format!("quota: {e}"))?;
-        let mean = aims.iter().map(first_mean).collect();
+        let quota = source.spec.map(|spec| Quota::new(spec.part(1.0 / f64::from(schedulers)), now));
+        let quota = quota.transpose().map_err(|error| format!("quota: {error}"))?;
+        let mean_work = aims.iter().map(initial_mean_work).collect();
         Ok(TenantQuotas {
             quota: RefCell::new(quota),
-            mean: RefCell::new(mean),
-            reload: quotas.reload,
+            mean_work: RefCell::new(mean_work),
+            reload: source.reload,
             schedulers,
             parts: RefCell::new(Parts::new(schedulers as usize)),
         })
     }
 
-    /// The classes' aims have changed: a class behind those known starts from its own.
+    /// Adds the classes that new settings have appended. Known classes keep their mean work.
     pub fn add_classes(&self, aims: &[Nanos]) {
-        let mut mean = self.mean.borrow_mut();
-        let known = mean.len();
-        mean.extend(aims.iter().skip(known).map(first_mean));
+        let mut mean_work = self.mean_work.borrow_mut();
+        let known = mean_work.len();
+        mean_work.extend(aims.iter().skip(known).map(initial_mean_work));
     }
 
-    /// Asks for a flow.
+    /// Decides on a flow. `spread` is any number that differs between flows, by which the retry times of refused ones are
+    /// spread.
     pub fn admit(
         &self,
         now: Nanos,
@@ -108,7 +112,7 @@
         let mut quota = self.quota.borrow_mut();
         let Some(quota) = quota.as_mut() else { return QuotaDecision::Disabled };
         let slots = slots.max(1.0);
-        let work = self.mean.borrow().get(class).copied().unwrap_or(0.0) * slots;
+        let work = self.mean_work.borrow().get(class).copied().unwrap_or(0.0) * slots;
         if self.schedulers > 1 {
             self.parts.borrow_mut().asked(now, parts::number(tenant), work);
         }
@@ -121,18 +125,20 @@
         }
     }
 
-    /// A flow is over, and its jobs ran for so many seconds in all.
-    pub fn settle(&self, now: Nanos, holding: QuotaGrant, seconds: f64) {
-        if let Some(mean) = self.mean.borrow_mut().get_mut(holding.class).filter(|_| seconds > 0.0) {
-            *mean += (seconds - *mean) * NEW;
+    /// Releases the quota of a finished flow whose jobs ran for this many seconds in total.
+    pub fn settle(&self, now: Nanos, grant: QuotaGrant, run_seconds: f64) {
+        if let Some(mean_work) =
+            self.mean_work.borrow_mut().get_mut(grant.class).filter(|_| run_seconds > 0.0)
+        {
+            *mean_work += (run_seconds - *mean_work) * MEAN_WORK_GAIN;
         }
         if let Some(quota) = self.quota.borrow_mut().as_mut() {
-            quota.settle(now, holding.ticket, seconds * holding.slots);
+            quota.settle(now, grant.ticket, run_seconds * grant.slots);
         }
     }
 
-    /// What peers are to be told of the traffic here; this scheduler's own parts are brought up to date. Nothing
-    /// without quotas or without peers.
+    /// Updates this scheduler's parts of the quotas, and returns the datagrams that tell peers of the traffic here. Empty
+    /// without quotas or peers.
     pub fn traffic_digests(&self, now: Nanos) -> Vec<Vec<u8>> {
         let mut quota = self.quota.borrow_mut();
         let Some(quota) = quota.as_mut().filter(|_| self.schedulers > 1) else { return Vec::new() };
@@ -143,33 +149,33 @@
         parts.digest(now)
     }
 
-    /// Takes in a peer's datagram if it is a digest of traffic; false if it is for the module.
+    /// Handles a peer's datagram if it is a traffic digest; false if it is for the decision module.
     pub fn handle_digest(&self, now: Nanos, peer: usize, bytes: &[u8]) -> bool {
-        let ours = bytes.first() == Some(&parts::MARK) && self.quota.borrow().is_some();
-        if ours {
+        let is_digest = bytes.first() == Some(&parts::MARK) && self.quota.borrow().is_some();
+        if is_digest {
             self.parts.borrow_mut().hear(now, peer, bytes);
         }
-        ours
+        is_digest
     }
 
-    /// Reads the operator file again and puts its tree in place, whole; a faulty one changes nothing.
+    /// Reads the operator file again and replaces the tree of quotas. After an error the old one stays.
     pub fn reload(&self, now: Nanos) -> Result<(), String> {
-        let fresh = (self.reload)()?;
+        let new_spec = (self.reload)()?;
         let part = 1.0 / f64::from(self.schedulers);
         let mut quota = self.quota.borrow_mut();
-        match (quota.as_mut(), fresh) {
+        match (quota.as_mut(), new_spec) {
             (Some(quota), Some(spec)) => {
-                quota.change(now, spec.part(part)).map_err(|e| format!("quota: {e}"))
+                quota.change(now, spec.part(part)).map_err(|error| format!("quota: {error}"))
             }
-            (_, fresh) => {
-                let made = fresh.map(|spec| Quota::new(spec.part(part), now)).transpose();
-                *quota = made.map_err(|e| format!("quota: {e}"))?;
+            (_, new_spec) => {
+                let new_quota = new_spec.map(|spec| Quota::new(spec.part(part), now)).transpose();
+                *quota = new_quota.map_err(|error| format!("quota: {error}"))?;
                 Ok(())
             }
         }
     }
 
-    /// Counters and the largest loans, for the log; none without quotas.
+    /// Counters and the largest loans, for the log; `None` without quotas.
     pub fn summary(&self, now: Nanos) -> Option<String> {
         let mut quota = self.quota.borrow_mut();
         let quota = quota.as_mut()?;
@@ -187,10 +193,10 @@
             c.lent[0],
             c.lent[1]
         );
-        for l in loans.iter().take(ROWS) {
+        for loan in loans.iter().take(MAX_LOGGED_LOANS) {
             let measure =
-                if l.measure == loomlb_quota::Measure::Requests { "requests" } else { "slot seconds" };
-            text += &format!("; {}: owes {:.1}, is owed {:.1} {measure}", l.node, l.owes, l.is_owed);
+                if loan.measure == loomlb_quota::Measure::Requests { "requests" } else { "slot seconds" };
+            text += &format!("; {}: owes {:.1}, is owed {:.1} {measure}", loan.node, loan.owes, loan.is_owed);
         }
         Some(text)
     }
