--- a/crates/scheduler/src/intake.rs
+++ b/crates/scheduler/src/intake.rs
@@ -314,7 +314,7 @@
         // read and then closed with no answer would be lost.
         let closes = s.shutdown.service().parting(s.clock.now());
         let keep_alive = keep_alive && (calls_back || !closes || wire.poll_input() && wire.has_input());
-        let keep_alive = keep_alive && !wire.overrun();
+        let keep_alive = keep_alive && !wire.input_discarded();
         let wait = format!("{:.3}", reply.retry_after as f64 / 1e9);
         let headers: &[(&str, &str)] = if reply.retry_after > 0 { &[("Retry-After", &wait)] } else { &[] };
         let text = encode_response(reply.status, headers, &reply.body, keep_alive);
