--- a/crates/scheduler/src/admit.rs
+++ b/crates/scheduler/src/admit.rs
@@ -1,6 +1,6 @@
 //! Admit: whether an offer becomes a flow. It knows classes, tenants, deadlines and bounds, but no protocol.
 
-use super::book::{Answer, Flow, Work};
+use super::book::{Answer, Flow, JobRequest};
 use super::quotas::QuotaDecision;
 use super::timers::TimerEvent;
 use super::{Scheduler, route};
@@ -18,7 +18,7 @@
 #[derive(Debug, Default)]
 pub struct Offer {
     /// What to pass on.
-    pub work: Work,
+    pub job: JobRequest,
     /// The class's name.
     pub class: String,
     /// The tenant's name.
@@ -68,17 +68,17 @@
     let Some(settings) = epoch.settings.classes.get(class) else {
         return Err(Rejection::Bad("unknown class"));
     };
-    if !valid_id(&offer.work.correlation) {
+    if !valid_id(&offer.job.correlation_id) {
         return Err(Rejection::Bad("missing or bad id"));
     }
     let now = s.clock.now();
     let mut book = s.book.borrow_mut();
     // Two flows of one id could not be told apart in call-backs.
-    if book.find_by_correlation_id(&offer.work.correlation).is_some() {
+    if book.find_by_correlation_id(&offer.job.correlation_id).is_some() {
         return Err(Rejection::Bad("id already in use"));
     }
     let full =
-        book.len() >= epoch.terms.max_open || book.body_bytes() + offer.work.body.len() > s.config.body_bytes;
+        book.len() >= epoch.terms.max_open || book.body_bytes() + offer.job.body.len() > s.config.body_bytes;
     if full || s.shutdown.service().refusing(now) || !s.tier.may_act() {
         book.counters.turned_back += 1;
         return Err(Rejection::NoRoom(NO_ROOM_WAIT.min(s.epoch().settings.limits.max_retry_after)));
@@ -101,19 +101,19 @@
     let within = s.shutdown.service().answer_by().map(|by| by.saturating_sub(now));
     let deadline = now.saturating_add(within.unwrap_or(patience).min(patience));
     let (reply, answer) = oneshot::channel();
-    let correlation = offer.work.correlation.clone();
-    let work = Rc::new(offer.work);
+    let correlation = offer.job.correlation_id.clone();
+    let job = Rc::new(offer.job);
     let id = book.insert(Flow {
-        work,
+        job,
         deadline,
         reply: Some(reply),
         forwards: Vec::new(),
-        holding,
+        quota_grant: holding,
         slots,
         class,
-        most,
-        window: matches!(settings.effect, Effect::Keyed(_)).then_some(settings.window),
-        ran: 0.0,
+        max_forwards: most,
+        repeat_window: matches!(settings.effect, Effect::Keyed(_)).then_some(settings.window),
+        run_seconds: 0.0,
     });
     drop(book);
     // A tick later than the last time-out, whose news lets the module answer by itself.
--- a/crates/scheduler/src/book.rs
+++ b/crates/scheduler/src/book.rs
@@ -9,180 +9,180 @@
 use tokio::sync::{Notify, oneshot};
 use tokio::task::AbortHandle;
 
-/// The final answer to a flow, whatever protocol it came by.
+/// The final answer to a flow, independent of the client's protocol.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Answer {
-    /// What a target made for it.
+    /// The result that a target returned.
     Served(Bytes),
-    /// A new try does no harm, after this time if one is given.
+    /// The request was not executed; the client may retry after this time (0: no advice).
     Refused(Nanos),
-    /// Failed, with no word on its effect.
+    /// The request failed; whether it was executed is unknown.
     Failed,
 }
 
-/// What is passed on to a target unchanged.
+/// The parts of a client's request that are forwarded to a target unchanged.
 #[derive(Clone, Debug, Default)]
-pub struct Work {
-    /// The client's id of the flow.
-    pub correlation: Bytes,
-    /// The method.
+pub struct JobRequest {
+    /// The client's id for the flow (`X-Correlation-Id`).
+    pub correlation_id: Bytes,
+    /// The request method.
     pub method: Bytes,
     /// The path with its query.
     pub path: Bytes,
-    /// The key by which targets drop repeats.
-    pub key: Option<Bytes>,
-    /// The kind of the body.
+    /// The key by which targets recognize and drop repeats.
+    pub idempotency_key: Option<Bytes>,
+    /// The media type of the body.
     pub content_type: Option<Bytes>,
     /// The body.
     pub body: Bytes,
 }
 
-/// How far a forward has come.
+/// The progress of a forward.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Stage {
-    /// Its last byte is not written: it cannot have run.
+pub enum ForwardStage {
+    /// Not written completely: the target cannot have run the job.
     Unsent,
-    /// Written; the target has not taken it yet.
+    /// Written completely; the target has not answered yet.
     Written,
-    /// The target has answered 202.
-    Taken,
-    /// Over, as far as the module was told.
+    /// The target has accepted the job with status 202.
+    Accepted,
+    /// Ended; the decision module has been given the outcome.
     Ended,
 }
 
-/// One attempt of a flow at a target.
+/// One attempt to run a flow at a target.
 #[derive(Debug)]
 pub struct Forward {
     /// The target.
     pub target: WorkerId,
-    /// Its name, as its call-backs give it.
+    /// The target's host name, as used in its call-backs.
     pub host: Rc<str>,
-    /// When the module asked for it.
-    pub opened: Nanos,
-    /// How far it has come.
-    pub stage: Stage,
-    /// When its first byte left, if it has.
-    pub written: Option<Nanos>,
-    /// It has ended, and is known never to have run.
+    /// When the decision module requested the forward.
+    pub requested_at: Nanos,
+    /// The progress of the forward.
+    pub stage: ForwardStage,
+    /// When the first byte was written, if any was.
+    pub first_byte_at: Option<Nanos>,
+    /// The forward has ended and certainly did not run.
     pub never_ran: bool,
-    /// When its target told that the job started.
-    pub started: Option<Nanos>,
-    /// The task that writes it and reads the 202.
+    /// When the target reported that the job started.
+    pub started_at: Option<Nanos>,
+    /// The task that writes the forward and reads the target's answer.
     pub task: Option<AbortHandle>,
-    /// The last try to connect for it failed on this machine, which is no evidence about its target.
+    /// The last connect attempt failed on this machine, which is no evidence about the target.
     pub local_fault: bool,
-    /// Told once the target has been told to drop it, while that is under way.
-    pub undoing: Option<Rc<Notify>>,
+    /// Set when the target is called to cancel the forward; notified when that call has ended.
+    pub cancellation_done: Option<Rc<Notify>>,
 }
 
-/// A request that was taken and not answered, or has forwards that have not ended.
+/// An admitted request that is not yet answered or has forwards that have not ended.
 #[derive(Debug)]
 pub struct Flow {
-    /// What to pass on.
-    pub work: Rc<Work>,
+    /// The request to forward.
+    pub job: Rc<JobRequest>,
     /// When the client stops waiting.
     pub deadline: Nanos,
-    /// Where the answer goes; none once it has gone there.
+    /// Channel for the answer; `None` once the flow is answered.
     pub reply: Option<oneshot::Sender<Answer>>,
-    /// The forwards, by their numbers.
+    /// The forwards, indexed by attempt number.
     pub forwards: Vec<Forward>,
-    /// What it holds of its tenant's shares.
-    pub holding: Option<QuotaGrant>,
-    /// Its class, by the number that it had when the flow was taken.
+    /// The quota that the flow occupies.
+    pub quota_grant: Option<QuotaGrant>,
+    /// Index of the flow's class in the settings at admission.
     pub class: usize,
-    /// Forwards that it may have.
-    pub most: u32,
-    /// For how long after the first one its key has a repeat dropped, where its class has keys.
-    pub window: Option<Nanos>,
-    /// Slots that it takes at a target.
+    /// Maximum number of forwards.
+    pub max_forwards: u32,
+    /// How long after the first forward targets drop repeats of its key; `None` for classes without keys.
+    pub repeat_window: Option<Nanos>,
+    /// Slots that the job occupies at a target.
     pub slots: f64,
-    /// Seconds that its jobs ran, as far as they have ended.
-    pub ran: f64,
+    /// Total run time of the forwards that have ended, in seconds.
+    pub run_seconds: f64,
 }
 
-/// Counts of what came in, was sent, and was answered.
+/// Counts of requests received, forwarded and answered. The fields are named as they are printed.
 #[derive(Clone, Debug, Default)]
 pub struct Counters {
-    /// Connections accepted.
+    /// Accepted client connections.
     pub connections: u64,
-    /// Flows taken.
+    /// Admitted flows.
     pub flows: u64,
-    /// Flows answered with what a target made.
+    /// Flows answered with the result of a target.
     pub served: u64,
     /// Flows refused.
     pub refused: u64,
     /// Flows failed.
     pub failed: u64,
-    /// Flows whose client left before its answer.
+    /// Flows whose client disconnected before the answer.
     pub gone: u64,
-    /// Requests whose client had left before they could be taken.
+    /// Requests whose client disconnected before admission.
     pub gone_early: u64,
-    /// Flows that the guard answered at their deadline.
+    /// Flows failed at their deadline, as the decision module had not answered them.
     pub overdue: u64,
-    /// Offers for which there was no room.
+    /// Offers rejected for lack of capacity or quota.
     pub turned_back: u64,
-    /// Plain answers to bad input, by status.
-    pub bad: [u64; BAD.len()],
-    /// Attempts that the module asked for.
+    /// Error replies to invalid requests, indexed like `INVALID_REQUEST_STATUSES`.
+    pub bad: [u64; INVALID_REQUEST_STATUSES.len()],
+    /// Forwards requested by the decision module.
     pub forwards: u64,
-    /// Ends of attempts, by outcome.
+    /// Ended forwards, indexed like `OUTCOMES`.
     pub outcomes: [u64; OUTCOMES.len()],
-    /// Attempts given up after their 202.
+    /// Forwards cancelled after their target had accepted them.
     pub undone: u64,
-    /// Connections to targets opened.
+    /// New connections to targets.
     pub dials: u64,
-    /// Connections to targets used again.
+    /// Reused connections to targets.
     pub reused: u64,
     /// Probes sent.
     pub probes: u64,
-    /// Call-backs of targets.
+    /// Call-backs received.
     pub call_backs: u64,
-    /// Call-backs of a forward that is not out.
+    /// Call-backs that match no open forward.
     pub call_backs_unknown: u64,
-    /// Lists of targets taken in.
+    /// Target lists received from discovery.
     pub lists: u64,
-    /// Calls of discovery that failed.
+    /// Failed calls to discovery.
     pub list_faults: u64,
-    /// Entries of lists whose zone or kind the settings do not know.
+    /// List entries whose zone or kind is not in the settings.
     pub list_strange: u64,
-    /// Calls of staff that were answered with yes.
+    /// Control calls that succeeded.
     pub calls: u64,
-    /// Calls of staff that were answered with no, by status; 503 comes last.
-    pub calls_no: [u64; CALLS_NO.len()],
-    /// Callers cut off without a whole call, for time or for room.
+    /// Control calls that failed, indexed like `CONTROL_ERROR_STATUSES`.
+    pub calls_no: [u64; CONTROL_ERROR_STATUSES.len()],
+    /// Control connections closed before a complete call, by timeout or to make room.
     pub calls_cut: u64,
-    /// Connections taken over from another process.
+    /// Connections received from another process of this scheduler.
     pub adopted: u64,
-    /// Connections passed on to another process.
+    /// Connections handed over to another process of this scheduler.
     pub passed_on: u64,
-    /// Call-backs passed on to the process that has their flow.
+    /// Call-backs passed to the process that has their flow.
     pub call_backs_passed: u64,
-    /// Configurations read again.
+    /// Successful configuration reloads.
     pub reloads: u64,
-    /// Configurations read again and found faulty.
+    /// Failed configuration reloads.
     pub reload_faults: u64,
-    /// Datagrams of peers.
+    /// Datagrams received from peers.
     pub peers_in: u64,
     /// Datagrams sent to peers.
     pub peers_out: u64,
-    /// Connections closed that said nothing.
+    /// Connections closed without having sent a request.
     pub silent: u64,
-    /// Connections that could not be accepted.
+    /// Failed accepts of client connections.
     pub accept_faults: u64,
     /// Panics of the decision module.
     pub panics: u64,
-    /// Of the connections that could not be accepted: those that were gone by then.
+    /// Failed accepts that were retried at once, as the connection was already closed.
     pub accept_gone: u64,
-    /// Connects tried again, as they failed on this machine or on the way.
+    /// Connects retried after a failure on this machine or on the way.
     pub dials_again: u64,
-    /// Connects given up that failed on this machine to the end.
+    /// Connects abandoned because of a failure on this machine.
     pub dials_local: u64,
 }
 
-/// Statuses of plain answers to bad input.
-const BAD: [u16; 6] = [400, 404, 405, 408, 413, 431];
-/// Statuses of the noes at the second address.
-const CALLS_NO: [u16; 7] = [400, 404, 405, 408, 413, 431, 503];
+/// Statuses of error replies to invalid requests.
+const INVALID_REQUEST_STATUSES: [u16; 6] = [400, 404, 405, 408, 413, 431];
+/// Statuses of failed calls to the control address.
+const CONTROL_ERROR_STATUSES: [u16; 7] = [400, 404, 405, 408, 413, 431, 503];
 const OUTCOMES: [Outcome; 9] = [
     Outcome::Served,
     Outcome::Error,
@@ -196,20 +196,32 @@
 ];
 
 impl Counters {
-    /// Counts a plain answer to bad input.
+    /// Counts a reply if its status marks an invalid request.
     pub fn count_invalid_request(&mut self, status: u16) {
-        BAD.iter().zip(&mut self.bad).filter(|b| *b.0 == status).for_each(|b| *b.1 += 1);
+        INVALID_REQUEST_STATUSES
+            .iter()
+            .zip(&mut self.bad)
+            .filter(|entry| *entry.0 == status)
+            .for_each(|entry| *entry.1 += 1);
     }
 
-    /// Counts the answer to a call of staff.
+    /// Counts the reply to a control call.
     pub fn count_control_call(&mut self, status: u16) {
         self.calls += u64::from(status == 200);
-        CALLS_NO.iter().zip(&mut self.calls_no).filter(|c| *c.0 == status).for_each(|c| *c.1 += 1);
+        CONTROL_ERROR_STATUSES
+            .iter()
+            .zip(&mut self.calls_no)
+            .filter(|entry| *entry.0 == status)
+            .for_each(|entry| *entry.1 += 1);
     }
 
     /// Counts the end of a forward.
     pub fn count_outcome(&mut self, outcome: Outcome) {
-        OUTCOMES.iter().zip(&mut self.outcomes).filter(|o| *o.0 == outcome).for_each(|o| *o.1 += 1);
+        OUTCOMES
+            .iter()
+            .zip(&mut self.outcomes)
+            .filter(|entry| *entry.0 == outcome)
+            .for_each(|entry| *entry.1 += 1);
     }
 }
 
@@ -217,7 +229,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let c = self;
         write!(f, "in: connections={} flows={} turned_back={}", c.connections, c.flows, c.turned_back)?;
-        for (status, count) in BAD.iter().zip(c.bad) {
+        for (status, count) in INVALID_REQUEST_STATUSES.iter().zip(c.bad) {
             write!(f, " bad_{status}={count}")?;
         }
         write!(f, " silent={} accept_faults={}; answered: served={}", c.silent, c.accept_faults, c.served)?;
@@ -231,7 +243,7 @@
         write!(f, "; call_backs={} call_backs_unknown={}", c.call_backs, c.call_backs_unknown)?;
         write!(f, "; lists={} list_faults={} list_strange={}", c.lists, c.list_faults, c.list_strange)?;
         write!(f, "; calls={} calls_cut={}", c.calls, c.calls_cut)?;
-        for (status, count) in CALLS_NO.iter().zip(c.calls_no).filter(|n| n.1 > 0) {
+        for (status, count) in CONTROL_ERROR_STATUSES.iter().zip(c.calls_no).filter(|entry| entry.1 > 0) {
             write!(f, " calls_{status}={count}")?;
         }
         write!(f, "; adopted={} passed_on={}", c.adopted, c.passed_on)?;
@@ -243,100 +255,103 @@
     }
 }
 
-/// The table of flows and the counters.
+/// The table of open flows, and the counters.
 #[derive(Debug, Default)]
 pub struct Book {
     flows: HashMap<RequestId, Flow>,
-    by_correlation: HashMap<Bytes, RequestId>,
-    last: u64,
-    /// Flows that are owed an answer.
-    owed: usize,
-    /// Bytes of the bodies of open flows.
+    by_correlation_id: HashMap<Bytes, RequestId>,
+    last_id: u64,
+    /// Number of flows without an answer.
+    unanswered: usize,
+    /// Total size of the bodies of open flows.
     body_bytes: usize,
     /// The counters.
     pub counters: Counters,
 }
 
 impl Book {
-    /// Enters a flow under a fresh number.
+    /// Adds a flow under a new id.
     pub fn insert(&mut self, flow: Flow) -> RequestId {
-        self.last += 1;
-        let id = RequestId(self.last);
+        self.last_id += 1;
+        let id = RequestId(self.last_id);
         self.counters.flows += 1;
-        self.owed += 1;
-        self.body_bytes += flow.work.body.len();
-        self.by_correlation.insert(flow.work.correlation.clone(), id);
+        self.unanswered += 1;
+        self.body_bytes += flow.job.body.len();
+        self.by_correlation_id.insert(flow.job.correlation_id.clone(), id);
         self.flows.insert(id, flow);
         id
     }
 
-    /// A flow.
+    /// The flow with this id, if it is open.
     pub fn flow(&mut self, id: RequestId) -> Option<&mut Flow> {
         self.flows.get_mut(&id)
     }
 
-    /// A forward.
-    pub fn forward(&mut self, id: RequestId, n: u32) -> Option<&mut Forward> {
-        self.flows.get_mut(&id)?.forwards.get_mut(n as usize)
+    /// The forward with this attempt number, if its flow is open.
+    pub fn forward(&mut self, id: RequestId, attempt: u32) -> Option<&mut Forward> {
+        self.flows.get_mut(&id)?.forwards.get_mut(attempt as usize)
     }
 
-    /// The flow with this id of the client's.
-    pub fn find_by_correlation_id(&self, correlation: &[u8]) -> Option<RequestId> {
-        self.by_correlation.get(correlation).copied()
+    /// The open flow that has this id of its client's.
+    pub fn find_by_correlation_id(&self, correlation_id: &[u8]) -> Option<RequestId> {
+        self.by_correlation_id.get(correlation_id).copied()
     }
 
-    /// Takes out where the answer goes; none if the flow is answered.
+    /// Marks a flow as answered and returns the channel for its answer; `None` if it was answered before.
     pub fn take_reply(&mut self, id: RequestId) -> Option<oneshot::Sender<Answer>> {
         let reply = self.flows.get_mut(&id)?.reply.take()?;
-        self.owed -= 1;
+        self.unanswered -= 1;
         Some(reply)
     }
 
-    /// Forgets a flow that is answered and has no forward out; what it held of shares, and the seconds its jobs ran.
+    /// Removes a flow that is answered and whose forwards have all ended. Returns its quota grant, if it has one, and
+    /// the seconds that its jobs ran.
     #[must_use]
     pub fn remove_if_finished(&mut self, id: RequestId) -> Option<(QuotaGrant, f64)> {
-        let over = |f: &Flow| f.reply.is_none() && f.forwards.iter().all(|x| x.stage == Stage::Ended);
-        if !self.flows.get(&id).is_some_and(over) {
+        let finished = |flow: &Flow| {
+            flow.reply.is_none() && flow.forwards.iter().all(|forward| forward.stage == ForwardStage::Ended)
+        };
+        if !self.flows.get(&id).is_some_and(finished) {
             return None;
         }
         let flow = self.flows.remove(&id)?;
-        self.body_bytes -= flow.work.body.len();
-        self.by_correlation.remove(&flow.work.correlation);
-        flow.holding.map(|holding| (holding, flow.ran))
+        self.body_bytes -= flow.job.body.len();
+        self.by_correlation_id.remove(&flow.job.correlation_id);
+        flow.quota_grant.map(|grant| (grant, flow.run_seconds))
     }
 
-    /// Whether a flow of a class is in the table.
+    /// Whether any open flow has this class.
     pub fn has_flow_of_class(&self, class: usize) -> bool {
-        self.flows.values().any(|f| f.class == class)
+        self.flows.values().any(|flow| flow.class == class)
     }
 
-    /// Slots that forwards hold at targets, by these.
+    /// Slots occupied by open forwards, by host name of the target.
     pub fn slots_by_host(&self) -> HashMap<Rc<str>, f64> {
-        let mut held = HashMap::new();
+        let mut slots_by_host = HashMap::new();
         for flow in self.flows.values() {
-            for forward in flow.forwards.iter().filter(|f| f.stage != Stage::Ended) {
-                *held.entry(Rc::clone(&forward.host)).or_insert(0.0) += flow.slots;
+            for forward in flow.forwards.iter().filter(|forward| forward.stage != ForwardStage::Ended) {
+                *slots_by_host.entry(Rc::clone(&forward.host)).or_insert(0.0) += flow.slots;
             }
         }
-        held
+        slots_by_host
     }
 
-    /// Flows that are owed an answer.
+    /// Number of flows without an answer.
     pub fn unanswered(&self) -> usize {
-        self.owed
+        self.unanswered
     }
 
-    /// Flows in the table.
+    /// Number of open flows.
     pub fn len(&self) -> usize {
         self.flows.len()
     }
 
-    /// No flow is in the table.
+    /// Whether there is no open flow.
     pub fn is_empty(&self) -> bool {
         self.flows.is_empty()
     }
 
-    /// Bytes that the bodies of open flows take.
+    /// Total size of the bodies of open flows, in bytes.
     pub fn body_bytes(&self) -> usize {
         self.body_bytes
     }
--- a/crates/scheduler/src/intake.rs
+++ b/crates/scheduler/src/intake.rs
@@ -1,7 +1,7 @@
 //! Intake: the listener. It parses what comes in, hands offers on, and writes the answers.
 
 use super::admit::{Offer, Rejection, admit};
-use super::book::{Answer, Work};
+use super::book::{Answer, JobRequest};
 use super::http::{Connection, Message, MessageKind, ReadError, encode_response};
 use super::relay::{self, CallBackResult};
 use super::{Scheduler, upgrade};
@@ -493,11 +493,11 @@
             .header_text("X-Weight-Hint")
             .and_then(weight)
             .or_else(|| fact(&["expected", "hint"]).map(|v| v as Nanos)),
-        work: Work {
-            correlation: message.header("X-Correlation-Id").cloned().unwrap_or_default(),
+        job: JobRequest {
+            correlation_id: message.header("X-Correlation-Id").cloned().unwrap_or_default(),
             method: message.method.clone(),
             path: message.path.clone(),
-            key: message.header("Idempotency-Key").cloned(),
+            idempotency_key: message.header("Idempotency-Key").cloned(),
             content_type: message.header("Content-Type").cloned(),
             body: message.body.clone(),
         },
--- a/crates/scheduler/src/relay.rs
+++ b/crates/scheduler/src/relay.rs
@@ -1,6 +1,6 @@
 //! Relay: what targets say of a forward goes to the module, and answers go to whoever fed the flow.
 
-use super::book::{Answer, Stage};
+use super::book::{Answer, ForwardStage};
 use super::quotas::QuotaGrant;
 use super::{Scheduler, route};
 use bytes::Bytes;
@@ -59,16 +59,17 @@
 /// A forward has ended; what ends it a second time is passed over.
 pub fn ended(s: &Rc<Scheduler>, id: RequestId, n: u32, outcome: Outcome, report: Option<Report>) {
     let mut book = s.book.borrow_mut();
-    let Some(forward) = book.forward(id, n).filter(|f| f.stage != Stage::Ended) else { return };
-    (forward.stage, forward.never_ran) = (Stage::Ended, outcome.never_ran());
+    let Some(forward) = book.forward(id, n).filter(|f| f.stage != ForwardStage::Ended) else { return };
+    (forward.stage, forward.never_ran) = (ForwardStage::Ended, outcome.never_ran());
     let now = s.clock.now();
-    let latency = now.saturating_sub(forward.opened);
+    let latency = now.saturating_sub(forward.requested_at);
     // A job that its target never started has taken nothing; where starts are not told, all of its time counts.
-    let started = if s.epoch().settings.tells_start { forward.started } else { Some(forward.opened) };
+    let started =
+        if s.epoch().settings.tells_start { forward.started_at } else { Some(forward.requested_at) };
     let ran = started.filter(|_| !outcome.never_ran()).map_or(0.0, |at| now.saturating_sub(at) as f64 / 1e9);
     tracing::debug!(flow = id.0, target = &*forward.host, attempt = n, outcome = ?outcome, latency_us = latency / 1000, "ended");
     let closed = book.flow(id).is_none_or(|f| {
-        f.ran += ran;
+        f.run_seconds += ran;
         f.reply.is_none()
     });
     book.counters.count_outcome(outcome);
@@ -119,7 +120,7 @@
     let found = Some(id).and_then(|id| {
         let forwards = &book.flow(id)?.forwards;
         let n = forwards.iter().rposition(|f| *f.host == *said.from)?;
-        matches!(forwards[n].stage, Stage::Written | Stage::Taken).then_some((id, n as u32))
+        matches!(forwards[n].stage, ForwardStage::Written | ForwardStage::Accepted).then_some((id, n as u32))
     });
     let Some((id, n)) = found else {
         book.counters.call_backs_unknown += 1;
@@ -128,7 +129,7 @@
     if said.state == "started"
         && let Some(forward) = book.forward(id, n)
     {
-        forward.started.get_or_insert(s.clock.now());
+        forward.started_at.get_or_insert(s.clock.now());
     }
     drop(book);
     // A report that cannot be read must not cost the flow its result.
--- a/crates/scheduler/src/send.rs
+++ b/crates/scheduler/src/send.rs
@@ -1,6 +1,6 @@
 //! Send: forwards to targets, their giving up, probes, and the pool of connections.
 
-use super::book::{Forward, Stage, Work};
+use super::book::{Forward, ForwardStage, JobRequest};
 use super::discovery::Target;
 use super::http::{Connection, Message, MessageKind, ReadError};
 use super::timers::TimerEvent;
@@ -260,24 +260,24 @@
         return tracing::error!("the module sends a flow that is over");
     };
     let n = flow.forwards.len() as u32;
-    let over = flow.reply.is_none() || n >= flow.most;
+    let over = flow.reply.is_none() || n >= flow.max_forwards;
     // A later forward must not overtake the news that an earlier one is given up.
     let one_at_a_time = !s.epoch().settings.limits.second_copies;
     let earlier = flow.forwards.iter().filter(|f| one_at_a_time || f.target == to);
-    let undoing: Vec<Rc<Notify>> = earlier.filter_map(|f| f.undoing.clone()).collect();
-    let work = Rc::clone(&flow.work);
+    let undoing: Vec<Rc<Notify>> = earlier.filter_map(|f| f.cancellation_done.clone()).collect();
+    let work = Rc::clone(&flow.job);
     let until = if timeout == 0 { flow.deadline } else { flow.deadline.min(now.saturating_add(timeout)) };
     flow.forwards.push(Forward {
         target: to,
         host: target.as_ref().map_or_else(|| "".into(), |t| Rc::clone(&t.host)),
-        opened: now,
-        stage: Stage::Unsent,
-        written: None,
+        requested_at: now,
+        stage: ForwardStage::Unsent,
+        first_byte_at: None,
         never_ran: false,
-        started: None,
+        started_at: None,
         task: None,
         local_fault: false,
-        undoing: None,
+        cancellation_done: None,
     });
     book.counters.forwards += 1;
     drop(book);
@@ -358,7 +358,7 @@
 }
 
 impl One {
-    async fn run(&self, target: &Target, work: &Work) {
+    async fn run(&self, target: &Target, work: &JobRequest) {
         let s = &self.s;
         let mut link = match connect(s, self.to, target, |local| self.connect_failed(local)).await {
             Ok(link) => link,
@@ -373,13 +373,13 @@
             return relay::ended(s, self.id, self.n, Outcome::NotSent, None);
         }
         if let Some(forward) = s.book.borrow_mut().forward(self.id, self.n) {
-            forward.written = Some(now);
+            forward.first_byte_at = Some(now);
         }
         let left = self.until.saturating_sub(now);
         if link.wire.write_all(&request(target, work, left)).await.is_err() {
             return relay::ended(s, self.id, self.n, Outcome::NoConnection, None);
         }
-        self.reached(Stage::Written);
+        self.reached(ForwardStage::Written);
         // The time-out ends this task; the limit is for a forward that a call-back has ended before the 202.
         let limit = Duration::from_nanos(left) + CALL;
         let taken = Cell::new(false);
@@ -388,7 +388,7 @@
             if head.status == 202 {
                 // It has taken the job, whatever becomes of the rest of its answer: a give-up has to be told.
                 taken.set(true);
-                self.reached(Stage::Taken);
+                self.reached(ForwardStage::Accepted);
             }
             link.wire.read_body(MessageKind::Response, head).await
         };
@@ -399,7 +399,7 @@
                 self.put_back(link, &answer);
                 match read {
                     Some(ended) => ended,
-                    None => return self.reached(Stage::Taken),
+                    None => return self.reached(ForwardStage::Accepted),
                 }
             }
             // What becomes of a job that was taken is told by call-backs, however its answer ended.
@@ -422,9 +422,10 @@
         let mut book = s.book.borrow_mut();
         let flow = book.flow(self.id);
         let way = WAY * s.epoch().settings.tick;
-        let first =
-            flow.as_ref().and_then(|f| f.forwards.iter().filter(|x| !x.never_ran).find_map(|x| x.written));
-        let window = flow.as_ref().and_then(|f| f.window);
+        let first = flow
+            .as_ref()
+            .and_then(|f| f.forwards.iter().filter(|x| !x.never_ran).find_map(|x| x.first_byte_at));
+        let window = flow.as_ref().and_then(|f| f.repeat_window);
         let target = s.target_group.target(self.to);
         SendCheck {
             awaits_answer: flow.is_some_and(|f| f.reply.is_some()),
@@ -446,9 +447,9 @@
         }
     }
 
-    fn reached(&self, stage: Stage) {
+    fn reached(&self, stage: ForwardStage) {
         if let Some(f) = self.s.book.borrow_mut().forward(self.id, self.n)
-            && f.stage != Stage::Ended
+            && f.stage != ForwardStage::Ended
         {
             f.stage = stage;
         }
@@ -502,13 +503,13 @@
     report
 }
 
-fn request(target: &Target, work: &Work, left: Nanos) -> Vec<u8> {
+fn request(target: &Target, work: &JobRequest, left: Nanos) -> Vec<u8> {
     let mut out = Vec::with_capacity(256 + work.path.len() + work.body.len());
     let mut put = |parts: &[&[u8]]| parts.iter().for_each(|p| out.extend_from_slice(p));
     put(&[&work.method, b" ", &work.path, b" HTTP/1.1\r\nHost: ", target.dial.to_string().as_bytes()]);
-    put(&[b"\r\nX-Correlation-Id: ", &work.correlation]);
+    put(&[b"\r\nX-Correlation-Id: ", &work.correlation_id]);
     put(&[b"\r\nX-Time-Left: ", format!("{:.3}", left as f64 / 1e9).as_bytes()]);
-    if let Some(key) = &work.key {
+    if let Some(key) = &work.idempotency_key {
         put(&[b"\r\nIdempotency-Key: ", key]);
     }
     if let Some(kind) = &work.content_type {
@@ -532,18 +533,18 @@
 /// by a call. What was never written in full has never run.
 fn give_up(s: &Rc<Scheduler>, id: RequestId, n: u32, why: Outcome) {
     let mut book = s.book.borrow_mut();
-    let Some(forward) = book.forward(id, n).filter(|f| f.stage != Stage::Ended) else { return };
+    let Some(forward) = book.forward(id, n).filter(|f| f.stage != ForwardStage::Ended) else { return };
     let (to, stage, task) = (forward.target, forward.stage, forward.task.take());
     let outcome = match (stage, why) {
-        (Stage::Unsent, Outcome::Timeout) if !forward.local_fault => Outcome::NoConnection,
-        (Stage::Unsent, _) => Outcome::NotSent,
+        (ForwardStage::Unsent, Outcome::Timeout) if !forward.local_fault => Outcome::NoConnection,
+        (ForwardStage::Unsent, _) => Outcome::NotSent,
         _ => why,
     };
-    if stage == Stage::Taken {
+    if stage == ForwardStage::Accepted {
         let undone = Rc::new(Notify::new());
-        forward.undoing = Some(Rc::clone(&undone));
+        forward.cancellation_done = Some(Rc::clone(&undone));
         book.counters.undone += 1;
-        let correlation = book.flow(id).map(|f| f.work.correlation.clone()).unwrap_or_default();
+        let correlation = book.flow(id).map(|f| f.job.correlation_id.clone()).unwrap_or_default();
         let s = Rc::clone(s);
         s.pool.undoing.set(s.pool.undoing.get() + 1);
         tokio::task::spawn_local(async move {
