--- a/crates/scheduler/src/intake.rs
+++ b/crates/scheduler/src/intake.rs
@@ -435,7 +435,7 @@
         biased;
         answer = &mut taken.answer => answer.unwrap_or(Answer::Failed),
         () = wire.closed() => {
-            relay::gone(s, taken.id);
+            relay::client_disconnected(s, taken.id);
             return None;
         }
     };
--- a/crates/scheduler/src/lib.rs
+++ b/crates/scheduler/src/lib.rs
@@ -171,7 +171,7 @@
     match due {
         TimerEvent::Dispatcher(token) => route::handle_event(s, Event::Timer(token)),
         TimerEvent::ForwardTimeout(id, n) => send::time_out(s, id, n),
-        TimerEvent::FlowDeadline(id) => relay::overdue(s, id),
+        TimerEvent::FlowDeadline(id) => relay::deadline_reached(s, id),
         TimerEvent::PoolSweep => send::sweep(s),
     }
 }
--- a/crates/scheduler/src/relay.rs
+++ b/crates/scheduler/src/relay.rs
@@ -1,4 +1,4 @@
-//! Relay: what targets say of a forward goes to the module, and answers go to whoever fed the flow.
+//! Relay: passes the results of forwards to the decision module, and answers to the client's side of a flow.
 
 use super::book::{Answer, ForwardStage};
 use super::quotas::QuotaGrant;
@@ -9,146 +9,163 @@
 use std::borrow::Cow;
 use std::rc::Rc;
 
-/// Gives a flow its final answer; false if it has had one.
-pub fn answer(s: &Rc<Scheduler>, id: RequestId, answer: Answer) -> bool {
-    let mut book = s.book.borrow_mut();
+/// Gives a flow its final answer; false if it was already answered.
+pub fn answer_flow(scheduler: &Rc<Scheduler>, id: RequestId, answer: Answer) -> bool {
+    let mut book = scheduler.book.borrow_mut();
     let Some(reply) = book.take_reply(id) else { return false };
-    let said = match answer {
+    let answer_name = match answer {
         Answer::Served(_) => "served",
         Answer::Refused(_) => "refused",
         Answer::Failed => "failed",
     };
-    tracing::debug!(flow = id.0, answer = said, "answered");
+    tracing::debug!(flow = id.0, answer = answer_name, "answered");
     match answer {
         Answer::Served(_) => book.counters.served += 1,
         Answer::Refused(_) => book.counters.refused += 1,
         Answer::Failed => book.counters.failed += 1,
     }
-    settle(s, book.remove_if_finished(id));
-    // If the client has hung up in this very moment, nobody listens any more.
+    settle_quota(scheduler, book.remove_if_finished(id));
+    // Fails if the client has just disconnected, when nobody needs the answer.
     let _ = reply.send(answer);
     true
 }
 
-/// A flow is over: its shares are charged what it took.
-fn settle(s: &Scheduler, over: Option<(QuotaGrant, f64)>) {
-    if let Some((holding, seconds)) = over {
-        s.quotas.settle(s.clock.now(), holding, seconds);
+/// Charges the quota of a finished flow with the seconds that its jobs ran.
+fn settle_quota(scheduler: &Scheduler, finished: Option<(QuotaGrant, f64)>) {
+    if let Some((grant, run_seconds)) = finished {
+        scheduler.quotas.settle(scheduler.clock.now(), grant, run_seconds);
     }
 }
 
-/// The client of a flow has gone.
-pub fn gone(s: &Rc<Scheduler>, id: RequestId) {
-    let mut book = s.book.borrow_mut();
+/// Ends a flow whose client has disconnected.
+pub fn client_disconnected(scheduler: &Rc<Scheduler>, id: RequestId) {
+    let mut book = scheduler.book.borrow_mut();
     if book.take_reply(id).is_some() {
         book.counters.gone += 1;
-        settle(s, book.remove_if_finished(id));
+        settle_quota(scheduler, book.remove_if_finished(id));
         drop(book);
-        route::handle_event(s, Event::Gone(id));
+        route::handle_event(scheduler, Event::Gone(id));
     }
 }
 
-/// The deadline of a flow has come: it is answered even if the module says nothing.
-pub fn overdue(s: &Rc<Scheduler>, id: RequestId) {
-    if answer(s, id, Answer::Failed) {
-        s.book.borrow_mut().counters.overdue += 1;
-        route::handle_event(s, Event::Gone(id));
+/// Fails a flow that has no answer at its deadline.
+pub fn deadline_reached(scheduler: &Rc<Scheduler>, id: RequestId) {
+    if answer_flow(scheduler, id, Answer::Failed) {
+        scheduler.book.borrow_mut().counters.overdue += 1;
+        route::handle_event(scheduler, Event::Gone(id));
     }
 }
 
-/// A forward has ended; what ends it a second time is passed over.
-pub fn ended(s: &Rc<Scheduler>, id: RequestId, n: u32, outcome: Outcome, report: Option<Report>) {
-    let mut book = s.book.borrow_mut();
-    let Some(forward) = book.forward(id, n).filter(|f| f.stage != ForwardStage::Ended) else { return };
+/// Records the end of a forward and passes it to the decision module. Later ends of the same forward are ignored.
+pub fn forward_ended(
+    scheduler: &Rc<Scheduler>,
+    id: RequestId,
+    attempt: u32,
+    outcome: Outcome,
+    report: Option<Report>,
+) {
+    let mut book = scheduler.book.borrow_mut();
+    let Some(forward) = book.forward(id, attempt).filter(|forward| forward.stage != ForwardStage::Ended)
+    else {
+        return;
+    };
     (forward.stage, forward.never_ran) = (ForwardStage::Ended, outcome.never_ran());
-    let now = s.clock.now();
+    let now = scheduler.clock.now();
     let latency = now.saturating_sub(forward.requested_at);
-    // A job that its target never started has taken nothing; where starts are not told, all of its time counts.
-    let started =
-        if s.epoch().settings.tells_start { forward.started_at } else { Some(forward.requested_at) };
-    let ran = started.filter(|_| !outcome.never_ran()).map_or(0.0, |at| now.saturating_sub(at) as f64 / 1e9);
-    tracing::debug!(flow = id.0, target = &*forward.host, attempt = n, outcome = ?outcome, latency_us = latency / 1000, "ended");
-    let closed = book.flow(id).is_none_or(|f| {
-        f.run_seconds += ran;
-        f.reply.is_none()
+    // The run time counts from the reported start, or from the request where targets do not report starts.
+    let started_at =
+        if scheduler.epoch().settings.tells_start { forward.started_at } else { Some(forward.requested_at) };
+    let run_seconds =
+        started_at.filter(|_| !outcome.never_ran()).map_or(0.0, |at| now.saturating_sub(at) as f64 / 1e9);
+    tracing::debug!(flow = id.0, target = &*forward.host, attempt = attempt, outcome = ?outcome, latency_us = latency / 1000, "ended");
+    let closed = book.flow(id).is_none_or(|flow| {
+        flow.run_seconds += run_seconds;
+        flow.reply.is_none()
     });
     book.counters.count_outcome(outcome);
-    settle(s, book.remove_if_finished(id));
+    settle_quota(scheduler, book.remove_if_finished(id));
     drop(book);
     route::handle_event(
-        s,
-        Event::Ended { id, attempt: n, ended: Ended { outcome, latency, closed, report } },
+        scheduler,
+        Event::Ended { id, attempt, ended: Ended { outcome, latency, closed, report } },
     );
 }
 
+/// The body of a call-back, in which a target reports on a job.
 #[derive(Deserialize)]
 struct CallBack<'a> {
     #[serde(borrow)]
     id: Cow<'a, str>,
+    /// Host name of the target.
     #[serde(borrow)]
     from: Cow<'a, str>,
     #[serde(borrow)]
     state: Cow<'a, str>,
+    /// The part of the job that is done, from 0 to 1.
     share: Option<f64>,
     result: Option<String>,
     load: Option<serde_json::Value>,
 }
 
-/// What a call-back was.
+/// How a call-back was handled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallBackResult {
-    /// Malformed.
+    /// It is malformed.
     Malformed,
-    /// Of a flow that is here.
+    /// Its flow is open in this process.
     Accepted,
-    /// Of no flow that is here.
+    /// No flow in this process has its id.
     UnknownFlow,
 }
 
-/// Takes in a call-back. It may be early, late, repeated, or of a forward given up: only the last forward of
-/// that flow to that target counts, and only while it is out.
-pub fn handle_call_back(s: &Rc<Scheduler>, body: &[u8]) -> CallBackResult {
-    let Ok(said) = serde_json::from_slice::<CallBack>(body) else { return CallBackResult::Malformed };
-    if !["started", "running", "done", "failed", "returned", "lost"].contains(&&*said.state) {
+/// Handles a call-back. It may be early, late, repeated, or about a forward that was cancelled: it counts only for the
+/// flow's last forward to that target, and only while that forward is open.
+pub fn handle_call_back(scheduler: &Rc<Scheduler>, body: &[u8]) -> CallBackResult {
+    let Ok(call_back) = serde_json::from_slice::<CallBack>(body) else { return CallBackResult::Malformed };
+    if !["started", "running", "done", "failed", "returned", "lost"].contains(&&*call_back.state) {
         return CallBackResult::Malformed;
     }
-    let mut book = s.book.borrow_mut();
+    let mut book = scheduler.book.borrow_mut();
     book.counters.call_backs += 1;
-    let Some(id) = book.find_by_correlation_id(said.id.as_bytes()) else {
+    let Some(id) = book.find_by_correlation_id(call_back.id.as_bytes()) else {
         return CallBackResult::UnknownFlow;
     };
-    let found = Some(id).and_then(|id| {
+    let open_forward = Some(id).and_then(|id| {
         let forwards = &book.flow(id)?.forwards;
-        let n = forwards.iter().rposition(|f| *f.host == *said.from)?;
-        matches!(forwards[n].stage, ForwardStage::Written | ForwardStage::Accepted).then_some((id, n as u32))
+        let index = forwards.iter().rposition(|forward| *forward.host == *call_back.from)?;
+        matches!(forwards[index].stage, ForwardStage::Written | ForwardStage::Accepted)
+            .then_some((id, index as u32))
     });
-    let Some((id, n)) = found else {
+    let Some((id, attempt)) = open_forward else {
         book.counters.call_backs_unknown += 1;
         return CallBackResult::Accepted;
     };
-    if said.state == "started"
-        && let Some(forward) = book.forward(id, n)
+    if call_back.state == "started"
+        && let Some(forward) = book.forward(id, attempt)
     {
-        forward.started_at.get_or_insert(s.clock.now());
+        forward.started_at.get_or_insert(scheduler.clock.now());
     }
     drop(book);
-    // A report that cannot be read must not cost the flow its result.
-    let report = said.load.as_ref().and_then(|load| load.as_object()).map(|load| {
+    // An unreadable load report is ignored, so that the flow still gets its result.
+    let report = call_back.load.as_ref().and_then(|load| load.as_object()).map(|load| {
         let mut report = Report::default();
         let values = load.iter().filter_map(|(name, value)| Some((name, value.as_f64()?)));
-        values.for_each(|(name, value)| s.epoch().terms.report(&mut report, name, value));
+        values.for_each(|(name, value)| scheduler.epoch().terms.report(&mut report, name, value));
         report
     });
-    match &*said.state {
-        "started" => route::handle_event(s, Event::Note(id, n, Note::Started)),
-        "running" => route::handle_event(s, Event::Note(id, n, Note::Progress(said.share.unwrap_or(0.0)))),
+    match &*call_back.state {
+        "started" => route::handle_event(scheduler, Event::Note(id, attempt, Note::Started)),
+        "running" => route::handle_event(
+            scheduler,
+            Event::Note(id, attempt, Note::Progress(call_back.share.unwrap_or(0.0))),
+        ),
         "done" => {
-            answer(s, id, Answer::Served(Bytes::from(said.result.unwrap_or_default())));
-            ended(s, id, n, Outcome::Served, report);
+            answer_flow(scheduler, id, Answer::Served(Bytes::from(call_back.result.unwrap_or_default())));
+            forward_ended(scheduler, id, attempt, Outcome::Served, report);
         }
-        "returned" => ended(s, id, n, Outcome::Full, report),
-        "lost" => ended(s, id, n, Outcome::Reset, report),
-        _ => ended(s, id, n, Outcome::Error, report),
+        "returned" => forward_ended(scheduler, id, attempt, Outcome::Full, report),
+        "lost" => forward_ended(scheduler, id, attempt, Outcome::Reset, report),
+        _ => forward_ended(scheduler, id, attempt, Outcome::Error, report),
     }
     CallBackResult::Accepted
 }
--- a/crates/scheduler/src/route.rs
+++ b/crates/scheduler/src/route.rs
@@ -61,10 +61,10 @@
         Action::Send { id, worker, timeout } => send::forward(s, id, worker, timeout),
         Action::Refuse { id, retry_after } => {
             let wait = retry_after.min(s.epoch().settings.limits.max_retry_after);
-            relay::answer(s, id, Answer::Refused(wait));
+            relay::answer_flow(s, id, Answer::Refused(wait));
         }
         Action::Fail(id) => {
-            relay::answer(s, id, Answer::Failed);
+            relay::answer_flow(s, id, Answer::Failed);
         }
         Action::Cancel(id, attempt) => send::cancel(s, id, attempt),
         Action::Timer { after, token } => {
--- a/crates/scheduler/src/send.rs
+++ b/crates/scheduler/src/send.rs
@@ -282,7 +282,7 @@
     book.counters.forwards += 1;
     drop(book);
     let Some(target) = target.filter(|_| !over) else {
-        return relay::ended(s, id, n, Outcome::NotSent, None);
+        return relay::forward_ended(s, id, n, Outcome::NotSent, None);
     };
     tracing::debug!(flow = id.0, target = &*target.host, attempt = n, "forwarded");
     s.timers.schedule(until, TimerEvent::ForwardTimeout(id, n));
@@ -362,7 +362,7 @@
         let s = &self.s;
         let mut link = match connect(s, self.to, target, |local| self.connect_failed(local)).await {
             Ok(link) => link,
-            Err(why) => return relay::ended(s, self.id, self.n, why.outcome(), None),
+            Err(why) => return relay::forward_ended(s, self.id, self.n, why.outcome(), None),
         };
         let (now, look) = (s.clock.now(), self.send_check(target));
         if let Err(stop) = look.evaluate(now) {
@@ -370,14 +370,14 @@
             if stop != NotSentReason::Restarted {
                 s.pool.put(self.to, link, now);
             }
-            return relay::ended(s, self.id, self.n, Outcome::NotSent, None);
+            return relay::forward_ended(s, self.id, self.n, Outcome::NotSent, None);
         }
         if let Some(forward) = s.book.borrow_mut().forward(self.id, self.n) {
             forward.first_byte_at = Some(now);
         }
         let left = self.until.saturating_sub(now);
         if link.wire.write_all(&request(target, work, left)).await.is_err() {
-            return relay::ended(s, self.id, self.n, Outcome::NoConnection, None);
+            return relay::forward_ended(s, self.id, self.n, Outcome::NoConnection, None);
         }
         self.reached(ForwardStage::Written);
         // The time-out ends this task; the limit is for a forward that a call-back has ended before the 202.
@@ -413,7 +413,7 @@
             }
             Err(_) => (Outcome::Reset, None),
         };
-        relay::ended(s, self.id, self.n, outcome, report);
+        relay::forward_ended(s, self.id, self.n, outcome, report);
     }
 
     /// What is known just before the first byte: a dial takes time, and meanwhile much may have changed.
@@ -562,7 +562,7 @@
         task.abort();
     }
     drop(book);
-    relay::ended(s, id, n, outcome, None);
+    relay::forward_ended(s, id, n, outcome, None);
 }
 
 /// Why a small call has no answer.
