--- a/crates/scheduler/src/lib.rs
+++ b/crates/scheduler/src/lib.rs
@@ -141,7 +141,7 @@
     reload::retry_keeping(&s);
     tracing::info!("{} serves at {}", s.config.name, listener.local_addr()?);
     upgrade::start(&s, before);
-    send::sweep(&s);
+    send::sweep_pool(&s);
     spawn_local(timers::run(Rc::clone(&s)));
     spawn_local(discovery::follow(Rc::clone(&s)));
     spawn_local(peers::listen(Rc::clone(&s)));
@@ -172,6 +172,6 @@
         TimerEvent::Dispatcher(token) => route::handle_event(s, Event::Timer(token)),
         TimerEvent::ForwardTimeout(id, n) => send::time_out(s, id, n),
         TimerEvent::FlowDeadline(id) => relay::deadline_reached(s, id),
-        TimerEvent::PoolSweep => send::sweep(s),
+        TimerEvent::PoolSweep => send::sweep_pool(s),
     }
 }
--- a/crates/scheduler/src/route.rs
+++ b/crates/scheduler/src/route.rs
@@ -58,7 +58,7 @@
 
 fn act(s: &Rc<Scheduler>, action: Action) {
     match action {
-        Action::Send { id, worker, timeout } => send::forward(s, id, worker, timeout),
+        Action::Send { id, worker, timeout } => send::start_forward(s, id, worker, timeout),
         Action::Refuse { id, retry_after } => {
             let wait = retry_after.min(s.epoch().settings.limits.max_retry_after);
             relay::answer_flow(s, id, Answer::Refused(wait));
--- a/crates/scheduler/src/send.rs
+++ b/crates/scheduler/src/send.rs
@@ -1,4 +1,4 @@
-//! Send: forwards to targets, their giving up, probes, and the pool of connections.
+//! Send: forwards flows to targets, cancels forwards, probes targets, and pools the connections to them.
 
 use super::book::{Forward, ForwardStage, JobRequest};
 use super::discovery::Target;
@@ -15,32 +15,32 @@
 use tokio::net::TcpStream;
 use tokio::sync::Notify;
 
-/// Small calls (a give-up, a probe) are answered in this time or count as lost.
-const CALL: Duration = Duration::from_secs(1);
-/// After this time connections of a target are trusted for as long as the settings say again.
-const RELEARN: Nanos = 60_000_000_000;
-/// Time between two looks through the idle connections.
-const SWEEP: Nanos = 250_000_000;
-/// Where targets answer twice the second answer comes some milliseconds late: connections rest for so long before they
-/// are used again, so that it is not taken for the answer to the next job.
-const REST: Nanos = 50_000_000;
-/// Ticks kept before the end of a key's window for a repeat's way, as the module keeps them.
-const WAY: Nanos = 4;
-
-/// What an operator can do where this machine opens no connection.
-const SHORT_HERE: &str =
-    "look at its open files, memory and local ports; jobs are refused, and no worker is blamed";
-
-/// A connection to a target, counted for as long as it lives.
+/// Time limit for writing a call (a cancellation or a probe), and for reading its answer.
+const CALL_TIMEOUT: Duration = Duration::from_secs(1);
+/// How long the pool acts on what it has observed of a target's connections.
+const OBSERVATION_LIFETIME: Nanos = 60_000_000_000;
+/// Interval between checks of the idle connections.
+const SWEEP_INTERVAL: Nanos = 250_000_000;
+/// How long a connection stays unused after an answer while targets send duplicate answers: a duplicate may arrive some
+/// milliseconds late, and must not be taken for the answer to the next job.
+const REUSE_DELAY: Nanos = 50_000_000;
+/// Ticks before the end of a key's repeat window after which no repeat is sent, to allow for its way to the target. The
+/// decision module uses the same margin.
+const REPEAT_MARGIN_TICKS: Nanos = 4;
+
+/// Advice to operators when this machine cannot open connections.
+const LOCAL_SHORTAGE_ADVICE: &str = "check its open files, memory and local ports; jobs are refused meanwhile, and this does not count against workers";
+
+/// A connection to a target, counted by the pool until it is dropped.
 #[derive(Debug)]
-struct Link {
-    wire: Connection,
+struct TargetConnection {
+    http: Connection,
     _permit: Permit,
-    /// How long it was idle before this use; 0 for a new one.
-    idle: Nanos,
+    /// How long it was idle before its current use; 0 for a new connection.
+    idle_before_use: Nanos,
 }
 
-/// The place of a connection in the pool's count, from before it is dialled until it is closed.
+/// Counts a connection in the pool from before it is dialled until it is closed.
 #[derive(Debug)]
 struct Permit(Rc<Cell<usize>>);
 
@@ -51,225 +51,275 @@
 }
 
 #[derive(Debug)]
-struct Idle {
-    link: Link,
-    since: Nanos,
+struct IdleConnection {
+    connection: TargetConnection,
+    idle_since: Nanos,
 }
 
-/// Idle connections to targets, and the count of all.
+/// The pool of connections to targets: keeps the idle ones and counts all.
 #[derive(Debug)]
 pub struct Pool {
-    idle: RefCell<HashMap<WorkerId, Vec<Idle>>>,
-    open: Rc<Cell<usize>>,
+    idle: RefCell<HashMap<WorkerId, Vec<IdleConnection>>>,
+    open_count: Rc<Cell<usize>>,
+    /// Maximum number of open connections, those of the scheduler's other processes included.
     limit: usize,
-    /// Idle connections live this long: well below the time after which a target closes them, since a
-    /// request that crosses such an end counts as one that may have run.
-    keep: Cell<Nanos>,
-    /// When a target was last seen to say more than it was asked.
-    twice: Cell<Option<Nanos>>,
-    /// Jobs that their targets are still to be told to drop.
-    undoing: Cell<usize>,
-    /// The last new connection failed on this machine, and a line was logged for it.
-    short_here: Cell<bool>,
-    /// The same for targets whose connections have proved to end sooner than they ought to, and when they
-    /// did.
-    shorter: RefCell<HashMap<WorkerId, (Nanos, Nanos)>>,
+    /// How long an idle connection is kept. Well below the time after which targets close it: a request that crosses
+    /// with such a close counts as one that may have run.
+    idle_timeout: Cell<Nanos>,
+    /// When a target was last seen to send more than one answer to a request.
+    duplicate_answer_at: Cell<Option<Nanos>>,
+    /// Number of cancellations that are not sent yet.
+    unsent_cancellations: Cell<usize>,
+    /// Whether the last new connection failed on this machine, which is logged once.
+    local_shortage: Cell<bool>,
+    /// Shorter idle timeouts of targets whose connections broke early, and when each was learned.
+    shortened_idle_timeouts: RefCell<HashMap<WorkerId, (Nanos, Nanos)>>,
 }
 
 impl Pool {
-    /// An empty pool of so many connections at most, for targets that close idle ones after `keepalive`.
+    /// An empty pool for up to `limit` connections to targets that close idle ones after `keepalive`.
     pub fn new(limit: usize, keepalive: Nanos) -> Self {
-        let (idle, open, shorter) = (RefCell::default(), Rc::default(), RefCell::default());
-        let (twice, undoing, short_here) = (Cell::default(), Cell::default(), Cell::default());
-        Pool { idle, open, limit, keep: Cell::new(keepalive / 4 * 3), twice, undoing, short_here, shorter }
+        let (idle, open_count, shortened_idle_timeouts) =
+            (RefCell::default(), Rc::default(), RefCell::default());
+        let (duplicate_answer_at, unsent_cancellations, local_shortage) =
+            (Cell::default(), Cell::default(), Cell::default());
+        Pool {
+            idle,
+            open_count,
+            limit,
+            idle_timeout: Cell::new(keepalive / 4 * 3),
+            duplicate_answer_at,
+            unsent_cancellations,
+            local_shortage,
+            shortened_idle_timeouts,
+        }
     }
 
-    /// A connection to the target broke at its next use: something on the way had dropped it while it was
-    /// idle, and would drop others like it. The next ones are kept for half of that time.
-    fn broke(&self, target: WorkerId, idle: Nanos, now: Nanos) {
-        let keep = self.keep(target, now).min(idle / 2);
-        self.shorter.borrow_mut().insert(target, (keep, now));
+    /// Shortens the idle timeout of a target, one of whose connections broke when it was reused after being idle for
+    /// this long: something on the path had dropped it, and would drop others like it.
+    fn shorten_idle_timeout(&self, worker: WorkerId, idle: Nanos, now: Nanos) {
+        let idle_timeout = self.idle_timeout(worker, now).min(idle / 2);
+        self.shortened_idle_timeouts.borrow_mut().insert(worker, (idle_timeout, now));
     }
 
-    /// How long idle connections to a target live. What was learned is tried anew after a while.
-    fn keep(&self, target: WorkerId, now: Nanos) -> Nanos {
-        let learned = self.shorter.borrow().get(&target).filter(|l| now < l.1 + RELEARN).map(|l| l.0);
-        learned.unwrap_or(self.keep.get())
+    /// How long an idle connection to a target is kept. A shortened timeout expires after [`OBSERVATION_LIFETIME`].
+    fn idle_timeout(&self, worker: WorkerId, now: Nanos) -> Nanos {
+        let shortened = self
+            .shortened_idle_timeouts
+            .borrow()
+            .get(&worker)
+            .filter(|learned| now < learned.1 + OBSERVATION_LIFETIME)
+            .map(|learned| learned.0);
+        shortened.unwrap_or(self.idle_timeout.get())
     }
 
-    /// Targets close idle connections after this time from now on.
+    /// Sets the time after which targets close idle connections.
     pub fn set_keepalive(&self, keepalive: Nanos) {
-        self.keep.set(keepalive / 4 * 3);
+        self.idle_timeout.set(keepalive / 4 * 3);
     }
 
-    /// Jobs that their targets are still to be told to drop.
+    /// Number of cancellations that are not sent yet.
     pub fn unsent_cancellations(&self) -> usize {
-        self.undoing.get()
+        self.unsent_cancellations.get()
     }
 
-    /// How long a connection rests after its last answer. What was learned is tried anew after a while.
-    fn rest(&self, now: Nanos) -> Nanos {
-        if self.twice.get().is_some_and(|at| now < at + RELEARN) { REST } else { 0 }
+    /// How long a connection stays unused after its last answer.
+    fn reuse_delay(&self, now: Nanos) -> Nanos {
+        if self.duplicate_answer_at.get().is_some_and(|at| now < at + OBSERVATION_LIFETIME) {
+            REUSE_DELAY
+        } else {
+            0
+        }
     }
 
-    /// Whether an idle connection can be used again: its target has neither closed it nor said anything more.
-    fn is_sound(&self, link: &mut Link, now: Nanos) -> bool {
-        let open = link.wire.poll_input();
-        if link.wire.has_input() {
-            self.twice.set(Some(now));
+    /// Whether an idle connection can be reused: its target has neither closed it nor sent anything.
+    fn is_reusable(&self, connection: &mut TargetConnection, now: Nanos) -> bool {
+        let open = connection.http.poll_input();
+        if connection.http.has_input() {
+            self.duplicate_answer_at.set(Some(now));
         }
-        open && !link.wire.has_input()
+        open && !connection.http.has_input()
     }
 
-    /// Connections to targets, idle ones included.
+    /// Number of connections to targets, idle ones included.
     pub fn open_count(&self) -> usize {
-        self.open.get()
+        self.open_count.get()
     }
 
-    /// Takes out all that is idle, as descriptors, with their targets and since when they are idle.
+    /// Removes all idle connections, and returns their targets, descriptors, and since when they are idle.
     pub fn take_all_idle(&self) -> Vec<(WorkerId, OwnedFd, Nanos)> {
         let idle = std::mem::take(&mut *self.idle.borrow_mut());
-        let all = idle.into_iter().flat_map(|(to, links)| links.into_iter().map(move |i| (to, i)));
-        all.filter_map(|(to, i)| Some((to, i.link.wire.descriptor().ok()?, i.since))).collect()
-    }
-
-    /// Takes over an idle connection to a target from another process.
-    pub fn adopt(&self, to: WorkerId, stream: TcpStream, since: Nanos) {
-        let link = Link { wire: Connection::new(stream), _permit: self.permit(), idle: 0 };
-        self.put(to, link, since);
+        let all = idle
+            .into_iter()
+            .flat_map(|(worker, connections)| connections.into_iter().map(move |idle| (worker, idle)));
+        all.filter_map(|(worker, idle)| {
+            Some((worker, idle.connection.http.descriptor().ok()?, idle.idle_since))
+        })
+        .collect()
+    }
+
+    /// Adds an idle connection received from another process of this scheduler.
+    pub fn adopt(&self, worker: WorkerId, stream: TcpStream, idle_since: Nanos) {
+        let connection = TargetConnection {
+            http: Connection::new(stream),
+            _permit: self.count_connection(),
+            idle_before_use: 0,
+        };
+        self.put_idle(worker, connection, idle_since);
     }
 
     /// Counts one more connection.
-    fn permit(&self) -> Permit {
-        self.open.set(self.open.get() + 1);
-        Permit(Rc::clone(&self.open))
+    fn count_connection(&self) -> Permit {
+        self.open_count.set(self.open_count.get() + 1);
+        Permit(Rc::clone(&self.open_count))
     }
 
     /// Closes the idle connections to a target.
-    pub fn close_idle(&self, target: WorkerId) {
-        self.idle.borrow_mut().remove(&target);
+    pub fn close_idle(&self, worker: WorkerId) {
+        self.idle.borrow_mut().remove(&worker);
     }
 
-    /// Closes what has been idle for too long, and what is of no use any more.
+    /// Closes connections that were idle for too long or cannot be reused.
     fn sweep(&self, now: Nanos) {
-        self.idle.borrow_mut().retain(|target, links| {
-            let keep = self.keep(*target, now);
-            links.retain_mut(|i| now < i.since + keep && self.is_sound(&mut i.link, now));
-            !links.is_empty()
+        self.idle.borrow_mut().retain(|worker, connections| {
+            let idle_timeout = self.idle_timeout(*worker, now);
+            connections.retain_mut(|idle| {
+                now < idle.idle_since + idle_timeout && self.is_reusable(&mut idle.connection, now)
+            });
+            !connections.is_empty()
         });
     }
 
-    /// The connection used last, if it still lives.
-    fn take(&self, target: WorkerId, now: Nanos) -> Option<Link> {
-        let (keep, rest) = (self.keep(target, now), self.rest(now));
+    /// Removes and returns the most recently used connection to a target that can be reused.
+    fn take_idle(&self, worker: WorkerId, now: Nanos) -> Option<TargetConnection> {
+        let (idle_timeout, reuse_delay) = (self.idle_timeout(worker, now), self.reuse_delay(now));
         let mut idle = self.idle.borrow_mut();
-        let links = idle.get_mut(&target)?;
-        while let Some(at) = links.iter().rposition(|i| now >= i.since + rest) {
-            let mut last = links.remove(at);
-            if now < last.since + keep && self.is_sound(&mut last.link, now) {
-                last.link.idle = now.saturating_sub(last.since).max(1);
-                return Some(last.link);
+        let connections = idle.get_mut(&worker)?;
+        while let Some(index) = connections.iter().rposition(|idle| now >= idle.idle_since + reuse_delay) {
+            let mut last = connections.remove(index);
+            if now < last.idle_since + idle_timeout && self.is_reusable(&mut last.connection, now) {
+                last.connection.idle_before_use = now.saturating_sub(last.idle_since).max(1);
+                return Some(last.connection);
             }
         }
         None
     }
 
-    fn put(&self, target: WorkerId, link: Link, now: Nanos) {
-        self.idle.borrow_mut().entry(target).or_default().push(Idle { link, since: now });
+    fn put_idle(&self, worker: WorkerId, connection: TargetConnection, now: Nanos) {
+        self.idle
+            .borrow_mut()
+            .entry(worker)
+            .or_default()
+            .push(IdleConnection { connection, idle_since: now });
     }
 
-    /// Makes room for one more connection by closing the one idle for longest; false if there is none.
-    fn make_room(&self, elsewhere: usize) -> bool {
-        if self.open.get() + elsewhere < self.limit {
+    /// Makes room for one more connection, by closing the one that is idle for longest if the limit is reached. False
+    /// if there is no room.
+    fn make_room(&self, in_other_processes: usize) -> bool {
+        if self.open_count.get() + in_other_processes < self.limit {
             return true;
         }
         let mut idle = self.idle.borrow_mut();
-        let oldest = idle.values_mut().filter(|l| !l.is_empty()).min_by_key(|l| l[0].since);
-        oldest.map(|links| links.remove(0)).is_some()
+        let oldest = idle
+            .values_mut()
+            .filter(|connections| !connections.is_empty())
+            .min_by_key(|connections| connections[0].idle_since);
+        oldest.map(|connections| connections.remove(0)).is_some()
     }
 }
 
-/// Why there is no connection to a target.
+/// Why a connection to a target could not be opened.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-enum NoConnection {
-    /// This machine or process had no descriptor, memory or port for it: no evidence about the target.
-    #[error("none could be opened on this machine")]
+enum ConnectError {
+    /// This machine or process lacked a descriptor, memory or a port: no evidence about the target.
+    #[error("no connection could be opened on this machine")]
     Local,
-    /// The target could not be reached in time.
+    /// The target was not reached in time.
     #[error("the target could not be reached")]
     Target,
 }
 
-impl NoConnection {
-    /// What it means for an attempt, of which nothing was sent.
+impl ConnectError {
+    /// The outcome of a forward that failed for this reason.
     fn outcome(self) -> Outcome {
         match self {
-            NoConnection::Local => Outcome::NotSent,
-            NoConnection::Target => Outcome::NoConnection,
+            ConnectError::Local => Outcome::NotSent,
+            ConnectError::Target => Outcome::NoConnection,
         }
     }
 }
 
-/// A connection to a target: an idle one, or a new one if it comes up in time. `observe` is told, as that changes,
-/// whether what it waits for is this machine.
+/// A connection to a target: an idle one, or else a new one. While it is being opened, `observe` is called whenever the
+/// last attempt failed on this machine (true) or a new one starts or failed elsewhere (false).
 async fn connect(
-    s: &Scheduler,
-    id: WorkerId,
+    scheduler: &Scheduler,
+    worker: WorkerId,
     target: &Target,
     observe: impl Fn(bool),
-) -> Result<Link, NoConnection> {
-    if let Some(link) = s.pool.take(id, s.clock.now()) {
-        s.book.borrow_mut().counters.reused += 1;
-        return Ok(link);
-    }
-    if !s.pool.make_room(s.upgrade.elsewhere().outbound) {
-        tracing::warn!("no descriptor left for a connection to {}", target.host);
-        s.book.borrow_mut().counters.dials_local += 1;
-        return Err(NoConnection::Local);
-    }
-    s.book.borrow_mut().counters.dials += 1;
-    let permit = s.pool.permit();
-    let limit = Duration::from_nanos(s.epoch().terms.dial_timeout);
-    let local = Cell::new(false);
+) -> Result<TargetConnection, ConnectError> {
+    if let Some(connection) = scheduler.pool.take_idle(worker, scheduler.clock.now()) {
+        scheduler.book.borrow_mut().counters.reused += 1;
+        return Ok(connection);
+    }
+    if !scheduler.pool.make_room(scheduler.upgrade.elsewhere().outbound) {
+        tracing::warn!(
+            target = &*target.host,
+            "no connection opened: all connections to workers that limits.sockets allows are in use"
+        );
+        scheduler.book.borrow_mut().counters.dials_local += 1;
+        return Err(ConnectError::Local);
+    }
+    scheduler.book.borrow_mut().counters.dials += 1;
+    let permit = scheduler.pool.count_connection();
+    let timeout = Duration::from_nanos(scheduler.epoch().terms.dial_timeout);
+    let local_fault = Cell::new(false);
     let progress = |fault: Option<ConnectFault>| {
-        s.book.borrow_mut().counters.dials_again += u64::from(fault.is_some());
-        local.set(fault == Some(ConnectFault::Local));
-        observe(local.get());
+        scheduler.book.borrow_mut().counters.dials_again += u64::from(fault.is_some());
+        local_fault.set(fault == Some(ConnectFault::Local));
+        observe(local_fault.get());
     };
-    let connected = tokio::time::timeout(limit, loomlb_sockets::connect(target.dial, progress)).await;
+    let connected = tokio::time::timeout(timeout, loomlb_sockets::connect(target.dial, progress)).await;
     if let Ok(Ok(stream)) = connected {
-        s.pool.short_here.set(false);
-        return Ok(Link { wire: Connection::new(stream), _permit: permit, idle: 0 });
+        scheduler.pool.local_shortage.set(false);
+        return Ok(TargetConnection { http: Connection::new(stream), _permit: permit, idle_before_use: 0 });
     }
-    if !local.get() {
-        return Err(NoConnection::Target);
+    if !local_fault.get() {
+        return Err(ConnectError::Target);
     }
-    s.book.borrow_mut().counters.dials_local += 1;
-    if !s.pool.short_here.replace(true) {
-        tracing::warn!(target = &*target.host, "no connection could be opened on this machine: {SHORT_HERE}");
+    scheduler.book.borrow_mut().counters.dials_local += 1;
+    if !scheduler.pool.local_shortage.replace(true) {
+        tracing::warn!(
+            target = &*target.host,
+            "no connection could be opened on this machine: {LOCAL_SHORTAGE_ADVICE}"
+        );
     }
-    Err(NoConnection::Local)
+    Err(ConnectError::Local)
 }
 
-/// Carries out one send of the module: one forward, written once.
-pub fn forward(s: &Rc<Scheduler>, id: RequestId, to: WorkerId, timeout: Nanos) {
-    let now = s.clock.now();
-    let target = s.target_group.target(to);
-    let mut book = s.book.borrow_mut();
+/// Starts a forward that the decision module requested. It is written at most once.
+pub fn start_forward(scheduler: &Rc<Scheduler>, id: RequestId, worker: WorkerId, timeout: Nanos) {
+    let now = scheduler.clock.now();
+    let target = scheduler.target_group.target(worker);
+    let mut book = scheduler.book.borrow_mut();
     let Some(flow) = book.flow(id) else {
-        return tracing::error!("the module sends a flow that is over");
+        return tracing::error!(
+            flow = id.0,
+            "the decision module sent a flow that has ended; the send is ignored"
+        );
     };
-    let n = flow.forwards.len() as u32;
-    let over = flow.reply.is_none() || n >= flow.max_forwards;
-    // A later forward must not overtake the news that an earlier one is given up.
-    let one_at_a_time = !s.epoch().settings.limits.second_copies;
-    let earlier = flow.forwards.iter().filter(|f| one_at_a_time || f.target == to);
-    let undoing: Vec<Rc<Notify>> = earlier.filter_map(|f| f.cancellation_done.clone()).collect();
-    let work = Rc::clone(&flow.job);
-    let until = if timeout == 0 { flow.deadline } else { flow.deadline.min(now.saturating_add(timeout)) };
+    let attempt = flow.forwards.len() as u32;
+    let not_allowed = flow.reply.is_none() || attempt >= flow.max_forwards;
+    // This forward must not overtake the cancellation of an earlier one.
+    let one_at_a_time = !scheduler.epoch().settings.limits.second_copies;
+    let earlier = flow.forwards.iter().filter(|forward| one_at_a_time || forward.target == worker);
+    let cancellations: Vec<Rc<Notify>> =
+        earlier.filter_map(|forward| forward.cancellation_done.clone()).collect();
+    let job = Rc::clone(&flow.job);
+    let expires_at =
+        if timeout == 0 { flow.deadline } else { flow.deadline.min(now.saturating_add(timeout)) };
     flow.forwards.push(Forward {
-        target: to,
-        host: target.as_ref().map_or_else(|| "".into(), |t| Rc::clone(&t.host)),
+        target: worker,
+        host: target.as_ref().map_or_else(|| "".into(), |target| Rc::clone(&target.host)),
         requested_at: now,
         stage: ForwardStage::Unsent,
         first_byte_at: None,
@@ -281,358 +331,399 @@
     });
     book.counters.forwards += 1;
     drop(book);
-    let Some(target) = target.filter(|_| !over) else {
-        return relay::forward_ended(s, id, n, Outcome::NotSent, None);
+    let Some(target) = target.filter(|_| !not_allowed) else {
+        return relay::forward_ended(scheduler, id, attempt, Outcome::NotSent, None);
     };
-    tracing::debug!(flow = id.0, target = &*target.host, attempt = n, "forwarded");
-    s.timers.schedule(until, TimerEvent::ForwardTimeout(id, n));
-    let one = One { s: Rc::clone(s), id, n, to, until };
+    tracing::debug!(flow = id.0, target = &*target.host, attempt = attempt, "forwarded");
+    scheduler.timers.schedule(expires_at, TimerEvent::ForwardTimeout(id, attempt));
+    let forward_task = ForwardTask { scheduler: Rc::clone(scheduler), id, attempt, worker, expires_at };
     let task = tokio::task::spawn_local(async move {
-        for earlier in undoing {
-            earlier.notified().await;
-            earlier.notify_one();
+        for cancellation_done in cancellations {
+            cancellation_done.notified().await;
+            // Wakes the next forward that waits for the same cancellation.
+            cancellation_done.notify_one();
         }
-        one.run(&target, &work).await;
+        forward_task.run(&target, &job).await;
     });
-    if let Some(forward) = s.book.borrow_mut().forward(id, n) {
+    if let Some(forward) = scheduler.book.borrow_mut().forward(id, attempt) {
         forward.task = Some(task.abort_handle());
     }
 }
 
-/// What decides just before the first byte of a forward whether it may still leave.
+/// The conditions checked immediately before the first byte of a forward is written.
 #[derive(Clone, Copy, Debug)]
 pub struct SendCheck {
-    /// The client waits, and its flow is not answered.
+    /// The flow is not answered, and its client is still connected.
     pub awaits_answer: bool,
-    /// When the forward's own time is over.
+    /// When the forward times out.
     pub expires_at: Nanos,
-    /// When the repeats of its key cease to be dropped, if one that may have run was sent before.
+    /// The latest time to send a repeat of the flow's key, if an earlier forward may have run: later, the target may no
+    /// longer recognize it as a repeat.
     pub repeat_until: Option<Nanos>,
-    /// The target takes new jobs, as far as has been told.
+    /// The target accepts new jobs, as far as is known.
     pub target_accepts_jobs: bool,
-    /// It is the process that was chosen: one that has started since is cold, and nothing is charged for it.
+    /// The target's process is the one that was chosen. One started since then is cold, and the decision module has not
+    /// charged the job to it.
     pub same_incarnation: bool,
-    /// This scheduler may act.
+    /// This scheduler may act: it holds a lease, or needs none.
     pub may_act: bool,
 }
 
-/// Why a forward does not leave.
+/// Why a forward was not sent. The log shows the names of the variants.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NotSentReason {
-    /// Nobody waits for it.
+    /// The flow is answered, or its client has disconnected.
     Gone,
-    /// Its time is over.
+    /// The forward has timed out.
     Late,
-    /// The target is draining, or out by hand.
+    /// The target is draining, or an operator took it offline.
     Leaving,
-    /// The target has started anew.
+    /// The target's process was restarted.
     Restarted,
-    /// Its key's window is over.
+    /// The repeat window of the flow's key is over.
     Window,
-    /// This scheduler may not act.
+    /// This scheduler holds no lease.
     Lease,
 }
 
 impl SendCheck {
-    /// Whether the forward may leave at this time.
+    /// Whether the forward may be sent at `now`; otherwise the first reason against it.
     pub fn evaluate(&self, now: Nanos) -> Result<(), NotSentReason> {
-        let stops = [
+        let reasons = [
             (!self.awaits_answer, NotSentReason::Gone),
             (now >= self.expires_at, NotSentReason::Late),
             (!self.target_accepts_jobs, NotSentReason::Leaving),
             (!self.same_incarnation, NotSentReason::Restarted),
-            (self.repeat_until.is_some_and(|by| now >= by), NotSentReason::Window),
+            (self.repeat_until.is_some_and(|until| now >= until), NotSentReason::Window),
             (!self.may_act, NotSentReason::Lease),
         ];
-        stops.iter().find(|stop| stop.0).map_or(Ok(()), |stop| Err(stop.1))
+        reasons.iter().find(|reason| reason.0).map_or(Ok(()), |reason| Err(reason.1))
     }
 }
 
-/// One forward under way.
-struct One {
-    s: Rc<Scheduler>,
+/// The task of one forward.
+struct ForwardTask {
+    scheduler: Rc<Scheduler>,
     id: RequestId,
-    n: u32,
-    to: WorkerId,
-    until: Nanos,
+    attempt: u32,
+    worker: WorkerId,
+    expires_at: Nanos,
 }
 
-impl One {
-    async fn run(&self, target: &Target, work: &JobRequest) {
-        let s = &self.s;
-        let mut link = match connect(s, self.to, target, |local| self.connect_failed(local)).await {
-            Ok(link) => link,
-            Err(why) => return relay::forward_ended(s, self.id, self.n, why.outcome(), None),
-        };
-        let (now, look) = (s.clock.now(), self.send_check(target));
-        if let Err(stop) = look.evaluate(now) {
-            tracing::debug!(flow = self.id.0, target = &*target.host, attempt = self.n, stop = ?stop, "not sent");
-            if stop != NotSentReason::Restarted {
-                s.pool.put(self.to, link, now);
+impl ForwardTask {
+    async fn run(&self, target: &Target, job: &JobRequest) {
+        let scheduler = &self.scheduler;
+        let mut connection =
+            match connect(scheduler, self.worker, target, |local| self.set_local_fault(local)).await {
+                Ok(connection) => connection,
+                Err(error) => {
+                    return relay::forward_ended(scheduler, self.id, self.attempt, error.outcome(), None);
+                }
+            };
+        let (now, check) = (scheduler.clock.now(), self.send_check(target));
+        if let Err(reason) = check.evaluate(now) {
+            tracing::debug!(flow = self.id.0, target = &*target.host, attempt = self.attempt, stop = ?reason, "not sent");
+            if reason != NotSentReason::Restarted {
+                scheduler.pool.put_idle(self.worker, connection, now);
             }
-            return relay::forward_ended(s, self.id, self.n, Outcome::NotSent, None);
+            return relay::forward_ended(scheduler, self.id, self.attempt, Outcome::NotSent, None);
         }
-        if let Some(forward) = s.book.borrow_mut().forward(self.id, self.n) {
+        if let Some(forward) = scheduler.book.borrow_mut().forward(self.id, self.attempt) {
             forward.first_byte_at = Some(now);
         }
-        let left = self.until.saturating_sub(now);
-        if link.wire.write_all(&request(target, work, left)).await.is_err() {
-            return relay::forward_ended(s, self.id, self.n, Outcome::NoConnection, None);
+        let time_left = self.expires_at.saturating_sub(now);
+        if connection.http.write_all(&encode_job_request(target, job, time_left)).await.is_err() {
+            return relay::forward_ended(scheduler, self.id, self.attempt, Outcome::NoConnection, None);
         }
-        self.reached(ForwardStage::Written);
-        // The time-out ends this task; the limit is for a forward that a call-back has ended before the 202.
-        let limit = Duration::from_nanos(left) + CALL;
-        let taken = Cell::new(false);
+        self.set_stage(ForwardStage::Written);
+        // The forward's timer aborts this task. The limit here is for a forward that a call-back ended before the 202.
+        let limit = Duration::from_nanos(time_left) + CALL_TIMEOUT;
+        let accepted = Cell::new(false);
         let read = async {
-            let head = link.wire.read_head(MessageKind::Response).await?;
+            let head = connection.http.read_head(MessageKind::Response).await?;
             if head.status == 202 {
-                // It has taken the job, whatever becomes of the rest of its answer: a give-up has to be told.
-                taken.set(true);
-                self.reached(ForwardStage::Accepted);
+                // The job is accepted even if the rest of the answer is lost; from now on it takes a call to cancel it.
+                accepted.set(true);
+                self.set_stage(ForwardStage::Accepted);
             }
-            link.wire.read_body(MessageKind::Response, head).await
+            connection.http.read_body(MessageKind::Response, head).await
         };
         let answer = tokio::time::timeout(limit, read).await;
         let (outcome, report) = match answer {
             Ok(Ok(answer)) => {
-                let read = read_answer(s, &answer);
-                self.put_back(link, &answer);
-                match read {
+                let classified = classify_answer(scheduler, &answer);
+                self.return_connection(connection, &answer);
+                match classified {
                     Some(ended) => ended,
-                    None => return self.reached(ForwardStage::Accepted),
+                    None => return self.set_stage(ForwardStage::Accepted),
                 }
             }
-            // What becomes of a job that was taken is told by call-backs, however its answer ended.
-            Ok(Err(_)) | Err(_) if taken.get() => return,
-            // The last byte is written, so it may have run.
-            Ok(Err(fault)) => {
-                if link.idle > 0 && matches!(fault, ReadError::Closed) {
-                    s.pool.broke(self.to, link.idle, s.clock.now());
+            // Call-backs report on an accepted job, even if its answer was cut short.
+            Ok(Err(_)) | Err(_) if accepted.get() => return,
+            // The request was written completely, so the job may have run.
+            Ok(Err(error)) => {
+                if connection.idle_before_use > 0 && matches!(error, ReadError::Closed) {
+                    scheduler.pool.shorten_idle_timeout(
+                        self.worker,
+                        connection.idle_before_use,
+                        scheduler.clock.now(),
+                    );
                 }
                 (Outcome::Reset, None)
             }
             Err(_) => (Outcome::Reset, None),
         };
-        relay::forward_ended(s, self.id, self.n, outcome, report);
+        relay::forward_ended(scheduler, self.id, self.attempt, outcome, report);
     }
 
-    /// What is known just before the first byte: a dial takes time, and meanwhile much may have changed.
-    fn send_check(&self, meant: &Target) -> SendCheck {
-        let s = &self.s;
-        let mut book = s.book.borrow_mut();
+    /// Collects the conditions for sending, which may have changed while the connection was opened. `chosen` is the
+    /// target as it was when the forward started.
+    fn send_check(&self, chosen: &Target) -> SendCheck {
+        let scheduler = &self.scheduler;
+        let mut book = scheduler.book.borrow_mut();
         let flow = book.flow(self.id);
-        let way = WAY * s.epoch().settings.tick;
-        let first = flow
-            .as_ref()
-            .and_then(|f| f.forwards.iter().filter(|x| !x.never_ran).find_map(|x| x.first_byte_at));
-        let window = flow.as_ref().and_then(|f| f.repeat_window);
-        let target = s.target_group.target(self.to);
+        let margin = REPEAT_MARGIN_TICKS * scheduler.epoch().settings.tick;
+        let first_sent_at = flow.as_ref().and_then(|flow| {
+            flow.forwards
+                .iter()
+                .filter(|forward| !forward.never_ran)
+                .find_map(|forward| forward.first_byte_at)
+        });
+        let repeat_window = flow.as_ref().and_then(|flow| flow.repeat_window);
+        let target = scheduler.target_group.target(self.worker);
         SendCheck {
-            awaits_answer: flow.is_some_and(|f| f.reply.is_some()),
-            expires_at: self.until,
-            repeat_until: first.zip(window).map(|(first, window)| (first + window).saturating_sub(way)),
+            awaits_answer: flow.is_some_and(|flow| flow.reply.is_some()),
+            expires_at: self.expires_at,
+            repeat_until: first_sent_at
+                .zip(repeat_window)
+                .map(|(first, window)| (first + window).saturating_sub(margin)),
             target_accepts_jobs: target
                 .as_ref()
-                .is_some_and(|t| t.takes_new() && !s.orders.borrow().is_out(&t.host)),
-            same_incarnation: target.is_some_and(|t| t.same_life(meant)),
-            // The lease is looked at last: this is the act that it is for.
-            may_act: s.tier.acts(),
+                .is_some_and(|target| target.takes_new() && !scheduler.orders.borrow().is_out(&target.host)),
+            same_incarnation: target.is_some_and(|target| target.same_life(chosen)),
+            // The lease is checked last, as close to the write as possible.
+            may_act: scheduler.tier.acts(),
         }
     }
 
-    /// Notes whose fault it is that no connection is up yet, for the end of the attempt's time.
-    fn connect_failed(&self, local: bool) {
-        if let Some(forward) = self.s.book.borrow_mut().forward(self.id, self.n) {
-            forward.local_fault = local;
+    /// Records whether the last connect attempt failed on this machine, in case the forward times out.
+    fn set_local_fault(&self, local_fault: bool) {
+        if let Some(forward) = self.scheduler.book.borrow_mut().forward(self.id, self.attempt) {
+            forward.local_fault = local_fault;
         }
     }
 
-    fn reached(&self, stage: ForwardStage) {
-        if let Some(f) = self.s.book.borrow_mut().forward(self.id, self.n)
-            && f.stage != ForwardStage::Ended
+    fn set_stage(&self, stage: ForwardStage) {
+        if let Some(forward) = self.scheduler.book.borrow_mut().forward(self.id, self.attempt)
+            && forward.stage != ForwardStage::Ended
         {
-            f.stage = stage;
+            forward.stage = stage;
         }
     }
 
-    fn put_back(&self, link: Link, answer: &Message) {
-        put_back(&self.s, self.to, link, answer);
+    fn return_connection(&self, connection: TargetConnection, answer: &Message) {
+        return_connection(&self.scheduler, self.worker, connection, answer);
     }
 }
 
-fn put_back(s: &Scheduler, to: WorkerId, link: Link, answer: &Message) {
-    if link.wire.has_input() {
-        s.pool.twice.set(Some(s.clock.now()));
-    }
-    let staying = |t: Target| t.leaving.is_none() && !s.orders.borrow().is_out(&t.host);
-    let staying = s.target_group.target(to).is_some_and(staying);
-    if answer.keep_alive && !link.wire.has_input() && staying {
-        // A process that has handed over needs few connections any more: the next job is the other's.
-        match s.upgrade.heir() {
-            None => s.pool.put(to, link, s.clock.now()),
-            Some(heir) => {
-                let descriptor = link.wire.descriptor().ok();
-                drop(link);
-                descriptor.into_iter().for_each(|d| heir.give_target(s, to, d, s.clock.now()));
+/// Returns a connection to the pool after an answer, or closes it if it cannot be reused.
+fn return_connection(
+    scheduler: &Scheduler,
+    worker: WorkerId,
+    connection: TargetConnection,
+    answer: &Message,
+) {
+    if connection.http.has_input() {
+        scheduler.pool.duplicate_answer_at.set(Some(scheduler.clock.now()));
+    }
+    let stays = |target: Target| target.leaving.is_none() && !scheduler.orders.borrow().is_out(&target.host);
+    let stays = scheduler.target_group.target(worker).is_some_and(stays);
+    if answer.keep_alive && !connection.http.has_input() && stays {
+        // After a handover the successor process sends the next jobs, so it gets the connection.
+        match scheduler.upgrade.heir() {
+            None => scheduler.pool.put_idle(worker, connection, scheduler.clock.now()),
+            Some(successor) => {
+                let descriptor = connection.http.descriptor().ok();
+                drop(connection);
+                descriptor.into_iter().for_each(|descriptor| {
+                    successor.give_target(scheduler, worker, descriptor, scheduler.clock.now());
+                });
             }
         }
     }
 }
 
-/// What a target's answer means for the forward; none if the target has taken it.
-fn read_answer(s: &Scheduler, answer: &Message) -> Option<(Outcome, Option<Report>)> {
-    let report = answer.header_text("X-Backend-Load").map(|text| read_report(s, text));
+/// The outcome of a forward by the target's answer, with its load report; `None` if the target has accepted the job.
+fn classify_answer(scheduler: &Scheduler, answer: &Message) -> Option<(Outcome, Option<Report>)> {
+    let report = answer.header_text("X-Backend-Load").map(|text| parse_report(scheduler, text));
     let unprocessed = answer.header_text("X-Unprocessed") == Some("1");
     match answer.status {
         202 => None,
         503 | 504 if unprocessed => Some((Outcome::Full, report)),
-        // Time and rate are the target's matter, all else of the 400s is the request's.
+        // 408 and 429 are about the target's time and load; the other 4xx are faults of the request.
         400..=499 if ![408, 429].contains(&answer.status) => Some((Outcome::Rejected, report)),
         _ => Some((Outcome::Error, report)),
     }
 }
 
-/// A report in its header's form: `name=value,name=value`.
-fn read_report(s: &Scheduler, text: &str) -> Report {
+/// Parses a load report of the form `name=value,name=value`. Invalid values are skipped.
+fn parse_report(scheduler: &Scheduler, text: &str) -> Report {
     let mut report = Report::default();
     for (name, value) in text.split(',').filter_map(|pair| pair.split_once('=')) {
         if let Ok(value) = value.trim().parse() {
-            s.epoch().terms.report(&mut report, name.trim(), value);
+            scheduler.epoch().terms.report(&mut report, name.trim(), value);
         }
     }
     report
 }
 
-fn request(target: &Target, work: &JobRequest, left: Nanos) -> Vec<u8> {
-    let mut out = Vec::with_capacity(256 + work.path.len() + work.body.len());
-    let mut put = |parts: &[&[u8]]| parts.iter().for_each(|p| out.extend_from_slice(p));
-    put(&[&work.method, b" ", &work.path, b" HTTP/1.1\r\nHost: ", target.dial.to_string().as_bytes()]);
-    put(&[b"\r\nX-Correlation-Id: ", &work.correlation_id]);
-    put(&[b"\r\nX-Time-Left: ", format!("{:.3}", left as f64 / 1e9).as_bytes()]);
-    if let Some(key) = &work.idempotency_key {
+fn encode_job_request(target: &Target, job: &JobRequest, time_left: Nanos) -> Vec<u8> {
+    let mut encoded = Vec::with_capacity(256 + job.path.len() + job.body.len());
+    let mut put = |parts: &[&[u8]]| parts.iter().for_each(|part| encoded.extend_from_slice(part));
+    put(&[&job.method, b" ", &job.path, b" HTTP/1.1\r\nHost: ", target.dial.to_string().as_bytes()]);
+    put(&[b"\r\nX-Correlation-Id: ", &job.correlation_id]);
+    put(&[b"\r\nX-Time-Left: ", format!("{:.3}", time_left as f64 / 1e9).as_bytes()]);
+    if let Some(key) = &job.idempotency_key {
         put(&[b"\r\nIdempotency-Key: ", key]);
     }
-    if let Some(kind) = &work.content_type {
-        put(&[b"\r\nContent-Type: ", kind]);
+    if let Some(content_type) = &job.content_type {
+        put(&[b"\r\nContent-Type: ", content_type]);
     }
-    put(&[b"\r\nContent-Length: ", work.body.len().to_string().as_bytes(), b"\r\n\r\n", &work.body]);
-    out
+    put(&[b"\r\nContent-Length: ", job.body.len().to_string().as_bytes(), b"\r\n\r\n", &job.body]);
+    encoded
 }
 
-/// The module gives a forward up.
-pub fn cancel(s: &Rc<Scheduler>, id: RequestId, n: u32) {
-    give_up(s, id, n, Outcome::Cancelled);
+/// Cancels a forward at the request of the decision module.
+pub fn cancel(scheduler: &Rc<Scheduler>, id: RequestId, attempt: u32) {
+    abandon(scheduler, id, attempt, Outcome::Cancelled);
 }
 
-/// The time of a forward is over.
-pub fn time_out(s: &Rc<Scheduler>, id: RequestId, n: u32) {
-    give_up(s, id, n, Outcome::Timeout);
+/// Cancels a forward that has timed out.
+pub fn time_out(scheduler: &Rc<Scheduler>, id: RequestId, attempt: u32) {
+    abandon(scheduler, id, attempt, Outcome::Timeout);
 }
 
-/// Stops waiting for a forward, and says so on the wire: before the 202 by closing the connection, after it
-/// by a call. What was never written in full has never run.
-fn give_up(s: &Rc<Scheduler>, id: RequestId, n: u32, why: Outcome) {
-    let mut book = s.book.borrow_mut();
-    let Some(forward) = book.forward(id, n).filter(|f| f.stage != ForwardStage::Ended) else { return };
-    let (to, stage, task) = (forward.target, forward.stage, forward.task.take());
-    let outcome = match (stage, why) {
+/// Ends a forward that is still open and tells its target: before the 202 by closing the connection, after it by a
+/// `DELETE` call. A forward that was not written completely has never run.
+fn abandon(scheduler: &Rc<Scheduler>, id: RequestId, attempt: u32, reason: Outcome) {
+    let mut book = scheduler.book.borrow_mut();
+    let Some(forward) = book.forward(id, attempt).filter(|forward| forward.stage != ForwardStage::Ended)
+    else {
+        return;
+    };
+    let (worker, stage, task) = (forward.target, forward.stage, forward.task.take());
+    let outcome = match (stage, reason) {
         (ForwardStage::Unsent, Outcome::Timeout) if !forward.local_fault => Outcome::NoConnection,
         (ForwardStage::Unsent, _) => Outcome::NotSent,
-        _ => why,
+        _ => reason,
     };
     if stage == ForwardStage::Accepted {
-        let undone = Rc::new(Notify::new());
-        forward.cancellation_done = Some(Rc::clone(&undone));
+        let cancellation_done = Rc::new(Notify::new());
+        forward.cancellation_done = Some(Rc::clone(&cancellation_done));
         book.counters.undone += 1;
-        let correlation = book.flow(id).map(|f| f.job.correlation_id.clone()).unwrap_or_default();
-        let s = Rc::clone(s);
-        s.pool.undoing.set(s.pool.undoing.get() + 1);
+        let correlation_id = book.flow(id).map(|flow| flow.job.correlation_id.clone()).unwrap_or_default();
+        let scheduler = Rc::clone(scheduler);
+        scheduler.pool.unsent_cancellations.set(scheduler.pool.unsent_cancellations.get() + 1);
         tokio::task::spawn_local(async move {
-            let path = format!("/jobs/{}", String::from_utf8_lossy(&correlation));
-            let link = begin_call(&s, to, "DELETE", &path).await;
-            s.pool.undoing.set(s.pool.undoing.get() - 1);
-            if let Ok(link) = link {
-                let _ = end_call(&s, to, link).await;
+            let path = format!("/jobs/{}", String::from_utf8_lossy(&correlation_id));
+            let connection = send_call(&scheduler, worker, "DELETE", &path).await;
+            scheduler.pool.unsent_cancellations.set(scheduler.pool.unsent_cancellations.get() - 1);
+            if let Ok(connection) = connection {
+                let _ = read_call_answer(&scheduler, worker, connection).await;
             }
-            undone.notify_one();
+            cancellation_done.notify_one();
         });
     }
-    // Before the 202 the close says it; after that its connection may still be held by an answer that has no end.
+    // Aborting the task closes its connection. After the 202 this ends an answer that may never end by itself.
     if let Some(task) = task {
         task.abort();
     }
     drop(book);
-    relay::forward_ended(s, id, n, outcome, None);
+    relay::forward_ended(scheduler, id, attempt, outcome, None);
 }
 
-/// Why a small call has no answer.
+/// Why a call to a target has no answer.
 #[derive(Debug, thiserror::Error)]
 enum CallError {
-    /// There was no connection for it.
+    /// No connection could be opened.
     #[error("no connection: {0}")]
-    Unsent(#[from] NoConnection),
-    /// Its connection broke, or what came is no answer.
+    Unsent(#[from] ConnectError),
+    /// The connection broke, or its input was not a valid answer.
     #[error("no answer: {0:?}")]
     Unanswered(ReadError),
 }
 
 impl From<ReadError> for CallError {
-    fn from(fault: ReadError) -> CallError {
-        CallError::Unanswered(fault)
+    fn from(error: ReadError) -> CallError {
+        CallError::Unanswered(error)
     }
 }
 
-/// A small call without a body, and its answer.
-async fn call(s: &Scheduler, to: WorkerId, method: &str, path: &str) -> Result<Message, CallError> {
-    let link = begin_call(s, to, method, path).await?;
-    Ok(end_call(s, to, link).await?)
+/// Sends a call, a request without a body, to a target and returns the answer.
+async fn call(
+    scheduler: &Scheduler,
+    worker: WorkerId,
+    method: &str,
+    path: &str,
+) -> Result<Message, CallError> {
+    let connection = send_call(scheduler, worker, method, path).await?;
+    Ok(read_call_answer(scheduler, worker, connection).await?)
 }
 
-/// Writes a small call.
-async fn begin_call(s: &Scheduler, to: WorkerId, method: &str, path: &str) -> Result<Link, CallError> {
-    let target = s.target_group.target(to).ok_or(NoConnection::Target)?;
-    let mut link = connect(s, to, &target, |_| {}).await?;
-    let text = format!("{method} {path} HTTP/1.1\r\nHost: {}\r\nContent-Length: 0\r\n\r\n", target.dial);
-    let written = tokio::time::timeout(CALL, link.wire.write_all(text.as_bytes())).await;
+/// Connects to a target and writes a call.
+async fn send_call(
+    scheduler: &Scheduler,
+    worker: WorkerId,
+    method: &str,
+    path: &str,
+) -> Result<TargetConnection, CallError> {
+    let target = scheduler.target_group.target(worker).ok_or(ConnectError::Target)?;
+    let mut connection = connect(scheduler, worker, &target, |_| {}).await?;
+    let request = format!("{method} {path} HTTP/1.1\r\nHost: {}\r\nContent-Length: 0\r\n\r\n", target.dial);
+    let written = tokio::time::timeout(CALL_TIMEOUT, connection.http.write_all(request.as_bytes())).await;
     written.map_err(|_| ReadError::Broken)?.map_err(ReadError::from)?;
-    Ok(link)
+    Ok(connection)
 }
 
-/// Reads the answer to a small call.
-async fn end_call(s: &Scheduler, to: WorkerId, mut link: Link) -> Result<Message, ReadError> {
-    let answer = tokio::time::timeout(CALL, link.wire.read(MessageKind::Response)).await;
+/// Reads the answer to a call and returns the connection to the pool.
+async fn read_call_answer(
+    scheduler: &Scheduler,
+    worker: WorkerId,
+    mut connection: TargetConnection,
+) -> Result<Message, ReadError> {
+    let answer = tokio::time::timeout(CALL_TIMEOUT, connection.http.read(MessageKind::Response)).await;
     let answer = answer.map_err(|_| ReadError::Broken)??;
-    put_back(s, to, link, &answer);
+    return_connection(scheduler, worker, connection, &answer);
     Ok(answer)
 }
 
-/// Asks a target for its load, or for a sign of life where there are no reports.
-pub fn probe(s: &Rc<Scheduler>, to: WorkerId) {
-    s.book.borrow_mut().counters.probes += 1;
-    let (s, sent) = (Rc::clone(s), s.clock.now());
+/// Probes a target: asks for its load report, or for its health where targets send no reports.
+pub fn probe(scheduler: &Rc<Scheduler>, worker: WorkerId) {
+    scheduler.book.borrow_mut().counters.probes += 1;
+    let (scheduler, sent_at) = (Rc::clone(scheduler), scheduler.clock.now());
     tokio::task::spawn_local(async move {
-        let path = if s.epoch().settings.reports == Reports::None { "/healthz" } else { "/load" };
-        let (outcome, report) = match call(&s, to, "GET", path).await {
+        let path = if scheduler.epoch().settings.reports == Reports::None { "/healthz" } else { "/load" };
+        let (outcome, report) = match call(&scheduler, worker, "GET", path).await {
             Ok(answer) => {
                 let outcome = if answer.status == 200 { Outcome::Served } else { Outcome::Error };
                 let text = std::str::from_utf8(&answer.body).unwrap_or("").trim();
-                (outcome, (!text.is_empty()).then(|| read_report(&s, text)))
+                (outcome, (!text.is_empty()).then(|| parse_report(&scheduler, text)))
             }
-            // It says nothing about the target, and the module waits for no probe.
-            Err(CallError::Unsent(NoConnection::Local)) => return,
+            // No evidence about the target; the decision module does not wait for the end of a probe.
+            Err(CallError::Unsent(ConnectError::Local)) => return,
             Err(_) => (Outcome::NoConnection, None),
         };
-        let latency = s.clock.now().saturating_sub(sent);
+        let latency = scheduler.clock.now().saturating_sub(sent_at);
         let ended = Ended { outcome, latency, closed: false, report };
-        route::handle_event(&s, Event::Probed { worker: to, ended });
+        route::handle_event(&scheduler, Event::Probed { worker, ended });
     });
 }
 
-/// Looks through the idle connections, now and then.
-pub fn sweep(s: &Scheduler) {
-    let now = s.clock.now();
-    s.pool.sweep(now);
-    s.timers.schedule(now + SWEEP, TimerEvent::PoolSweep);
+/// Closes useless idle connections, and schedules the next sweep.
+pub fn sweep_pool(scheduler: &Scheduler) {
+    let now = scheduler.clock.now();
+    scheduler.pool.sweep(now);
+    scheduler.timers.schedule(now + SWEEP_INTERVAL, TimerEvent::PoolSweep);
 }
 
 #[cfg(test)]
@@ -641,46 +732,45 @@
     use tokio::io::AsyncWriteExt;
     use tokio::net::TcpListener;
 
-    const TO: WorkerId = WorkerId(1);
+    const WORKER: WorkerId = WorkerId(1);
     const SECOND: Nanos = 1_000_000_000;
 
-    /// A pool with one idle connection put back at this time, and its other end.
-    async fn rested(pool: &Pool, since: Nanos) -> TcpStream {
+    /// Adds a connection to the pool that is idle since then, and returns its other end.
+    async fn add_idle_connection(pool: &Pool, idle_since: Nanos) -> TcpStream {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
-        let near = TcpStream::connect(listener.local_addr().unwrap()).await.unwrap();
-        pool.adopt(TO, near, since);
+        let stream = TcpStream::connect(listener.local_addr().unwrap()).await.unwrap();
+        pool.adopt(WORKER, stream, idle_since);
         listener.accept().await.unwrap().0
     }
 
-    /// Where a target has answered twice once, a connection rests before it is used again, so that a second answer shows
-    /// before it could be taken for the next job's; after a minute it is trusted again.
+    /// Guards against taking a late duplicate answer for the answer to the next job.
     #[tokio::test]
-    async fn connections_rest_after_their_answer_where_a_target_answers_twice() {
+    async fn reuse_is_delayed_for_a_minute_after_a_duplicate_answer() {
         let pool = Pool::new(8, 60 * SECOND);
-        let _far = rested(&pool, SECOND).await;
-        let link = pool.take(TO, SECOND).expect("at once, as nobody answers twice");
-        pool.put(TO, link, SECOND);
-        let mut twice = rested(&pool, SECOND).await;
-        twice.write_all(b"HTTP/1.1 202 Accepted\r\n\r\n").await.unwrap();
+        let _peer = add_idle_connection(&pool, SECOND).await;
+        let connection = pool.take_idle(WORKER, SECOND).expect("no delay before any duplicate answer");
+        pool.put_idle(WORKER, connection, SECOND);
+        let mut duplicating_peer = add_idle_connection(&pool, SECOND).await;
+        duplicating_peer.write_all(b"HTTP/1.1 202 Accepted\r\n\r\n").await.unwrap();
         while pool.open_count() > 1 {
             tokio::task::yield_now().await;
             pool.sweep(SECOND);
         }
-        assert!(pool.take(TO, SECOND + REST - 1).is_none(), "it has not rested");
-        let link = pool.take(TO, SECOND + REST).expect("it has rested");
-        let later = SECOND + RELEARN;
-        pool.put(TO, link, later);
-        assert!(pool.take(TO, later).is_some(), "what was learned a minute ago is tried anew");
+        assert!(pool.take_idle(WORKER, SECOND + REUSE_DELAY - 1).is_none(), "within the delay");
+        let connection = pool.take_idle(WORKER, SECOND + REUSE_DELAY).expect("after the delay");
+        let later = SECOND + OBSERVATION_LIFETIME;
+        pool.put_idle(WORKER, connection, later);
+        assert!(pool.take_idle(WORKER, later).is_some(), "the observation has expired");
     }
 
     #[tokio::test]
-    async fn idle_connections_that_their_target_has_closed_are_swept_and_never_taken() {
+    async fn idle_connections_closed_by_their_target_are_swept_and_not_reused() {
         let pool = Pool::new(8, 60 * SECOND);
-        drop(rested(&pool, SECOND).await);
+        drop(add_idle_connection(&pool, SECOND).await);
         while pool.open_count() > 0 {
             tokio::task::yield_now().await;
             pool.sweep(SECOND);
         }
-        assert!(pool.take(TO, SECOND).is_none());
+        assert!(pool.take_idle(WORKER, SECOND).is_none());
     }
 }
