--- a/crates/scheduler/src/admit.rs
+++ b/crates/scheduler/src/admit.rs
@@ -1,4 +1,5 @@
-//! Admit: whether an offer becomes a flow. It knows classes, tenants, deadlines and bounds, but no protocol.
+//! Admit: decides whether an offer becomes a flow, by its class, tenant, deadline and the limits. Independent of the
+//! client's protocol.
 
 use super::book::{Answer, Flow, JobRequest};
 use super::quotas::QuotaDecision;
@@ -9,124 +10,132 @@
 use std::rc::Rc;
 use tokio::sync::oneshot;
 
-/// How long a client should stay away when there is no room for its flow.
-const NO_ROOM_WAIT: Nanos = 1_000_000_000;
-/// The longest id of a flow.
-const MAX_ID: usize = 128;
+/// Advice to clients that are rejected for lack of capacity: when to retry.
+const UNAVAILABLE_RETRY_AFTER: Nanos = 1_000_000_000;
+/// Maximum length of a correlation id.
+const MAX_CORRELATION_ID_BYTES: usize = 128;
 
-/// What a client offers, in words of no protocol.
+/// A request that a client offers, in protocol-independent terms.
 #[derive(Debug, Default)]
 pub struct Offer {
-    /// What to pass on.
+    /// The request to forward.
     pub job: JobRequest,
-    /// The class's name.
+    /// The name of its class.
     pub class: String,
-    /// The tenant's name.
+    /// The name of its tenant.
     pub tenant: Option<String>,
-    /// What it is about.
+    /// The object that the request is about, for affinity: the last segment of its path.
     pub subject: Option<String>,
-    /// How long the client waits; none if it did not say.
-    pub patience: Option<Nanos>,
-    /// The client marks it as a retry.
+    /// How long the client waits; `None` if the request does not tell.
+    pub time_left: Option<Nanos>,
+    /// Whether the client marked the request as a retry.
     pub retry: bool,
-    /// Slots it takes.
+    /// Slots that the job occupies.
     pub slots: Option<f64>,
-    /// Memory it takes.
+    /// Memory that the job occupies.
     pub memory: Option<f64>,
-    /// A hint of its work.
-    pub expected: Option<Nanos>,
+    /// The client's estimate of the work.
+    pub expected_work: Option<Nanos>,
 }
 
-/// Why an offer was not taken.
+/// Why an offer was not admitted.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Rejection {
-    /// It is faulty; no new try would help.
-    Bad(&'static str),
-    /// There is no room; try again after this time.
-    NoRoom(Nanos),
+    /// The offer is invalid; a retry would fail as well.
+    Invalid(&'static str),
+    /// There is no capacity or quota for it now; the client may retry after this time.
+    Unavailable(Nanos),
 }
 
-/// A flow that was taken, and where its answer will come.
+/// An admitted flow.
 #[derive(Debug)]
-pub struct Taken {
-    /// Its number.
+pub struct Admitted {
+    /// The id of the flow.
     pub id: RequestId,
-    /// Its answer.
+    /// Receives the final answer.
     pub answer: oneshot::Receiver<Answer>,
 }
 
-/// The id goes into the path of a give-up, so only what stands for itself there may be in it.
-fn valid_id(id: &[u8]) -> bool {
-    let plain = |b: &u8| b.is_ascii_alphanumeric() || b"-_.~:".contains(b);
-    !id.is_empty() && id.len() <= MAX_ID && id.iter().all(plain)
+/// Whether a correlation id can be used unescaped in the path `/jobs/ID`, by which a job is cancelled.
+fn is_valid_correlation_id(id: &[u8]) -> bool {
+    let unescaped = |byte: &u8| byte.is_ascii_alphanumeric() || b"-_.~:".contains(byte);
+    !id.is_empty() && id.len() <= MAX_CORRELATION_ID_BYTES && id.iter().all(unescaped)
 }
 
-/// Takes an offer in, or says why not.
-pub fn admit(s: &Rc<Scheduler>, offer: Offer) -> Result<Taken, Rejection> {
-    let epoch = s.epoch();
+/// Admits an offer as a flow and passes it to the decision module, or rejects it.
+pub fn admit(scheduler: &Rc<Scheduler>, offer: Offer) -> Result<Admitted, Rejection> {
+    let epoch = scheduler.epoch();
     let class = epoch.names.class(&offer.class);
     let Some(settings) = epoch.settings.classes.get(class) else {
-        return Err(Rejection::Bad("unknown class"));
+        return Err(Rejection::Invalid("unknown class"));
     };
-    if !valid_id(&offer.job.correlation_id) {
-        return Err(Rejection::Bad("missing or bad id"));
+    if !is_valid_correlation_id(&offer.job.correlation_id) {
+        return Err(Rejection::Invalid("missing or bad id"));
     }
-    let now = s.clock.now();
-    let mut book = s.book.borrow_mut();
-    // Two flows of one id could not be told apart in call-backs.
+    let now = scheduler.clock.now();
+    let mut book = scheduler.book.borrow_mut();
+    // Call-backs name their flow by this id alone, so it must be unique.
     if book.find_by_correlation_id(&offer.job.correlation_id).is_some() {
-        return Err(Rejection::Bad("id already in use"));
+        return Err(Rejection::Invalid("id already in use"));
     }
-    let full =
-        book.len() >= epoch.terms.max_open || book.body_bytes() + offer.job.body.len() > s.config.body_bytes;
-    if full || s.shutdown.service().refusing(now) || !s.tier.may_act() {
+    let full = book.len() >= epoch.terms.max_open
+        || book.body_bytes() + offer.job.body.len() > scheduler.config.body_bytes;
+    if full || scheduler.shutdown.service().refusing(now) || !scheduler.tier.may_act() {
         book.counters.turned_back += 1;
-        return Err(Rejection::NoRoom(NO_ROOM_WAIT.min(s.epoch().settings.limits.max_retry_after)));
+        return Err(Rejection::Unavailable(
+            UNAVAILABLE_RETRY_AFTER.min(scheduler.epoch().settings.limits.max_retry_after),
+        ));
     }
-    let longest = epoch.settings.limits.max_retry_after;
-    let most = epoch.settings.limits.max_attempts.max(1);
+    let max_retry_after = epoch.settings.limits.max_retry_after;
+    let max_forwards = epoch.settings.limits.max_attempts.max(1);
     let (slots, spread) = (offer.slots.unwrap_or(1.0), book.counters.flows ^ book.counters.turned_back << 32);
     let tenant = offer.tenant.as_deref().unwrap_or("");
-    let (holding, in_share) = match s.quotas.admit(now, tenant, class, slots, offer.retry, spread) {
+    let (quota_grant, in_share) = match scheduler.quotas.admit(now, tenant, class, slots, offer.retry, spread)
+    {
         QuotaDecision::Disabled => (None, None),
-        QuotaDecision::Admitted(holding, in_share) => (Some(holding), Some(in_share)),
+        QuotaDecision::Admitted(grant, in_share) => (Some(grant), Some(in_share)),
         QuotaDecision::UnknownTenant => (None, Some(false)),
-        QuotaDecision::Refused(after) => {
+        QuotaDecision::Refused(retry_after) => {
             book.counters.turned_back += 1;
-            return Err(Rejection::NoRoom(after.min(longest)));
+            return Err(Rejection::Unavailable(retry_after.min(max_retry_after)));
         }
     };
-    let patience = offer.patience.unwrap_or(settings.deadline);
-    // A process that ends answers sooner; to the module that is no sign of a client that has waited before.
-    let within = s.shutdown.service().answer_by().map(|by| by.saturating_sub(now));
-    let deadline = now.saturating_add(within.unwrap_or(patience).min(patience));
+    let time_left = offer.time_left.unwrap_or(settings.deadline);
+    // A process that shuts down must answer sooner. The decision module gets this bound apart from the client's, as it is
+    // no sign of a client that has already waited.
+    let within = scheduler.shutdown.service().answer_by().map(|by| by.saturating_sub(now));
+    let deadline = now.saturating_add(within.unwrap_or(time_left).min(time_left));
     let (reply, answer) = oneshot::channel();
-    let correlation = offer.job.correlation_id.clone();
+    let correlation_id = offer.job.correlation_id.clone();
     let job = Rc::new(offer.job);
     let id = book.insert(Flow {
         job,
         deadline,
         reply: Some(reply),
         forwards: Vec::new(),
-        quota_grant: holding,
+        quota_grant,
         slots,
         class,
-        max_forwards: most,
+        max_forwards,
         repeat_window: matches!(settings.effect, Effect::Keyed(_)).then_some(settings.window),
         run_seconds: 0.0,
     });
     drop(book);
-    // A tick later than the last time-out, whose news lets the module answer by itself.
-    s.timers.schedule(deadline.saturating_add(s.epoch().settings.tick), TimerEvent::FlowDeadline(id));
+    // One tick after the last forward's timeout, to which the decision module reacts with an answer of its own.
+    scheduler
+        .timers
+        .schedule(deadline.saturating_add(scheduler.epoch().settings.tick), TimerEvent::FlowDeadline(id));
     let flow = id.0;
     tracing::debug!(
         flow,
-        id = %String::from_utf8_lossy(&correlation),
+        id = %String::from_utf8_lossy(&correlation_id),
         class = offer.class,
         tenant = offer.tenant.as_deref().unwrap_or(""),
         "taken"
     );
-    let tenant = offer.tenant.and_then(|name| s.epoch().names.tenants.iter().position(|t| *t == name));
+    let tenant = offer
+        .tenant
+        .and_then(|name| scheduler.epoch().names.tenants.iter().position(|tenant| *tenant == name));
     let request = Request {
         id,
         class: ClassId(class),
@@ -134,14 +143,14 @@
         key: offer.subject.as_deref().map(key),
         slots,
         memory: offer.memory.unwrap_or(0.0),
-        remaining: patience,
+        remaining: time_left,
         within,
         retry: offer.retry,
         in_share,
-        expected: offer.expected,
+        expected: offer.expected_work,
     };
-    route::handle_event(s, Event::Request(request));
-    Ok(Taken { id, answer })
+    route::handle_event(scheduler, Event::Request(request));
+    Ok(Admitted { id, answer })
 }
 
 #[cfg(test)]
@@ -149,10 +158,12 @@
     use super::*;
 
     #[test]
-    fn ids_that_would_not_stand_for_themselves_in_a_path_are_bad() {
-        assert!(valid_id(b"9b1f03aa5c7e2d41"));
-        for bad in [&b""[..], b"a/b", b"a b", b"a%2f", b"a?x", &[b'x'; MAX_ID + 1], b"\xff"] {
-            assert!(!valid_id(bad), "{bad:?}");
+    fn correlation_ids_that_need_escaping_in_a_path_are_invalid() {
+        assert!(is_valid_correlation_id(b"9b1f03aa5c7e2d41"));
+        for invalid in
+            [&b""[..], b"a/b", b"a b", b"a%2f", b"a?x", &[b'x'; MAX_CORRELATION_ID_BYTES + 1], b"\xff"]
+        {
+            assert!(!is_valid_correlation_id(invalid), "{invalid:?}");
         }
     }
 }
--- a/crates/scheduler/src/intake.rs
+++ b/crates/scheduler/src/intake.rs
@@ -1,4 +1,5 @@
-//! Intake: the listener. It parses what comes in, hands offers on, and writes the answers.
+//! Intake: accepts client connections, parses requests, offers them to `admit`, and writes the answers. Targets send their
+//! call-backs to the same listener.
 
 use super::admit::{Offer, Rejection, admit};
 use super::book::{Answer, JobRequest};
@@ -17,482 +18,531 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-/// A request is whole within this time: the first one of a connection counted from its start, so that one
-/// which says nothing ends as well, a later one from its first byte.
-const WHOLE: Duration = Duration::from_secs(2);
-/// A connection younger than this may have its request on the way: others make room first.
-const PROBATION: Nanos = 250_000_000;
-/// The rank of a connection within its probation: the last to make room.
-const JUST_COME: u8 = 2;
-/// An answer is read by its client within this time.
-const TAKEN: Duration = Duration::from_secs(10);
-/// Connections idle for longer are closed.
-const IDLE: Duration = Duration::from_secs(120);
-/// Pause before another look for room.
-const ROOM_PAUSE: Duration = Duration::from_millis(10);
-
-/// Where workers report what becomes of a job.
-const CALL_BACKS: &str = "/v1/job-events";
-const HEALTH: &str = "/healthz";
-
-/// What a connection is at.
+/// Time limit for a complete request: from the start of the connection for its first request, from the first byte for
+/// later ones.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(2);
+/// A connection younger than this is expected to send a request soon, and is evicted last.
+const NEW_CONNECTION_GRACE: Nanos = 250_000_000;
+/// Eviction rank of a connection in its grace period.
+const NEW_CONNECTION_RANK: u8 = 2;
+/// Time limit for writing an answer.
+const WRITE_TIMEOUT: Duration = Duration::from_secs(10);
+/// Connections that are idle for longer are closed.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(120);
+/// Longest wait for an evicted connection to close before another one is evicted.
+const EVICTION_WAIT: Duration = Duration::from_millis(10);
+
+/// Path of the call-backs in which targets report on their jobs.
+const CALL_BACK_PATH: &str = "/v1/job-events";
+const HEALTH_PATH: &str = "/healthz";
+
+/// The state of a client connection. Times are when the state began.
 #[derive(Clone, Copy, Debug)]
-enum State {
-    /// It has come then, and has said nothing yet.
-    Silent(Nanos),
-    /// It has said a part of a request since then.
-    Partial(Nanos),
-    /// It is between requests since then.
+enum ConnectionState {
+    /// New, without any input.
+    New(Nanos),
+    /// In the middle of a request.
+    Receiving(Nanos),
+    /// Between requests.
     Idle(Nanos),
-    /// We have said that it ends, and read what still comes, for nobody.
-    Ending,
-    /// It waits for its answer.
-    Served,
+    /// In a lingering close.
+    Closing,
+    /// Waiting for the answer to its request.
+    AwaitingAnswer,
 }
 
-/// A taken seat.
+/// What the listener knows of a connection.
 #[derive(Debug)]
-struct Occupied {
-    state: State,
-    /// It has brought a flow or a call-back.
+struct ConnectionEntry {
+    state: ConnectionState,
+    /// Whether it has brought an admitted flow or an accepted call-back.
     useful: bool,
-    /// How to ask it to close.
+    /// Notified to request that the connection closes.
     close: Rc<Notify>,
 }
 
-/// The connections of clients, and of targets that call back.
+/// The connections of clients, and of targets that send call-backs.
 #[derive(Debug)]
 pub struct Listener {
+    /// Maximum number of connections.
     limit: usize,
-    /// Beyond so many, idle ones make room.
-    ample: usize,
-    seats: RefCell<HashMap<u64, Occupied>>,
-    next: Cell<u64>,
-    left: Notify,
+    /// Number of connections above which idle ones are evicted.
+    idle_eviction_threshold: usize,
+    connections: RefCell<HashMap<u64, ConnectionEntry>>,
+    next_number: Cell<u64>,
+    /// Notified when a connection is closed.
+    connection_closed: Notify,
 }
 
 impl Listener {
-    /// A listener with room for `limit` connections, that parts with idle ones beyond `ample`.
-    pub fn new(limit: usize, ample: usize) -> Self {
-        Listener { limit, ample, seats: RefCell::default(), next: Cell::new(0), left: Notify::new() }
+    /// A listener for up to `limit` connections, which evicts idle ones when there are more than
+    /// `idle_eviction_threshold`.
+    pub fn new(limit: usize, idle_eviction_threshold: usize) -> Self {
+        Listener {
+            limit,
+            idle_eviction_threshold,
+            connections: RefCell::default(),
+            next_number: Cell::new(0),
+            connection_closed: Notify::new(),
+        }
     }
 
-    /// Connections.
+    /// Number of connections.
     pub fn connection_count(&self) -> usize {
-        self.seats.borrow().len()
+        self.connections.borrow().len()
     }
 
-    /// Connections that are within a request.
+    /// Number of connections with a request in progress.
     pub fn active_count(&self) -> usize {
-        self.seats.borrow().values().filter(|s| matches!(s.state, State::Partial(_) | State::Served)).count()
+        self.connections
+            .borrow()
+            .values()
+            .filter(|entry| {
+                matches!(entry.state, ConnectionState::Receiving(_) | ConnectionState::AwaitingAnswer)
+            })
+            .count()
     }
 
-    /// Connections whose end is said, and not seen by the other side yet.
+    /// Number of connections in a lingering close.
     pub fn closing_count(&self) -> usize {
-        self.seats.borrow().values().filter(|s| matches!(s.state, State::Ending)).count()
+        self.connections
+            .borrow()
+            .values()
+            .filter(|entry| matches!(entry.state, ConnectionState::Closing))
+            .count()
     }
 
-    /// Whether another connection would have to wait for room.
-    fn full(&self, elsewhere: usize) -> bool {
-        self.connection_count() + elsewhere >= self.limit
+    /// Whether the limit is reached, counting the connections of this scheduler's other processes.
+    fn is_full(&self, in_other_processes: usize) -> bool {
+        self.connection_count() + in_other_processes >= self.limit
     }
 
-    /// Asks one connection to close: one that ends anyway; then the one that has owed a request for longest, or has been idle for
-    /// longest and never brought work; then an idle one that has, as its client may be about to use it again;
-    /// only then one that has just come. Call-backs need a seat too, and would else wait behind connections
-    /// that say nothing, half of something, or nothing more.
-    /// Ranks of `below` and more stay.
+    /// Requests that one connection closes: the one with the lowest rank, and among equals the one longest in its state.
+    /// Connections of rank `below` or more are spared.
+    ///
+    /// The order is: closing connections, connections without a complete request, and idle ones that were never useful;
+    /// then idle ones that were, whose client may be about to use them again; then new ones. This keeps room for
+    /// call-backs, which are needed to finish admitted flows.
     fn evict(&self, now: Nanos, below: u8) {
-        let seats = self.seats.borrow();
-        let ranked = seats.values().filter_map(|seat| Some((seat.rank(now)?, seat)));
+        let connections = self.connections.borrow();
+        let ranked = connections.values().filter_map(|entry| Some((entry.eviction_rank(now)?, entry)));
         let ranked = ranked.filter(|(rank, _)| rank.0 < below);
-        if let Some((_, seat)) = ranked.min_by_key(|(rank, _)| *rank) {
-            seat.close.notify_one();
+        if let Some((_, entry)) = ranked.min_by_key(|(rank, _)| *rank) {
+            entry.close.notify_one();
         }
     }
 
-    /// Has idle connections make room long before all places are taken. Whatever stands before the listener carries a
-    /// limited number of connections to it, and clients whose requests come beyond that are turned away there, where
-    /// nobody here hears of them.
-    fn thin(&self, now: Nanos, elsewhere: usize) {
-        if self.connection_count() + elsewhere > self.ample {
-            self.evict(now, JUST_COME);
+    /// Evicts a connection above the threshold for idle ones, long before the limit is reached. A load balancer in front
+    /// of the listener may limit the connections to it, and reject requests for which none is left.
+    fn evict_above_threshold(&self, now: Nanos, in_other_processes: usize) {
+        if self.connection_count() + in_other_processes > self.idle_eviction_threshold {
+            self.evict(now, NEW_CONNECTION_RANK);
         }
     }
 }
 
-impl Occupied {
-    /// How readily it makes room, the least first; none while it waits for its answer.
-    fn rank(&self, now: Nanos) -> Option<(u8, Nanos)> {
+impl ConnectionEntry {
+    /// The order of eviction, lowest first; `None` while the connection waits for its answer.
+    fn eviction_rank(&self, now: Nanos) -> Option<(u8, Nanos)> {
         match self.state {
-            State::Silent(since) | State::Partial(since) => {
-                Some((if now >= since + PROBATION { 0 } else { JUST_COME }, since))
+            ConnectionState::New(since) | ConnectionState::Receiving(since) => {
+                Some((if now >= since + NEW_CONNECTION_GRACE { 0 } else { NEW_CONNECTION_RANK }, since))
             }
-            State::Idle(since) => Some((u8::from(self.useful), since)),
-            State::Ending => Some((0, 0)),
-            State::Served => None,
+            ConnectionState::Idle(since) => Some((u8::from(self.useful), since)),
+            ConnectionState::Closing => Some((0, 0)),
+            ConnectionState::AwaitingAnswer => None,
         }
     }
 }
 
-/// A connection's place at the listener.
-struct Seat {
-    s: Rc<Scheduler>,
+/// Registers a connection at the listener for as long as it lives.
+struct ConnectionGuard {
+    scheduler: Rc<Scheduler>,
     number: u64,
     close: Rc<Notify>,
 }
 
-impl Seat {
-    fn new(s: &Rc<Scheduler>) -> Self {
-        let number = s.listener.next.replace(s.listener.next.get() + 1);
+impl ConnectionGuard {
+    fn new(scheduler: &Rc<Scheduler>) -> Self {
+        let number = scheduler.listener.next_number.replace(scheduler.listener.next_number.get() + 1);
         let close = Rc::new(Notify::new());
-        let state = State::Silent(s.clock.now());
-        let occupied = Occupied { state, useful: false, close: Rc::clone(&close) };
-        s.listener.seats.borrow_mut().insert(number, occupied);
-        Seat { s: Rc::clone(s), number, close }
+        let state = ConnectionState::New(scheduler.clock.now());
+        let entry = ConnectionEntry { state, useful: false, close: Rc::clone(&close) };
+        scheduler.listener.connections.borrow_mut().insert(number, entry);
+        ConnectionGuard { scheduler: Rc::clone(scheduler), number, close }
     }
 
-    fn useful(&self) {
-        if let Some(seat) = self.s.listener.seats.borrow_mut().get_mut(&self.number) {
-            seat.useful = true;
+    fn mark_useful(&self) {
+        if let Some(entry) = self.scheduler.listener.connections.borrow_mut().get_mut(&self.number) {
+            entry.useful = true;
         }
     }
 
-    /// It has come just now, and has said nothing yet.
-    fn on_probation(&self) -> bool {
-        let now = self.s.clock.now();
-        let seats = self.s.listener.seats.borrow();
-        let state = seats.get(&self.number).map(|seat| seat.state);
-        matches!(state, Some(State::Silent(since)) if now < since + PROBATION)
+    /// Whether the connection is in its grace period and has not sent anything.
+    fn is_in_grace(&self) -> bool {
+        let now = self.scheduler.clock.now();
+        let connections = self.scheduler.listener.connections.borrow();
+        let state = connections.get(&self.number).map(|entry| entry.state);
+        matches!(state, Some(ConnectionState::New(since)) if now < since + NEW_CONNECTION_GRACE)
     }
 
-    fn is(&self, state: State) {
-        if let Some(seat) = self.s.listener.seats.borrow_mut().get_mut(&self.number) {
-            seat.state = state;
+    fn set_state(&self, state: ConnectionState) {
+        if let Some(entry) = self.scheduler.listener.connections.borrow_mut().get_mut(&self.number) {
+            entry.state = state;
         }
     }
 }
 
-impl Drop for Seat {
+impl Drop for ConnectionGuard {
     fn drop(&mut self) {
-        self.s.listener.seats.borrow_mut().remove(&self.number);
-        self.s.listener.left.notify_one();
+        self.scheduler.listener.connections.borrow_mut().remove(&self.number);
+        self.scheduler.listener.connection_closed.notify_one();
     }
 }
 
-/// Accepts connections for as long as the program runs. At the limit others make room, and if all wait for
-/// their answers newcomers wait in the kernel's queue.
-pub async fn accept(s: Rc<Scheduler>, listener: TcpListener) {
+/// Accepts connections for the lifetime of the process. At the limit a connection is evicted first; while all of them
+/// wait for answers, new ones stay in the kernel's queue.
+pub async fn accept(scheduler: Rc<Scheduler>, listener: TcpListener) {
     let mut retry = AcceptRetry::default();
     loop {
-        if !s.upgrade.accepts() {
-            s.upgrade.turned.notified().await;
+        if !scheduler.upgrade.accepts() {
+            scheduler.upgrade.turned.notified().await;
             continue;
         }
-        if s.listener.full(s.upgrade.elsewhere().inbound) {
-            s.listener.evict(s.clock.now(), JUST_COME + 1);
-            let _ = tokio::time::timeout(ROOM_PAUSE, s.listener.left.notified()).await;
+        if scheduler.listener.is_full(scheduler.upgrade.elsewhere().inbound) {
+            scheduler.listener.evict(scheduler.clock.now(), NEW_CONNECTION_RANK + 1);
+            let _ =
+                tokio::time::timeout(EVICTION_WAIT, scheduler.listener.connection_closed.notified()).await;
             continue;
         }
         let accepted = tokio::select! {
             accepted = listener.accept() => accepted,
-            () = s.upgrade.turned.notified() => continue,
+            () = scheduler.upgrade.turned.notified() => continue,
         };
         match accepted {
             Ok((stream, _)) => {
                 retry.accepted();
-                s.book.borrow_mut().counters.connections += 1;
-                s.listener.thin(s.clock.now(), s.upgrade.elsewhere().inbound);
-                tokio::task::spawn_local(serve(Seat::new(&s), stream, false, true));
+                scheduler.book.borrow_mut().counters.connections += 1;
+                scheduler
+                    .listener
+                    .evict_above_threshold(scheduler.clock.now(), scheduler.upgrade.elsewhere().inbound);
+                tokio::task::spawn_local(serve_connection(
+                    ConnectionGuard::new(&scheduler),
+                    stream,
+                    false,
+                    true,
+                ));
             }
-            Err(e) => {
-                let next = retry.failed(&e);
+            Err(error) => {
+                let next = retry.failed(&error);
                 if retry.is_worth_a_line(next) {
-                    tracing::warn!("accept: {e}");
+                    tracing::warn!("cannot accept client connections: {error}");
                 }
-                accept_failed(&s, next).await;
+                handle_accept_failure(&scheduler, next).await;
             }
         }
     }
 }
 
-/// Counts a failed accept, and prepares the next one. Connections of others are closed only where that helps.
-async fn accept_failed(s: &Scheduler, next: AcceptNext) {
-    s.book.borrow_mut().counters.accept_faults += 1;
+/// Counts a failed accept and waits before the next one. Evicts a connection only if descriptors or memory are short.
+async fn handle_accept_failure(scheduler: &Scheduler, next: AcceptNext) {
+    scheduler.book.borrow_mut().counters.accept_faults += 1;
     match next {
-        AcceptNext::Again => s.book.borrow_mut().counters.accept_gone += 1,
+        AcceptNext::Again => scheduler.book.borrow_mut().counters.accept_gone += 1,
         AcceptNext::MakeRoom(pause) => {
-            s.listener.evict(s.clock.now(), JUST_COME + 1);
+            scheduler.listener.evict(scheduler.clock.now(), NEW_CONNECTION_RANK + 1);
             tokio::time::sleep(pause).await;
         }
         AcceptNext::Pause(pause) => tokio::time::sleep(pause).await,
     }
 }
 
-/// Goes on with an idle connection that another process has passed on.
-pub fn adopt(s: &Rc<Scheduler>, descriptor: OwnedFd, calls_back: bool, fresh: bool) -> io::Result<()> {
+/// Continues an idle connection received from another process of this scheduler. `calls_back`: its last request was a
+/// call-back; `first`: it has not had a request yet.
+pub fn adopt(
+    scheduler: &Rc<Scheduler>,
+    descriptor: OwnedFd,
+    calls_back: bool,
+    first: bool,
+) -> io::Result<()> {
     let stream = std::net::TcpStream::from(descriptor);
     stream.set_nonblocking(true)?;
-    let seat = Seat::new(s);
-    if !fresh {
-        seat.useful();
+    let guard = ConnectionGuard::new(scheduler);
+    if !first {
+        guard.mark_useful();
     }
-    tokio::task::spawn_local(serve(seat, TcpStream::from_std(stream)?, calls_back, fresh));
+    tokio::task::spawn_local(serve_connection(guard, TcpStream::from_std(stream)?, calls_back, first));
     Ok(())
 }
 
-/// What the listener answers, and whether the connection goes on.
+/// The reply to a request.
 struct Reply {
     status: u16,
     body: Vec<u8>,
+    /// Time for the `Retry-After` header; 0 for none.
     retry_after: Nanos,
 }
 
 impl Reply {
-    fn plain(status: u16, text: &str) -> Self {
+    fn text(status: u16, text: &str) -> Self {
         Reply { status, body: format!("{text}\n").into_bytes(), retry_after: 0 }
     }
 }
 
-async fn serve(seat: Seat, stream: TcpStream, mut calls_back: bool, mut first: bool) {
-    let s = Rc::clone(&seat.s);
-    let mut wire = Connection::new(stream);
-    let begun = Instant::now();
+/// Serves the requests of a connection until it ends. `calls_back`: its last request was a call-back; `first`: it has not
+/// had a request yet.
+async fn serve_connection(guard: ConnectionGuard, stream: TcpStream, mut calls_back: bool, mut first: bool) {
+    let scheduler = Rc::clone(&guard.scheduler);
+    let mut connection = Connection::new(stream);
+    let started = Instant::now();
     loop {
-        if !wire.has_input() {
-            let now = s.clock.now();
-            let until = if first { begun + WHOLE } else { Instant::now() + IDLE };
-            seat.is(if first { State::Silent(now) } else { State::Idle(now) });
-            match wait(&seat, &mut wire, calls_back, until).await {
-                Next::Request => {}
-                Next::Over => {
-                    s.book.borrow_mut().counters.silent += u64::from(first);
+        if !connection.has_input() {
+            let now = scheduler.clock.now();
+            let deadline = if first { started + REQUEST_TIMEOUT } else { Instant::now() + IDLE_TIMEOUT };
+            guard.set_state(if first { ConnectionState::New(now) } else { ConnectionState::Idle(now) });
+            match wait_for_request(&guard, &mut connection, calls_back, deadline).await {
+                IdleEnd::Request => {}
+                IdleEnd::ClosedByPeer => {
+                    scheduler.book.borrow_mut().counters.silent += u64::from(first);
                     return;
                 }
-                Next::Close => {
-                    s.book.borrow_mut().counters.silent += u64::from(first);
-                    // Bytes that cross a close reset the connection; where others wait for room it comes first.
-                    if !s.listener.full(s.upgrade.elsewhere().inbound) {
-                        part(&seat, wire).await;
+                IdleEnd::Close => {
+                    scheduler.book.borrow_mut().counters.silent += u64::from(first);
+                    // At the limit the connection is closed at once to free its descriptor, even if that resets it.
+                    if !scheduler.listener.is_full(scheduler.upgrade.elsewhere().inbound) {
+                        close_gracefully(&guard, connection).await;
                     }
                     return;
                 }
-                Next::PassOn => {
-                    let (heir, descriptor) = (s.upgrade.heir(), wire.descriptor());
-                    drop(wire);
-                    if let (Some(heir), Ok(descriptor)) = (heir, descriptor) {
-                        heir.give_client(&s, descriptor, calls_back, first);
+                IdleEnd::HandOver => {
+                    let (successor, descriptor) = (scheduler.upgrade.heir(), connection.descriptor());
+                    drop(connection);
+                    if let (Some(successor), Ok(descriptor)) = (successor, descriptor) {
+                        successor.give_client(&scheduler, descriptor, calls_back, first);
                     }
                     return;
                 }
             }
         }
-        seat.is(State::Partial(s.clock.now()));
-        let whole_by = if first { begun } else { Instant::now() } + WHOLE;
+        guard.set_state(ConnectionState::Receiving(scheduler.clock.now()));
+        let deadline = if first { started } else { Instant::now() } + REQUEST_TIMEOUT;
         let read = tokio::select! {
             biased;
-            read = tokio::time::timeout_at(whole_by, wire.read(MessageKind::Request)) => read.ok(),
-            () = seat.close.notified() => None,
+            read = tokio::time::timeout_at(deadline, connection.read(MessageKind::Request)) => read.ok(),
+            () = guard.close.notified() => None,
         };
         first = false;
         let (reply, keep_alive) = match read {
             Some(Ok(message)) => {
-                seat.is(State::Served);
-                let path = message.path.split(|b| *b == b'?').next().unwrap_or_default();
-                calls_back = path == CALL_BACKS.as_bytes();
-                let Some(reply) = handle(&seat, &mut wire, &message).await else { return };
+                guard.set_state(ConnectionState::AwaitingAnswer);
+                let path = message.path.split(|byte| *byte == b'?').next().unwrap_or_default();
+                calls_back = path == CALL_BACK_PATH.as_bytes();
+                let Some(reply) = handle_request(&guard, &mut connection, &message).await else { return };
                 (reply, message.keep_alive)
             }
             Some(Err(ReadError::Closed | ReadError::Broken)) => return,
-            Some(Err(ReadError::Malformed)) => (Reply::plain(400, "malformed request"), false),
-            Some(Err(ReadError::HeadTooLarge)) => (Reply::plain(431, "head too large"), false),
-            Some(Err(ReadError::BodyTooLarge)) => (Reply::plain(413, "body too large"), false),
-            None => (Reply::plain(408, "request not whole in time"), false),
+            Some(Err(ReadError::Malformed)) => (Reply::text(400, "malformed request"), false),
+            Some(Err(ReadError::HeadTooLarge)) => (Reply::text(431, "head too large"), false),
+            Some(Err(ReadError::BodyTooLarge)) => (Reply::text(413, "body too large"), false),
+            None => (Reply::text(408, "request not whole in time"), false),
         };
-        s.book.borrow_mut().counters.count_invalid_request(reply.status);
-        // Call-backs go on: what was taken cannot finish without them. So do requests that have come already: one that is
-        // read and then closed with no answer would be lost.
-        let closes = s.shutdown.service().parting(s.clock.now());
-        let keep_alive = keep_alive && (calls_back || !closes || wire.poll_input() && wire.has_input());
-        let keep_alive = keep_alive && !wire.input_discarded();
-        let wait = format!("{:.3}", reply.retry_after as f64 / 1e9);
-        let headers: &[(&str, &str)] = if reply.retry_after > 0 { &[("Retry-After", &wait)] } else { &[] };
-        let text = encode_response(reply.status, headers, &reply.body, keep_alive);
-        match tokio::time::timeout(TAKEN, wire.write_all(&text)).await {
+        scheduler.book.borrow_mut().counters.count_invalid_request(reply.status);
+        // While shutting down, connections for call-backs stay open, as open flows need them; so do connections with
+        // input, whose request would otherwise be lost.
+        let closes = scheduler.shutdown.service().parting(scheduler.clock.now());
+        let keep_alive =
+            keep_alive && (calls_back || !closes || connection.poll_input() && connection.has_input());
+        let keep_alive = keep_alive && !connection.input_discarded();
+        let retry_after = format!("{:.3}", reply.retry_after as f64 / 1e9);
+        let headers: &[(&str, &str)] =
+            if reply.retry_after > 0 { &[("Retry-After", &retry_after)] } else { &[] };
+        let response = encode_response(reply.status, headers, &reply.body, keep_alive);
+        match tokio::time::timeout(WRITE_TIMEOUT, connection.write_all(&response)).await {
             Ok(Ok(())) if keep_alive => {}
-            Ok(Ok(())) => return part(&seat, wire).await,
+            Ok(Ok(())) => return close_gracefully(&guard, connection).await,
             _ => return,
         }
     }
 }
 
-/// Ends a connection so that nothing which crosses the end resets it: what still comes is read, for nobody, and never
-/// sent on. The seat stays taken meanwhile: a connection that ends holds a descriptor like any other, and one that its
-/// client does not close would else go uncounted.
-async fn part(seat: &Seat, wire: Connection) {
-    seat.is(State::Ending);
+/// Closes a connection without a reset, discarding further input. It stays registered until it is closed, as it still
+/// holds a descriptor.
+async fn close_gracefully(guard: &ConnectionGuard, connection: Connection) {
+    guard.set_state(ConnectionState::Closing);
     tokio::select! {
-        () = wire.lingering_close() => {}
-        () = seat.close.notified() => {}
+        () = connection.lingering_close() => {}
+        () = guard.close.notified() => {}
     }
 }
 
-/// What comes next on a connection that is idle.
-enum Next {
+/// How the idle time of a connection ends.
+enum IdleEnd {
     /// A request has begun.
     Request,
-    /// Nothing; the other side has closed.
-    Over,
-    /// Nothing; we close.
+    /// The peer has closed the connection.
+    ClosedByPeer,
+    /// This scheduler closes the connection.
     Close,
-    /// Another process goes on with it.
-    PassOn,
+    /// The connection is handed over to a successor process.
+    HandOver,
 }
 
-/// Waits for the first byte of a request. A connection that we close is looked at once more: what has arrived by then
-/// is a request like any other.
-async fn wait(seat: &Seat, wire: &mut Connection, calls_back: bool, until: Instant) -> Next {
-    let s = &seat.s;
-    if s.upgrade.heir().is_some() {
-        return Next::PassOn;
+/// Waits for the first byte of a request. Before this scheduler closes a connection it checks once more for input, so
+/// that a request that has just arrived is served.
+async fn wait_for_request(
+    guard: &ConnectionGuard,
+    connection: &mut Connection,
+    calls_back: bool,
+    deadline: Instant,
+) -> IdleEnd {
+    let scheduler = &guard.scheduler;
+    if scheduler.upgrade.heir().is_some() {
+        return IdleEnd::HandOver;
     }
-    // A connection that has just come has its request on the way, or asks for health.
-    let parted = async {
+    // New connections are exempt: their request, often a health check, is expected soon.
+    let close_requested = async {
         loop {
-            s.shutdown.close_idle.notified().await;
-            if !seat.on_probation() {
+            scheduler.shutdown.close_idle.notified().await;
+            if !guard.is_in_grace() {
                 return;
             }
         }
     };
-    let ours = tokio::select! {
-        filled = wire.fill() => {
-            if !matches!(filled, Ok(n) if n > 0) {
-                return Next::Over;
+    let closing = tokio::select! {
+        filled = connection.fill() => {
+            if !matches!(filled, Ok(length) if length > 0) {
+                return IdleEnd::ClosedByPeer;
             }
             false
         }
-        () = s.upgrade.moved.notified() => return Next::PassOn,
-        () = seat.close.notified() => true,
-        () = parted, if !calls_back => true,
-        () = tokio::time::sleep_until(until) => true,
+        () = scheduler.upgrade.moved.notified() => return IdleEnd::HandOver,
+        () = guard.close.notified() => true,
+        () = close_requested, if !calls_back => true,
+        () = tokio::time::sleep_until(deadline) => true,
     };
-    match (ours, wire.poll_input()) {
-        _ if wire.has_input() => Next::Request,
-        (true, true) => Next::Close,
-        _ => Next::Over,
+    match (closing, connection.poll_input()) {
+        _ if connection.has_input() => IdleEnd::Request,
+        (true, true) => IdleEnd::Close,
+        _ => IdleEnd::ClosedByPeer,
     }
 }
 
-/// The reply to a request; none if its client has gone.
-async fn handle(seat: &Seat, wire: &mut Connection, message: &Message) -> Option<Reply> {
-    let s = &seat.s;
+/// Handles a request and returns the reply; `None` if the client has disconnected.
+async fn handle_request(
+    guard: &ConnectionGuard,
+    connection: &mut Connection,
+    message: &Message,
+) -> Option<Reply> {
+    let scheduler = &guard.scheduler;
     let Ok(path) = std::str::from_utf8(&message.path) else {
-        return Some(Reply::plain(400, "malformed path"));
+        return Some(Reply::text(400, "malformed path"));
     };
     let path = path.split('?').next().unwrap_or_default();
     let method = &*message.method;
     tracing::trace!("{} {path}", String::from_utf8_lossy(method));
     match path {
-        HEALTH if method != b"GET" => return Some(Reply::plain(405, "only GET is served here")),
-        HEALTH if !s.shutdown.service().healthy() || !s.tier.may_act() => {
-            return Some(Reply::plain(503, "out of service"));
+        HEALTH_PATH if method != b"GET" => return Some(Reply::text(405, "only GET is served here")),
+        HEALTH_PATH if !scheduler.shutdown.service().healthy() || !scheduler.tier.may_act() => {
+            return Some(Reply::text(503, "out of service"));
         }
-        HEALTH => return Some(Reply::plain(200, "ready")),
-        CALL_BACKS if method != b"POST" => return Some(Reply::plain(405, "only POST is served here")),
-        CALL_BACKS => {
-            return Some(match relay::handle_call_back(s, &message.body) {
-                CallBackResult::Malformed => Reply::plain(400, "malformed call-back"),
-                CallBackResult::UnknownFlow if !upgrade::pass_call_back(s, &message.body).await => {
-                    Reply::plain(503, "its process does not answer")
+        HEALTH_PATH => return Some(Reply::text(200, "ready")),
+        CALL_BACK_PATH if method != b"POST" => return Some(Reply::text(405, "only POST is served here")),
+        CALL_BACK_PATH => {
+            return Some(match relay::handle_call_back(scheduler, &message.body) {
+                CallBackResult::Malformed => Reply::text(400, "malformed call-back"),
+                CallBackResult::UnknownFlow if !upgrade::pass_call_back(scheduler, &message.body).await => {
+                    Reply::text(503, "its process does not answer")
                 }
                 _ => {
-                    seat.useful();
-                    Reply::plain(200, "noted")
+                    guard.mark_useful();
+                    Reply::text(200, "noted")
                 }
             });
         }
         _ => {}
     }
-    let offer = match offer(s, message, path) {
+    let offer = match parse_offer(scheduler, message, path) {
         Ok(offer) => offer,
         Err(reply) => return Some(reply),
     };
-    // A request may have waited for long before it was read: in the kernel, or behind others of its connection.
-    if wire.peer_has_closed().await {
-        s.book.borrow_mut().counters.gone_early += 1;
+    // The request may have waited for long, in the kernel or behind other requests of its connection.
+    if connection.peer_has_closed().await {
+        scheduler.book.borrow_mut().counters.gone_early += 1;
         return None;
     }
-    let mut taken = match admit(s, offer) {
-        Ok(taken) => taken,
-        Err(Rejection::Bad(why)) => return Some(Reply::plain(400, why)),
-        Err(Rejection::NoRoom(wait)) => {
-            return Some(Reply { retry_after: wait, ..Reply::plain(503, "no room") });
+    let mut admitted = match admit(scheduler, offer) {
+        Ok(admitted) => admitted,
+        Err(Rejection::Invalid(reason)) => return Some(Reply::text(400, reason)),
+        Err(Rejection::Unavailable(retry_after)) => {
+            return Some(Reply { retry_after, ..Reply::text(503, "no room") });
         }
     };
-    seat.useful();
+    guard.mark_useful();
     let answer = tokio::select! {
         biased;
-        answer = &mut taken.answer => answer.unwrap_or(Answer::Failed),
-        () = wire.closed() => {
-            relay::client_disconnected(s, taken.id);
+        answer = &mut admitted.answer => answer.unwrap_or(Answer::Failed),
+        () = connection.closed() => {
+            relay::client_disconnected(scheduler, admitted.id);
             return None;
         }
     };
     Some(match answer {
         Answer::Served(body) => Reply { status: 200, body: body.to_vec(), retry_after: 0 },
-        Answer::Refused(wait) => Reply { retry_after: wait, ..Reply::plain(503, "refused") },
-        Answer::Failed => Reply::plain(502, "failed"),
+        Answer::Refused(retry_after) => Reply { retry_after, ..Reply::text(503, "refused") },
+        Answer::Failed => Reply::text(502, "failed"),
     })
 }
 
-/// Reads a job out of a request.
-fn offer(s: &Scheduler, message: &Message, path: &str) -> Result<Offer, Reply> {
-    let epoch = s.epoch();
+/// Parses the offer in a request; a request without a valid one gets the reply in `Err`.
+fn parse_offer(scheduler: &Scheduler, message: &Message, path: &str) -> Result<Offer, Reply> {
+    let epoch = scheduler.epoch();
     let classes = &epoch.names.classes;
-    let mut segments = path.split('/').filter(|p| !p.is_empty());
-    let first = segments.next().unwrap_or_default();
+    let mut segments = path.split('/').filter(|segment| !segment.is_empty());
+    let first_segment = segments.next().unwrap_or_default();
     let class = match message.header_text("X-Service-Class") {
-        None if !classes.iter().any(|c| c == first) => return Err(Reply::plain(404, "unknown path")),
-        None => first,
-        Some(class) if !classes.iter().any(|c| c == class) => {
-            return Err(Reply::plain(400, "unknown class"));
+        None if !classes.iter().any(|class| class == first_segment) => {
+            return Err(Reply::text(404, "unknown path"));
+        }
+        None => first_segment,
+        Some(name) if !classes.iter().any(|class| class == name) => {
+            return Err(Reply::text(400, "unknown class"));
         }
-        Some(class) if class != first => return Err(Reply::plain(400, "class and path differ")),
-        Some(class) => class,
+        Some(name) if name != first_segment => return Err(Reply::text(400, "class and path differ")),
+        Some(name) => name,
     };
     if &*message.method != b"POST" {
-        return Err(Reply::plain(405, "only POST is served here"));
+        return Err(Reply::text(405, "only POST is served here"));
     }
-    // The targets may believe the other one.
+    // A target might read another one of the repeated headers than this scheduler.
     if ["X-Correlation-Id", "X-Service-Class", "X-Time-Left", "Idempotency-Key"]
         .iter()
-        .any(|h| message.has_repeated_header(h))
+        .any(|name| message.has_repeated_header(name))
     {
-        return Err(Reply::plain(400, "repeated header"));
+        return Err(Reply::text(400, "repeated header"));
     }
-    let patience = match message.header_text("X-Time-Left").map(seconds) {
-        Some(None) => return Err(Reply::plain(400, "malformed X-Time-Left")),
-        Some(patience) => patience,
+    let time_left = match message.header_text("X-Time-Left").map(parse_seconds) {
+        Some(None) => return Err(Reply::text(400, "malformed X-Time-Left")),
+        Some(time_left) => time_left,
         None => None,
     };
     let fact = |names: &[&str]| {
-        let facts = message.header_text("X-Facts")?.split(',').filter_map(|f| f.split_once('='));
-        let value = facts.filter(|f| names.contains(&f.0.trim())).find_map(|f| f.1.trim().parse().ok());
-        value.filter(|v: &f64| v.is_finite() && *v >= 0.0)
+        let facts = message.header_text("X-Facts")?.split(',').filter_map(|fact| fact.split_once('='));
+        let value =
+            facts.filter(|fact| names.contains(&fact.0.trim())).find_map(|fact| fact.1.trim().parse().ok());
+        value.filter(|value: &f64| value.is_finite() && *value >= 0.0)
     };
     Ok(Offer {
         class: class.to_string(),
         tenant: message.header_text("X-Account").map(str::to_string),
         subject: segments.next_back().map(str::to_string),
-        patience,
+        time_left,
         retry: message.header_text("X-Repeat") == Some("1"),
         slots: fact(&["slots"]),
         memory: fact(&["memory", "mem"]),
-        expected: message
+        expected_work: message
             .header_text("X-Weight-Hint")
-            .and_then(weight)
-            .or_else(|| fact(&["expected", "hint"]).map(|v| v as Nanos)),
+            .and_then(parse_weight_hint)
+            .or_else(|| fact(&["expected", "hint"]).map(|value| value as Nanos)),
         job: JobRequest {
             correlation_id: message.header("X-Correlation-Id").cloned().unwrap_or_default(),
             method: message.method.clone(),
@@ -504,15 +554,15 @@
     })
 }
 
-/// A client's guess at the work, in microseconds, as nanoseconds. What is no number above 0, or more than a day, says
-/// nothing; it is never the client's fault.
-fn weight(text: &str) -> Option<Nanos> {
-    let micros: f64 = text.trim().parse().ok()?;
-    (micros > 0.0 && micros <= 86_400e6).then_some((micros * 1e3) as Nanos)
+/// Converts a client's estimate of the work from microseconds. The hint is optional, so an invalid one is ignored rather
+/// than rejected: anything but a number above 0 and up to a day.
+fn parse_weight_hint(text: &str) -> Option<Nanos> {
+    let microseconds: f64 = text.trim().parse().ok()?;
+    (microseconds > 0.0 && microseconds <= 86_400e6).then_some((microseconds * 1e3) as Nanos)
 }
 
-/// Seconds with decimals, as nanoseconds; none if it is no such number.
-fn seconds(text: &str) -> Option<Nanos> {
+/// Converts decimal seconds; `None` for anything but a number from 0 to a day.
+fn parse_seconds(text: &str) -> Option<Nanos> {
     let seconds: f64 = text.parse().ok()?;
     (seconds.is_finite() && (0.0..=86_400.0).contains(&seconds)).then_some((seconds * 1e9) as Nanos)
 }
@@ -522,11 +572,11 @@
     use super::*;
 
     #[test]
-    fn a_hint_counts_in_microseconds_and_a_bad_one_is_none() {
-        assert_eq!(weight("412000"), Some(412_000_000));
-        assert_eq!(weight(" 0.5 "), Some(500));
-        for bad in ["", "-3", "0", "nan", "inf", "1e300", "86400000001", "12 s", "0x10"] {
-            assert_eq!(weight(bad), None, "{bad:?}");
+    fn weight_hints_are_in_microseconds_and_invalid_ones_are_ignored() {
+        assert_eq!(parse_weight_hint("412000"), Some(412_000_000));
+        assert_eq!(parse_weight_hint(" 0.5 "), Some(500));
+        for invalid in ["", "-3", "0", "nan", "inf", "1e300", "86400000001", "12 s", "0x10"] {
+            assert_eq!(parse_weight_hint(invalid), None, "{invalid:?}");
         }
     }
 }
