--- a/crates/scheduler/src/lib.rs
+++ b/crates/scheduler/src/lib.rs
@@ -1,10 +1,11 @@
-//! The real scheduler: sockets around the decision module.
+//! The networked scheduler: sockets, timers and tasks around the decision module.
 //!
-//! A request passes the stages [`intake`] (parse), [`admit`] (may it be taken), [`route`] (ask the module),
-//! [`send`] (forward it), [`relay`] (what targets say, and the answer) and [`book`] (the table of it all).
-//! Only `intake`, `send`, `discovery` and [`http`] know of HTTP: another protocol feeds offers to `admit` and
-//! waits for their answers. Everything runs on one thread, so what is shared is in cells, never borrowed
-//! across a wait.
+//! A request passes through these stages: [`intake`] parses it, [`admit`] decides whether to take it, [`route`] asks the
+//! decision module for a target, [`send`] forwards it, and [`relay`] handles the target's answers and returns the result.
+//! [`book`] holds the table of open flows. Only [`http`], `intake`, `send`, `discovery` and `control` depend on HTTP: a
+//! front end for another protocol would pass offers to `admit` and wait for their answers.
+//!
+//! Everything runs on one thread. Shared state is in cells, and no borrow is held across an await point.
 
 #![forbid(unsafe_code)]
 
@@ -42,16 +43,16 @@
 use tokio::net::TcpListener;
 use tokio::task::{LocalSet, spawn_local};
 
-/// All that the stages share.
+/// The state shared by all stages and tasks.
 #[derive(Debug)]
 pub struct Scheduler {
-    /// What the program was told.
+    /// The configuration that the process started with.
     pub config: Config,
     /// The settings in force.
     epoch: RefCell<Rc<epoch::Epoch>>,
-    /// The one clock.
+    /// The clock.
     pub clock: clock::Clock,
-    /// Flows and counters.
+    /// Open flows and counters.
     pub book: RefCell<book::Book>,
     /// The decision module.
     pub router: route::Router,
@@ -59,21 +60,21 @@
     pub timers: timers::TimerWheel,
     /// Connections to targets.
     pub pool: send::Pool,
-    /// The target group.
+    /// The targets listed by discovery.
     pub target_group: discovery::Group,
     /// The other schedulers.
     pub peers: peers::Peers,
-    /// What staff ordered of workers.
+    /// Operators' orders on workers.
     pub orders: RefCell<Orders>,
     /// Connections of clients.
     pub listener: intake::Listener,
-    /// Whether the end has come.
+    /// Whether the scheduler is in service, draining or shutting down.
     pub shutdown: shutdown::Shutdown,
-    /// The process before this one, and the one after it.
+    /// The predecessor and successor processes during a hot restart.
     pub upgrade: upgrade::Upgrade,
-    /// Nested quotas, where the operator has them.
+    /// Tenant quotas, if the operator file has them.
     pub quotas: quotas::TenantQuotas,
-    /// What the tier has agreed on, where the operator has one.
+    /// Consensus with other schedulers on settings and orders, if the operator file has a tier.
     pub tier: loomlb_tier::Tier,
 }
 
@@ -84,44 +85,54 @@
     }
 }
 
-/// Runs the scheduler until it is told to end.
-pub fn serve(config: Config, quotas: quotas::QuotaSource, tier: Option<loomlb_tier::Spec>) -> io::Result<()> {
+/// Runs the scheduler until a signal or a hot restart ends it.
+pub fn serve(
+    config: Config,
+    quota_source: quotas::QuotaSource,
+    tier: Option<loomlb_tier::Spec>,
+) -> io::Result<()> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
-    LocalSet::new().block_on(&runtime, run(config, quotas, tier))
+    LocalSet::new().block_on(&runtime, run(config, quota_source, tier))
 }
 
-async fn run(config: Config, quotas: quotas::QuotaSource, tier: Option<loomlb_tier::Spec>) -> io::Result<()> {
-    // Before anything that takes time: a signal that nobody has taken over ends the program.
+async fn run(
+    config: Config,
+    quota_source: quotas::QuotaSource,
+    tier: Option<loomlb_tier::Spec>,
+) -> io::Result<()> {
+    // First of all, as a signal without a handler would end the process.
     let (hangup, signals) = (reload::take_over()?, shutdown::Signals::new()?);
     if let Some(fault) = &config.passed_over {
-        tracing::error!("configuration: {fault}; starting from the one that ran before");
+        tracing::error!("configuration: {fault}; starting with the last accepted one");
     }
     config.keep();
-    let named = |what: &str, e: io::Error| io::Error::new(e.kind(), format!("{what}: {e}"));
-    let opening = OpenRetry::start();
+    let with_context =
+        |context: &str, error: io::Error| io::Error::new(error.kind(), format!("{context}: {error}"));
+    let open_retry = OpenRetry::start();
     let listener = match config.inherited {
         Some(number) => {
             let inherited = loomlb_listen_fd::listener(number).and_then(TcpListener::from_std);
-            inherited.map_err(|e| named(&format!("LB_FD: descriptor {number}"), e))?
+            inherited.map_err(|error| with_context(&format!("LB_FD: descriptor {number}"), error))?
         }
-        None => listen(&opening, "listen", config.listen).await?,
+        None => listen(&open_retry, "listen", config.listen).await?,
     };
-    let calls = match config.control {
-        Some(at) => Some(listen(&opening, "control", at).await?),
+    let control_listener = match config.control {
+        Some(address) => Some(listen(&open_retry, "control", address).await?),
         None => None,
     };
-    let opened = loomlb_tier::open(tier, &config.name, &opening).await;
-    let (tier, links) = opened.map_err(|e| named("tier", e))?;
-    let mut before = upgrade::predecessor(&config).await;
-    let socket = before.as_mut().and_then(upgrade::Before::peers);
-    let peers = peers::Peers::open(&config, socket, &opening).await?;
-    let clock = before.as_ref().map(upgrade::Before::clock).unwrap_or_default();
+    let opened = loomlb_tier::open(tier, &config.name, &open_retry).await;
+    let (tier, tier_links) = opened.map_err(|error| with_context("tier", error))?;
+    let mut predecessor = upgrade::predecessor(&config).await;
+    let peer_socket = predecessor.as_mut().and_then(upgrade::Before::peers);
+    let peers = peers::Peers::open(&config, peer_socket, &open_retry).await?;
+    let clock = predecessor.as_ref().map(upgrade::Before::clock).unwrap_or_default();
     let epoch = Rc::clone(&config.epoch);
-    // Off on the platform: without quotas at the start nothing more is said among schedulers.
-    let quotas_on = quotas.spec.is_some();
-    let shares = quotas::TenantQuotas::new(quotas, &epoch.aims(), epoch.settings.dispatchers, clock.now());
-    let s = Rc::new(Scheduler {
-        quotas: shares.map_err(io::Error::other)?,
+    // Traffic digests are exchanged only if there are quotas at the start, not if a reload brings the first ones.
+    let has_quotas = quota_source.spec.is_some();
+    let quotas =
+        quotas::TenantQuotas::new(quota_source, &epoch.aims(), epoch.settings.dispatchers, clock.now());
+    let scheduler = Rc::new(Scheduler {
+        quotas: quotas.map_err(io::Error::other)?,
         router: route::Router::new(Dispatcher::new(epoch.settings.clone(), config.seed)),
         timers: timers::TimerWheel::new(clock.now()),
         pool: send::Pool::new(config.outbound, epoch.terms.keepalive),
@@ -130,48 +141,48 @@
         target_group: discovery::Group::default(),
         orders: RefCell::default(),
         shutdown: shutdown::Shutdown::new(epoch.longest(), epoch.settings.dispatchers <= 1),
-        upgrade: upgrade::Upgrade::new(&config, before.is_some()),
+        upgrade: upgrade::Upgrade::new(&config, predecessor.is_some()),
         epoch: RefCell::new(epoch),
         clock,
         peers,
         tier,
         config,
     });
-    reload::start(&s, hangup);
-    reload::retry_keeping(&s);
-    tracing::info!("{} serves at {}", s.config.name, listener.local_addr()?);
-    upgrade::start(&s, before);
-    send::sweep_pool(&s);
-    spawn_local(timers::run(Rc::clone(&s)));
-    spawn_local(discovery::follow(Rc::clone(&s)));
-    spawn_local(peers::listen(Rc::clone(&s)));
-    if quotas_on {
-        spawn_local(peers::share(Rc::clone(&s)));
+    reload::start(&scheduler, hangup);
+    reload::retry_keeping(&scheduler);
+    tracing::info!("{} serves at {}", scheduler.config.name, listener.local_addr()?);
+    upgrade::start(&scheduler, predecessor);
+    send::sweep_pool(&scheduler);
+    spawn_local(timers::run(Rc::clone(&scheduler)));
+    spawn_local(discovery::follow(Rc::clone(&scheduler)));
+    spawn_local(peers::listen(Rc::clone(&scheduler)));
+    if has_quotas {
+        spawn_local(peers::share(Rc::clone(&scheduler)));
     }
-    spawn_local(intake::accept(Rc::clone(&s), listener));
-    spawn_local(shutdown::close_idle(Rc::clone(&s)));
-    if let Some(calls) = calls {
-        tracing::info!("control at {}", calls.local_addr()?);
-        spawn_local(control::accept(Rc::clone(&s), calls));
+    spawn_local(intake::accept(Rc::clone(&scheduler), listener));
+    spawn_local(shutdown::close_idle(Rc::clone(&scheduler)));
+    if let Some(control_listener) = control_listener {
+        tracing::info!("control at {}", control_listener.local_addr()?);
+        spawn_local(control::accept(Rc::clone(&scheduler), control_listener));
     }
-    loomlb_tier::start(&s.tier, &agreed::around(&s), links);
-    shutdown::wait(&s, signals).await;
-    shutdown::report(&s);
+    loomlb_tier::start(&scheduler.tier, &agreed::around(&scheduler), tier_links);
+    shutdown::wait(&scheduler, signals).await;
+    shutdown::report(&scheduler);
     Ok(())
 }
 
-/// Opens a listener. Its address may be that of a process which is ending.
-async fn listen(opening: &OpenRetry, key: &'static str, address: SocketAddr) -> io::Result<TcpListener> {
+/// Opens a listener. Retries while the address is in use, as a process that is shutting down may still have it.
+async fn listen(open_retry: &OpenRetry, key: &'static str, address: SocketAddr) -> io::Result<TcpListener> {
     let bind = async || TcpListener::bind(address).await;
-    Ok(opening.open(key, address, AddressInUse::Retry, bind).await?)
+    Ok(open_retry.open(key, address, AddressInUse::Retry, bind).await?)
 }
 
-/// A timer is due.
-pub fn handle_timer(s: &Rc<Scheduler>, due: TimerEvent) {
-    match due {
-        TimerEvent::Dispatcher(token) => route::handle_event(s, Event::Timer(token)),
-        TimerEvent::ForwardTimeout(id, n) => send::time_out(s, id, n),
-        TimerEvent::FlowDeadline(id) => relay::deadline_reached(s, id),
-        TimerEvent::PoolSweep => send::sweep_pool(s),
+/// Handles a timer that is due.
+pub fn handle_timer(scheduler: &Rc<Scheduler>, event: TimerEvent) {
+    match event {
+        TimerEvent::Dispatcher(token) => route::handle_event(scheduler, Event::Timer(token)),
+        TimerEvent::ForwardTimeout(id, attempt) => send::time_out(scheduler, id, attempt),
+        TimerEvent::FlowDeadline(id) => relay::deadline_reached(scheduler, id),
+        TimerEvent::PoolSweep => send::sweep_pool(scheduler),
     }
 }
--- a/crates/scheduler/src/route.rs
+++ b/crates/scheduler/src/route.rs
@@ -1,4 +1,4 @@
-//! Route: the only caller of the decision module. Events go in, actions come out and are carried out.
+//! Route: the only caller of the decision module. Passes events to it and executes the actions that it returns.
 
 use super::book::Answer;
 use super::timers::TimerEvent;
@@ -9,70 +9,79 @@
 use std::panic::{AssertUnwindSafe, catch_unwind};
 use std::rc::Rc;
 
-/// The module with the events that wait for it.
+/// The decision module and its queue of events.
 #[derive(Debug)]
 pub struct Router {
-    module: RefCell<Dispatcher>,
+    dispatcher: RefCell<Dispatcher>,
     events: RefCell<VecDeque<Event>>,
-    busy: Cell<bool>,
+    /// Whether [`handle_event`] is processing the queue.
+    processing: Cell<bool>,
 }
 
 impl Router {
-    /// What the module has learned.
+    /// The learned state of the decision module, for a successor process.
     pub fn learned_state(&self) -> Carried {
-        self.module.borrow().carried()
+        self.dispatcher.borrow().carried()
     }
 
-    /// Gives the module what another had learned.
+    /// Gives the decision module the learned state of a predecessor process.
     pub fn restore_learned_state(&self, carried: Carried) {
-        self.module.borrow_mut().restore(carried);
+        self.dispatcher.borrow_mut().restore(carried);
     }
 
-    /// A router around a module that has just started.
-    pub fn new(module: Dispatcher) -> Self {
-        Router { module: RefCell::new(module), events: RefCell::default(), busy: Cell::new(false) }
+    /// A router for a new decision module.
+    pub fn new(dispatcher: Dispatcher) -> Self {
+        Router {
+            dispatcher: RefCell::new(dispatcher),
+            events: RefCell::default(),
+            processing: Cell::new(false),
+        }
     }
 }
 
-/// Tells the module of an event and carries out what it wants. What happens on the way waits its turn.
-pub fn handle_event(s: &Rc<Scheduler>, event: Event) {
-    s.router.events.borrow_mut().push_back(event);
-    if s.router.busy.replace(true) {
+/// Passes an event to the decision module and executes the resulting actions. Events caused by these actions are queued
+/// and handled in order.
+pub fn handle_event(scheduler: &Rc<Scheduler>, event: Event) {
+    scheduler.router.events.borrow_mut().push_back(event);
+    if scheduler.router.processing.replace(true) {
         return;
     }
     let mut actions = Vec::new();
     loop {
-        let Some(event) = s.router.events.borrow_mut().pop_front() else { break };
-        let mut module = s.router.module.borrow_mut();
-        // A fault in a decision must not take every other flow with it: the deadline answers this one.
-        let handled = catch_unwind(AssertUnwindSafe(|| module.handle(s.clock.now(), event, &mut actions)));
-        drop(module);
+        let Some(event) = scheduler.router.events.borrow_mut().pop_front() else { break };
+        let mut dispatcher = scheduler.router.dispatcher.borrow_mut();
+        // A panic must not end the other flows; the flow concerned is answered at its deadline.
+        let handled =
+            catch_unwind(AssertUnwindSafe(|| dispatcher.handle(scheduler.clock.now(), event, &mut actions)));
+        drop(dispatcher);
         if handled.is_err() {
-            tracing::error!("the decision module panicked");
-            s.book.borrow_mut().counters.panics += 1;
+            tracing::error!("the decision module panicked; the flow concerned fails at its deadline");
+            scheduler.book.borrow_mut().counters.panics += 1;
         }
-        actions.drain(..).for_each(|action| act(s, action));
+        actions.drain(..).for_each(|action| execute(scheduler, action));
     }
-    s.router.busy.set(false);
+    scheduler.router.processing.set(false);
 }
 
-fn act(s: &Rc<Scheduler>, action: Action) {
+fn execute(scheduler: &Rc<Scheduler>, action: Action) {
     match action {
-        Action::Send { id, worker, timeout } => send::start_forward(s, id, worker, timeout),
+        Action::Send { id, worker, timeout } => send::start_forward(scheduler, id, worker, timeout),
         Action::Refuse { id, retry_after } => {
-            let wait = retry_after.min(s.epoch().settings.limits.max_retry_after);
-            relay::answer_flow(s, id, Answer::Refused(wait));
+            let retry_after = retry_after.min(scheduler.epoch().settings.limits.max_retry_after);
+            relay::answer_flow(scheduler, id, Answer::Refused(retry_after));
         }
         Action::Fail(id) => {
-            relay::answer_flow(s, id, Answer::Failed);
+            relay::answer_flow(scheduler, id, Answer::Failed);
         }
-        Action::Cancel(id, attempt) => send::cancel(s, id, attempt),
+        Action::Cancel(id, attempt) => send::cancel(scheduler, id, attempt),
         Action::Timer { after, token } => {
-            s.timers.schedule(s.clock.now().saturating_add(after), TimerEvent::Dispatcher(token));
+            scheduler
+                .timers
+                .schedule(scheduler.clock.now().saturating_add(after), TimerEvent::Dispatcher(token));
         }
-        Action::Probe(worker) => send::probe(s, worker),
-        Action::Close(worker) => s.pool.close_idle(worker),
-        Action::Watch => s.target_group.ask(),
-        Action::Tell(to, bytes) => s.peers.tell(s, to, &bytes),
+        Action::Probe(worker) => send::probe(scheduler, worker),
+        Action::Close(worker) => scheduler.pool.close_idle(worker),
+        Action::Watch => scheduler.target_group.ask(),
+        Action::Tell(to, bytes) => scheduler.peers.tell(scheduler, to, &bytes),
     }
 }
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -137,7 +137,7 @@
     for (text, fault) in [(&*faulty, "settings.classes[0].give_up: 0 is no number"), ("{", "the file: EOF")] {
         let new = Stage::beside_as(&discovery, &platform, text);
         let said = &new.first_line;
-        assert!(said.contains(fault) && said.ends_with("starting from the one that ran before"), "{said}");
+        assert!(said.contains(fault) && said.ends_with("starting with the last accepted one"), "{said}");
         new.ready();
         // It runs by what the old one had taken in last.
         let said = new.ask(&job("lodge", "a1", "3.000"));
