--- a/crates/scheduler/src/admit.rs
+++ b/crates/scheduler/src/admit.rs
@@ -26,7 +26,7 @@
     pub tenant: Option<String>,
     /// The object that the request is about, for affinity: the last segment of its path.
     pub subject: Option<String>,
-    /// How long the client waits; `None` if the request does not tell.
+    /// How long the client waits; `None` if the request does not say.
     pub time_left: Option<Nanos>,
     /// Whether the client marked the request as a retry.
     pub retry: bool,
@@ -101,8 +101,8 @@
         }
     };
     let time_left = offer.time_left.unwrap_or(settings.deadline);
-    // A process that shuts down must answer sooner. The decision module gets this bound apart from the client's, as it is
-    // no sign of a client that has already waited.
+    // A process that shuts down must answer sooner. The decision module gets this limit as a value of its own: a short
+    // time left would mean that the client has already waited.
     let within = scheduler.shutdown.service().answer_by().map(|by| by.saturating_sub(now));
     let deadline = now.saturating_add(within.unwrap_or(time_left).min(time_left));
     let (reply, answer) = oneshot::channel();
@@ -121,7 +121,7 @@
         run_seconds: 0.0,
     });
     drop(book);
-    // One tick after the last forward's timeout, to which the decision module reacts with an answer of its own.
+    // One tick later, so that the decision module can still answer when the last forward times out at the deadline.
     scheduler
         .timers
         .schedule(deadline.saturating_add(scheduler.epoch().settings.tick), TimerEvent::FlowDeadline(id));
--- a/crates/scheduler/src/http.rs
+++ b/crates/scheduler/src/http.rs
@@ -17,11 +17,11 @@
 const MAX_HEADERS: usize = 64;
 /// Input kept from a client that continues to send while its last request is unanswered.
 const MAX_PIPELINED_BYTES: usize = 8 * 1024;
-/// Interval at which a connection with more input than that is checked for its end.
+/// Interval between checks whether a connection with more input than that is closed.
 const CLOSE_CHECK_INTERVAL: Duration = Duration::from_millis(15);
-/// A lingering close takes no longer than this,
+/// Time limit of a lingering close.
 const LINGER_TIMEOUT: Duration = Duration::from_secs(3);
-/// and ends earlier when nothing arrives for this long.
+/// A lingering close ends early when no input arrives for this long.
 const LINGER_IDLE_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Why a message could not be read.
--- a/crates/scheduler/src/intake.rs
+++ b/crates/scheduler/src/intake.rs
@@ -36,7 +36,7 @@
 const CALL_BACK_PATH: &str = "/v1/job-events";
 const HEALTH_PATH: &str = "/healthz";
 
-/// The state of a client connection. Times are when the state began.
+/// The state of a client connection. The time is when the state began.
 #[derive(Clone, Copy, Debug)]
 enum ConnectionState {
     /// New, without any input.
@@ -257,21 +257,26 @@
     }
 }
 
-/// Continues an idle connection received from another process of this scheduler. `calls_back`: its last request was a
-/// call-back; `first`: it has not had a request yet.
+/// Continues an idle connection received from another process of this scheduler. `carries_call_backs` is whether its last
+/// request was a call-back.
 pub fn adopt(
     scheduler: &Rc<Scheduler>,
     descriptor: OwnedFd,
-    calls_back: bool,
-    first: bool,
+    carries_call_backs: bool,
+    before_first_request: bool,
 ) -> io::Result<()> {
     let stream = std::net::TcpStream::from(descriptor);
     stream.set_nonblocking(true)?;
     let guard = ConnectionGuard::new(scheduler);
-    if !first {
+    if !before_first_request {
         guard.mark_useful();
     }
-    tokio::task::spawn_local(serve_connection(guard, TcpStream::from_std(stream)?, calls_back, first));
+    tokio::task::spawn_local(serve_connection(
+        guard,
+        TcpStream::from_std(stream)?,
+        carries_call_backs,
+        before_first_request,
+    ));
     Ok(())
 }
 
@@ -289,25 +294,34 @@
     }
 }
 
-/// Serves the requests of a connection until it ends. `calls_back`: its last request was a call-back; `first`: it has not
-/// had a request yet.
-async fn serve_connection(guard: ConnectionGuard, stream: TcpStream, mut calls_back: bool, mut first: bool) {
+/// Serves the requests of a connection until it ends. `carries_call_backs` is whether its last request was a call-back.
+async fn serve_connection(
+    guard: ConnectionGuard,
+    stream: TcpStream,
+    mut carries_call_backs: bool,
+    mut before_first_request: bool,
+) {
     let scheduler = Rc::clone(&guard.scheduler);
     let mut connection = Connection::new(stream);
     let started = Instant::now();
     loop {
         if !connection.has_input() {
             let now = scheduler.clock.now();
-            let deadline = if first { started + REQUEST_TIMEOUT } else { Instant::now() + IDLE_TIMEOUT };
-            guard.set_state(if first { ConnectionState::New(now) } else { ConnectionState::Idle(now) });
-            match wait_for_request(&guard, &mut connection, calls_back, deadline).await {
+            let deadline =
+                if before_first_request { started + REQUEST_TIMEOUT } else { Instant::now() + IDLE_TIMEOUT };
+            guard.set_state(if before_first_request {
+                ConnectionState::New(now)
+            } else {
+                ConnectionState::Idle(now)
+            });
+            match wait_for_request(&guard, &mut connection, carries_call_backs, deadline).await {
                 IdleEnd::Request => {}
                 IdleEnd::ClosedByPeer => {
-                    scheduler.book.borrow_mut().counters.silent += u64::from(first);
+                    scheduler.book.borrow_mut().counters.silent += u64::from(before_first_request);
                     return;
                 }
                 IdleEnd::Close => {
-                    scheduler.book.borrow_mut().counters.silent += u64::from(first);
+                    scheduler.book.borrow_mut().counters.silent += u64::from(before_first_request);
                     // At the limit the connection is closed at once to free its descriptor, even if that resets it.
                     if !scheduler.listener.is_full(scheduler.upgrade.elsewhere().inbound) {
                         close_gracefully(&guard, connection).await;
@@ -318,25 +332,30 @@
                     let (successor, descriptor) = (scheduler.upgrade.heir(), connection.descriptor());
                     drop(connection);
                     if let (Some(successor), Ok(descriptor)) = (successor, descriptor) {
-                        successor.give_client(&scheduler, descriptor, calls_back, first);
+                        successor.give_client(
+                            &scheduler,
+                            descriptor,
+                            carries_call_backs,
+                            before_first_request,
+                        );
                     }
                     return;
                 }
             }
         }
         guard.set_state(ConnectionState::Receiving(scheduler.clock.now()));
-        let deadline = if first { started } else { Instant::now() } + REQUEST_TIMEOUT;
+        let deadline = if before_first_request { started } else { Instant::now() } + REQUEST_TIMEOUT;
         let read = tokio::select! {
             biased;
             read = tokio::time::timeout_at(deadline, connection.read(MessageKind::Request)) => read.ok(),
             () = guard.close.notified() => None,
         };
-        first = false;
+        before_first_request = false;
         let (reply, keep_alive) = match read {
             Some(Ok(message)) => {
                 guard.set_state(ConnectionState::AwaitingAnswer);
                 let path = message.path.split(|byte| *byte == b'?').next().unwrap_or_default();
-                calls_back = path == CALL_BACK_PATH.as_bytes();
+                carries_call_backs = path == CALL_BACK_PATH.as_bytes();
                 let Some(reply) = handle_request(&guard, &mut connection, &message).await else { return };
                 (reply, message.keep_alive)
             }
@@ -350,8 +369,8 @@
         // While shutting down, connections for call-backs stay open, as open flows need them; so do connections with
         // input, whose request would otherwise be lost.
         let closes = scheduler.shutdown.service().parting(scheduler.clock.now());
-        let keep_alive =
-            keep_alive && (calls_back || !closes || connection.poll_input() && connection.has_input());
+        let keep_alive = keep_alive
+            && (carries_call_backs || !closes || connection.poll_input() && connection.has_input());
         let keep_alive = keep_alive && !connection.input_discarded();
         let retry_after = format!("{:.3}", reply.retry_after as f64 / 1e9);
         let headers: &[(&str, &str)] =
@@ -392,7 +411,7 @@
 async fn wait_for_request(
     guard: &ConnectionGuard,
     connection: &mut Connection,
-    calls_back: bool,
+    carries_call_backs: bool,
     deadline: Instant,
 ) -> IdleEnd {
     let scheduler = &guard.scheduler;
@@ -417,7 +436,7 @@
         }
         () = scheduler.upgrade.moved.notified() => return IdleEnd::HandOver,
         () = guard.close.notified() => true,
-        () = close_requested, if !calls_back => true,
+        () = close_requested, if !carries_call_backs => true,
         () = tokio::time::sleep_until(deadline) => true,
     };
     match (closing, connection.poll_input()) {
--- a/crates/scheduler/src/quotas.rs
+++ b/crates/scheduler/src/quotas.rs
@@ -137,7 +137,7 @@
         }
     }
 
-    /// Updates this scheduler's parts of the quotas, and returns the datagrams that tell peers of the traffic here. Empty
+    /// Updates this scheduler's parts of the quotas, and returns the datagrams that report the traffic here to peers. Empty
     /// without quotas or peers.
     pub fn traffic_digests(&self, now: Nanos) -> Vec<Vec<u8>> {
         let mut quota = self.quota.borrow_mut();
--- a/crates/scheduler/src/relay.rs
+++ b/crates/scheduler/src/relay.rs
@@ -25,7 +25,7 @@
         Answer::Failed => book.counters.failed += 1,
     }
     settle_quota(scheduler, book.remove_if_finished(id));
-    // Fails if the client has just disconnected, when nobody needs the answer.
+    // Fails if the client has just disconnected; the answer is then dropped.
     let _ = reply.send(answer);
     true
 }
--- a/crates/scheduler/src/send.rs
+++ b/crates/scheduler/src/send.rs
@@ -29,7 +29,8 @@
 const REPEAT_MARGIN_TICKS: Nanos = 4;
 
 /// Advice to operators when this machine cannot open connections.
-const LOCAL_SHORTAGE_ADVICE: &str = "check its open files, memory and local ports; jobs are refused meanwhile, and this does not count against workers";
+const LOCAL_SHORTAGE_ADVICE: &str =
+    "check its open files, memory and local ports; jobs are refused, but no worker is held responsible";
 
 /// A connection to a target, counted by the pool until it is dropped.
 #[derive(Debug)]
@@ -249,8 +250,8 @@
     }
 }
 
-/// A connection to a target: an idle one, or else a new one. While it is being opened, `observe` is called whenever the
-/// last attempt failed on this machine (true) or a new one starts or failed elsewhere (false).
+/// Takes an idle connection to a target, or opens a new one. While it is being opened, `observe(true)` is called when a
+/// connect attempt has failed on this machine, and `observe(false)` when one starts or has failed on the way.
 async fn connect(
     scheduler: &Scheduler,
     worker: WorkerId,
@@ -411,6 +412,7 @@
 }
 
 impl ForwardTask {
+    /// Opens a connection, writes the request unless a condition for sending no longer holds, and reads the answer.
     async fn run(&self, target: &Target, job: &JobRequest) {
         let scheduler = &self.scheduler;
         let mut connection =
@@ -603,7 +605,7 @@
     abandon(scheduler, id, attempt, Outcome::Timeout);
 }
 
-/// Ends a forward that is still open and tells its target: before the 202 by closing the connection, after it by a
+/// Ends a forward that is still open and notifies its target: before the 202 by closing the connection, after it by a
 /// `DELETE` call. A forward that was not written completely has never run.
 fn abandon(scheduler: &Rc<Scheduler>, id: RequestId, attempt: u32, reason: Outcome) {
     let mut book = scheduler.book.borrow_mut();
