--- a/crates/scheduler/src/quotas.rs
+++ b/crates/scheduler/src/quotas.rs
@@ -125,8 +125,8 @@
         }
     }
 
-    /// Releases the quota of a finished flow whose jobs ran for this many seconds in total.
-    pub fn settle(&self, now: Nanos, grant: QuotaGrant, run_seconds: f64) {
+    /// Charges a finished flow, whose jobs ran for this many seconds in total, to its tenant and releases its grant.
+    pub fn charge(&self, now: Nanos, grant: QuotaGrant, run_seconds: f64) {
         if let Some(mean_work) =
             self.mean_work.borrow_mut().get_mut(grant.class).filter(|_| run_seconds > 0.0)
         {
--- a/crates/scheduler/src/relay.rs
+++ b/crates/scheduler/src/relay.rs
@@ -24,16 +24,16 @@
         Answer::Refused(_) => book.counters.refused += 1,
         Answer::Failed => book.counters.failed += 1,
     }
-    settle_quota(scheduler, book.remove_if_finished(id));
+    charge_quota(scheduler, book.remove_if_finished(id));
     // Fails if the client has just disconnected; the answer is then dropped.
     let _ = reply.send(answer);
     true
 }
 
 /// Charges the quota of a finished flow with the seconds that its jobs ran.
-fn settle_quota(scheduler: &Scheduler, finished: Option<(QuotaGrant, f64)>) {
+fn charge_quota(scheduler: &Scheduler, finished: Option<(QuotaGrant, f64)>) {
     if let Some((grant, run_seconds)) = finished {
-        scheduler.quotas.settle(scheduler.clock.now(), grant, run_seconds);
+        scheduler.quotas.charge(scheduler.clock.now(), grant, run_seconds);
     }
 }
 
@@ -42,7 +42,7 @@
     let mut book = scheduler.book.borrow_mut();
     if book.take_reply(id).is_some() {
         book.counters.gone += 1;
-        settle_quota(scheduler, book.remove_if_finished(id));
+        charge_quota(scheduler, book.remove_if_finished(id));
         drop(book);
         route::handle_event(scheduler, Event::Gone(id));
     }
@@ -83,7 +83,7 @@
         flow.reply.is_none()
     });
     book.counters.count_outcome(outcome);
-    settle_quota(scheduler, book.remove_if_finished(id));
+    charge_quota(scheduler, book.remove_if_finished(id));
     drop(book);
     route::handle_event(
         scheduler,
