--- a/crates/scheduler/src/intake.rs
+++ b/crates/scheduler/src/intake.rs
@@ -366,8 +366,8 @@
             None => (Reply::text(408, "request not whole in time"), false),
         };
         scheduler.book.borrow_mut().counters.count_invalid_request(reply.status);
-        // While shutting down, connections for call-backs stay open, as open flows need them; so do connections with
-        // input, whose request would otherwise be lost.
+        // While draining or shutting down, connections for call-backs stay open, as open flows need them; so do
+        // connections with input, whose request would otherwise be lost.
         let closes = scheduler.shutdown.service().parting(scheduler.clock.now());
         let keep_alive = keep_alive
             && (carries_call_backs || !closes || connection.poll_input() && connection.has_input());
--- a/crates/scheduler/src/send.rs
+++ b/crates/scheduler/src/send.rs
@@ -548,7 +548,7 @@
                 let descriptor = connection.http.descriptor().ok();
                 drop(connection);
                 descriptor.into_iter().for_each(|descriptor| {
-                    successor.give_target(scheduler, worker, descriptor, scheduler.clock.now());
+                    successor.give_target(scheduler, worker, descriptor, scheduler.clock.now())
                 });
             }
         }
