--- a/crates/scheduler/src/book.rs
+++ b/crates/scheduler/src/book.rs
@@ -129,9 +129,9 @@
     pub outcomes: [u64; OUTCOMES.len()],
     /// Forwards cancelled after their target had accepted them.
     pub undone: u64,
-    /// New connections to targets.
+    /// Attempts to open a new connection to a target.
     pub dials: u64,
-    /// Reused connections to targets.
+    /// Reuses of an idle connection to a target.
     pub reused: u64,
     /// Probes sent.
     pub probes: u64,
@@ -175,7 +175,7 @@
     pub accept_gone: u64,
     /// Connects retried after a failure on this machine or on the way.
     pub dials_again: u64,
-    /// Connects abandoned because of a failure on this machine.
+    /// Connects abandoned because of a failure or limit on this machine.
     pub dials_local: u64,
 }
 
--- a/crates/scheduler/src/relay.rs
+++ b/crates/scheduler/src/relay.rs
@@ -1,4 +1,4 @@
-//! Relay: passes the results of forwards to the decision module, and answers to the client's side of a flow.
+//! Relay: passes the results of forwards to the decision module, and final answers to the front end of a flow.
 
 use super::book::{Answer, ForwardStage};
 use super::quotas::QuotaGrant;
