--- a/crates/policy/src/api.rs
+++ b/crates/policy/src/api.rs
@@ -28,7 +28,7 @@
     /// A small group of workers that share their memory of keys seen.
     CellId(u64);
     /// What a job is about (a hash of its name): jobs with the same key can share a warm worker.
-    KeyId(u64);
+    AffinityKey(u64);
 }
 
 /// What a class permits when an attempt may already have run.
@@ -271,7 +271,7 @@
     /// Its tenant, where there are any.
     pub tenant: Option<TenantId>,
     /// What it is about.
-    pub key: Option<KeyId>,
+    pub affinity_key: Option<AffinityKey>,
     /// Slots that the job takes.
     pub slots: f64,
     /// Memory that the job takes, in units of a slot's share.
--- a/crates/policy/src/boot.rs
+++ b/crates/policy/src/boot.rs
@@ -35,10 +35,10 @@
 }
 
 /// The key that stands for a subject's name.
-pub fn key(text: &str) -> KeyId {
+pub fn affinity_key(text: &str) -> AffinityKey {
     let mut hasher = FxHasher::default();
     hasher.write(text.as_bytes());
-    KeyId(hasher.finish())
+    AffinityKey(hasher.finish())
 }
 
 /// The settings as they are sent at a start, in the simulator's words.
--- a/crates/policy/src/meter.rs
+++ b/crates/policy/src/meter.rs
@@ -1,7 +1,7 @@
 //! What a worker's words on starts and ends tell of its queue, of how fast it works, and of the subjects whose data it
 //! has at hand. Estimates alone: nothing is decided here.
 
-use crate::api::{KeyId, Nanos, RequestId};
+use crate::api::{AffinityKey, Nanos, RequestId};
 use crate::fading::fade;
 use std::collections::VecDeque;
 
@@ -29,7 +29,7 @@
     started: Option<Nanos>,
     /// Its work on a standard core, in nanoseconds, as far as is known.
     work: f64,
-    key: Option<KeyId>,
+    key: Option<AffinityKey>,
     /// Its subject's data was likely at hand.
     kept: bool,
 }
@@ -39,7 +39,7 @@
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Meter {
     out: Vec<Out>,
-    keys: VecDeque<KeyId>,
+    keys: VecDeque<AffinityKey>,
     /// The wait of the job that started last, in nanoseconds without the way, and when that was.
     wait: f64,
     seen: Nanos,
@@ -58,7 +58,14 @@
     }
 
     /// An attempt has left.
-    pub(crate) fn sent(&mut self, id: RequestId, attempt: u32, now: Nanos, work: f64, key: Option<KeyId>) {
+    pub(crate) fn sent(
+        &mut self,
+        id: RequestId,
+        attempt: u32,
+        now: Nanos,
+        work: f64,
+        key: Option<AffinityKey>,
+    ) {
         let kept = self.keeps(key);
         self.out.push(Out { id, attempt, sent: now, started: None, work: work.max(1.0), key, kept });
     }
@@ -106,7 +113,7 @@
     }
 
     /// Whether it likely has the data of a subject at hand.
-    pub(crate) fn keeps(&self, key: Option<KeyId>) -> bool {
+    pub(crate) fn keeps(&self, key: Option<AffinityKey>) -> bool {
         key.is_none_or(|k| self.keys.contains(&k))
     }
 
@@ -130,7 +137,7 @@
         now: Nanos,
         work: f64,
         like: f64,
-        key: Option<KeyId>,
+        key: Option<AffinityKey>,
         fetch: f64,
         ahead: f64,
     ) -> f64 {
@@ -178,7 +185,7 @@
         assert_eq!((meter.pace(0, 0.0), meter.pace(0, 3.0)), (1.0, 3.0), "at first it is as its like");
         let mut run = |n: u64, key: u64, took: Nanos| {
             let at = n * 1000 * MS;
-            meter.sent(RequestId(n), 0, at, 100e6, Some(KeyId(key)));
+            meter.sent(RequestId(n), 0, at, 100e6, Some(AffinityKey(key)));
             meter.started(RequestId(n), 0, at);
             let extra = meter.ended(RequestId(n), 0, at + took, true);
             (extra, meter.pace(at + took, 3.0))
@@ -187,8 +194,8 @@
         assert_eq!(run(2, 7, 200 * MS), (None, 2.0));
         assert_eq!(run(3, 8, 260 * MS), (Some(60e6), 2.0), "a new subject's data had to be fetched");
         assert_eq!(run(4, 8, 200 * MS), (None, 2.0));
-        assert!(meter.keeps(Some(KeyId(7))) && !meter.keeps(Some(KeyId(9))));
-        meter.sent(RequestId(5), 0, 0, 100e6, Some(KeyId(7)));
+        assert!(meter.keeps(Some(AffinityKey(7))) && !meter.keeps(Some(AffinityKey(9))));
+        meter.sent(RequestId(5), 0, 0, 100e6, Some(AffinityKey(7)));
         meter.started(RequestId(5), 0, 0);
         assert_eq!(
             meter.pace(800 * MS, 0.0),
--- a/crates/policy/src/rules.rs
+++ b/crates/policy/src/rules.rs
@@ -446,7 +446,7 @@
         known.sends(self.now, self.mean_run, job.request.slots);
         job.attempts.push(Attempt { worker: w, zone, cell, sent: self.now, started: None, outcome: None });
         let work = job.work / cold::warmth(&self.set.rules, known.entry.started, self.now);
-        known.meter.sent(id, job.attempts.len() as u32 - 1, self.now, work, job.request.key);
+        known.meter.sent(id, job.attempts.len() as u32 - 1, self.now, work, job.request.affinity_key);
         let timeout = job.deadline.saturating_sub(2 * self.set.tick).saturating_sub(self.now).max(1);
         let worker = known.entry.id;
         let (class, slots) = (job.request.class.0, job.request.slots);
@@ -643,7 +643,7 @@
 
     /// How much a job belongs to a worker for its key; all the same without one.
     fn lean(&self, job: &Job, w: usize) -> f64 {
-        job.request.key.map_or(1.0, |k| lean(k.0, self.workers[w].entry.id.0))
+        job.request.affinity_key.map_or(1.0, |k| lean(k.0, self.workers[w].entry.id.0))
     }
 
     /// The part of the workers that a job may go to for its key: about one of all zones at first, all in the
@@ -652,7 +652,11 @@
         let slack = job.start_by.saturating_sub(job.arrived) as f64 * HOME_WAIT;
         let left = 1.0 - self.now.saturating_sub(job.arrived) as f64 / slack.max(1.0);
         let all = self.nets[job.request.class.0].neurons.len() as f64;
-        if job.request.key.is_none() || left <= 0.0 { 1.0 } else { (HOMES / all.max(HOMES)).powf(left) }
+        if job.request.affinity_key.is_none() || left <= 0.0 {
+            1.0
+        } else {
+            (HOMES / all.max(HOMES)).powf(left)
+        }
     }
 
     /// What stands in the way of a job on a worker, in its own running times. None: no room there.
@@ -683,7 +687,14 @@
         let margin = margin * self.set.classes[job.request.class.0].aim as f64;
         let work = job.work / self.warmth(&known.entry, self.now);
         let like = self.kind_pace.get(known.entry.kind.0).copied().unwrap_or(0.0);
-        let end = known.meter.end(self.now, work, like, job.request.key, self.fetch, self.mean_run * AHEAD);
+        let end = known.meter.end(
+            self.now,
+            work,
+            like,
+            job.request.affinity_key,
+            self.fetch,
+            self.mean_run * AHEAD,
+        );
         end + margin < job.aim_by as f64
     }
 
--- a/crates/policy/tests/module.rs
+++ b/crates/policy/tests/module.rs
@@ -861,8 +861,8 @@
         for key in 0..200 {
             let mut went = Vec::new();
             for _ in 0..2 {
-                let key = Some(KeyId(key * 0x9e37_79b9));
-                let (id, actions) = stage.asks(5 * S, |r| r.key = key);
+                let key = Some(AffinityKey(key * 0x9e37_79b9));
+                let (id, actions) = stage.asks(5 * S, |r| r.affinity_key = key);
                 let to = sent(&actions);
                 assert_eq!(to.len(), 1, "key {key:?} of {n} workers");
                 stage.ends(id, 0, Outcome::Served);
--- a/crates/policy/tests/pins.rs
+++ b/crates/policy/tests/pins.rs
@@ -4,7 +4,7 @@
 #[path = "../../../tests/golden/mod.rs"]
 mod golden;
 
-use loomlb_policy::boot::key;
+use loomlb_policy::boot::affinity_key;
 use loomlb_policy::{Carried, Holds, Message, Outcome, WorkerId, WorkerState, ZoneId};
 
 fn messages() -> Vec<Message> {
@@ -59,7 +59,8 @@
 /// The numbers that stand for subjects decide which worker a subject sticks to, across processes and versions.
 #[test]
 fn the_number_of_a_subject_stays() {
-    let text: String = ["", "7f", "é"].map(|subject| format!("{subject:?} {}\n", key(subject).0)).concat();
+    let text: String =
+        ["", "7f", "é"].map(|subject| format!("{subject:?} {}\n", affinity_key(subject).0)).concat();
     golden::check("subject-numbers.txt", text.as_bytes());
 }
 
--- a/crates/policy/tests/starts.rs
+++ b/crates/policy/tests/starts.rs
@@ -109,8 +109,9 @@
     let mut stage = Stage::new(set, &list);
     let mut again = 0;
     for key in 0..200u64 {
-        let subject =
-            |r: &mut Request| (r.key, r.expected) = (Some(KeyId(key * 0x9e37_79b9)), Some(100 * MS));
+        let subject = |r: &mut Request| {
+            (r.affinity_key, r.expected) = (Some(AffinityKey(key * 0x9e37_79b9)), Some(100 * MS))
+        };
         let mut went = Vec::new();
         for _ in 0..2 {
             let (id, actions) = stage.asks(5 * S, subject);
--- a/crates/scheduler/src/admit.rs
+++ b/crates/scheduler/src/admit.rs
@@ -4,7 +4,7 @@
 use super::shares::Share;
 use super::wheel::Due;
 use super::{Scheduler, route};
-use loomlb_policy::boot::key;
+use loomlb_policy::boot::affinity_key;
 use loomlb_policy::{ClassId, Effect, Event, Nanos, Request, RequestId, TenantId};
 use std::rc::Rc;
 use tokio::sync::oneshot;
@@ -131,7 +131,7 @@
         id,
         class: ClassId(class),
         tenant: tenant.map(TenantId),
-        key: offer.subject.as_deref().map(key),
+        affinity_key: offer.subject.as_deref().map(affinity_key),
         slots,
         memory: offer.memory.unwrap_or(0.0),
         remaining: patience,
--- a/crates/simhost/src/main.rs
+++ b/crates/simhost/src/main.rs
@@ -3,7 +3,7 @@
 mod wire;
 
 use base64::Engine as _;
-use loomlb_policy::boot::{Names, key};
+use loomlb_policy::boot::{Names, affinity_key};
 use loomlb_policy::{
     Action, ClassId, Dispatcher, Ended, Event, Nanos, Note, PeerId, Request, RequestId, TenantId, WorkerId,
 };
@@ -113,7 +113,7 @@
                     id: id()?,
                     class: ClassId(names.class(need(e.category.as_deref(), "category")?)),
                     tenant,
-                    key: e.path_key.as_deref().map(key),
+                    affinity_key: e.path_key.as_deref().map(affinity_key),
                     slots: e.slots.unwrap_or(1.0),
                     memory: e.mem.unwrap_or(0.0),
                     remaining: need(e.remaining, "remaining")?,
--- a/crates/simulation/src/simulate.rs
+++ b/crates/simulation/src/simulate.rs
@@ -11,7 +11,7 @@
 use crate::seed::Stream;
 use crate::settings;
 use crate::world::{Attempt, Counters, Deed, Dial, Reply, Signal, Word, World, ms};
-use loomlb_policy::boot::{Names, key};
+use loomlb_policy::boot::{Names, affinity_key};
 use loomlb_policy::{
     Action, ClassId, Dispatcher, Ended, Event, ListKind, Nanos, Note, Outcome, PeerId, Receiver, Report,
     Request as Asked, RequestId, Settings, TenantId,
@@ -894,7 +894,7 @@
             id: RequestId(id),
             class: ClassId(class),
             tenant: tenant.map(TenantId),
-            key: subject.map(|s| key(&format!("s{s}"))),
+            affinity_key: subject.map(|s| affinity_key(&format!("s{s}"))),
             slots: f64::from(slots),
             remaining,
             within: Some(within),
