--- a/crates/lab/src/baselines.rs
+++ b/crates/lab/src/baselines.rs
@@ -2,8 +2,8 @@
 //! drains, refusals), choose by their one idea, and learn nothing else.
 
 use loomlb_policy::{
-    Action, Class, Effect, Ended, Event, Group, ListKind, Nanos, Outcome, Request, RequestId, Settings,
-    Worker, WorkerId, WorkerState, ZoneId,
+    Action, Class, DedupScope, Ended, Event, Idempotency, ListKind, Nanos, Outcome, Request, RequestId,
+    Settings, Worker, WorkerId, WorkerState, ZoneId,
 };
 use loomlb_simulation::simulate::Decider;
 use rustc_hash::FxHashMap;
@@ -88,16 +88,16 @@
         let tied = job.attempts.iter().find(|a| a.outcome.is_none_or(|o| !o.never_ran()));
         let Some(first) = tied else { return true };
         let class = self.class(job);
-        match class.effect {
-            Effect::Safe => true,
-            Effect::Unsafe => false,
-            Effect::Keyed(group) => {
+        match class.idempotency {
+            Idempotency::Idempotent => true,
+            Idempotency::AtMostOnce => false,
+            Idempotency::Deduplicated(group) => {
                 let near = match group {
-                    Group::All => true,
-                    Group::Zone => worker.zone == first.zone,
-                    Group::Cell => worker.cell.0 == first.cell,
+                    DedupScope::All => true,
+                    DedupScope::Zone => worker.zone == first.zone,
+                    DedupScope::Cell => worker.cell.0 == first.cell,
                 };
-                near && self.now + 4 * self.set.tick < first.sent + class.window
+                near && self.now + 4 * self.set.tick < first.sent + class.dedup_window
             }
         }
     }
@@ -145,7 +145,11 @@
     fn end(&mut self, id: RequestId, out: &mut Vec<Action>) {
         let Some(job) = self.jobs.remove(&id) else { return };
         let tied = job.attempts.iter().any(|a| a.outcome.is_none_or(|o| !o.never_ran()));
-        let free = !tied || matches!(self.class(&job).effect, Effect::Safe | Effect::Keyed(Group::All));
+        let free = !tied
+            || matches!(
+                self.class(&job).idempotency,
+                Idempotency::Idempotent | Idempotency::Deduplicated(DedupScope::All)
+            );
         let retry_after = self.set.limits.max_retry_after.min(200_000_000);
         out.push(if free { Action::Refuse { id, retry_after } } else { Action::Fail(id) });
     }
--- a/crates/lab/src/capacity/probe.rs
+++ b/crates/lab/src/capacity/probe.rs
@@ -1,8 +1,8 @@
 //! The decision module under a steady load, as `crates/policy/benches/decision.rs` drives it, and real entries of the list.
 
 use loomlb_policy::{
-    Action, Class, ClassId, Dispatcher, Effect, Ended, Event, Limits, ListKind, Nanos, Note, Outcome, Report,
-    Reports, Request, RequestId, Settings, Tenant, TenantId, Worker, WorkerId,
+    Action, Class, ClassId, Dispatcher, Ended, Event, Idempotency, Limits, ListKind, Nanos, Note, Outcome,
+    Report, Reports, Request, RequestId, Settings, Tenant, TenantId, Worker, WorkerId,
 };
 use loomlb_simulation::Day;
 use loomlb_simulation::settings::entry;
@@ -32,7 +32,7 @@
         stretch: 2.0,
         deadline: 5_000 * MS,
         worth: 1.0,
-        effect: Effect::Safe,
+        idempotency: Idempotency::Idempotent,
         ..Class::default()
     };
     Settings {
--- a/crates/policy/benches/decision.rs
+++ b/crates/policy/benches/decision.rs
@@ -26,7 +26,7 @@
             stretch: 2.0,
             deadline: 5_000 * MS,
             worth: 1.0,
-            effect: Effect::Safe,
+            idempotency: Idempotency::Idempotent,
             ..Class::default()
         };
         let settings = Settings {
--- a/crates/policy/src/api.rs
+++ b/crates/policy/src/api.rs
@@ -33,19 +33,19 @@
 
 /// What a class permits when an attempt may already have run.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Effect {
+pub enum Idempotency {
     /// Repeat freely.
-    Safe,
+    Idempotent,
     /// Repeats are dropped inside a group of workers for a while.
-    Keyed(Group),
+    Deduplicated(DedupScope),
     /// Never repeat what may have run.
     #[default]
-    Unsafe,
+    AtMostOnce,
 }
 
 /// The workers that drop repeats of a keyed request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Group {
+pub enum DedupScope {
     /// All of them.
     All,
     /// Those of one zone.
@@ -68,9 +68,9 @@
     /// The part of the worth left after the aim.
     pub late_worth: f64,
     /// What may be repeated.
-    pub effect: Effect,
+    pub idempotency: Idempotency,
     /// How long keyed repeats are dropped, from the send of the first attempt that may have run.
-    pub window: Nanos,
+    pub dedup_window: Nanos,
     /// The one kind of machine that runs it, if it is bound.
     pub kind: Option<KindId>,
 }
--- a/crates/policy/src/boot.rs
+++ b/crates/policy/src/boot.rs
@@ -174,14 +174,14 @@
             deadline: c.give_up,
             worth: c.worth,
             late_worth: c.late_worth,
-            effect: match (&*c.effect, &*c.group) {
-                ("idempotent", _) => Effect::Safe,
-                ("deduplicated", "all") => Effect::Keyed(Group::All),
-                ("deduplicated", "zone") => Effect::Keyed(Group::Zone),
-                ("deduplicated", "cell") => Effect::Keyed(Group::Cell),
-                _ => Effect::Unsafe,
+            idempotency: match (&*c.effect, &*c.group) {
+                ("idempotent", _) => Idempotency::Idempotent,
+                ("deduplicated", "all") => Idempotency::Deduplicated(DedupScope::All),
+                ("deduplicated", "zone") => Idempotency::Deduplicated(DedupScope::Zone),
+                ("deduplicated", "cell") => Idempotency::Deduplicated(DedupScope::Cell),
+                _ => Idempotency::AtMostOnce,
             },
-            window: c.repeat_window,
+            dedup_window: c.repeat_window,
             kind: self.extra.class_kind.get(i).and_then(|&k| usize::try_from(k).ok()).map(KindId),
         });
         let settings = Settings {
--- a/crates/policy/src/rules.rs
+++ b/crates/policy/src/rules.rs
@@ -462,8 +462,9 @@
     /// Ends a request that gets no further attempt: a refusal where it is honest, a failure otherwise.
     fn end(&mut self, id: RequestId, out: &mut Vec<Action>) {
         let Some(job) = self.jobs.get(&id).filter(|j| !j.answered) else { return };
-        let effect = self.set.classes[job.request.class.0].effect;
-        let harmless = matches!(effect, Effect::Safe | Effect::Keyed(Group::All));
+        let idempotency = self.set.classes[job.request.class.0].idempotency;
+        let harmless =
+            matches!(idempotency, Idempotency::Idempotent | Idempotency::Deduplicated(DedupScope::All));
         let harmless = harmless || job.may_have_run().next().is_none();
         let retry_after = if harmless { self.come_back(id) } else { 0 };
         out.push(if harmless { Action::Refuse { id, retry_after } } else { Action::Fail(id) });
@@ -785,14 +786,18 @@
     fn repeat(&self, job: &Job) -> Repeat {
         let class = &self.set.classes[job.request.class.0];
         let Some(first) = job.may_have_run().next() else { return Repeat::Anywhere };
-        match class.effect {
-            Effect::Safe => Repeat::Anywhere,
-            Effect::Unsafe => Repeat::Never,
+        match class.idempotency {
+            Idempotency::Idempotent => Repeat::Anywhere,
+            Idempotency::AtMostOnce => Repeat::Never,
             // The window is counted to the send; a few ticks are kept for the way.
-            Effect::Keyed(_) if self.now + 4 * self.set.tick >= first.sent + class.window => Repeat::Never,
-            Effect::Keyed(Group::All) => Repeat::Anywhere,
-            Effect::Keyed(Group::Zone) => Repeat::Zone(first.zone),
-            Effect::Keyed(Group::Cell) => Repeat::Cell(first.cell),
+            Idempotency::Deduplicated(_)
+                if self.now + 4 * self.set.tick >= first.sent + class.dedup_window =>
+            {
+                Repeat::Never
+            }
+            Idempotency::Deduplicated(DedupScope::All) => Repeat::Anywhere,
+            Idempotency::Deduplicated(DedupScope::Zone) => Repeat::Zone(first.zone),
+            Idempotency::Deduplicated(DedupScope::Cell) => Repeat::Cell(first.cell),
         }
     }
 
--- a/crates/policy/tests/attempts.rs
+++ b/crates/policy/tests/attempts.rs
@@ -77,8 +77,12 @@
     let mut seen = Seen::default();
     for seed in 0..300 {
         let mut rng = fastrand::Rng::with_seed(seed);
-        let effects =
-            [Effect::Safe, Effect::Keyed(Group::All), Effect::Keyed(Group::Cell), Effect::Keyed(Group::Zone)];
+        let effects = [
+            Idempotency::Idempotent,
+            Idempotency::Deduplicated(DedupScope::All),
+            Idempotency::Deduplicated(DedupScope::Cell),
+            Idempotency::Deduplicated(DedupScope::Zone),
+        ];
         let mut set = settings(effects[seed as usize % 4]);
         set.limits.second_copies = true;
         set.limits.cancel = rng.bool();
@@ -233,7 +237,7 @@
     for trouble in troubles.into_iter().chain([Trouble::Slow, Trouble::Hang]) {
         for reports in [Reports::None, Reports::Answers, Reports::Probes] {
             for (tells_start, peers) in [(false, false), (true, false), (true, true)] {
-                let mut set = settings(Effect::Safe);
+                let mut set = settings(Idempotency::Idempotent);
                 (set.reports, set.tells_start, set.limits.probes) = (reports, tells_start, true);
                 (set.zones, set.limits.peers, set.dispatchers) = (1, peers, 12);
                 for seed in 0..2 {
@@ -255,7 +259,7 @@
     for trouble in [Trouble::Ends(Error), Trouble::Ends(Reset), Trouble::Slow, Trouble::Hang] {
         for reports in [Reports::None, Reports::Answers] {
             for peers in [false, true] {
-                let mut set = settings(Effect::Safe);
+                let mut set = settings(Idempotency::Idempotent);
                 (set.reports, set.tells_start) = (reports, peers);
                 (set.zones, set.limits.peers, set.dispatchers) = (1, peers, 12);
                 let longest = longest_without_an_attempt(&set, trouble, 90 * S, 1);
--- a/crates/policy/tests/cold_fleet.rs
+++ b/crates/policy/tests/cold_fleet.rs
@@ -40,7 +40,7 @@
 const THIRTY: Fleet = Fleet { size: 30, work: 200 * MS, zones: 1, restart: 13 * S, quiet: 0, seed: 1 };
 
 fn rules(fleet: Fleet, me: u32) -> Settings {
-    let mut set = settings(Effect::Safe);
+    let mut set = settings(Idempotency::Idempotent);
     (set.dispatchers, set.me, set.zones) = (fleet.size, PeerId(me), fleet.zones);
     set.limits.peers = fleet.zones == 1;
     set.reports = Reports::Answers;
--- a/crates/policy/tests/module.rs
+++ b/crates/policy/tests/module.rs
@@ -12,7 +12,7 @@
 #[test]
 fn a_refusal_says_when_to_come_back_within_the_sites_limit() {
     for most in [0, 3 * MS, 60 * S] {
-        let mut set = settings(Effect::Safe);
+        let mut set = settings(Idempotency::Idempotent);
         set.limits.max_retry_after = most;
         let mut stage = Stage::new(set, &workers(1));
         let (id, _) = stage.request(2 * S);
@@ -30,7 +30,7 @@
 
 #[test]
 fn without_a_worker_the_request_is_refused_before_its_client_leaves() {
-    let mut stage = Stage::new(settings(Effect::Unsafe), &[]);
+    let mut stage = Stage::new(settings(Idempotency::AtMostOnce), &[]);
     let (id, mut actions) = stage.request(800 * MS);
     let mut said = Vec::new();
     for _ in 0..200 {
@@ -51,14 +51,14 @@
 
 #[test]
 fn a_request_with_no_time_left_is_answered_at_once() {
-    let mut stage = Stage::new(settings(Effect::Safe), &workers(3));
+    let mut stage = Stage::new(settings(Idempotency::Idempotent), &workers(3));
     let (id, actions) = stage.request(0);
     assert_eq!(actions, [Action::Refuse { id, retry_after: 0 }]);
 }
 
 #[test]
 fn the_time_out_ends_before_the_client_leaves_and_is_answered_by_a_failure() {
-    let mut stage = Stage::new(settings(Effect::Unsafe), &workers(1));
+    let mut stage = Stage::new(settings(Idempotency::AtMostOnce), &workers(1));
     let (id, actions) = stage.request(3 * S);
     let Some(Action::Send { timeout, .. }) = actions.first() else { panic!("{actions:?}") };
     assert!(*timeout < 3 * S);
@@ -69,7 +69,7 @@
 
 #[test]
 fn nothing_goes_out_for_a_request_whose_client_has_gone() {
-    let mut stage = Stage::new(settings(Effect::Safe), &workers(3));
+    let mut stage = Stage::new(settings(Idempotency::Idempotent), &workers(3));
     let (id, _) = stage.request(3 * S);
     assert_eq!(stage.event(Event::Gone(id)), [Action::Cancel(id, 0)]);
     let actions = stage.ends(id, 0, Outcome::Full);
@@ -78,7 +78,7 @@
 
 #[test]
 fn a_silent_worker_is_not_forgotten_with_the_clients_that_waited_for_it() {
-    let mut stage = Stage::new(settings(Effect::Safe), &workers(2));
+    let mut stage = Stage::new(settings(Idempotency::Idempotent), &workers(2));
     let silent = WorkerId(1);
     for _ in 0..40 {
         stage.now += 100 * MS;
@@ -100,7 +100,7 @@
 
 #[test]
 fn spent_attempts_end_in_one_answer() {
-    let mut stage = Stage::new(settings(Effect::Safe), &workers(9));
+    let mut stage = Stage::new(settings(Idempotency::Idempotent), &workers(9));
     let (id, _) = stage.request(4 * S);
     for attempt in 0..3 {
         assert_eq!(sent(&stage.ends(id, attempt, Outcome::Full)).len(), 1);
@@ -115,7 +115,9 @@
 fn outcomes_and_effects_decide_on_a_repeat() {
     use Outcome::*;
     for outcome in [Error, Full, Timeout, NoConnection, Reset, Cancelled, NotSent] {
-        for effect in [Effect::Safe, Effect::Keyed(Group::Zone), Effect::Unsafe] {
+        for effect in
+            [Idempotency::Idempotent, Idempotency::Deduplicated(DedupScope::Zone), Idempotency::AtMostOnce]
+        {
             let mut list = workers(6);
             list.iter_mut().skip(3).for_each(|w| w.zone = ZoneId(1));
             let mut stage = Stage::new(settings(effect), &list);
@@ -124,11 +126,11 @@
             stage.now += 10 * MS;
             let actions = stage.ends(id, 0, outcome);
             let again = sent(&actions);
-            if effect == Effect::Unsafe && !outcome.never_ran() {
+            if effect == Idempotency::AtMostOnce && !outcome.never_ran() {
                 assert_eq!(actions, [Action::Fail(id)], "{outcome:?}");
             } else {
                 assert_eq!(again.len(), 1, "{effect:?} {outcome:?}: {actions:?}");
-                if effect != Effect::Safe && !outcome.never_ran() {
+                if effect != Idempotency::Idempotent && !outcome.never_ran() {
                     assert_eq!(again[0].0 > 3, first.0 > 3, "the repeat left the group");
                 }
             }
@@ -138,7 +140,7 @@
 
 #[test]
 fn a_keyed_repeat_ends_with_its_window() {
-    let mut stage = Stage::new(settings(Effect::Keyed(Group::Zone)), &workers(4));
+    let mut stage = Stage::new(settings(Idempotency::Deduplicated(DedupScope::Zone)), &workers(4));
     let (id, _) = stage.request(5 * S);
     stage.now += 2 * S - MS;
     assert_eq!(stage.ends(id, 0, Outcome::Reset), [Action::Fail(id)]);
@@ -150,7 +152,7 @@
 fn a_draining_gone_or_missing_worker_gets_nothing_new() {
     for how in 0..3 {
         let list = workers(2);
-        let mut stage = Stage::new(settings(Effect::Safe), &list);
+        let mut stage = Stage::new(settings(Idempotency::Idempotent), &list);
         let mut leaving = list[0].clone();
         match how {
             0 => leaving.state = WorkerState::Draining,
@@ -170,7 +172,7 @@
 
 #[test]
 fn a_list_that_must_be_asked_for_is_asked_for_in_time_and_again_after_failures() {
-    let mut set = settings(Effect::Safe);
+    let mut set = settings(Idempotency::Idempotent);
     set.ask_for_list = true;
     set.dispatchers = 50;
     let mut dispatcher = Dispatcher::new(set, 5);
@@ -192,11 +194,11 @@
 
 #[test]
 fn many_dispatchers_together_keep_below_the_cold_limit_in_every_window() {
-    let apart = cold_jobs(settings(Effect::Safe));
+    let apart = cold_jobs(settings(Idempotency::Idempotent));
     assert!(apart > 20, "the cold worker is used at all: {apart}");
     // Where dispatchers look first at workers of their own, a cold one's budget is for those who look there: split
     // among all, most of it would lie idle.
-    let mut grouped = settings(Effect::Safe);
+    let mut grouped = settings(Idempotency::Idempotent);
     (grouped.zones, grouped.limits.peers) = (1, true);
     let grouped = cold_jobs(grouped);
     assert!(grouped > 40, "{grouped} jobs by the group, {apart} by all");
@@ -323,7 +325,7 @@
 
 #[test]
 fn a_class_bound_to_a_kind_stays_on_it() {
-    let mut set = settings(Effect::Safe);
+    let mut set = settings(Idempotency::Idempotent);
     set.kinds = 2;
     set.classes[0].kind = Some(KindId(1));
     let mut list = workers(6);
@@ -339,7 +341,7 @@
 
 #[test]
 fn odd_events_do_no_harm() {
-    let mut stage = Stage::new(settings(Effect::Safe), &workers(2));
+    let mut stage = Stage::new(settings(Idempotency::Idempotent), &workers(2));
     let odd = Report { in_flight: Some(f64::NAN), free_slots: Some(-1.0), ..Report::default() };
     let ended = Ended { outcome: Outcome::Served, latency: 0, closed: true, report: Some(odd) };
     assert!(stage.event(Event::Ended { id: RequestId(99), attempt: 0, ended }).is_empty());
@@ -364,7 +366,7 @@
 #[test]
 fn the_same_events_give_the_same_actions() {
     let story = || {
-        let mut stage = Stage::new(settings(Effect::Safe), &workers(20));
+        let mut stage = Stage::new(settings(Idempotency::Idempotent), &workers(20));
         let mut all = Vec::new();
         for i in 0..300 {
             stage.now += 7 * MS;
@@ -382,7 +384,7 @@
 
 #[test]
 fn failures_send_the_next_jobs_elsewhere() {
-    let mut stage = Stage::new(settings(Effect::Unsafe), &workers(4));
+    let mut stage = Stage::new(settings(Idempotency::AtMostOnce), &workers(4));
     let mut failed = 0;
     for _ in 0..100 {
         stage.now += 20 * MS;
@@ -396,7 +398,7 @@
 
 #[test]
 fn the_own_zone_comes_first_by_what_crossing_costs() {
-    let mut set = settings(Effect::Safe);
+    let mut set = settings(Idempotency::Idempotent);
     set.prices.cross_zone = 0.1;
     let mut list = workers(8);
     list.iter_mut().take(4).for_each(|w| w.zone = ZoneId(1));
@@ -410,7 +412,7 @@
 
 #[test]
 fn a_worker_that_takes_jobs_and_says_nothing_is_left_alone() {
-    let set = Settings { free_slots_reported: true, ..settings(Effect::Safe) };
+    let set = Settings { free_slots_reported: true, ..settings(Idempotency::Idempotent) };
     let mut stage = Stage::new(set, &workers(3));
     // So much room that a few jobs in flight hardly count.
     let roomy = Report { in_flight: Some(0.0), free_slots: Some(90.0), ..Report::default() };
@@ -436,7 +438,7 @@
 
 #[test]
 fn an_honest_tenant_of_a_busy_dispatcher_keeps_its_share() {
-    let mut set = settings(Effect::Safe);
+    let mut set = settings(Idempotency::Idempotent);
     set.dispatchers = 10;
     set.over_share_worth = 0.05;
     set.free_slots_reported = true;
@@ -475,7 +477,7 @@
 
 #[test]
 fn a_group_of_peers_tells_its_sends_and_spreads_over_what_it_knows() {
-    let mut set = settings(Effect::Safe);
+    let mut set = settings(Idempotency::Idempotent);
     set.limits.peers = true;
     set.dispatchers = 2;
     let mut pair: Vec<Stage> = (0..2)
@@ -508,7 +510,7 @@
 
 #[test]
 fn where_load_comes_by_probe_alone_workers_are_asked_and_the_free_one_is_used() {
-    let mut set = settings(Effect::Safe);
+    let mut set = settings(Idempotency::Idempotent);
     set.limits.probes = true;
     set.reports = Reports::Probes;
     set.free_slots_reported = true;
@@ -535,7 +537,7 @@
 
 #[test]
 fn a_zone_whose_workers_are_full_spills_over_to_the_other() {
-    let mut set = settings(Effect::Safe);
+    let mut set = settings(Idempotency::Idempotent);
     set.prices.cross_zone = 0.1;
     set.tells_start = true;
     let mut list = workers(8);
@@ -560,7 +562,7 @@
 
 #[test]
 fn without_reports_what_would_wait_beyond_its_slack_is_refused() {
-    let mut set = settings(Effect::Unsafe);
+    let mut set = settings(Idempotency::AtMostOnce);
     set.tells_start = true;
     let mut stage = Stage::new(set, &workers(2));
     let mut refused = [0, 0];
@@ -583,7 +585,7 @@
 
 #[test]
 fn load_that_peers_tell_counts_by_its_slots_and_late_reports_add_nothing() {
-    let mut set = settings(Effect::Safe);
+    let mut set = settings(Idempotency::Idempotent);
     (set.reports, set.free_slots_reported) = (Reports::Answers, true);
     (set.dispatchers, set.limits.peers) = (2, true);
     let mut to_reported = 0;
@@ -628,7 +630,11 @@
 /// many of its slots are free. Counting what waits as slots had a crowded worker grow with its crowd.
 #[test]
 fn what_waits_behind_a_large_job_is_not_taken_for_slots() {
-    let set = Settings { reports: Reports::Answers, free_slots_reported: true, ..settings(Effect::Safe) };
+    let set = Settings {
+        reports: Reports::Answers,
+        free_slots_reported: true,
+        ..settings(Idempotency::Idempotent)
+    };
     let mut stage = Stage::new(set, &workers(1));
     let large = Request { slots: 4.0, ..Request::new(RequestId(1000), ClassId(0), 4 * S) };
     stage.event(Event::Request(large));
@@ -653,7 +659,7 @@
 /// A tier that starts at once, or again: words cross, some are lost, and full workers never show their size.
 #[test]
 fn a_new_dispatcher_knows_its_peers_by_the_settings_and_the_size_of_workers_by_their_word() {
-    let mut set = settings(Effect::Safe);
+    let mut set = settings(Idempotency::Idempotent);
     (set.reports, set.free_slots_reported) = (Reports::Answers, true);
     (set.dispatchers, set.zones, set.limits.peers) = (3, 1, true);
     let mut stage = Stage::new(set.clone(), &workers(1));
@@ -693,7 +699,7 @@
 /// tier of which most is dead the workers would look full.
 #[test]
 fn what_a_peer_held_is_forgotten_once_it_is_silent_beyond_its_measure() {
-    let mut set = settings(Effect::Safe);
+    let mut set = settings(Idempotency::Idempotent);
     (set.reports, set.free_slots_reported) = (Reports::Answers, true);
     (set.dispatchers, set.zones, set.limits.peers) = (3, 1, true);
     let mut stage = Stage::new(set, &workers(1));
@@ -729,7 +735,7 @@
 /// finds no room near, each would, and the workers' queues grow until all is late.
 #[test]
 fn jobs_wait_for_their_group_and_leave_it_as_often_as_the_last_found_room() {
-    let mut set = settings(Effect::Safe);
+    let mut set = settings(Idempotency::Idempotent);
     (set.reports, set.free_slots_reported) = (Reports::Answers, true);
     (set.dispatchers, set.zones, set.limits.peers) = (32, 1, true);
     let beyond = |wait: Nanos| {
@@ -774,7 +780,7 @@
 /// its part of the traffic of late, and what does not fit is refused before its aim has passed.
 #[test]
 fn who_hears_nobody_of_its_group_keeps_to_its_part_and_refuses_the_rest_early() {
-    let mut set = settings(Effect::Safe);
+    let mut set = settings(Idempotency::Idempotent);
     (set.reports, set.free_slots_reported) = (Reports::Answers, true);
     (set.dispatchers, set.zones, set.limits.peers) = (12, 1, true);
     set.limits.max_retry_after = 2 * S;
@@ -826,7 +832,11 @@
 
 #[test]
 fn a_job_waits_here_rather_than_at_a_worker_that_is_full() {
-    let set = Settings { reports: Reports::Answers, free_slots_reported: true, ..settings(Effect::Safe) };
+    let set = Settings {
+        reports: Reports::Answers,
+        free_slots_reported: true,
+        ..settings(Idempotency::Idempotent)
+    };
     let mut stage = Stage::new(set, &workers(1));
     let free = Report { in_flight: Some(0.0), free_slots: Some(5.0), ..Report::default() };
     let (id, _) = stage.request(4 * S);
@@ -840,7 +850,7 @@
 
 #[test]
 fn a_worker_that_fails_most_jobs_is_not_forgiven_for_the_odd_one_it_serves() {
-    let mut stage = Stage::new(settings(Effect::Unsafe), &workers(1));
+    let mut stage = Stage::new(settings(Idempotency::AtMostOnce), &workers(1));
     for i in 0..6 {
         let (id, _) = stage.request(4 * S);
         stage.ends(id, 0, if i < 4 { Outcome::Error } else { Outcome::Served });
@@ -856,7 +866,7 @@
 #[test]
 fn a_job_with_a_subject_leaves_at_once_while_its_first_worker_is_idle() {
     for n in [1, 2, 3, 5, 10, 14, 30] {
-        let mut stage = Stage::new(Settings { zones: 1, ..settings(Effect::Safe) }, &workers(n));
+        let mut stage = Stage::new(Settings { zones: 1, ..settings(Idempotency::Idempotent) }, &workers(n));
         let mut again = 0;
         for key in 0..200 {
             let mut went = Vec::new();
@@ -881,7 +891,7 @@
 /// does the cold budget: it is spent once.
 #[test]
 fn what_was_learned_is_carried_over_and_a_cold_budget_is_not_spent_twice() {
-    let mut set = settings(Effect::Safe);
+    let mut set = settings(Idempotency::Idempotent);
     set.rules.fall_multiple = 1.0;
     let cold = |id: u64| Worker { started: S, ..Worker::new(WorkerId(id)) };
     let mut old = Stage::new(set.clone(), &workers(2));
@@ -938,7 +948,7 @@
 
 #[test]
 fn new_settings_keep_what_was_learned_and_open_requests_keep_their_class() {
-    let mut stage = Stage::new(settings(Effect::Safe), &workers(2));
+    let mut stage = Stage::new(settings(Idempotency::Idempotent), &workers(2));
     for _ in 0..40 {
         stage.now += 20 * MS;
         let (id, actions) = stage.request(4 * S);
@@ -950,8 +960,8 @@
     let (open, actions) = stage.request(4 * S);
     let at = sent(&actions)[0];
     // The class has changed while a request of it is open: it goes on by its old rules under its old number.
-    let mut next = settings(Effect::Safe);
-    next.classes.push(Class { effect: Effect::Unsafe, ..next.classes[0].clone() });
+    let mut next = settings(Idempotency::Idempotent);
+    next.classes.push(Class { idempotency: Idempotency::AtMostOnce, ..next.classes[0].clone() });
     next.limits.max_attempts = 1;
     stage.event(Event::Settings(Box::new(next.clone()), vec![Start::Kept, Start::From(ClassId(0))]));
     assert_ne!(sent(&stage.ends(open, 0, Outcome::Reset)), [at], "a safe request is sent again, elsewhere");
--- a/crates/policy/tests/stage/mod.rs
+++ b/crates/policy/tests/stage/mod.rs
@@ -7,7 +7,7 @@
 pub const S: Nanos = 1_000 * MS;
 
 /// Settings of one class, with the rest as a plain site would have it.
-pub fn settings(effect: Effect) -> Settings {
+pub fn settings(effect: Idempotency) -> Settings {
     Settings {
         dispatchers: 1,
         zones: 2,
@@ -18,8 +18,8 @@
             stretch: 2.0,
             deadline: 5 * S,
             worth: 1.0,
-            effect,
-            window: 2 * S,
+            idempotency: effect,
+            dedup_window: 2 * S,
             ..Class::default()
         }],
         limits: Limits { max_attempts: 4, cancel: true, second_copies: true, ..Limits::default() },
--- a/crates/policy/tests/starts.rs
+++ b/crates/policy/tests/starts.rs
@@ -7,7 +7,7 @@
 
 /// A site that tells of load by probes alone, at this price, and of starts; jobs carry hints.
 fn orders(probe: f64) -> Settings {
-    let mut set = settings(Effect::Keyed(Group::Zone));
+    let mut set = settings(Idempotency::Deduplicated(DedupScope::Zone));
     (set.reports, set.tells_start, set.free_slots_reported) = (Reports::Probes, true, true);
     (set.limits.probes, set.prices.probe) = (true, probe);
     set
--- a/crates/scheduler/src/admit.rs
+++ b/crates/scheduler/src/admit.rs
@@ -5,7 +5,7 @@
 use super::wheel::Due;
 use super::{Scheduler, route};
 use loomlb_policy::boot::affinity_key;
-use loomlb_policy::{ClassId, Effect, Event, Nanos, Request, RequestId, TenantId};
+use loomlb_policy::{ClassId, Event, Idempotency, Nanos, Request, RequestId, TenantId};
 use std::rc::Rc;
 use tokio::sync::oneshot;
 
@@ -112,7 +112,7 @@
         slots,
         class,
         most,
-        window: matches!(settings.effect, Effect::Keyed(_)).then_some(settings.window),
+        window: matches!(settings.idempotency, Idempotency::Deduplicated(_)).then_some(settings.dedup_window),
         ran: 0.0,
     });
     drop(book);
--- a/crates/scheduler/src/epoch.rs
+++ b/crates/scheduler/src/epoch.rs
@@ -113,7 +113,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use loomlb_policy::Effect;
+    use loomlb_policy::Idempotency;
 
     fn epoch(classes: &[(&str, Nanos)]) -> Epoch {
         let class = |c: &(&str, Nanos)| Class { deadline: c.1, ..Class::default() };
@@ -154,7 +154,7 @@
         let named = |kinds: &[&str], kind: usize, tenants: &[(&str, f64)]| {
             let mut e = epoch(&[("view", 1)]);
             e.settings.classes[0].kind = Some(KindId(kind));
-            e.settings.classes[0].effect = Effect::Safe;
+            e.settings.classes[0].idempotency = Idempotency::Idempotent;
             e.names.kinds = kinds.iter().map(|k| k.to_string()).collect();
             e.names.zones = vec!["z".into()];
             e.names.tenants = tenants.iter().map(|t| t.0.to_string()).collect();
--- a/crates/simulation/tests/referee.rs
+++ b/crates/simulation/tests/referee.rs
@@ -1,8 +1,8 @@
 //! Each rule of the referee is able to fail: a scheduler with one fault is caught by the rule it breaks.
 
 use loomlb_policy::{
-    Action, CellId, Effect, Ended, Event, ListKind, Nanos, Outcome, Request, RequestId, Settings, Worker,
-    WorkerId, WorkerState,
+    Action, CellId, Ended, Event, Idempotency, ListKind, Nanos, Outcome, Request, RequestId, Settings,
+    Worker, WorkerId, WorkerState,
 };
 use loomlb_simulation::referee::{Answered, End, Ended as HowEnded, Referee, Rule};
 use loomlb_simulation::simulate::{self, Decider};
@@ -63,11 +63,11 @@
             self.jobs.remove(&id);
             return;
         }
-        let effect = self.set.classes[request.class.0].effect;
+        let effect = self.set.classes[request.class.0].idempotency;
         let again = ended.outcome == Outcome::Full
             || match self.fault {
-                Fault::RepeatsUnsafe => effect == Effect::Unsafe,
-                Fault::RepeatsAcrossCells => matches!(effect, Effect::Keyed(_)),
+                Fault::RepeatsUnsafe => effect == Idempotency::AtMostOnce,
+                Fault::RepeatsAcrossCells => matches!(effect, Idempotency::Deduplicated(_)),
                 _ => false,
             };
         if again && sent.len() < self.set.limits.max_attempts as usize {
--- a/tests/pins/configuration.rs
+++ b/tests/pins/configuration.rs
@@ -113,7 +113,7 @@
     row("settings.classes[0].give_up", class.deadline.to_string());
     row("settings.classes[0].worth", class.worth.to_string());
     row("settings.classes[0].late_worth", class.late_worth.to_string());
-    row("settings.classes[0].repeat_window", class.window.to_string());
+    row("settings.classes[0].repeat_window", class.dedup_window.to_string());
     row("settings.tenants", settings.tenants.len().to_string());
     row("settings.over_share_worth", settings.over_share_worth.to_string());
     row("settings.worth_by is work", settings.worth_by_work.to_string());
