--- a/crates/lab/src/capacity/probe.rs
+++ b/crates/lab/src/capacity/probe.rs
@@ -28,9 +28,9 @@
 /// Settings of one class and so many tenants, at one of so many schedulers.
 fn settings(tenants: usize, schedulers: u32) -> Settings {
     let class = Class {
-        aim: 150 * MS,
-        stretch: 2.0,
-        deadline: 5_000 * MS,
+        latency_objective: 150 * MS,
+        objective_stretch: 2.0,
+        client_timeout: 5_000 * MS,
         worth: 1.0,
         idempotency: Idempotency::Idempotent,
         ..Class::default()
--- a/crates/policy/benches/decision.rs
+++ b/crates/policy/benches/decision.rs
@@ -22,9 +22,9 @@
 impl Probe {
     fn new(workers: u64, tenants: usize) -> Probe {
         let class = Class {
-            aim: 150 * MS,
-            stretch: 2.0,
-            deadline: 5_000 * MS,
+            latency_objective: 150 * MS,
+            objective_stretch: 2.0,
+            client_timeout: 5_000 * MS,
             worth: 1.0,
             idempotency: Idempotency::Idempotent,
             ..Class::default()
--- a/crates/policy/src/api.rs
+++ b/crates/policy/src/api.rs
@@ -58,11 +58,11 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Class {
     /// An answer in this time (plus `stretch` times the job's running time) has the full worth.
-    pub aim: Nanos,
+    pub latency_objective: Nanos,
     /// How far the aim grows with the running time of the job.
-    pub stretch: f64,
+    pub objective_stretch: f64,
     /// The total time a client waits.
-    pub deadline: Nanos,
+    pub client_timeout: Nanos,
     /// Worth of one request (or of a unit of its work).
     pub worth: f64,
     /// The part of the worth left after the aim.
--- a/crates/policy/src/boot.rs
+++ b/crates/policy/src/boot.rs
@@ -169,9 +169,9 @@
     /// The settings and names that these words stand for.
     pub fn read(&self) -> (Settings, Names) {
         let classes = self.classes.iter().enumerate().map(|(i, c)| Class {
-            aim: c.aim,
-            stretch: self.extra.class_stretch.get(i).copied().unwrap_or(c.aim_stretch),
-            deadline: c.give_up,
+            latency_objective: c.aim,
+            objective_stretch: self.extra.class_stretch.get(i).copied().unwrap_or(c.aim_stretch),
+            client_timeout: c.give_up,
             worth: c.worth,
             late_worth: c.late_worth,
             idempotency: match (&*c.effect, &*c.group) {
--- a/crates/policy/src/rules.rs
+++ b/crates/policy/src/rules.rs
@@ -353,10 +353,11 @@
         let before = learned.longest - request.remaining;
         // Most jobs are shorter than the mean; a hint tells more, though not all.
         let work = request.expected.map_or(learned.run * 0.3, |e| e as f64 * 0.6);
-        let slack = class.aim as f64 * 0.7 + (class.stretch - 1.0) * work;
+        let slack = class.latency_objective as f64 * 0.7 + (class.objective_stretch - 1.0) * work;
         let start_by = (self.now + slack.max(0.0) as Nanos).saturating_sub(before);
         let work = request.expected.map_or(learned.run, |e| e as f64);
-        let aim_by = (self.now + class.aim + (class.stretch * work) as Nanos).saturating_sub(before);
+        let aim_by = (self.now + class.latency_objective + (class.objective_stretch * work) as Nanos)
+            .saturating_sub(before);
         let told = |s: &mut Self| in_share(&mut s.share, &s.set, request.tenant, request.retry, s.now);
         let in_share = request.in_share.unwrap_or_else(|| told(self));
         let worth = self.worth(request.class.0);
@@ -428,7 +429,7 @@
         let probes = if probes > 0.0 { (probes + self.rng.0.f64()) as usize } else { 0 };
         let Some(job) = self.jobs.get_mut(&id).filter(|_| probes > 0) else { return false };
         let class = job.request.class.0;
-        let wait = (self.set.classes[class].aim / 100).max(self.set.tick);
+        let wait = (self.set.classes[class].latency_objective / 100).max(self.set.tick);
         (job.asked, job.not_before) = (true, self.now + wait);
         let near = self.nets[class].neurons.iter().map(|n| &self.workers[n.worker].entry);
         let mut near: Vec<_> = near.filter(|e| e.zone == self.set.zone).map(|e| e.id).collect();
@@ -527,7 +528,7 @@
             }
         }
         if !self.held.is_empty() && !std::mem::replace(&mut self.held_timer, true) {
-            let aim = self.set.classes.iter().map(|c| c.aim).min().unwrap_or(0);
+            let aim = self.set.classes.iter().map(|c| c.latency_objective).min().unwrap_or(0);
             out.push(Action::Timer { after: (aim / 16).max(self.set.tick), token: HELD });
         }
     }
@@ -685,7 +686,7 @@
             return true;
         }
         let margin = if job.may_have_run().next().is_some() { 0.0 } else { MARGIN };
-        let margin = margin * self.set.classes[job.request.class.0].aim as f64;
+        let margin = margin * self.set.classes[job.request.class.0].latency_objective as f64;
         let work = job.work / self.warmth(&known.entry, self.now);
         let like = self.kind_pace.get(known.entry.kind.0).copied().unwrap_or(0.0);
         let end = known.meter.end(
--- a/crates/policy/src/state.rs
+++ b/crates/policy/src/state.rs
@@ -279,8 +279,14 @@
 impl Learned {
     /// Nothing yet, but for what the class's aim lets expect.
     pub(crate) fn new(class: &Class) -> Learned {
-        let run = (class.aim as f64).max(1e6);
-        Learned { run, seen: false, count: 0, most: run.max(class.deadline as f64 * UNSEEN), longest: 0 }
+        let run = (class.latency_objective as f64).max(1e6);
+        Learned {
+            run,
+            seen: false,
+            count: 0,
+            most: run.max(class.client_timeout as f64 * UNSEEN),
+            longest: 0,
+        }
     }
     /// Jobs seen. What a process handed over that did not count them is well known.
     fn jobs(&self) -> u32 {
--- a/crates/policy/tests/cold_fleet.rs
+++ b/crates/policy/tests/cold_fleet.rs
@@ -45,8 +45,8 @@
     set.limits.peers = fleet.zones == 1;
     set.reports = Reports::Answers;
     set.free_slots_reported = true;
-    set.classes[0].aim = 20 * MS;
-    set.classes[0].deadline = 6 * S;
+    set.classes[0].latency_objective = 20 * MS;
+    set.classes[0].client_timeout = 6 * S;
     set.rules = Rules { cold: 12 * S, cold_from: 0.3, fall_multiple: 2.5, fall: 2 * S, ask_within: 10 * S };
     set
 }
--- a/crates/policy/tests/module.rs
+++ b/crates/policy/tests/module.rs
@@ -934,7 +934,7 @@
     );
 
     // Short jobs, as a cold worker gets few long ones.
-    set.classes[0].aim = 20 * MS;
+    set.classes[0].latency_objective = 20 * MS;
     let mut old = Stage::new(set.clone(), &[cold(7)]);
     let spends = |stage: &mut Stage| (0..50).filter(|_| !sent(&stage.request(4 * S).1).is_empty()).count();
     old.now += 2 * S;
--- a/crates/policy/tests/stage/mod.rs
+++ b/crates/policy/tests/stage/mod.rs
@@ -14,9 +14,9 @@
         kinds: 1,
         tick: MS,
         classes: vec![Class {
-            aim: 500 * MS,
-            stretch: 2.0,
-            deadline: 5 * S,
+            latency_objective: 500 * MS,
+            objective_stretch: 2.0,
+            client_timeout: 5 * S,
             worth: 1.0,
             idempotency: effect,
             dedup_window: 2 * S,
--- a/crates/scheduler/src/admit.rs
+++ b/crates/scheduler/src/admit.rs
@@ -96,7 +96,7 @@
             return Err(Rejection::NoRoom(after.min(longest)));
         }
     };
-    let patience = offer.patience.unwrap_or(settings.deadline);
+    let patience = offer.patience.unwrap_or(settings.client_timeout);
     // A process that ends answers sooner; to the module that is no sign of a client that has waited before.
     let within = s.shutdown.service().answer_by().map(|by| by.saturating_sub(now));
     let deadline = now.saturating_add(within.unwrap_or(patience).min(patience));
--- a/crates/scheduler/src/epoch.rs
+++ b/crates/scheduler/src/epoch.rs
@@ -22,12 +22,12 @@
 impl Epoch {
     /// The longest time that a client of any class waits.
     pub fn longest(&self) -> Nanos {
-        self.settings.classes.iter().map(|c| c.deadline).max().unwrap_or(0)
+        self.settings.classes.iter().map(|c| c.client_timeout).max().unwrap_or(0)
     }
 
     /// Where each class's answers are wanted by.
     pub fn aims(&self) -> Vec<Nanos> {
-        self.settings.classes.iter().map(|c| c.aim).collect()
+        self.settings.classes.iter().map(|c| c.latency_objective).collect()
     }
 
     /// The epoch after this one, from a file's settings in their own order, with where each class starts. Numbers of
@@ -116,7 +116,7 @@
     use loomlb_policy::Idempotency;
 
     fn epoch(classes: &[(&str, Nanos)]) -> Epoch {
-        let class = |c: &(&str, Nanos)| Class { deadline: c.1, ..Class::default() };
+        let class = |c: &(&str, Nanos)| Class { client_timeout: c.1, ..Class::default() };
         let settings = Settings { classes: classes.iter().map(class).collect(), ..Settings::default() };
         let names = Names { classes: classes.iter().map(|c| c.0.to_string()).collect(), ..Names::default() };
         Epoch { settings, names, ..Epoch::default() }
@@ -124,7 +124,7 @@
 
     fn shown(epoch: &Epoch) -> String {
         let classes = epoch.names.classes.iter().zip(&epoch.settings.classes);
-        classes.map(|(n, c)| format!("{}={} ", n.replace(NOBODY, "-"), c.deadline)).collect()
+        classes.map(|(n, c)| format!("{}={} ", n.replace(NOBODY, "-"), c.client_timeout)).collect()
     }
 
     #[test]
--- a/tests/pins/configuration.rs
+++ b/tests/pins/configuration.rs
@@ -108,9 +108,9 @@
     row("settings.my_zone", settings.zone.0.to_string());
     row("settings.zones", settings.zones.to_string());
     row("settings.kinds", settings.kinds.to_string());
-    row("settings.classes[0].aim", class.aim.to_string());
-    row("settings.classes[0].aim_stretch", class.stretch.to_string());
-    row("settings.classes[0].give_up", class.deadline.to_string());
+    row("settings.classes[0].aim", class.latency_objective.to_string());
+    row("settings.classes[0].aim_stretch", class.objective_stretch.to_string());
+    row("settings.classes[0].give_up", class.client_timeout.to_string());
     row("settings.classes[0].worth", class.worth.to_string());
     row("settings.classes[0].late_worth", class.late_worth.to_string());
     row("settings.classes[0].repeat_window", class.dedup_window.to_string());
