--- a/crates/lab/src/capacity/probe.rs
+++ b/crates/lab/src/capacity/probe.rs
@@ -36,9 +36,9 @@
         ..Class::default()
     };
     Settings {
-        dispatchers: schedulers,
-        zones: 1,
-        kinds: 1,
+        dispatcher_count: schedulers,
+        zone_count: 1,
+        kind_count: 1,
         tick: MS,
         classes: vec![class],
         tenants: vec![Tenant { quota_per_s: 50.0 }; tenants],
--- a/crates/policy/benches/decision.rs
+++ b/crates/policy/benches/decision.rs
@@ -30,9 +30,9 @@
             ..Class::default()
         };
         let settings = Settings {
-            dispatchers: 1,
-            zones: 1,
-            kinds: 1,
+            dispatcher_count: 1,
+            zone_count: 1,
+            kind_count: 1,
             tick: MS,
             classes: vec![class],
             tenants: vec![Tenant { quota_per_s: 50.0 }; tenants],
--- a/crates/policy/src/api.rs
+++ b/crates/policy/src/api.rs
@@ -21,9 +21,9 @@
     ClassId(usize);
     /// Place in [`Settings::tenants`].
     TenantId(usize);
-    /// A zone, numbered as the operator likes below [`Settings::zones`].
+    /// A zone, numbered as the operator likes below [`Settings::zone_count`].
     ZoneId(usize);
-    /// A kind of machine, numbered below [`Settings::kinds`].
+    /// A kind of machine, numbered below [`Settings::kind_count`].
     KindId(usize);
     /// A small group of workers that share their memory of keys seen.
     CellId(u64);
@@ -122,15 +122,15 @@
 #[derive(Clone, Debug, Default)]
 pub struct Settings {
     /// Dispatchers in all.
-    pub dispatchers: u32,
+    pub dispatcher_count: u32,
     /// This one's number.
-    pub me: PeerId,
+    pub own_id: PeerId,
     /// The zone it is in.
-    pub zone: ZoneId,
+    pub own_zone: ZoneId,
     /// Number of zones.
-    pub zones: usize,
+    pub zone_count: usize,
     /// Number of kinds of machine.
-    pub kinds: usize,
+    pub kind_count: usize,
     /// The request classes.
     pub classes: Vec<Class>,
     /// The tenants; may be empty.
--- a/crates/policy/src/boot.rs
+++ b/crates/policy/src/boot.rs
@@ -185,11 +185,11 @@
             kind: self.extra.class_kind.get(i).and_then(|&k| usize::try_from(k).ok()).map(KindId),
         });
         let settings = Settings {
-            dispatchers: self.balancers,
-            me: PeerId(self.rank),
-            zone: ZoneId(place(&self.zones, &self.my_zone)),
-            zones: self.zones.len(),
-            kinds: self.kinds.len(),
+            dispatcher_count: self.balancers,
+            own_id: PeerId(self.rank),
+            own_zone: ZoneId(place(&self.zones, &self.my_zone)),
+            zone_count: self.zones.len(),
+            kind_count: self.kinds.len(),
             classes: classes.collect(),
             tenants: self.tenants.iter().map(|t| Tenant { quota_per_s: t.quota_rps }).collect(),
             over_share_worth: self.over_share_worth,
--- a/crates/policy/src/cold.rs
+++ b/crates/policy/src/cold.rs
@@ -35,11 +35,11 @@
 /// How many dispatchers share a cold worker's budget; none if this one is not among them. In one zone it is its group's
 /// alone, by the settings and its id, whatever a list says.
 pub(crate) fn sharers(set: &Settings, worker: WorkerId, group: usize) -> Option<usize> {
-    let all = set.dispatchers.max(1) as usize;
-    let split = if set.zones <= 1 && set.limits.peers { all.div_ceil(group) } else { 1 };
+    let all = set.dispatcher_count.max(1) as usize;
+    let split = if set.zone_count <= 1 && set.limits.peers { all.div_ceil(group) } else { 1 };
     let tier = Tier::new(all, split);
     let sharers = tier.members(tier.home(worker.0));
-    (split <= 1 || sharers.contains(&(set.me.0 as usize))).then_some(sharers.len())
+    (split <= 1 || sharers.contains(&(set.own_id.0 as usize))).then_some(sharers.len())
 }
 
 /// The part of its capacity that a worker surely has: it rises evenly or faster from the cold share.
--- a/crates/policy/src/rules.rs
+++ b/crates/policy/src/rules.rs
@@ -114,10 +114,10 @@
             rng: Random(fastrand::Rng::with_seed(seed)),
             nets: vec![Network::default(); settings.classes.len()],
             learned: settings.classes.iter().map(Learned::new).collect(),
-            kind_slots: vec![0.0; settings.kinds],
-            kind_pace: vec![0.0; settings.kinds],
+            kind_slots: vec![0.0; settings.kind_count],
+            kind_pace: vec![0.0; settings.kind_count],
             share: vec![Share::default(); settings.tenants.len()],
-            waits: vec![Fading::default(); settings.zones],
+            waits: vec![Fading::default(); settings.zone_count],
             set: settings,
             ..Dispatcher::default()
         }
@@ -182,14 +182,14 @@
         if first && self.set.limits.peers {
             self.born = self.now;
             // In one zone nobody has to be asked who is near; a start by the dozen would miss many a word.
-            let all = (0..self.set.dispatchers).filter(|_| self.set.zones <= 1);
-            self.peers.extend(all.map(|p| (PeerId(p), Peer::new(self.set.zone, self.now))));
-            out.push(Action::Tell(Receiver::All, Message::Hello(self.set.zone).bytes()));
+            let all = (0..self.set.dispatcher_count).filter(|_| self.set.zone_count <= 1);
+            self.peers.extend(all.map(|p| (PeerId(p), Peer::new(self.set.own_zone, self.now))));
+            out.push(Action::Tell(Receiver::All, Message::Hello(self.set.own_zone).bytes()));
         }
         if first && self.set.ask_for_list {
             // All dispatchers may start at once, and the service of the list has a fixed capacity: the more
             // there are, the more their first calls are spread. Until then the old list serves.
-            let spread = 0.5 - 0.5 / f64::from(self.set.dispatchers.max(1));
+            let spread = 0.5 - 0.5 / f64::from(self.set.dispatcher_count.max(1));
             let after = self.rng.0.f64() * spread * self.set.rules.ask_within as f64;
             out.push(Action::Timer { after: after as Nanos, token: WATCH });
         }
@@ -255,15 +255,15 @@
         if !std::mem::take(&mut self.regroup) || self.peers.is_empty() {
             return;
         }
-        self.peers.insert(self.set.me, Peer::new(self.set.zone, self.now));
-        let near = self.peers.iter().filter(|p| p.1.zone == self.set.zone);
+        self.peers.insert(self.set.own_id, Peer::new(self.set.own_zone, self.now));
+        let near = self.peers.iter().filter(|p| p.1.zone == self.set.own_zone);
         let near: Vec<PeerId> = near.map(|p| *p.0).collect();
         let mut order: Vec<usize> = (0..self.workers.len()).collect();
-        order.retain(|&w| self.workers[w].listed && self.workers[w].entry.zone == self.set.zone);
+        order.retain(|&w| self.workers[w].listed && self.workers[w].entry.zone == self.set.own_zone);
         // As many groups as the settings make, or fewer where they would have hardly a worker each.
         let tier = Tier::new(near.len(), near.len().div_ceil(GROUP).min(order.len().div_ceil(4)).max(1));
-        let mine = tier.group(near.iter().position(|p| *p == self.set.me).unwrap_or(0));
-        let members = |g| tier.members(g).map(|i| near[i]).filter(|p| *p != self.set.me).collect();
+        let mine = tier.group(near.iter().position(|p| *p == self.set.own_id).unwrap_or(0));
+        let members = |g| tier.members(g).map(|i| near[i]).filter(|p| *p != self.set.own_id).collect();
         self.groups = (0..tier.groups).map(members).collect();
         self.group = self.groups[mine].clone();
         order.sort_by_cached_key(|&w| self.workers[w].entry.id);
@@ -308,7 +308,7 @@
         // One that starts later than the others has missed their words.
         if stranger || self.now > self.born + 100_000_000 {
             let sizes = self.kind_slots.iter().map(|s| (s * 8.0) as u8).collect();
-            out.push(Action::Tell(Receiver::One(from), Message::Here(self.set.zone, sizes).bytes()));
+            out.push(Action::Tell(Receiver::One(from), Message::Here(self.set.own_zone, sizes).bytes()));
         }
     }
 
@@ -381,7 +381,7 @@
         // Only jobs that go out tell that a wait is over, so one goes now and then.
         let patience = self.mean_run + slack * value / self.mean_value.max(1e-9);
         let tries = || self.workers.iter().any(|k| self.now < k.sent.max(k.heard) + TRY_AGAIN);
-        let refuse = self.blind() && tries() && self.zone_wait(self.set.zone.0) > patience;
+        let refuse = self.blind() && tries() && self.zone_wait(self.set.own_zone.0) > patience;
         self.jobs.insert(id, job);
         if refuse {
             self.end(id, out);
@@ -432,7 +432,7 @@
         let wait = (self.set.classes[class].latency_objective / 100).max(self.set.tick);
         (job.asked, job.not_before) = (true, self.now + wait);
         let near = self.nets[class].neurons.iter().map(|n| &self.workers[n.worker].entry);
-        let mut near: Vec<_> = near.filter(|e| e.zone == self.set.zone).map(|e| e.id).collect();
+        let mut near: Vec<_> = near.filter(|e| e.zone == self.set.own_zone).map(|e| e.id).collect();
         for _ in 0..probes.min(near.len()) {
             out.push(Action::Probe(near.swap_remove(self.rng.0.usize(..near.len()))));
         }
@@ -550,7 +550,7 @@
     fn pick(&mut self, id: RequestId) -> Option<usize> {
         self.form_group();
         self.forget_silent();
-        let congested = self.blind() && self.zone_wait(self.set.zone.0) > self.mean_run;
+        let congested = self.blind() && self.zone_wait(self.set.own_zone.0) > self.mean_run;
         // Unheard by each other, all would fill the same queues: what parts do not hold is refused early.
         let job = self.jobs.get(&id)?;
         let tied = job.may_have_run().next().is_some();
@@ -614,7 +614,7 @@
             }
             let silent = known.silent(self.now) / (SILENCE * self.mean_run).max(1.0);
             let failures = known.failures.get(self.now, FORGET) + silent * silent;
-            let far = known.entry.zone != self.set.zone;
+            let far = known.entry.zone != self.set.own_zone;
             if far {
                 in_way += cross;
             }
@@ -737,7 +737,7 @@
     fn all_told(&self) -> bool {
         !self.cut_off()
             && self.set.reports != Reports::Probes
-            && self.group.len() + 1 >= self.set.dispatchers as usize
+            && self.group.len() + 1 >= self.set.dispatcher_count as usize
     }
 
     /// What others hold on a worker, by reports or peers. News age: what others hold turns over in a
--- a/crates/policy/src/rules/carry.rs
+++ b/crates/policy/src/rules/carry.rs
@@ -200,9 +200,9 @@
             self.nets.push(net);
             self.learned.push(learned);
         }
-        self.kind_slots.resize(settings.kinds, 0.0);
+        self.kind_slots.resize(settings.kind_count, 0.0);
         self.share.resize(settings.tenants.len(), Share::default());
-        self.waits.resize(settings.zones, Fading::default());
+        self.waits.resize(settings.zone_count, Fading::default());
         self.set = settings;
         self.regroup = true;
     }
--- a/crates/policy/src/state.rs
+++ b/crates/policy/src/state.rs
@@ -341,7 +341,7 @@
     let quota = |t: usize| set.tenants[t].quota_per_s.max(1e-9);
     let here = |t: usize| shares[t].used.get(now, SHARE_SPAN * 1e9);
     let used = (0..shares.len()).map(|t| here(t) / quota(t)).collect();
-    let part = lower_median(used).max(1.0 / f64::from(set.dispatchers.max(1)));
+    let part = lower_median(used).max(1.0 / f64::from(set.dispatcher_count.max(1)));
     let (rate, own) = (part * quota(t), here(t));
     shares[t].take(now, SHARE_SPAN, rate, if retry { own } else { own + 1.0 / SHARE_SPAN })
 }
--- a/crates/policy/tests/attempts.rs
+++ b/crates/policy/tests/attempts.rs
@@ -239,7 +239,7 @@
             for (tells_start, peers) in [(false, false), (true, false), (true, true)] {
                 let mut set = settings(Idempotency::Idempotent);
                 (set.reports, set.tells_start, set.limits.probes) = (reports, tells_start, true);
-                (set.zones, set.limits.peers, set.dispatchers) = (1, peers, 12);
+                (set.zone_count, set.limits.peers, set.dispatcher_count) = (1, peers, 12);
                 for seed in 0..2 {
                     let longest = longest_without_an_attempt(&set, trouble, 0, seed);
                     let case = format!("{trouble:?}, {reports:?}, starts {tells_start}, peers {peers}");
@@ -261,7 +261,7 @@
             for peers in [false, true] {
                 let mut set = settings(Idempotency::Idempotent);
                 (set.reports, set.tells_start) = (reports, peers);
-                (set.zones, set.limits.peers, set.dispatchers) = (1, peers, 12);
+                (set.zone_count, set.limits.peers, set.dispatcher_count) = (1, peers, 12);
                 let longest = longest_without_an_attempt(&set, trouble, 90 * S, 1);
                 assert!(
                     longest < 4 * S,
--- a/crates/policy/tests/cold_fleet.rs
+++ b/crates/policy/tests/cold_fleet.rs
@@ -41,7 +41,7 @@
 
 fn rules(fleet: Fleet, me: u32) -> Settings {
     let mut set = settings(Idempotency::Idempotent);
-    (set.dispatchers, set.me, set.zones) = (fleet.size, PeerId(me), fleet.zones);
+    (set.dispatcher_count, set.own_id, set.zone_count) = (fleet.size, PeerId(me), fleet.zones);
     set.limits.peers = fleet.zones == 1;
     set.reports = Reports::Answers;
     set.free_slots_reported = true;
--- a/crates/policy/tests/module.rs
+++ b/crates/policy/tests/module.rs
@@ -174,7 +174,7 @@
 fn a_list_that_must_be_asked_for_is_asked_for_in_time_and_again_after_failures() {
     let mut set = settings(Idempotency::Idempotent);
     set.ask_for_list = true;
-    set.dispatchers = 50;
+    set.dispatcher_count = 50;
     let mut dispatcher = Dispatcher::new(set, 5);
     let (mut now, mut out) = (S, Vec::new());
     dispatcher.handle(now, Event::Workers { kind: ListKind::Persisted, entries: workers(2) }, &mut out);
@@ -199,7 +199,7 @@
     // Where dispatchers look first at workers of their own, a cold one's budget is for those who look there: split
     // among all, most of it would lie idle.
     let mut grouped = settings(Idempotency::Idempotent);
-    (grouped.zones, grouped.limits.peers) = (1, true);
+    (grouped.zone_count, grouped.limits.peers) = (1, true);
     let grouped = cold_jobs(grouped);
     assert!(grouped > 40, "{grouped} jobs by the group, {apart} by all");
 }
@@ -208,11 +208,11 @@
 /// are below the limit.
 fn cold_jobs(mut set: Settings) -> usize {
     let (fleet, job) = (60u32, 0.1);
-    set.dispatchers = fleet;
+    set.dispatcher_count = fleet;
     let cold = Worker { started: 10 * S, ..Worker::new(WorkerId(2)) };
     let mut times: Vec<Nanos> = Vec::new();
     for me in 0..fleet {
-        let mine = Settings { me: PeerId(me), ..set.clone() };
+        let mine = Settings { own_id: PeerId(me), ..set.clone() };
         let mut stage = Stage { dispatcher: Dispatcher::new(mine, u64::from(me)), now: 9 * S, next: 0 };
         stage.list(ListKind::Complete, &[Worker::new(WorkerId(1))]);
         // It learns how long a job takes before the cold one comes.
@@ -326,7 +326,7 @@
 #[test]
 fn a_class_bound_to_a_kind_stays_on_it() {
     let mut set = settings(Idempotency::Idempotent);
-    set.kinds = 2;
+    set.kind_count = 2;
     set.classes[0].kind = Some(KindId(1));
     let mut list = workers(6);
     list[4].kind = KindId(1);
@@ -439,7 +439,7 @@
 #[test]
 fn an_honest_tenant_of_a_busy_dispatcher_keeps_its_share() {
     let mut set = settings(Idempotency::Idempotent);
-    set.dispatchers = 10;
+    set.dispatcher_count = 10;
     set.over_share_worth = 0.05;
     set.free_slots_reported = true;
     set.tenants = vec![Tenant { quota_per_s: 50.0 }; 3];
@@ -479,10 +479,10 @@
 fn a_group_of_peers_tells_its_sends_and_spreads_over_what_it_knows() {
     let mut set = settings(Idempotency::Idempotent);
     set.limits.peers = true;
-    set.dispatchers = 2;
+    set.dispatcher_count = 2;
     let mut pair: Vec<Stage> = (0..2)
         .map(|me| {
-            let set = Settings { me: PeerId(me), ..set.clone() };
+            let set = Settings { own_id: PeerId(me), ..set.clone() };
             Stage { dispatcher: Dispatcher::new(set, u64::from(me)), now: S, next: u64::from(me) * 1000 }
         })
         .collect();
@@ -587,7 +587,7 @@
 fn load_that_peers_tell_counts_by_its_slots_and_late_reports_add_nothing() {
     let mut set = settings(Idempotency::Idempotent);
     (set.reports, set.free_slots_reported) = (Reports::Answers, true);
-    (set.dispatchers, set.limits.peers) = (2, true);
+    (set.dispatcher_count, set.limits.peers) = (2, true);
     let mut to_reported = 0;
     for seed in 0..40 {
         let mut stage = Stage { dispatcher: Dispatcher::new(set.clone(), seed), now: S, next: 0 };
@@ -661,7 +661,7 @@
 fn a_new_dispatcher_knows_its_peers_by_the_settings_and_the_size_of_workers_by_their_word() {
     let mut set = settings(Idempotency::Idempotent);
     (set.reports, set.free_slots_reported) = (Reports::Answers, true);
-    (set.dispatchers, set.zones, set.limits.peers) = (3, 1, true);
+    (set.dispatcher_count, set.zone_count, set.limits.peers) = (3, 1, true);
     let mut stage = Stage::new(set.clone(), &workers(1));
     let (_, actions) = stage.request(4 * S);
     let told = |a: &&Action| matches!(a, Action::Tell(Receiver::One(_), _));
@@ -701,7 +701,7 @@
 fn what_a_peer_held_is_forgotten_once_it_is_silent_beyond_its_measure() {
     let mut set = settings(Idempotency::Idempotent);
     (set.reports, set.free_slots_reported) = (Reports::Answers, true);
-    (set.dispatchers, set.zones, set.limits.peers) = (3, 1, true);
+    (set.dispatcher_count, set.zone_count, set.limits.peers) = (3, 1, true);
     let mut stage = Stage::new(set, &workers(1));
     stage.event(Event::Peer(PeerId(1), Message::Here(ZoneId(0), vec![32]).bytes()));
     let mut turn = 0;
@@ -737,7 +737,7 @@
 fn jobs_wait_for_their_group_and_leave_it_as_often_as_the_last_found_room() {
     let mut set = settings(Idempotency::Idempotent);
     (set.reports, set.free_slots_reported) = (Reports::Answers, true);
-    (set.dispatchers, set.zones, set.limits.peers) = (32, 1, true);
+    (set.dispatcher_count, set.zone_count, set.limits.peers) = (32, 1, true);
     let beyond = |wait: Nanos| {
         let mut stage = Stage { dispatcher: Dispatcher::new(set.clone(), 5), now: S, next: 0 };
         stage.list(ListKind::Complete, &workers(32));
@@ -782,7 +782,7 @@
 fn who_hears_nobody_of_its_group_keeps_to_its_part_and_refuses_the_rest_early() {
     let mut set = settings(Idempotency::Idempotent);
     (set.reports, set.free_slots_reported) = (Reports::Answers, true);
-    (set.dispatchers, set.zones, set.limits.peers) = (12, 1, true);
+    (set.dispatcher_count, set.zone_count, set.limits.peers) = (12, 1, true);
     set.limits.max_retry_after = 2 * S;
     let cut = |silent: bool, busy: u32| {
         let mut stage =
@@ -866,7 +866,8 @@
 #[test]
 fn a_job_with_a_subject_leaves_at_once_while_its_first_worker_is_idle() {
     for n in [1, 2, 3, 5, 10, 14, 30] {
-        let mut stage = Stage::new(Settings { zones: 1, ..settings(Idempotency::Idempotent) }, &workers(n));
+        let mut stage =
+            Stage::new(Settings { zone_count: 1, ..settings(Idempotency::Idempotent) }, &workers(n));
         let mut again = 0;
         for key in 0..200 {
             let mut went = Vec::new();
--- a/crates/policy/tests/stage/mod.rs
+++ b/crates/policy/tests/stage/mod.rs
@@ -9,9 +9,9 @@
 /// Settings of one class, with the rest as a plain site would have it.
 pub fn settings(effect: Idempotency) -> Settings {
     Settings {
-        dispatchers: 1,
-        zones: 2,
-        kinds: 1,
+        dispatcher_count: 1,
+        zone_count: 2,
+        kind_count: 1,
         tick: MS,
         classes: vec![Class {
             latency_objective: 500 * MS,
--- a/crates/policy/tests/starts.rs
+++ b/crates/policy/tests/starts.rs
@@ -103,7 +103,7 @@
 #[test]
 fn a_subject_meets_at_one_worker_though_zones_are_small() {
     let mut set = orders(1.0);
-    set.zones = 5;
+    set.zone_count = 5;
     let mut list = workers(15);
     list.iter_mut().enumerate().for_each(|(i, w)| w.zone = ZoneId(i % 5));
     let mut stage = Stage::new(set, &list);
--- a/crates/scheduler/src/config.rs
+++ b/crates/scheduler/src/config.rs
@@ -315,8 +315,8 @@
         writeln!(f, "listen: {}", self.listen)?;
         writeln!(f, "discovery: {}", self.discovery)?;
         let Epoch { settings, names, .. } = &*self.epoch;
-        let PeerId(me) = settings.me;
-        writeln!(f, "scheduler {me} of {}, {} peers", settings.dispatchers, self.peers.len())?;
+        let PeerId(me) = settings.own_id;
+        writeln!(f, "scheduler {me} of {}, {} peers", settings.dispatcher_count, self.peers.len())?;
         writeln!(f, "classes: {}", names.classes.join(", "))?;
         writeln!(f, "tenants: {}", names.tenants.join(", "))?;
         if let Some(control) = self.control {
--- a/crates/scheduler/src/epoch.rs
+++ b/crates/scheduler/src/epoch.rs
@@ -40,8 +40,10 @@
         let mut next = fresh.clone();
         (next.names.zones, next.names.kinds) =
             (joined(&self.names.zones, &fresh.names.zones), joined(&self.names.kinds, &fresh.names.kinds));
-        (next.settings.zones, next.settings.kinds) = (next.names.zones.len(), next.names.kinds.len());
-        next.settings.zone = ZoneId(moved(&fresh.names.zones, &next.names.zones, fresh.settings.zone.0));
+        (next.settings.zone_count, next.settings.kind_count) =
+            (next.names.zones.len(), next.names.kinds.len());
+        next.settings.own_zone =
+            ZoneId(moved(&fresh.names.zones, &next.names.zones, fresh.settings.own_zone.0));
         let kind = |k: KindId| KindId(moved(&fresh.names.kinds, &next.names.kinds, k.0));
         let class = |c: &Class| Class { kind: c.kind.map(kind), ..c.clone() };
 
@@ -168,7 +170,7 @@
         assert_eq!(next.names.tenants, [NOBODY, "y", "w"]);
         let quotas: Vec<f64> = next.settings.tenants.iter().map(|t| t.quota_per_s).collect();
         assert_eq!(quotas, [1.0, 3.0, 4.0]);
-        assert_eq!((next.settings.zone, next.settings.kinds), (ZoneId(0), 3));
+        assert_eq!((next.settings.own_zone, next.settings.kind_count), (ZoneId(0), 3));
     }
 
     #[test]
--- a/crates/scheduler/src/lib.rs
+++ b/crates/scheduler/src/lib.rs
@@ -119,7 +119,7 @@
     let epoch = Rc::clone(&config.epoch);
     // Off on the platform: without quotas at the start nothing more is said among schedulers.
     let quotas_on = quotas.spec.is_some();
-    let shares = shares::Shares::new(quotas, &epoch.aims(), epoch.settings.dispatchers, clock.now());
+    let shares = shares::Shares::new(quotas, &epoch.aims(), epoch.settings.dispatcher_count, clock.now());
     let s = Rc::new(Scheduler {
         shares: shares.map_err(io::Error::other)?,
         router: route::Router::new(Dispatcher::new(epoch.settings.clone(), config.seed)),
@@ -129,7 +129,7 @@
         book: RefCell::default(),
         group: discovery::Group::default(),
         orders: RefCell::default(),
-        shutdown: shutdown::Shutdown::new(epoch.longest(), epoch.settings.dispatchers <= 1),
+        shutdown: shutdown::Shutdown::new(epoch.longest(), epoch.settings.dispatcher_count <= 1),
         upgrade: upgrade::Upgrade::new(&config, before.is_some()),
         epoch: RefCell::new(epoch),
         clock,
--- a/crates/scheduler/src/upgrade.rs
+++ b/crates/scheduler/src/upgrade.rs
@@ -438,7 +438,7 @@
 
 /// The module takes what the other process holds for the word of a peer: this scheduler's own number, which no peer has.
 fn tell_module(s: &Rc<Scheduler>, partner: &Partner, holds: Holds) {
-    let me = s.epoch().settings.me;
+    let me = s.epoch().settings.own_id;
     let before = partner.holds.replace(holds);
     let now = partner.holds.borrow().clone();
     let gone = before.slots.iter().filter(|b| !now.slots.iter().any(|n| n.0 == b.0));
@@ -455,7 +455,7 @@
 fn forget(s: &Rc<Scheduler>) {
     route::feed(
         s,
-        Event::Peer(s.epoch().settings.me, Message::Hello(ZoneId(s.epoch().settings.zone.0)).bytes()),
+        Event::Peer(s.epoch().settings.own_id, Message::Hello(ZoneId(s.epoch().settings.own_zone.0)).bytes()),
     );
 }
 
--- a/crates/simulation/tests/day.rs
+++ b/crates/simulation/tests/day.rs
@@ -52,7 +52,7 @@
     let day = Day::read(&format!("{GOOD}[[tenant]]\nname = \"t\"\nshare = 1\n")).unwrap();
     assert!(serde_json::from_value::<BootInfo>(settings::words(&day, 0, &[9.0])).is_ok());
     let (set, names) = settings::settings(&day, 0, &[9.0]);
-    assert_eq!((set.classes.len(), set.tenants.len(), set.kinds, set.dispatchers), (3, 1, 2, 1));
+    assert_eq!((set.classes.len(), set.tenants.len(), set.kind_count, set.dispatcher_count), (3, 1, 2, 1));
     assert_eq!(names.classes, ["view", "sign", "lodge"]);
     assert_eq!(set.tenants[0].quota_per_s, 9.0);
     assert!(set.limits.cancel && set.limits.probes && set.limits.max_attempts == 4 && set.tells_start);
--- a/tests/pins/configuration.rs
+++ b/tests/pins/configuration.rs
@@ -103,11 +103,11 @@
     row("peers", config.peers.len().to_string());
     row("peers_all", format!("{:?}", config.peers_all));
     row("known", config.known.to_string());
-    row("settings.balancers", settings.dispatchers.to_string());
-    row("settings.rank", settings.me.0.to_string());
-    row("settings.my_zone", settings.zone.0.to_string());
-    row("settings.zones", settings.zones.to_string());
-    row("settings.kinds", settings.kinds.to_string());
+    row("settings.balancers", settings.dispatcher_count.to_string());
+    row("settings.rank", settings.own_id.0.to_string());
+    row("settings.my_zone", settings.own_zone.0.to_string());
+    row("settings.zones", settings.zone_count.to_string());
+    row("settings.kinds", settings.kind_count.to_string());
     row("settings.classes[0].aim", class.latency_objective.to_string());
     row("settings.classes[0].aim_stretch", class.objective_stretch.to_string());
     row("settings.classes[0].give_up", class.client_timeout.to_string());
