--- a/crates/lab/src/capacity/probe.rs
+++ b/crates/lab/src/capacity/probe.rs
@@ -1,8 +1,8 @@
 //! The decision module under a steady load, as `crates/policy/benches/decision.rs` drives it, and real entries of the list.
 
 use loomlb_policy::{
-    Action, Class, ClassId, Dispatcher, Ended, Event, Idempotency, Limits, ListKind, Nanos, Note, Outcome,
-    Report, Reports, Request, RequestId, Settings, Tenant, TenantId, Worker, WorkerId,
+    Action, Class, ClassId, Dispatcher, Ended, Event, Idempotency, Limits, ListKind, LoadReporting, Nanos,
+    Note, Outcome, Report, Request, RequestId, Settings, Tenant, TenantId, Worker, WorkerId,
 };
 use loomlb_simulation::Day;
 use loomlb_simulation::settings::entry;
@@ -42,7 +42,7 @@
         tick: MS,
         classes: vec![class],
         tenants: vec![Tenant { quota_per_s: 50.0 }; tenants],
-        reports: Reports::Answers,
+        load_reporting: LoadReporting::Inline,
         free_slots_reported: true,
         limits: Limits { max_attempts: 4, cancel: true, peers: schedulers > 1, ..Limits::default() },
         ..Settings::default()
--- a/crates/policy/benches/decision.rs
+++ b/crates/policy/benches/decision.rs
@@ -36,7 +36,7 @@
             tick: MS,
             classes: vec![class],
             tenants: vec![Tenant { quota_per_s: 50.0 }; tenants],
-            reports: Reports::Answers,
+            load_reporting: LoadReporting::Inline,
             free_slots_reported: true,
             limits: Limits { max_attempts: 4, cancel: true, ..Limits::default() },
             ..Settings::default()
--- a/crates/policy/src/api.rs
+++ b/crates/policy/src/api.rs
@@ -108,14 +108,14 @@
 
 /// How load reports come.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Reports {
+pub enum LoadReporting {
     /// Not at all.
     #[default]
     None,
     /// With outcomes (and probes).
-    Answers,
+    Inline,
     /// With probes only.
-    Probes,
+    OnProbe,
 }
 
 /// All that a dispatcher is told at its start.
@@ -142,13 +142,13 @@
     /// How workers serve their queues.
     pub queue_order: QueueOrder,
     /// Workers tell when a job starts.
-    pub tells_start: bool,
+    pub job_starts_reported: bool,
     /// Time between progress notes; 0 for none.
-    pub progress: Nanos,
+    pub progress_interval: Nanos,
     /// The report's first extra value is the worker's free slots.
     pub free_slots_reported: bool,
     /// How load reports come.
-    pub reports: Reports,
+    pub load_reporting: LoadReporting,
     /// How listed weights are to be read.
     pub weights: Weights,
     /// The list must be asked for (otherwise changes come by themselves).
--- a/crates/policy/src/boot.rs
+++ b/crates/policy/src/boot.rs
@@ -199,13 +199,13 @@
                 "priority" => QueueOrder::Priority,
                 _ => QueueOrder::Fifo,
             },
-            tells_start: self.extra.tells_start,
-            progress: self.extra.progress,
+            job_starts_reported: self.extra.tells_start,
+            progress_interval: self.extra.progress,
             free_slots_reported: self.extra.report_x0 == "free slots",
-            reports: match &*self.load_report.how {
-                "inline" => Reports::Answers,
-                "on_probe" => Reports::Probes,
-                _ => Reports::None,
+            load_reporting: match &*self.load_report.how {
+                "inline" => LoadReporting::Inline,
+                "on_probe" => LoadReporting::OnProbe,
+                _ => LoadReporting::None,
             },
             weights: match &*self.weights {
                 "nominal" | "rough" => Weights::Size,
--- a/crates/policy/src/rules.rs
+++ b/crates/policy/src/rules.rs
@@ -417,7 +417,8 @@
     /// How many workers are asked before a send, on average: as many as their price lets. Where start words
     /// tell of queues, a few teach how large workers are and which have room again.
     fn probes(&self) -> f64 {
-        let may = f64::from(u8::from(self.set.reports == Reports::Probes && self.set.limits.probes));
+        let may =
+            f64::from(u8::from(self.set.load_reporting == LoadReporting::OnProbe && self.set.limits.probes));
         let cost = if self.by_starts() { PROBE_COST / 5.0 } else { PROBE_COST };
         (cost / self.set.prices.probe.max(1e-9)).min(PROBES) * may
     }
@@ -569,7 +570,7 @@
         }
         let patient = self.now < job.arrived + job.start_by.saturating_sub(job.arrived) / 2;
         let stay = patient || lean(id.0, 0) > (1.0 - self.crowded).powi(2).max(0.02);
-        let grouped = self.set.reports == Reports::Answers && !self.group.is_empty();
+        let grouped = self.set.load_reporting == LoadReporting::Inline && !self.group.is_empty();
         if among_group.is_none() && (cut_off || grouped && !tied && stay) {
             return None;
         }
@@ -702,12 +703,12 @@
 
     /// Whether no report has told of any worker's room, and none comes by itself.
     fn blind(&self) -> bool {
-        self.set.reports != Reports::Answers && self.kind_slots.iter().all(|&s| s == 0.0)
+        self.set.load_reporting != LoadReporting::Inline && self.kind_slots.iter().all(|&s| s == 0.0)
     }
 
     /// Whether queues are known by the words of jobs that start, and not by what answers report.
     fn by_starts(&self) -> bool {
-        self.set.tells_start && self.set.reports != Reports::Answers
+        self.set.job_starts_reported && self.set.load_reporting != LoadReporting::Inline
     }
 
     fn zone_wait(&self, zone: usize) -> f64 {
@@ -736,7 +737,7 @@
     /// have nothing to add on what is held there.
     fn all_told(&self) -> bool {
         !self.cut_off()
-            && self.set.reports != Reports::Probes
+            && self.set.load_reporting != LoadReporting::OnProbe
             && self.group.len() + 1 >= self.set.dispatcher_count as usize
     }
 
--- a/crates/policy/src/state.rs
+++ b/crates/policy/src/state.rs
@@ -132,7 +132,7 @@
         let held = report.in_flight.map(|h| h * need.0.max(1.0));
         let full = |k: &Known| Some((k.slots? - free?).max(0.0) + report.queue.unwrap_or(0.0));
         let held = held.or_else(|| full(self)).filter(|_| !told)?;
-        let others = self.others_reported(now, held, set.reports == Reports::Probes);
+        let others = self.others_reported(now, held, set.load_reporting == LoadReporting::OnProbe);
         Some(others / self.slots.unwrap_or(others + 1.0).max(1.0))
     }
 
--- a/crates/policy/tests/attempts.rs
+++ b/crates/policy/tests/attempts.rs
@@ -86,8 +86,8 @@
         let mut set = settings(effects[seed as usize % 4]);
         set.limits.second_copies = true;
         set.limits.cancel = rng.bool();
-        set.tells_start = rng.bool();
-        set.reports = if rng.bool() { Reports::Answers } else { Reports::None };
+        set.job_starts_reported = rng.bool();
+        set.load_reporting = if rng.bool() { LoadReporting::Inline } else { LoadReporting::None };
         let mut list = workers(rng.u64(1..=4));
         list.iter_mut().for_each(|w| w.cell = CellId(w.id.0 % 2));
         let stage = Stage { dispatcher: Dispatcher::new(set, seed), now: S, next: 0 };
@@ -235,10 +235,11 @@
     let troubles = [Error, Full, Reset, NoConnection].map(Trouble::Ends);
     let mut silent = Vec::new();
     for trouble in troubles.into_iter().chain([Trouble::Slow, Trouble::Hang]) {
-        for reports in [Reports::None, Reports::Answers, Reports::Probes] {
+        for reports in [LoadReporting::None, LoadReporting::Inline, LoadReporting::OnProbe] {
             for (tells_start, peers) in [(false, false), (true, false), (true, true)] {
                 let mut set = settings(Idempotency::Idempotent);
-                (set.reports, set.tells_start, set.limits.probes) = (reports, tells_start, true);
+                (set.load_reporting, set.job_starts_reported, set.limits.probes) =
+                    (reports, tells_start, true);
                 (set.zone_count, set.limits.peers, set.dispatcher_count) = (1, peers, 12);
                 for seed in 0..2 {
                     let longest = longest_without_an_attempt(&set, trouble, 0, seed);
@@ -257,10 +258,10 @@
 fn a_dispatcher_whose_workers_fall_into_trouble_after_a_long_quiet_time_goes_on_trying() {
     use Outcome::*;
     for trouble in [Trouble::Ends(Error), Trouble::Ends(Reset), Trouble::Slow, Trouble::Hang] {
-        for reports in [Reports::None, Reports::Answers] {
+        for reports in [LoadReporting::None, LoadReporting::Inline] {
             for peers in [false, true] {
                 let mut set = settings(Idempotency::Idempotent);
-                (set.reports, set.tells_start) = (reports, peers);
+                (set.load_reporting, set.job_starts_reported) = (reports, peers);
                 (set.zone_count, set.limits.peers, set.dispatcher_count) = (1, peers, 12);
                 let longest = longest_without_an_attempt(&set, trouble, 90 * S, 1);
                 assert!(
--- a/crates/policy/tests/cold_fleet.rs
+++ b/crates/policy/tests/cold_fleet.rs
@@ -43,7 +43,7 @@
     let mut set = settings(Idempotency::Idempotent);
     (set.dispatcher_count, set.own_id, set.zone_count) = (fleet.size, PeerId(me), fleet.zones);
     set.limits.peers = fleet.zones == 1;
-    set.reports = Reports::Answers;
+    set.load_reporting = LoadReporting::Inline;
     set.free_slots_reported = true;
     set.classes[0].latency_objective = 20 * MS;
     set.classes[0].client_timeout = 6 * S;
--- a/crates/policy/tests/module.rs
+++ b/crates/policy/tests/module.rs
@@ -512,7 +512,7 @@
 fn where_load_comes_by_probe_alone_workers_are_asked_and_the_free_one_is_used() {
     let mut set = settings(Idempotency::Idempotent);
     set.limits.probes = true;
-    set.reports = Reports::Probes;
+    set.load_reporting = LoadReporting::OnProbe;
     set.free_slots_reported = true;
     let mut free = 0;
     for seed in 0..20 {
@@ -539,7 +539,7 @@
 fn a_zone_whose_workers_are_full_spills_over_to_the_other() {
     let mut set = settings(Idempotency::Idempotent);
     set.prices.cross_zone = 0.1;
-    set.tells_start = true;
+    set.job_starts_reported = true;
     let mut list = workers(8);
     list.iter_mut().take(4).for_each(|w| w.zone = ZoneId(1));
     let mut stage = Stage::new(set, &list);
@@ -563,7 +563,7 @@
 #[test]
 fn without_reports_what_would_wait_beyond_its_slack_is_refused() {
     let mut set = settings(Idempotency::AtMostOnce);
-    set.tells_start = true;
+    set.job_starts_reported = true;
     let mut stage = Stage::new(set, &workers(2));
     let mut refused = [0, 0];
     for i in 0..120 {
@@ -586,7 +586,7 @@
 #[test]
 fn load_that_peers_tell_counts_by_its_slots_and_late_reports_add_nothing() {
     let mut set = settings(Idempotency::Idempotent);
-    (set.reports, set.free_slots_reported) = (Reports::Answers, true);
+    (set.load_reporting, set.free_slots_reported) = (LoadReporting::Inline, true);
     (set.dispatcher_count, set.limits.peers) = (2, true);
     let mut to_reported = 0;
     for seed in 0..40 {
@@ -631,7 +631,7 @@
 #[test]
 fn what_waits_behind_a_large_job_is_not_taken_for_slots() {
     let set = Settings {
-        reports: Reports::Answers,
+        load_reporting: LoadReporting::Inline,
         free_slots_reported: true,
         ..settings(Idempotency::Idempotent)
     };
@@ -660,7 +660,7 @@
 #[test]
 fn a_new_dispatcher_knows_its_peers_by_the_settings_and_the_size_of_workers_by_their_word() {
     let mut set = settings(Idempotency::Idempotent);
-    (set.reports, set.free_slots_reported) = (Reports::Answers, true);
+    (set.load_reporting, set.free_slots_reported) = (LoadReporting::Inline, true);
     (set.dispatcher_count, set.zone_count, set.limits.peers) = (3, 1, true);
     let mut stage = Stage::new(set.clone(), &workers(1));
     let (_, actions) = stage.request(4 * S);
@@ -700,7 +700,7 @@
 #[test]
 fn what_a_peer_held_is_forgotten_once_it_is_silent_beyond_its_measure() {
     let mut set = settings(Idempotency::Idempotent);
-    (set.reports, set.free_slots_reported) = (Reports::Answers, true);
+    (set.load_reporting, set.free_slots_reported) = (LoadReporting::Inline, true);
     (set.dispatcher_count, set.zone_count, set.limits.peers) = (3, 1, true);
     let mut stage = Stage::new(set, &workers(1));
     stage.event(Event::Peer(PeerId(1), Message::Here(ZoneId(0), vec![32]).bytes()));
@@ -736,7 +736,7 @@
 #[test]
 fn jobs_wait_for_their_group_and_leave_it_as_often_as_the_last_found_room() {
     let mut set = settings(Idempotency::Idempotent);
-    (set.reports, set.free_slots_reported) = (Reports::Answers, true);
+    (set.load_reporting, set.free_slots_reported) = (LoadReporting::Inline, true);
     (set.dispatcher_count, set.zone_count, set.limits.peers) = (32, 1, true);
     let beyond = |wait: Nanos| {
         let mut stage = Stage { dispatcher: Dispatcher::new(set.clone(), 5), now: S, next: 0 };
@@ -781,7 +781,7 @@
 #[test]
 fn who_hears_nobody_of_its_group_keeps_to_its_part_and_refuses_the_rest_early() {
     let mut set = settings(Idempotency::Idempotent);
-    (set.reports, set.free_slots_reported) = (Reports::Answers, true);
+    (set.load_reporting, set.free_slots_reported) = (LoadReporting::Inline, true);
     (set.dispatcher_count, set.zone_count, set.limits.peers) = (12, 1, true);
     set.limits.max_retry_after = 2 * S;
     let cut = |silent: bool, busy: u32| {
@@ -833,7 +833,7 @@
 #[test]
 fn a_job_waits_here_rather_than_at_a_worker_that_is_full() {
     let set = Settings {
-        reports: Reports::Answers,
+        load_reporting: LoadReporting::Inline,
         free_slots_reported: true,
         ..settings(Idempotency::Idempotent)
     };
--- a/crates/policy/tests/starts.rs
+++ b/crates/policy/tests/starts.rs
@@ -8,7 +8,8 @@
 /// A site that tells of load by probes alone, at this price, and of starts; jobs carry hints.
 fn orders(probe: f64) -> Settings {
     let mut set = settings(Idempotency::Deduplicated(DedupScope::Zone));
-    (set.reports, set.tells_start, set.free_slots_reported) = (Reports::Probes, true, true);
+    (set.load_reporting, set.job_starts_reported, set.free_slots_reported) =
+        (LoadReporting::OnProbe, true, true);
     (set.limits.probes, set.prices.probe) = (true, probe);
     set
 }
@@ -88,7 +89,7 @@
 fn probes_are_sent_as_their_price_lets() {
     let probes = |price: f64, starts: bool| {
         let mut set = orders(price);
-        set.tells_start = starts;
+        set.job_starts_reported = starts;
         let mut stage = Stage::new(set, &workers(6));
         let probed = |actions: Vec<Action>| actions.iter().filter(|a| matches!(a, Action::Probe(_))).count();
         (0..200).map(|_| probed(stage.asks(5 * S, hinted(100 * MS)).1)).sum::<usize>()
--- a/crates/scheduler/src/relay.rs
+++ b/crates/scheduler/src/relay.rs
@@ -64,7 +64,7 @@
     let now = s.clock.now();
     let latency = now.saturating_sub(forward.opened);
     // A job that its target never started has taken nothing; where starts are not told, all of its time counts.
-    let started = if s.epoch().settings.tells_start { forward.started } else { Some(forward.opened) };
+    let started = if s.epoch().settings.job_starts_reported { forward.started } else { Some(forward.opened) };
     let ran = started.filter(|_| !outcome.never_ran()).map_or(0.0, |at| now.saturating_sub(at) as f64 / 1e9);
     tracing::debug!(flow = id.0, target = &*forward.host, attempt = n, outcome = ?outcome, latency_us = latency / 1000, "ended");
     let closed = book.flow(id).is_none_or(|f| {
--- a/crates/scheduler/src/send.rs
+++ b/crates/scheduler/src/send.rs
@@ -5,7 +5,7 @@
 use super::http::{Fault, Kind, Message, Wire};
 use super::wheel::Due;
 use super::{Scheduler, relay, route};
-use loomlb_policy::{Ended, Event, Nanos, Outcome, Report, Reports, RequestId, WorkerId};
+use loomlb_policy::{Ended, Event, LoadReporting, Nanos, Outcome, Report, RequestId, WorkerId};
 use loomlb_sockets::faults::ConnectFault;
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -608,7 +608,8 @@
     s.book.borrow_mut().counters.probes += 1;
     let (s, sent) = (Rc::clone(s), s.clock.now());
     tokio::task::spawn_local(async move {
-        let path = if s.epoch().settings.reports == Reports::None { "/healthz" } else { "/load" };
+        let path =
+            if s.epoch().settings.load_reporting == LoadReporting::None { "/healthz" } else { "/load" };
         let (outcome, report) = match call(&s, to, "GET", path).await {
             Ok(answer) => {
                 let outcome = if answer.status == 200 { Outcome::Served } else { Outcome::Error };
--- a/crates/simulation/tests/day.rs
+++ b/crates/simulation/tests/day.rs
@@ -55,6 +55,8 @@
     assert_eq!((set.classes.len(), set.tenants.len(), set.kind_count, set.dispatcher_count), (3, 1, 2, 1));
     assert_eq!(names.classes, ["view", "sign", "lodge"]);
     assert_eq!(set.tenants[0].quota_per_s, 9.0);
-    assert!(set.limits.cancel && set.limits.probes && set.limits.max_attempts == 4 && set.tells_start);
+    assert!(
+        set.limits.cancel && set.limits.probes && set.limits.max_attempts == 4 && set.job_starts_reported
+    );
     assert_eq!((set.rules.fall_multiple, set.rules.cold), (2.5, 18_000_000_000));
 }
--- a/tests/pins/configuration.rs
+++ b/tests/pins/configuration.rs
@@ -141,8 +141,8 @@
     row("settings.penalties.peer", prices.peer.to_string());
     row("settings.penalties.probe", prices.probe.to_string());
     row("settings.penalties.handshake", prices.handshake.to_string());
-    row("settings.extra.progress", settings.progress.to_string());
-    row("settings.extra.tells_start", settings.tells_start.to_string());
+    row("settings.extra.progress", settings.progress_interval.to_string());
+    row("settings.extra.tells_start", settings.job_starts_reported.to_string());
     row("settings.extra.report_x0 is free slots", settings.free_slots_reported.to_string());
     golden::check("configuration-defaults.txt", text.as_bytes());
 }
