--- a/crates/policy/src/api.rs
+++ b/crates/policy/src/api.rs
@@ -96,7 +96,7 @@
 
 /// How a worker's listed weight is to be read.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Weights {
+pub enum WeightMeaning {
     /// It says nothing.
     #[default]
     None,
@@ -150,9 +150,9 @@
     /// How load reports come.
     pub load_reporting: LoadReporting,
     /// How listed weights are to be read.
-    pub weights: Weights,
+    pub weight_meaning: WeightMeaning,
     /// The list must be asked for (otherwise changes come by themselves).
-    pub ask_for_list: bool,
+    pub list_needs_watch: bool,
     /// Shortest time between two moments at which the dispatcher may act.
     pub tick: Nanos,
     /// What the site permits.
@@ -248,7 +248,7 @@
     pub cell: CellId,
     /// Whether it may be used.
     pub state: WorkerState,
-    /// Its weight; see [`Weights`].
+    /// Its weight; see [`WeightMeaning`].
     pub weight: f64,
     /// When its process started last; 0 for long ago.
     pub started: Nanos,
--- a/crates/policy/src/boot.rs
+++ b/crates/policy/src/boot.rs
@@ -207,12 +207,12 @@
                 "on_probe" => LoadReporting::OnProbe,
                 _ => LoadReporting::None,
             },
-            weights: match &*self.weights {
-                "nominal" | "rough" => Weights::Size,
-                "live" => Weights::Live,
-                _ => Weights::None,
+            weight_meaning: match &*self.weights {
+                "nominal" | "rough" => WeightMeaning::Size,
+                "live" => WeightMeaning::Live,
+                _ => WeightMeaning::None,
             },
-            ask_for_list: self.registry_mode == "subscribe",
+            list_needs_watch: self.registry_mode == "subscribe",
             tick: self.tick,
             limits: Limits {
                 max_attempts: self.ceilings.max_attempts,
--- a/crates/policy/src/rules.rs
+++ b/crates/policy/src/rules.rs
@@ -186,7 +186,7 @@
             self.peers.extend(all.map(|p| (PeerId(p), Peer::new(self.set.own_zone, self.now))));
             out.push(Action::Tell(Receiver::All, Message::Hello(self.set.own_zone).bytes()));
         }
-        if first && self.set.ask_for_list {
+        if first && self.set.list_needs_watch {
             // All dispatchers may start at once, and the service of the list has a fixed capacity: the more
             // there are, the more their first calls are spread. Until then the old list serves.
             let spread = 0.5 - 0.5 / f64::from(self.set.dispatcher_count.max(1));
--- a/crates/policy/tests/module.rs
+++ b/crates/policy/tests/module.rs
@@ -173,7 +173,7 @@
 #[test]
 fn a_list_that_must_be_asked_for_is_asked_for_in_time_and_again_after_failures() {
     let mut set = settings(Idempotency::Idempotent);
-    set.ask_for_list = true;
+    set.list_needs_watch = true;
     set.dispatcher_count = 50;
     let mut dispatcher = Dispatcher::new(set, 5);
     let (mut now, mut out) = (S, Vec::new());
--- a/crates/scheduler/src/discovery.rs
+++ b/crates/scheduler/src/discovery.rs
@@ -410,7 +410,7 @@
 /// start, the service of the list would fail them all.
 pub async fn follow(s: Rc<Scheduler>) {
     loop {
-        if s.epoch().settings.ask_for_list {
+        if s.epoch().settings.list_needs_watch {
             tokio::select! {
                 () = s.group.asked.notified() => {}
                 () = s.group.moved.notified() => s.group.seq.set(None),
@@ -430,7 +430,7 @@
         };
         s.book.borrow_mut().counters.list_faults += 1;
         tracing::warn!("discovery: {fault}; the last list stays");
-        if s.epoch().settings.ask_for_list {
+        if s.epoch().settings.list_needs_watch {
             route::feed(&s, Event::ListFailed);
         }
         tokio::time::sleep(RETRY).await;
@@ -454,7 +454,7 @@
 /// whether there are any. Where lists are pushed a call costs nothing, and another goes out beside one that hangs; where
 /// they are asked for there is one.
 async fn first(s: &Rc<Scheduler>) -> Result<(Wire, Message), &'static str> {
-    let most = if s.epoch().settings.ask_for_list { 1 } else { CALLS };
+    let most = if s.epoch().settings.list_needs_watch { 1 } else { CALLS };
     let (mut calls, mut again) = (JoinSet::new(), tokio::time::interval(BESIDE));
     loop {
         tokio::select! {
@@ -490,7 +490,7 @@
 
 /// How long the answer to the first call on a connection may take. An agent that has pushed lists answers at once.
 fn first_patience(s: &Scheduler) -> Duration {
-    let crowded = s.epoch().settings.ask_for_list && s.group.unanswered.get();
+    let crowded = s.epoch().settings.list_needs_watch && s.group.unanswered.get();
     if crowded { PATIENCE_WHEN_CROWDED } else { PATIENCE }
 }
 
--- a/tests/pins/configuration.rs
+++ b/tests/pins/configuration.rs
@@ -117,7 +117,7 @@
     row("settings.tenants", settings.tenants.len().to_string());
     row("settings.over_share_worth", settings.over_share_worth.to_string());
     row("settings.worth_by is work", settings.worth_by_work.to_string());
-    row("settings.registry_mode is subscribe", settings.ask_for_list.to_string());
+    row("settings.registry_mode is subscribe", settings.list_needs_watch.to_string());
     row("settings.tick", settings.tick.to_string());
     row("settings.load_report.fields", terms.report_fields.len().to_string());
     row("settings.ceilings.cancel", limits.cancel.to_string());
