--- a/crates/policy/src/api.rs
+++ b/crates/policy/src/api.rs
@@ -158,7 +158,7 @@
     /// What the site permits.
     pub limits: Limits,
     /// The figures of the rules.
-    pub rules: Rules,
+    pub obligations: Obligations,
     /// What things cost, in the worth of the mean request.
     pub prices: Prices,
 }
@@ -182,17 +182,17 @@
 
 /// The figures of the four rules.
 #[derive(Clone, Debug, Default)]
-pub struct Rules {
+pub struct Obligations {
     /// A started worker is warm after this time at the latest.
-    pub cold: Nanos,
+    pub warm_up_time: Nanos,
     /// The part of its capacity that it starts with, at least.
-    pub cold_from: f64,
+    pub initial_capacity_share: f64,
     /// A cold worker falls over beyond this multiple of its present capacity,
-    pub fall_multiple: f64,
+    pub overload_factor: f64,
     /// sent for this long.
-    pub fall: Nanos,
+    pub overload_window: Nanos,
     /// The list must be asked for at least this often while there is no subscription.
-    pub ask_within: Nanos,
+    pub list_request_interval: Nanos,
 }
 
 /// Prices, in the worth of the mean request.
--- a/crates/policy/src/boot.rs
+++ b/crates/policy/src/boot.rs
@@ -60,7 +60,7 @@
     tick: Nanos,
     load_report: LoadReport,
     ceilings: Ceilings,
-    obligations: Obligations,
+    obligations: RawObligations,
     penalties: Penalties,
     extra: Extra,
 }
@@ -132,7 +132,7 @@
 #[derive(Clone, Debug, Deserialize, Default)]
 #[serde(default)]
 #[serde(expecting = "struct Obligations")]
-struct Obligations {
+struct RawObligations {
     cold: Nanos,
     cold_from: f64,
     drain_grace: Nanos,
@@ -222,12 +222,12 @@
                 peers: self.ceilings.may_tell,
                 max_retry_after: if self.ceilings.retry_after { self.ceilings.max_retry_after } else { 0 },
             },
-            rules: Rules {
-                cold: self.obligations.cold,
-                cold_from: self.obligations.cold_from,
-                fall_multiple: self.obligations.overload_factor,
-                fall: self.obligations.overload_for,
-                ask_within: self.obligations.must_ask_in,
+            obligations: Obligations {
+                warm_up_time: self.obligations.cold,
+                initial_capacity_share: self.obligations.cold_from,
+                overload_factor: self.obligations.overload_factor,
+                overload_window: self.obligations.overload_for,
+                list_request_interval: self.obligations.must_ask_in,
             },
             prices: Prices {
                 cross_zone: self.penalties.cross_zone,
--- a/crates/policy/src/cold.rs
+++ b/crates/policy/src/cold.rs
@@ -1,7 +1,7 @@
 //! Arithmetic of workers that have just started: how warm one is, and what it may be sent until then. Nothing is
 //! decided here.
 
-use crate::api::{Nanos, Rules, Settings, WorkerId};
+use crate::api::{Nanos, Obligations, Settings, WorkerId};
 use crate::groups::Tier;
 
 /// Standard deviations kept free below a cold worker's limit.
@@ -19,9 +19,12 @@
 impl Budget {
     /// The budget of a worker of so many slots that was `before` warm at the last send and is `now` warm. Were the
     /// budget today's, all would find their credit grown at once.
-    pub(crate) fn new(rules: &Rules, capacity: f64, before: f64, now: f64) -> Budget {
-        let multiple = rules.fall_multiple * capacity;
-        Budget { budget: multiple * before * rules.fall as f64, rate: multiple * (before + now) / 2.0 }
+    pub(crate) fn new(rules: &Obligations, capacity: f64, before: f64, now: f64) -> Budget {
+        let multiple = rules.overload_factor * capacity;
+        Budget {
+            budget: multiple * before * rules.overload_window as f64,
+            rate: multiple * (before + now) / 2.0,
+        }
     }
 
     /// What a job of so much work is charged: more than its work the larger it is against the whole budget, so that a
@@ -43,11 +46,11 @@
 }
 
 /// The part of its capacity that a worker surely has: it rises evenly or faster from the cold share.
-pub(crate) fn warmth(rules: &Rules, started: Nanos, at: Nanos) -> f64 {
+pub(crate) fn warmth(rules: &Obligations, started: Nanos, at: Nanos) -> f64 {
     let age = at.saturating_sub(started) as f64;
-    let cold = rules.cold as f64;
+    let cold = rules.warm_up_time as f64;
     if started == 0 || age >= cold {
         return 1.0;
     }
-    rules.cold_from + (1.0 - rules.cold_from) * age / cold
+    rules.initial_capacity_share + (1.0 - rules.initial_capacity_share) * age / cold
 }
--- a/crates/policy/src/rules.rs
+++ b/crates/policy/src/rules.rs
@@ -190,7 +190,7 @@
             // All dispatchers may start at once, and the service of the list has a fixed capacity: the more
             // there are, the more their first calls are spread. Until then the old list serves.
             let spread = 0.5 - 0.5 / f64::from(self.set.dispatcher_count.max(1));
-            let after = self.rng.0.f64() * spread * self.set.rules.ask_within as f64;
+            let after = self.rng.0.f64() * spread * self.set.obligations.list_request_interval as f64;
             out.push(Action::Timer { after: after as Nanos, token: WATCH });
         }
         self.serve_held(out);
@@ -267,7 +267,7 @@
         self.groups = (0..tier.groups).map(members).collect();
         self.group = self.groups[mine].clone();
         order.sort_by_cached_key(|&w| self.workers[w].entry.id);
-        let (rules, now) = (&self.set.rules, self.now);
+        let (rules, now) = (&self.set.obligations, self.now);
         let dealt: Vec<Dealt> = order.iter().map(|&w| self.workers[w].dealt(rules, now, tier)).collect();
         self.workers.iter_mut().for_each(|k| (k.near, k.part) = (false, mine));
         self.near = vec![false; self.workers.len()];
@@ -333,8 +333,9 @@
     fn list_failed(&mut self, out: &mut Vec<Action>) {
         // Ask again well inside the time after which we count as told, later and later while calls fail.
         self.failed_asks = (self.failed_asks + 1).min(4);
-        let most =
-            (self.set.rules.ask_within as f64 * 0.4 / f64::from(16 >> self.failed_asks)).min(ASK_AGAIN);
+        let most = (self.set.obligations.list_request_interval as f64 * 0.4
+            / f64::from(16 >> self.failed_asks))
+        .min(ASK_AGAIN);
         let after = most * (0.5 + 0.5 * self.rng.0.f64());
         out.push(Action::Timer { after: after as Nanos, token: WATCH });
     }
@@ -447,7 +448,7 @@
         let (zone, cell) = (known.entry.zone, known.entry.cell);
         known.sends(self.now, self.mean_run, job.request.slots);
         job.attempts.push(Attempt { worker: w, zone, cell, sent: self.now, started: None, outcome: None });
-        let work = job.work / cold::warmth(&self.set.rules, known.entry.started, self.now);
+        let work = job.work / cold::warmth(&self.set.obligations, known.entry.started, self.now);
         known.meter.sent(id, job.attempts.len() as u32 - 1, self.now, work, job.request.affinity_key);
         let timeout = job.deadline.saturating_sub(2 * self.set.tick).saturating_sub(self.now).max(1);
         let worker = known.entry.id;
@@ -761,7 +762,7 @@
     }
 
     fn warmth(&self, entry: &Worker, at: Nanos) -> f64 {
-        cold::warmth(&self.set.rules, entry.started, at)
+        cold::warmth(&self.set.obligations, entry.started, at)
     }
 
     /// What a job is charged on a cold worker, and the credit there. All dispatchers together must stay
@@ -775,7 +776,7 @@
         }
         let capacity = self.slots(known).unwrap_or(1.0).max(1.0);
         let before = self.warmth(&known.entry, known.cold_at);
-        let budget = cold::Budget::new(&self.set.rules, capacity, before, warmth);
+        let budget = cold::Budget::new(&self.set.obligations, capacity, before, warmth);
         let charge = budget.charge(self.learned[class].run * slots.max(1.0)) * self.learned[class].caution();
         let Some(sharers) = cold::sharers(&self.set, known.entry.id, GROUP) else {
             return Some((charge, f64::NEG_INFINITY));
--- a/crates/policy/src/state.rs
+++ b/crates/policy/src/state.rs
@@ -67,7 +67,7 @@
 
 impl Known {
     /// As it is dealt out to groups. Its favorite is remembered for as long as there are as many groups.
-    pub(crate) fn dealt(&mut self, rules: &Rules, now: Nanos, tier: Tier) -> Dealt {
+    pub(crate) fn dealt(&mut self, rules: &Obligations, now: Nanos, tier: Tier) -> Dealt {
         let id = self.entry.id.0;
         let young = cold::warmth(rules, self.entry.started, now) < 1.0;
         let favorite = match self.favorite {
--- a/crates/policy/tests/cold_fleet.rs
+++ b/crates/policy/tests/cold_fleet.rs
@@ -47,7 +47,13 @@
     set.free_slots_reported = true;
     set.classes[0].latency_objective = 20 * MS;
     set.classes[0].client_timeout = 6 * S;
-    set.rules = Rules { cold: 12 * S, cold_from: 0.3, fall_multiple: 2.5, fall: 2 * S, ask_within: 10 * S };
+    set.obligations = Obligations {
+        warm_up_time: 12 * S,
+        initial_capacity_share: 0.3,
+        overload_factor: 2.5,
+        overload_window: 2 * S,
+        list_request_interval: 10 * S,
+    };
     set
 }
 
@@ -112,11 +118,12 @@
 
 /// The most calls in a window of the rule beyond what the settings allow then, in roots of that; with what is allowed.
 fn excess(fleet: Fleet, calls: &[Nanos]) -> (f64, f64, usize) {
-    let rules = rules(fleet, 0).rules;
+    let rules = rules(fleet, 0).obligations;
     let window = |&from: &Nanos| {
-        let warmth = rules.cold_from + (1.0 - rules.cold_from) * (from - STARTED) as f64 / rules.cold as f64;
-        let n = rules.fall_multiple * SLOTS * warmth * rules.fall as f64 / fleet.work as f64;
-        let got = calls.iter().filter(|&&at| at >= from && at < from + rules.fall).count();
+        let warmth = rules.initial_capacity_share
+            + (1.0 - rules.initial_capacity_share) * (from - STARTED) as f64 / rules.warm_up_time as f64;
+        let n = rules.overload_factor * SLOTS * warmth * rules.overload_window as f64 / fleet.work as f64;
+        let got = calls.iter().filter(|&&at| at >= from && at < from + rules.overload_window).count();
         ((got as f64 - n - 2.0) / n.sqrt(), n, got)
     };
     calls.iter().map(window).max_by(|a, b| a.0.total_cmp(&b.0)).unwrap_or((0.0, 0.0, 0))
--- a/crates/policy/tests/module.rs
+++ b/crates/policy/tests/module.rs
@@ -893,7 +893,7 @@
 #[test]
 fn what_was_learned_is_carried_over_and_a_cold_budget_is_not_spent_twice() {
     let mut set = settings(Idempotency::Idempotent);
-    set.rules.fall_multiple = 1.0;
+    set.obligations.overload_factor = 1.0;
     let cold = |id: u64| Worker { started: S, ..Worker::new(WorkerId(id)) };
     let mut old = Stage::new(set.clone(), &workers(2));
     // The first worker fails whatever it gets.
--- a/crates/policy/tests/stage/mod.rs
+++ b/crates/policy/tests/stage/mod.rs
@@ -23,7 +23,13 @@
             ..Class::default()
         }],
         limits: Limits { max_attempts: 4, cancel: true, second_copies: true, ..Limits::default() },
-        rules: Rules { cold: 8 * S, cold_from: 0.3, fall_multiple: 3.0, fall: S, ask_within: 10 * S },
+        obligations: Obligations {
+            warm_up_time: 8 * S,
+            initial_capacity_share: 0.3,
+            overload_factor: 3.0,
+            overload_window: S,
+            list_request_interval: 10 * S,
+        },
         ..Settings::default()
     }
 }
--- a/crates/scheduler/src/discovery.rs
+++ b/crates/scheduler/src/discovery.rs
@@ -332,7 +332,7 @@
         entries.push(effective(&s.orders.borrow(), &target));
         targets.insert(id, target);
     }
-    s.orders.borrow_mut().age(now, s.epoch().settings.rules.cold.saturating_add(REMEMBER));
+    s.orders.borrow_mut().age(now, s.epoch().settings.obligations.warm_up_time.saturating_add(REMEMBER));
     let departed = targets.extract_if(|_, target| target.leaving.is_some_and(|at| now >= at + REMEMBER));
     starts.departed(now, departed.map(|(_, target)| (target.host.to_string(), target.incarnation())));
     drop(targets);
--- a/crates/simulation/tests/day.rs
+++ b/crates/simulation/tests/day.rs
@@ -58,5 +58,5 @@
     assert!(
         set.limits.cancel && set.limits.probes && set.limits.max_attempts == 4 && set.job_starts_reported
     );
-    assert_eq!((set.rules.fall_multiple, set.rules.cold), (2.5, 18_000_000_000));
+    assert_eq!((set.obligations.overload_factor, set.obligations.warm_up_time), (2.5, 18_000_000_000));
 }
--- a/tests/pins/configuration.rs
+++ b/tests/pins/configuration.rs
@@ -89,7 +89,7 @@
     let config = read(&least(), &folder.path().join("config.json")).unwrap();
     let (settings, terms) = (&config.epoch.settings, &config.epoch.terms);
     let (class, limits) = (&settings.classes[0], &settings.limits);
-    let (rules, prices) = (&settings.rules, &settings.prices);
+    let (obligations, prices) = (&settings.obligations, &settings.prices);
     let mut text = String::new();
     let mut row = |key: &str, value: String| writeln!(text, "{key}: {value}").unwrap();
     row("name", config.name.clone());
@@ -129,12 +129,12 @@
     row("settings.ceilings.may_tell", limits.peers.to_string());
     row("settings.ceilings.probing", limits.probes.to_string());
     row("settings.ceilings.second_copies", limits.second_copies.to_string());
-    row("settings.obligations.cold", rules.cold.to_string());
-    row("settings.obligations.cold_from", rules.cold_from.to_string());
+    row("settings.obligations.cold", obligations.warm_up_time.to_string());
+    row("settings.obligations.cold_from", obligations.initial_capacity_share.to_string());
     row("settings.obligations.drain_grace", terms.drain_grace.to_string());
-    row("settings.obligations.must_ask_in", rules.ask_within.to_string());
-    row("settings.obligations.overload_factor", rules.fall_multiple.to_string());
-    row("settings.obligations.overload_for", rules.fall.to_string());
+    row("settings.obligations.must_ask_in", obligations.list_request_interval.to_string());
+    row("settings.obligations.overload_factor", obligations.overload_factor.to_string());
+    row("settings.obligations.overload_for", obligations.overload_window.to_string());
     row("settings.penalties.cross_zone", prices.cross_zone.to_string());
     row("settings.penalties.waste", prices.waste.to_string());
     row("settings.penalties.late_fail", prices.late_fail.to_string());
