--- a/crates/lab/src/capacity/probe.rs
+++ b/crates/lab/src/capacity/probe.rs
@@ -44,7 +44,7 @@
         tenants: vec![Tenant { quota_per_s: 50.0 }; tenants],
         load_reporting: LoadReporting::Inline,
         free_slots_reported: true,
-        limits: Limits { max_attempts: 4, cancel: true, peers: schedulers > 1, ..Limits::default() },
+        limits: Limits { max_attempts: 4, cancel: true, peer_messages: schedulers > 1, ..Limits::default() },
         ..Settings::default()
     }
 }
--- a/crates/policy/src/api.rs
+++ b/crates/policy/src/api.rs
@@ -171,11 +171,11 @@
     /// Attempts can be cancelled.
     pub cancel: bool,
     /// Two attempts of a request may be out at once.
-    pub second_copies: bool,
+    pub hedging: bool,
     /// Workers may be probed.
-    pub probes: bool,
+    pub probing: bool,
     /// Peers may be told things.
-    pub peers: bool,
+    pub peer_messages: bool,
     /// Longest wait that clients follow after a refusal; 0 if they are not told.
     pub max_retry_after: Nanos,
 }
--- a/crates/policy/src/boot.rs
+++ b/crates/policy/src/boot.rs
@@ -217,9 +217,9 @@
             limits: Limits {
                 max_attempts: self.ceilings.max_attempts,
                 cancel: self.ceilings.cancel,
-                second_copies: self.ceilings.second_copies,
-                probes: self.ceilings.probing,
-                peers: self.ceilings.may_tell,
+                hedging: self.ceilings.second_copies,
+                probing: self.ceilings.probing,
+                peer_messages: self.ceilings.may_tell,
                 max_retry_after: if self.ceilings.retry_after { self.ceilings.max_retry_after } else { 0 },
             },
             obligations: Obligations {
--- a/crates/policy/src/cold.rs
+++ b/crates/policy/src/cold.rs
@@ -39,7 +39,7 @@
 /// alone, by the settings and its id, whatever a list says.
 pub(crate) fn sharers(set: &Settings, worker: WorkerId, group: usize) -> Option<usize> {
     let all = set.dispatcher_count.max(1) as usize;
-    let split = if set.zone_count <= 1 && set.limits.peers { all.div_ceil(group) } else { 1 };
+    let split = if set.zone_count <= 1 && set.limits.peer_messages { all.div_ceil(group) } else { 1 };
     let tier = Tier::new(all, split);
     let sharers = tier.members(tier.home(worker.0));
     (split <= 1 || sharers.contains(&(set.own_id.0 as usize))).then_some(sharers.len())
--- a/crates/policy/src/rules.rs
+++ b/crates/policy/src/rules.rs
@@ -179,7 +179,7 @@
         }
         self.regroup = true;
         let first = !std::mem::replace(&mut self.listed_once, true);
-        if first && self.set.limits.peers {
+        if first && self.set.limits.peer_messages {
             self.born = self.now;
             // In one zone nobody has to be asked who is near; a start by the dozen would miss many a word.
             let all = (0..self.set.dispatcher_count).filter(|_| self.set.zone_count <= 1);
@@ -419,7 +419,7 @@
     /// tell of queues, a few teach how large workers are and which have room again.
     fn probes(&self) -> f64 {
         let may =
-            f64::from(u8::from(self.set.load_reporting == LoadReporting::OnProbe && self.set.limits.probes));
+            f64::from(u8::from(self.set.load_reporting == LoadReporting::OnProbe && self.set.limits.probing));
         let cost = if self.by_starts() { PROBE_COST / 5.0 } else { PROBE_COST };
         (cost / self.set.prices.probe.max(1e-9)).min(PROBES) * may
     }
--- a/crates/policy/tests/attempts.rs
+++ b/crates/policy/tests/attempts.rs
@@ -84,7 +84,7 @@
             Idempotency::Deduplicated(DedupScope::Zone),
         ];
         let mut set = settings(effects[seed as usize % 4]);
-        set.limits.second_copies = true;
+        set.limits.hedging = true;
         set.limits.cancel = rng.bool();
         set.job_starts_reported = rng.bool();
         set.load_reporting = if rng.bool() { LoadReporting::Inline } else { LoadReporting::None };
@@ -238,9 +238,9 @@
         for reports in [LoadReporting::None, LoadReporting::Inline, LoadReporting::OnProbe] {
             for (tells_start, peers) in [(false, false), (true, false), (true, true)] {
                 let mut set = settings(Idempotency::Idempotent);
-                (set.load_reporting, set.job_starts_reported, set.limits.probes) =
+                (set.load_reporting, set.job_starts_reported, set.limits.probing) =
                     (reports, tells_start, true);
-                (set.zone_count, set.limits.peers, set.dispatcher_count) = (1, peers, 12);
+                (set.zone_count, set.limits.peer_messages, set.dispatcher_count) = (1, peers, 12);
                 for seed in 0..2 {
                     let longest = longest_without_an_attempt(&set, trouble, 0, seed);
                     let case = format!("{trouble:?}, {reports:?}, starts {tells_start}, peers {peers}");
@@ -262,7 +262,7 @@
             for peers in [false, true] {
                 let mut set = settings(Idempotency::Idempotent);
                 (set.load_reporting, set.job_starts_reported) = (reports, peers);
-                (set.zone_count, set.limits.peers, set.dispatcher_count) = (1, peers, 12);
+                (set.zone_count, set.limits.peer_messages, set.dispatcher_count) = (1, peers, 12);
                 let longest = longest_without_an_attempt(&set, trouble, 90 * S, 1);
                 assert!(
                     longest < 4 * S,
--- a/crates/policy/tests/cold_fleet.rs
+++ b/crates/policy/tests/cold_fleet.rs
@@ -42,7 +42,7 @@
 fn rules(fleet: Fleet, me: u32) -> Settings {
     let mut set = settings(Idempotency::Idempotent);
     (set.dispatcher_count, set.own_id, set.zone_count) = (fleet.size, PeerId(me), fleet.zones);
-    set.limits.peers = fleet.zones == 1;
+    set.limits.peer_messages = fleet.zones == 1;
     set.load_reporting = LoadReporting::Inline;
     set.free_slots_reported = true;
     set.classes[0].latency_objective = 20 * MS;
--- a/crates/policy/tests/module.rs
+++ b/crates/policy/tests/module.rs
@@ -199,7 +199,7 @@
     // Where dispatchers look first at workers of their own, a cold one's budget is for those who look there: split
     // among all, most of it would lie idle.
     let mut grouped = settings(Idempotency::Idempotent);
-    (grouped.zone_count, grouped.limits.peers) = (1, true);
+    (grouped.zone_count, grouped.limits.peer_messages) = (1, true);
     let grouped = cold_jobs(grouped);
     assert!(grouped > 40, "{grouped} jobs by the group, {apart} by all");
 }
@@ -478,7 +478,7 @@
 #[test]
 fn a_group_of_peers_tells_its_sends_and_spreads_over_what_it_knows() {
     let mut set = settings(Idempotency::Idempotent);
-    set.limits.peers = true;
+    set.limits.peer_messages = true;
     set.dispatcher_count = 2;
     let mut pair: Vec<Stage> = (0..2)
         .map(|me| {
@@ -511,7 +511,7 @@
 #[test]
 fn where_load_comes_by_probe_alone_workers_are_asked_and_the_free_one_is_used() {
     let mut set = settings(Idempotency::Idempotent);
-    set.limits.probes = true;
+    set.limits.probing = true;
     set.load_reporting = LoadReporting::OnProbe;
     set.free_slots_reported = true;
     let mut free = 0;
@@ -587,7 +587,7 @@
 fn load_that_peers_tell_counts_by_its_slots_and_late_reports_add_nothing() {
     let mut set = settings(Idempotency::Idempotent);
     (set.load_reporting, set.free_slots_reported) = (LoadReporting::Inline, true);
-    (set.dispatcher_count, set.limits.peers) = (2, true);
+    (set.dispatcher_count, set.limits.peer_messages) = (2, true);
     let mut to_reported = 0;
     for seed in 0..40 {
         let mut stage = Stage { dispatcher: Dispatcher::new(set.clone(), seed), now: S, next: 0 };
@@ -661,7 +661,7 @@
 fn a_new_dispatcher_knows_its_peers_by_the_settings_and_the_size_of_workers_by_their_word() {
     let mut set = settings(Idempotency::Idempotent);
     (set.load_reporting, set.free_slots_reported) = (LoadReporting::Inline, true);
-    (set.dispatcher_count, set.zone_count, set.limits.peers) = (3, 1, true);
+    (set.dispatcher_count, set.zone_count, set.limits.peer_messages) = (3, 1, true);
     let mut stage = Stage::new(set.clone(), &workers(1));
     let (_, actions) = stage.request(4 * S);
     let told = |a: &&Action| matches!(a, Action::Tell(Receiver::One(_), _));
@@ -701,7 +701,7 @@
 fn what_a_peer_held_is_forgotten_once_it_is_silent_beyond_its_measure() {
     let mut set = settings(Idempotency::Idempotent);
     (set.load_reporting, set.free_slots_reported) = (LoadReporting::Inline, true);
-    (set.dispatcher_count, set.zone_count, set.limits.peers) = (3, 1, true);
+    (set.dispatcher_count, set.zone_count, set.limits.peer_messages) = (3, 1, true);
     let mut stage = Stage::new(set, &workers(1));
     stage.event(Event::Peer(PeerId(1), Message::Here(ZoneId(0), vec![32]).bytes()));
     let mut turn = 0;
@@ -737,7 +737,7 @@
 fn jobs_wait_for_their_group_and_leave_it_as_often_as_the_last_found_room() {
     let mut set = settings(Idempotency::Idempotent);
     (set.load_reporting, set.free_slots_reported) = (LoadReporting::Inline, true);
-    (set.dispatcher_count, set.zone_count, set.limits.peers) = (32, 1, true);
+    (set.dispatcher_count, set.zone_count, set.limits.peer_messages) = (32, 1, true);
     let beyond = |wait: Nanos| {
         let mut stage = Stage { dispatcher: Dispatcher::new(set.clone(), 5), now: S, next: 0 };
         stage.list(ListKind::Complete, &workers(32));
@@ -782,7 +782,7 @@
 fn who_hears_nobody_of_its_group_keeps_to_its_part_and_refuses_the_rest_early() {
     let mut set = settings(Idempotency::Idempotent);
     (set.load_reporting, set.free_slots_reported) = (LoadReporting::Inline, true);
-    (set.dispatcher_count, set.zone_count, set.limits.peers) = (12, 1, true);
+    (set.dispatcher_count, set.zone_count, set.limits.peer_messages) = (12, 1, true);
     set.limits.max_retry_after = 2 * S;
     let cut = |silent: bool, busy: u32| {
         let mut stage =
--- a/crates/policy/tests/stage/mod.rs
+++ b/crates/policy/tests/stage/mod.rs
@@ -22,7 +22,7 @@
             dedup_window: 2 * S,
             ..Class::default()
         }],
-        limits: Limits { max_attempts: 4, cancel: true, second_copies: true, ..Limits::default() },
+        limits: Limits { max_attempts: 4, cancel: true, hedging: true, ..Limits::default() },
         obligations: Obligations {
             warm_up_time: 8 * S,
             initial_capacity_share: 0.3,
--- a/crates/scheduler/src/peers.rs
+++ b/crates/scheduler/src/peers.rs
@@ -36,7 +36,7 @@
         taken_over: Option<OwnedFd>,
         opening: &OpenRetry,
     ) -> io::Result<Peers> {
-        let Some(at) = config.peer_listen.filter(|_| config.epoch.settings.limits.peers) else {
+        let Some(at) = config.peer_listen.filter(|_| config.epoch.settings.limits.peer_messages) else {
             return Ok(Peers::default());
         };
         // Where the platform holds the listening socket the address is that of the process before, for as long as it runs.
--- a/crates/scheduler/src/send.rs
+++ b/crates/scheduler/src/send.rs
@@ -262,7 +262,7 @@
     let n = flow.forwards.len() as u32;
     let over = flow.reply.is_none() || n >= flow.most;
     // A later forward must not overtake the news that an earlier one is given up.
-    let one_at_a_time = !s.epoch().settings.limits.second_copies;
+    let one_at_a_time = !s.epoch().settings.limits.hedging;
     let earlier = flow.forwards.iter().filter(|f| one_at_a_time || f.target == to);
     let undoing: Vec<Rc<Notify>> = earlier.filter_map(|f| f.undoing.clone()).collect();
     let work = Rc::clone(&flow.work);
--- a/crates/simulation/tests/day.rs
+++ b/crates/simulation/tests/day.rs
@@ -56,7 +56,7 @@
     assert_eq!(names.classes, ["view", "sign", "lodge"]);
     assert_eq!(set.tenants[0].quota_per_s, 9.0);
     assert!(
-        set.limits.cancel && set.limits.probes && set.limits.max_attempts == 4 && set.job_starts_reported
+        set.limits.cancel && set.limits.probing && set.limits.max_attempts == 4 && set.job_starts_reported
     );
     assert_eq!((set.obligations.overload_factor, set.obligations.warm_up_time), (2.5, 18_000_000_000));
 }
--- a/tests/pins/configuration.rs
+++ b/tests/pins/configuration.rs
@@ -126,9 +126,9 @@
     row("settings.ceilings.max_attempts", limits.max_attempts.to_string());
     row("settings.ceilings.max_open", terms.max_open.to_string());
     row("settings.ceilings.max_retry_after", limits.max_retry_after.to_string());
-    row("settings.ceilings.may_tell", limits.peers.to_string());
-    row("settings.ceilings.probing", limits.probes.to_string());
-    row("settings.ceilings.second_copies", limits.second_copies.to_string());
+    row("settings.ceilings.may_tell", limits.peer_messages.to_string());
+    row("settings.ceilings.probing", limits.probing.to_string());
+    row("settings.ceilings.second_copies", limits.hedging.to_string());
     row("settings.obligations.cold", obligations.warm_up_time.to_string());
     row("settings.obligations.cold_from", obligations.initial_capacity_share.to_string());
     row("settings.obligations.drain_grace", terms.drain_grace.to_string());
