--- a/crates/policy/src/api.rs
+++ b/crates/policy/src/api.rs
@@ -160,7 +160,7 @@
     /// The figures of the rules.
     pub obligations: Obligations,
     /// What things cost, in the worth of the mean request.
-    pub prices: Prices,
+    pub costs: Costs,
 }
 
 /// What the site permits.
@@ -197,15 +197,15 @@
 
 /// Prices, in the worth of the mean request.
 #[derive(Clone, Debug, Default)]
-pub struct Prices {
+pub struct Costs {
     /// An attempt that crosses zones.
     pub cross_zone: f64,
     /// Work that served no answer.
     pub waste: f64,
     /// Worth that ended unserved after its aim.
-    pub late_fail: f64,
+    pub late_failure: f64,
     /// 256 bytes delivered to a peer.
-    pub peer: f64,
+    pub peer_message: f64,
     /// A probe.
     pub probe: f64,
     /// A new connection.
--- a/crates/policy/src/boot.rs
+++ b/crates/policy/src/boot.rs
@@ -229,11 +229,11 @@
                 overload_window: self.obligations.overload_for,
                 list_request_interval: self.obligations.must_ask_in,
             },
-            prices: Prices {
+            costs: Costs {
                 cross_zone: self.penalties.cross_zone,
                 waste: self.penalties.waste,
-                late_fail: self.penalties.late_fail,
-                peer: self.penalties.peer,
+                late_failure: self.penalties.late_fail,
+                peer_message: self.penalties.peer,
                 probe: self.penalties.probe,
                 handshake: self.penalties.handshake,
             },
--- a/crates/policy/src/rules.rs
+++ b/crates/policy/src/rules.rs
@@ -421,7 +421,7 @@
         let may =
             f64::from(u8::from(self.set.load_reporting == LoadReporting::OnProbe && self.set.limits.probing));
         let cost = if self.by_starts() { PROBE_COST / 5.0 } else { PROBE_COST };
-        (cost / self.set.prices.probe.max(1e-9)).min(PROBES) * may
+        (cost / self.set.costs.probe.max(1e-9)).min(PROBES) * may
     }
 
     /// Where load can be asked for, a few workers of the zone are asked before a send: a dispatcher with
@@ -583,7 +583,7 @@
         let c = job.request.class.0;
         self.nets[c].solve();
         let run = self.learned[c].run;
-        let cross = CROSS * self.set.prices.cross_zone * self.mean_worth / self.worth(c).max(1e-9);
+        let cross = CROSS * self.set.costs.cross_zone * self.mean_worth / self.worth(c).max(1e-9);
         // A request of little worth leaves room to those of more: it may fill only a part of the slots.
         let room = 1.0 - RESERVE * (1.0 - self.value(job) / self.mean_value.max(1e-9)).max(0.0);
         let reach = self.reach(job);
@@ -623,7 +623,7 @@
             // Squared: one failure may be chance, while a row of them outweighs any load at the others.
             let score = n.q / ((1.0 + in_way) * (1.0 + 3.0 * failures * failures));
             best.offer(w, score, &mut self.rng);
-            if exploring && failures < 0.1 && !(far && self.set.prices.cross_zone > 0.0) {
+            if exploring && failures < 0.1 && !(far && self.set.costs.cross_zone > 0.0) {
                 explored.offer(w, 1.0, &mut self.rng);
             }
         }
@@ -877,7 +877,7 @@
                 self.nets[class].learn(w, LONG * learned.run);
             }
         }
-        if known.attempts == 0 && self.set.prices.handshake == 0.0 && std::mem::take(&mut known.peak) > 1 {
+        if known.attempts == 0 && self.set.costs.handshake == 0.0 && std::mem::take(&mut known.peak) > 1 {
             // Idle connections beyond one crowd the worker's table, and a fuller table takes of its capacity.
             out.push(Action::Close(known.entry.id));
         }
--- a/crates/policy/tests/module.rs
+++ b/crates/policy/tests/module.rs
@@ -399,7 +399,7 @@
 #[test]
 fn the_own_zone_comes_first_by_what_crossing_costs() {
     let mut set = settings(Idempotency::Idempotent);
-    set.prices.cross_zone = 0.1;
+    set.costs.cross_zone = 0.1;
     let mut list = workers(8);
     list.iter_mut().take(4).for_each(|w| w.zone = ZoneId(1));
     let mut stage = Stage::new(set, &list);
@@ -538,7 +538,7 @@
 #[test]
 fn a_zone_whose_workers_are_full_spills_over_to_the_other() {
     let mut set = settings(Idempotency::Idempotent);
-    set.prices.cross_zone = 0.1;
+    set.costs.cross_zone = 0.1;
     set.job_starts_reported = true;
     let mut list = workers(8);
     list.iter_mut().take(4).for_each(|w| w.zone = ZoneId(1));
--- a/crates/policy/tests/starts.rs
+++ b/crates/policy/tests/starts.rs
@@ -10,7 +10,7 @@
     let mut set = settings(Idempotency::Deduplicated(DedupScope::Zone));
     (set.load_reporting, set.job_starts_reported, set.free_slots_reported) =
         (LoadReporting::OnProbe, true, true);
-    (set.limits.probing, set.prices.probe) = (true, probe);
+    (set.limits.probing, set.costs.probe) = (true, probe);
     set
 }
 
--- a/tests/pins/configuration.rs
+++ b/tests/pins/configuration.rs
@@ -89,7 +89,7 @@
     let config = read(&least(), &folder.path().join("config.json")).unwrap();
     let (settings, terms) = (&config.epoch.settings, &config.epoch.terms);
     let (class, limits) = (&settings.classes[0], &settings.limits);
-    let (obligations, prices) = (&settings.obligations, &settings.prices);
+    let (obligations, costs) = (&settings.obligations, &settings.costs);
     let mut text = String::new();
     let mut row = |key: &str, value: String| writeln!(text, "{key}: {value}").unwrap();
     row("name", config.name.clone());
@@ -135,12 +135,12 @@
     row("settings.obligations.must_ask_in", obligations.list_request_interval.to_string());
     row("settings.obligations.overload_factor", obligations.overload_factor.to_string());
     row("settings.obligations.overload_for", obligations.overload_window.to_string());
-    row("settings.penalties.cross_zone", prices.cross_zone.to_string());
-    row("settings.penalties.waste", prices.waste.to_string());
-    row("settings.penalties.late_fail", prices.late_fail.to_string());
-    row("settings.penalties.peer", prices.peer.to_string());
-    row("settings.penalties.probe", prices.probe.to_string());
-    row("settings.penalties.handshake", prices.handshake.to_string());
+    row("settings.penalties.cross_zone", costs.cross_zone.to_string());
+    row("settings.penalties.waste", costs.waste.to_string());
+    row("settings.penalties.late_fail", costs.late_failure.to_string());
+    row("settings.penalties.peer", costs.peer_message.to_string());
+    row("settings.penalties.probe", costs.probe.to_string());
+    row("settings.penalties.handshake", costs.handshake.to_string());
     row("settings.extra.progress", settings.progress_interval.to_string());
     row("settings.extra.tells_start", settings.job_starts_reported.to_string());
     row("settings.extra.report_x0 is free slots", settings.free_slots_reported.to_string());
