--- a/crates/lab/src/baselines.rs
+++ b/crates/lab/src/baselines.rs
@@ -106,7 +106,8 @@
         let Some(job) = self.jobs.get(&id) else { return };
         let last = job.deadline.saturating_sub(2 * self.set.tick);
         let spent = job.attempts.len() as u32 >= self.set.limits.max_attempts.max(1);
-        let cold = |w: &Worker| w.started != 0 && self.now < w.started + self.set.obligations.warm_up_time;
+        let cold =
+            |w: &Worker| w.started_at != 0 && self.now < w.started_at + self.set.obligations.warm_up_time;
         let tried = |w: &Worker| job.attempts.iter().any(|a| a.worker == w.id);
         let usable = |w: &&Worker| !cold(w) && !tried(w) && self.allows(job, w);
         if spent || self.now >= last {
--- a/crates/policy/src/api.rs
+++ b/crates/policy/src/api.rs
@@ -232,7 +232,7 @@
     /// Finishes its work; nothing new.
     Draining,
     /// Removed.
-    Gone,
+    Removed,
 }
 
 /// One entry of the list of workers.
@@ -251,7 +251,7 @@
     /// Its weight; see [`WeightMeaning`].
     pub weight: f64,
     /// When its process started last; 0 for long ago.
-    pub started: Nanos,
+    pub started_at: Nanos,
 }
 
 impl Worker {
--- a/crates/policy/src/rules.rs
+++ b/crates/policy/src/rules.rs
@@ -212,7 +212,7 @@
             w
         });
         let first = known.is_none() || !self.workers[w].listed;
-        if first || self.workers[w].entry.started != entry.started {
+        if first || self.workers[w].entry.started_at != entry.started_at {
             // A process that has started anew is cold and holds none of what it held.
             let phase = self.rng.0.f64();
             self.workers[w].restarted(self.now, phase);
@@ -448,7 +448,7 @@
         let (zone, cell) = (known.entry.zone, known.entry.cell);
         known.sends(self.now, self.mean_run, job.request.slots);
         job.attempts.push(Attempt { worker: w, zone, cell, sent: self.now, started: None, outcome: None });
-        let work = job.work / cold::warmth(&self.set.obligations, known.entry.started, self.now);
+        let work = job.work / cold::warmth(&self.set.obligations, known.entry.started_at, self.now);
         known.meter.sent(id, job.attempts.len() as u32 - 1, self.now, work, job.request.affinity_key);
         let timeout = job.deadline.saturating_sub(2 * self.set.tick).saturating_sub(self.now).max(1);
         let worker = known.entry.id;
@@ -762,7 +762,7 @@
     }
 
     fn warmth(&self, entry: &Worker, at: Nanos) -> f64 {
-        cold::warmth(&self.set.obligations, entry.started, at)
+        cold::warmth(&self.set.obligations, entry.started_at, at)
     }
 
     /// What a job is charged on a cold worker, and the credit there. All dispatchers together must stay
--- a/crates/policy/src/rules/carry.rs
+++ b/crates/policy/src/rules/carry.rs
@@ -104,7 +104,7 @@
         };
         let of_worker = |k: &crate::state::Known| OfWorker {
             id: k.entry.id.0,
-            started: k.entry.started,
+            started: k.entry.started_at,
             slots: k.slots,
             others: k.others,
             reported: k.reported,
@@ -159,7 +159,7 @@
             let Some(&w) = self.index.get(&WorkerId(of_worker.id)) else { continue };
             let known = &mut self.workers[w];
             // One that has started anew since is cold and holds none of what it held.
-            if known.entry.started != of_worker.started {
+            if known.entry.started_at != of_worker.started {
                 continue;
             }
             (known.slots, known.others, known.reported) =
--- a/crates/policy/src/state.rs
+++ b/crates/policy/src/state.rs
@@ -69,7 +69,7 @@
     /// As it is dealt out to groups. Its favorite is remembered for as long as there are as many groups.
     pub(crate) fn dealt(&mut self, rules: &Obligations, now: Nanos, tier: Tier) -> Dealt {
         let id = self.entry.id.0;
-        let young = cold::warmth(rules, self.entry.started, now) < 1.0;
+        let young = cold::warmth(rules, self.entry.started_at, now) < 1.0;
         let favorite = match self.favorite {
             Some(favorite) if favorite.of_groups == tier.groups => favorite.group,
             _ => tier.favorite(id),
--- a/crates/policy/tests/cold_fleet.rs
+++ b/crates/policy/tests/cold_fleet.rs
@@ -58,7 +58,7 @@
 }
 
 fn start(fleet: Fleet, now: Nanos, me: u32) -> Stage {
-    let worker = Worker { started: STARTED, ..Worker::new(WORKER) };
+    let worker = Worker { started_at: STARTED, ..Worker::new(WORKER) };
     let mut stage = Stage::new(rules(fleet, me), &[]);
     stage.dispatcher = Dispatcher::new(rules(fleet, me), fleet.seed * 1000 + u64::from(me) + now);
     stage.now = now;
@@ -74,7 +74,7 @@
     let mut stage = start(fleet, STARTED - fleet.quiet, me);
     stage.list(ListKind::Complete, &[Worker::new(WORKER)]);
     stage.now = STARTED;
-    stage.list(ListKind::Partial, &[Worker { started: STARTED, ..Worker::new(WORKER) }]);
+    stage.list(ListKind::Partial, &[Worker { started_at: STARTED, ..Worker::new(WORKER) }]);
     stage
 }
 
--- a/crates/policy/tests/module.rs
+++ b/crates/policy/tests/module.rs
@@ -156,7 +156,7 @@
         let mut leaving = list[0].clone();
         match how {
             0 => leaving.state = WorkerState::Draining,
-            1 => leaving.state = WorkerState::Gone,
+            1 => leaving.state = WorkerState::Removed,
             _ => {}
         }
         match how {
@@ -209,7 +209,7 @@
 fn cold_jobs(mut set: Settings) -> usize {
     let (fleet, job) = (60u32, 0.1);
     set.dispatcher_count = fleet;
-    let cold = Worker { started: 10 * S, ..Worker::new(WorkerId(2)) };
+    let cold = Worker { started_at: 10 * S, ..Worker::new(WorkerId(2)) };
     let mut times: Vec<Nanos> = Vec::new();
     for me in 0..fleet {
         let mine = Settings { own_id: PeerId(me), ..set.clone() };
@@ -894,7 +894,7 @@
 fn what_was_learned_is_carried_over_and_a_cold_budget_is_not_spent_twice() {
     let mut set = settings(Idempotency::Idempotent);
     set.obligations.overload_factor = 1.0;
-    let cold = |id: u64| Worker { started: S, ..Worker::new(WorkerId(id)) };
+    let cold = |id: u64| Worker { started_at: S, ..Worker::new(WorkerId(id)) };
     let mut old = Stage::new(set.clone(), &workers(2));
     // The first worker fails whatever it gets.
     for _ in 0..40 {
--- a/crates/policy/tests/pins.rs
+++ b/crates/policy/tests/pins.rs
@@ -67,7 +67,7 @@
 /// The digests of days in virtual time are taken over these numbers, not over names.
 #[test]
 fn the_numbers_of_states_and_outcomes_stay() {
-    let states = [WorkerState::Ready, WorkerState::Draining, WorkerState::Gone];
+    let states = [WorkerState::Ready, WorkerState::Draining, WorkerState::Removed];
     assert_eq!(states.map(|state| state as u64), [0, 1, 2]);
     let outcomes = [
         Outcome::Served,
--- a/crates/scheduler/src/discovery.rs
+++ b/crates/scheduler/src/discovery.rs
@@ -68,7 +68,7 @@
 
     /// Its process, and when that started.
     pub fn incarnation(&self) -> Incarnation {
-        Incarnation { born_ms: self.said.born_ms, started: self.word.started }
+        Incarnation { born_ms: self.said.born_ms, started: self.word.started_at }
     }
 }
 
@@ -150,7 +150,7 @@
         let health = |state| match state {
             WorkerState::Ready => "active",
             WorkerState::Draining => "leaving",
-            WorkerState::Gone => "left",
+            WorkerState::Removed => "left",
         };
         let targets = self.targets.borrow();
         let hosts =
@@ -196,11 +196,11 @@
     if target.hearsay.is_some() && word.state == WorkerState::Ready {
         word.state = WorkerState::Draining;
     }
-    match orders.effect(&target.host, word.started) {
+    match orders.effect(&target.host, word.started_at) {
         Effect::AsListed => word,
-        Effect::Out if word.state == WorkerState::Gone => word,
+        Effect::Out if word.state == WorkerState::Removed => word,
         Effect::Out => Worker { state: WorkerState::Draining, ..word },
-        Effect::Started(started) => Worker { started, ..word },
+        Effect::Started(started) => Worker { started_at: started, ..word },
     }
 }
 
@@ -262,7 +262,7 @@
 pub fn renamed(s: &Rc<Scheduler>) {
     let epoch = s.epoch();
     let mut targets = s.group.targets.borrow_mut();
-    let listed = targets.values_mut().filter(|t| t.word.state != WorkerState::Gone);
+    let listed = targets.values_mut().filter(|t| t.word.state != WorkerState::Removed);
     let entries = listed.map(|target| {
         target.word = epoch.names.worker(&target.said.site, &target.said.class, target.word.clone());
         effective(&s.orders.borrow(), target)
@@ -287,7 +287,7 @@
         let named: HashSet<WorkerId> = list.hosts.iter().map(|h| number(&h.host)).collect();
         for (id, target) in targets.iter_mut().filter(|t| !named.contains(t.0)) {
             target.leaving.get_or_insert(now);
-            target.word.state = WorkerState::Gone;
+            target.word.state = WorkerState::Removed;
             s.pool.release(*id);
         }
     }
@@ -324,8 +324,13 @@
             // Connections to a process that has ended or is about to: the next use would only find that out.
             s.pool.release(id);
         }
-        let worker =
-            Worker { cell: CellId(host.block), state, weight: host.share, started, ..Worker::new(id) };
+        let worker = Worker {
+            cell: CellId(host.block),
+            state,
+            weight: host.share,
+            started_at: started,
+            ..Worker::new(id)
+        };
         let word = epoch.names.worker(&host.site, &host.class, worker);
         let target =
             Target { host: host.host.as_str().into(), dial, leaving, hearsay, word, said: Rc::new(host) };
@@ -359,7 +364,7 @@
 fn listed_state(host: &Host) -> WorkerState {
     match &*host.health {
         "active" => WorkerState::Ready,
-        "left" => WorkerState::Gone,
+        "left" => WorkerState::Removed,
         "leaving" => WorkerState::Draining,
         other => {
             tracing::warn!("discovery: {}: unknown health {other:?}, taken as leaving", host.host);
@@ -372,7 +377,7 @@
 fn known_start(targets: &HashMap<WorkerId, Target>, host: &Host) -> Option<Nanos> {
     let known = targets.get(&number(&host.host))?;
     let same = *known.host == *host.host && known.said.born_ms == host.born_ms;
-    same.then_some(known.word.started)
+    same.then_some(known.word.started_at)
 }
 
 /// Starts from the list that the configuration brought.
--- a/crates/simhost/src/wire.rs
+++ b/crates/simhost/src/wire.rs
@@ -113,14 +113,14 @@
         let state = match &*self.phase {
             "IN" => WorkerState::Ready,
             "LAME" => WorkerState::Draining,
-            "OUT" => WorkerState::Gone,
+            "OUT" => WorkerState::Removed,
             other => return Err(format!("phase: unknown word {other:?}")),
         };
         let worker = Worker {
             state,
             cell: CellId(self.pack),
             weight: self.rating,
-            started: self.last_start,
+            started_at: self.last_start,
             ..Worker::new(WorkerId(self.worker))
         };
         Ok(NamedEntry { zone: self.dc.to_string(), kind: self.shape.to_string(), worker })
--- a/crates/simulation/src/settings.rs
+++ b/crates/simulation/src/settings.rs
@@ -93,14 +93,14 @@
     let state = match entry.health {
         Health::Active => WorkerState::Ready,
         Health::Leaving => WorkerState::Draining,
-        Health::Left => WorkerState::Gone,
+        Health::Left => WorkerState::Removed,
     };
     let id = WorkerId(entry.worker as u64 + 1);
     let worker = Worker {
         state,
         cell: CellId(world.cell(entry.worker) as u64),
         weight: entry.weight,
-        started: entry.born,
+        started_at: entry.born,
         ..Worker::new(id)
     };
     names.worker(
--- a/crates/simulation/src/simulate.rs
+++ b/crates/simulation/src/simulate.rs
@@ -348,7 +348,7 @@
         let (_, entries) = self.world.told(s);
         let names = &self.nodes[s].names;
         let mut entries: Vec<_> = entries.iter().map(|e| settings::worker(&self.world, names, e)).collect();
-        entries.retain(|e| e.state != loomlb_policy::WorkerState::Gone);
+        entries.retain(|e| e.state != loomlb_policy::WorkerState::Removed);
         self.feed(s, Event::Workers { kind, entries });
     }
 
@@ -398,7 +398,7 @@
                 self.mark(1, &[s, entries.len() as u64]);
                 entries
                     .iter()
-                    .for_each(|e| self.mark(2, &[e.id.0, e.state as u64, e.weight.to_bits(), e.started]));
+                    .for_each(|e| self.mark(2, &[e.id.0, e.state as u64, e.weight.to_bits(), e.started_at]));
             }
             Event::ListFailed => self.mark(3, &[s]),
             Event::Request(r) => self.mark(4, &[s, r.id.0, r.class.0 as u64, r.remaining]),
--- a/crates/simulation/tests/referee.rs
+++ b/crates/simulation/tests/referee.rs
@@ -38,7 +38,7 @@
     fn send(&mut self, id: RequestId, out: &mut Vec<Action>) {
         let (fault, now, cold) = (self.fault, self.now, self.set.obligations.warm_up_time);
         let Some((request, sent)) = self.jobs.get_mut(&id) else { return };
-        let is_cold = |w: &Worker| w.started > 0 && now < w.started + cold;
+        let is_cold = |w: &Worker| w.started_at > 0 && now < w.started_at + cold;
         let fresh = self.workers.values().filter(|w| sent.iter().all(|s| s.0 != w.id));
         let usable: Vec<&Worker> = match fault {
             Fault::PoursOnColdWorkers if self.workers.values().any(is_cold) => {
