--- a/crates/policy/src/api.rs
+++ b/crates/policy/src/api.rs
@@ -280,13 +280,13 @@
     pub remaining: Nanos,
     /// The answer has to go out within this time, where that is sooner: the process ends, say. It tells nothing of
     /// the client.
-    pub within: Option<Nanos>,
+    pub answer_within: Option<Nanos>,
     /// The client repeats, where clients mark this.
-    pub retry: bool,
+    pub is_retry: bool,
     /// Whether it is within its tenant's share, where that is decided elsewhere.
     pub in_share: Option<bool>,
     /// A hint of its work.
-    pub expected: Option<Nanos>,
+    pub expected_work: Option<Nanos>,
 }
 
 impl Request {
--- a/crates/policy/src/rules.rs
+++ b/crates/policy/src/rules.rs
@@ -353,20 +353,22 @@
         // The aim counts from the client's first try; what later tries have left tells how long ago that was.
         let before = learned.longest - request.remaining;
         // Most jobs are shorter than the mean; a hint tells more, though not all.
-        let work = request.expected.map_or(learned.run * 0.3, |e| e as f64 * 0.6);
+        let work = request.expected_work.map_or(learned.run * 0.3, |e| e as f64 * 0.6);
         let slack = class.latency_objective as f64 * 0.7 + (class.objective_stretch - 1.0) * work;
         let start_by = (self.now + slack.max(0.0) as Nanos).saturating_sub(before);
-        let work = request.expected.map_or(learned.run, |e| e as f64);
+        let work = request.expected_work.map_or(learned.run, |e| e as f64);
         let aim_by = (self.now + class.latency_objective + (class.objective_stretch * work) as Nanos)
             .saturating_sub(before);
-        let told = |s: &mut Self| in_share(&mut s.share, &s.set, request.tenant, request.retry, s.now);
+        let told = |s: &mut Self| in_share(&mut s.share, &s.set, request.tenant, request.is_retry, s.now);
         let in_share = request.in_share.unwrap_or_else(|| told(self));
         let worth = self.worth(request.class.0);
         toward(&mut self.mean_worth, worth, 0.01);
         let job = Job {
             arrived: self.now,
             most: self.set.limits.max_attempts,
-            deadline: self.now.saturating_add(request.within.unwrap_or(u64::MAX).min(request.remaining)),
+            deadline: self
+                .now
+                .saturating_add(request.answer_within.unwrap_or(u64::MAX).min(request.remaining)),
             start_by,
             aim_by,
             work,
@@ -684,7 +686,7 @@
     /// where answers tell of room, or without a hint, a worker with room does. One that may have run has few
     /// workers left, and can't be refused: it needs no margin.
     fn in_time(&self, job: &Job, known: &Known) -> bool {
-        if !self.by_starts() || job.request.expected.is_none() {
+        if !self.by_starts() || job.request.expected_work.is_none() {
             return true;
         }
         let margin = if job.may_have_run().next().is_some() { 0.0 } else { MARGIN };
--- a/crates/policy/tests/starts.rs
+++ b/crates/policy/tests/starts.rs
@@ -15,7 +15,7 @@
 }
 
 fn hinted(work: Nanos) -> impl Fn(&mut Request) {
-    move |r| r.expected = Some(work)
+    move |r| r.expected_work = Some(work)
 }
 
 /// Plays a job through: it starts after `wait` and runs for `run`.
@@ -75,7 +75,7 @@
     let mut stage = Stage::new(orders(1.0), &workers(2));
     let (id, _) = stage.asks(6 * S, hinted(300 * MS));
     plays(&mut stage, id, 5 * MS, 300 * MS);
-    let ending = |r: &mut Request| (r.expected, r.within) = (Some(300 * MS), Some(2 * S));
+    let ending = |r: &mut Request| (r.expected_work, r.answer_within) = (Some(300 * MS), Some(2 * S));
     let (_, actions) = stage.asks(6 * S, ending);
     let Some(Action::Send { timeout, .. }) = actions.iter().find(|a| matches!(a, Action::Send { .. })) else {
         panic!("{actions:?}")
@@ -111,7 +111,7 @@
     let mut again = 0;
     for key in 0..200u64 {
         let subject = |r: &mut Request| {
-            (r.affinity_key, r.expected) = (Some(AffinityKey(key * 0x9e37_79b9)), Some(100 * MS))
+            (r.affinity_key, r.expected_work) = (Some(AffinityKey(key * 0x9e37_79b9)), Some(100 * MS))
         };
         let mut went = Vec::new();
         for _ in 0..2 {
--- a/crates/scheduler/src/admit.rs
+++ b/crates/scheduler/src/admit.rs
@@ -135,10 +135,10 @@
         slots,
         memory: offer.memory.unwrap_or(0.0),
         remaining: patience,
-        within,
-        retry: offer.retry,
+        answer_within: within,
+        is_retry: offer.retry,
         in_share,
-        expected: offer.expected,
+        expected_work: offer.expected,
     };
     route::feed(s, Event::Request(request));
     Ok(Taken { id, answer })
--- a/crates/simhost/src/main.rs
+++ b/crates/simhost/src/main.rs
@@ -117,10 +117,10 @@
                     slots: e.slots.unwrap_or(1.0),
                     memory: e.mem.unwrap_or(0.0),
                     remaining: need(e.remaining, "remaining")?,
-                    within: None,
-                    retry: e.retry,
+                    answer_within: None,
+                    is_retry: e.retry,
                     in_share: None,
-                    expected: e.expected,
+                    expected_work: e.expected,
                 })
             }
             "COMPLETED" => Event::Ended { id: id()?, attempt: attempt()?, ended: ended()? },
--- a/crates/simulation/src/simulate.rs
+++ b/crates/simulation/src/simulate.rs
@@ -897,8 +897,8 @@
             affinity_key: subject.map(|s| affinity_key(&format!("s{s}"))),
             slots: f64::from(slots),
             remaining,
-            within: Some(within),
-            expected,
+            answer_within: Some(within),
+            expected_work: expected,
             ..Asked::default()
         };
         self.nodes[s].flows.insert(
