--- a/crates/lab/src/capacity/probe.rs
+++ b/crates/lab/src/capacity/probe.rs
@@ -1,8 +1,8 @@
 //! The decision module under a steady load, as `crates/policy/benches/decision.rs` drives it, and real entries of the list.
 
 use loomlb_policy::{
-    Action, Class, ClassId, Dispatcher, Ended, Event, Idempotency, Limits, ListKind, LoadReporting, Nanos,
-    Note, Outcome, Report, Request, RequestId, Settings, Tenant, TenantId, Worker, WorkerId,
+    Action, Class, ClassId, Dispatcher, Ended, Event, Idempotency, Limits, ListKind, LoadReport,
+    LoadReporting, Nanos, Note, Outcome, Request, RequestId, Settings, Tenant, TenantId, Worker, WorkerId,
 };
 use loomlb_simulation::Day;
 use loomlb_simulation::settings::entry;
@@ -96,7 +96,7 @@
     pub fn end(&mut self) -> usize {
         self.now += MS / 4;
         let Some(id) = self.out.pop_front() else { return 0 };
-        let report = Report { in_flight: Some(2.0), free_slots: Some(3.0), ..Report::default() };
+        let report = LoadReport { in_flight: Some(2.0), free_slots: Some(3.0), ..LoadReport::default() };
         let ended = Ended { outcome: Outcome::Served, latency: 200 * MS, closed: true, report: Some(report) };
         self.tell(Event::Note(id, 0, Note::Started));
         let started = self.told();
--- a/crates/policy/benches/decision.rs
+++ b/crates/policy/benches/decision.rs
@@ -74,7 +74,7 @@
     fn step(&mut self) {
         self.now += MS / 4;
         if let Some(id) = self.out.pop_front() {
-            let report = Report { in_flight: Some(2.0), free_slots: Some(3.0), ..Report::default() };
+            let report = LoadReport { in_flight: Some(2.0), free_slots: Some(3.0), ..LoadReport::default() };
             let ended =
                 Ended { outcome: Outcome::Served, latency: 200 * MS, closed: true, report: Some(report) };
             self.tell(Event::Note(id, 0, Note::Started));
--- a/crates/policy/src/api.rs
+++ b/crates/policy/src/api.rs
@@ -328,17 +328,17 @@
 
 /// A worker's report of its load; absent values are `None`.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Report {
+pub struct LoadReport {
     /// Requests it holds.
     pub in_flight: Option<f64>,
     /// Requests that wait.
-    pub queue: Option<f64>,
+    pub queued: Option<f64>,
     /// Free slots.
     pub free_slots: Option<f64>,
     /// How busy its cores are.
-    pub busy: Option<f64>,
+    pub utilization: Option<f64>,
     /// Recent service time without waiting, in milliseconds.
-    pub latency_ms: Option<f64>,
+    pub service_time_ms: Option<f64>,
 }
 
 /// The end of an attempt.
@@ -351,7 +351,7 @@
     /// The request is over.
     pub closed: bool,
     /// The worker's load.
-    pub report: Option<Report>,
+    pub report: Option<LoadReport>,
 }
 
 /// News of an attempt that is still out.
@@ -363,16 +363,16 @@
     Progress(f64),
 }
 
-impl Report {
+impl LoadReport {
     /// The report without what is no count: negative, infinite or none.
-    pub(crate) fn sane(&self) -> Report {
+    pub(crate) fn sane(&self) -> LoadReport {
         let sane = |v: Option<f64>| v.filter(|v| v.is_finite() && *v >= 0.0);
-        Report {
+        LoadReport {
             in_flight: sane(self.in_flight),
-            queue: sane(self.queue),
+            queued: sane(self.queued),
             free_slots: sane(self.free_slots),
-            busy: sane(self.busy),
-            latency_ms: sane(self.latency_ms),
+            utilization: sane(self.utilization),
+            service_time_ms: sane(self.service_time_ms),
         }
     }
 }
--- a/crates/policy/src/boot.rs
+++ b/crates/policy/src/boot.rs
@@ -58,7 +58,7 @@
     registry_mode: String,
     weights: String,
     tick: Nanos,
-    load_report: LoadReport,
+    load_report: RawLoadReport,
     ceilings: Ceilings,
     obligations: RawObligations,
     penalties: Penalties,
@@ -91,7 +91,7 @@
 #[derive(Clone, Debug, Deserialize, Default)]
 #[serde(default)]
 #[serde(expecting = "struct LoadReport")]
-struct LoadReport {
+struct RawLoadReport {
     fields: Vec<String>,
     how: String,
 }
@@ -285,16 +285,16 @@
 
 impl Terms {
     /// Takes one named value into a report, if the settings name it; sites' words for it count as well.
-    pub fn report(&self, report: &mut Report, name: &str, value: f64) {
+    pub fn report(&self, report: &mut LoadReport, name: &str, value: f64) {
         let name = REPORT_WORDS.iter().find(|w| w.0 == name).map_or(name, |w| w.1);
         if !self.report_fields.iter().any(|f| f == name) {
             return;
         }
         match name {
             "rif" => report.in_flight = Some(value),
-            "q" => report.queue = Some(value),
-            "busy" => report.busy = Some(value),
-            "lat_ms" => report.latency_ms = Some(value),
+            "q" => report.queued = Some(value),
+            "busy" => report.utilization = Some(value),
+            "lat_ms" => report.service_time_ms = Some(value),
             "x0" => report.free_slots = Some(value),
             _ => {}
         }
--- a/crates/policy/src/rules.rs
+++ b/crates/policy/src/rules.rs
@@ -827,7 +827,7 @@
         }
     }
 
-    fn report(&mut self, w: usize, report: &Report) {
+    fn report(&mut self, w: usize, report: &LoadReport) {
         let (told, need) = (self.all_told(), (self.mean_need, self.most_need));
         let of_kind = self.kind_slots.get_mut(self.workers[w].entry.kind.0);
         let part = self.workers[w].take_in(self.now, &report.sane(), &self.set, need, of_kind, told);
--- a/crates/policy/src/state.rs
+++ b/crates/policy/src/state.rs
@@ -119,7 +119,7 @@
     pub(crate) fn take_in(
         &mut self,
         now: Nanos,
-        report: &Report,
+        report: &LoadReport,
         set: &Settings,
         need: (f64, f64),
         of_kind: Option<&mut f64>,
@@ -130,7 +130,7 @@
             self.learn_size(of_kind, free, report.in_flight, need.1);
         }
         let held = report.in_flight.map(|h| h * need.0.max(1.0));
-        let full = |k: &Known| Some((k.slots? - free?).max(0.0) + report.queue.unwrap_or(0.0));
+        let full = |k: &Known| Some((k.slots? - free?).max(0.0) + report.queued.unwrap_or(0.0));
         let held = held.or_else(|| full(self)).filter(|_| !told)?;
         let others = self.others_reported(now, held, set.load_reporting == LoadReporting::OnProbe);
         Some(others / self.slots.unwrap_or(others + 1.0).max(1.0))
--- a/crates/policy/tests/cold_fleet.rs
+++ b/crates/policy/tests/cold_fleet.rs
@@ -97,7 +97,8 @@
             }
             let stage: &mut Stage = &mut all[me as usize];
             stage.now = now;
-            let report = Some(Report { free_slots: Some(SLOTS), in_flight: Some(0.0), ..Report::default() });
+            let report =
+                Some(LoadReport { free_slots: Some(SLOTS), in_flight: Some(0.0), ..LoadReport::default() });
             let ended = Ended { outcome: Outcome::Served, latency: now - sent, closed: true, report };
             stage.event(Event::Ended { id: RequestId(id), attempt: 0, ended });
         }
--- a/crates/policy/tests/module.rs
+++ b/crates/policy/tests/module.rs
@@ -342,7 +342,7 @@
 #[test]
 fn odd_events_do_no_harm() {
     let mut stage = Stage::new(settings(Idempotency::Idempotent), &workers(2));
-    let odd = Report { in_flight: Some(f64::NAN), free_slots: Some(-1.0), ..Report::default() };
+    let odd = LoadReport { in_flight: Some(f64::NAN), free_slots: Some(-1.0), ..LoadReport::default() };
     let ended = Ended { outcome: Outcome::Served, latency: 0, closed: true, report: Some(odd) };
     assert!(stage.event(Event::Ended { id: RequestId(99), attempt: 0, ended }).is_empty());
     assert!(stage.event(Event::Gone(RequestId(99))).is_empty());
@@ -415,7 +415,7 @@
     let set = Settings { free_slots_reported: true, ..settings(Idempotency::Idempotent) };
     let mut stage = Stage::new(set, &workers(3));
     // So much room that a few jobs in flight hardly count.
-    let roomy = Report { in_flight: Some(0.0), free_slots: Some(90.0), ..Report::default() };
+    let roomy = LoadReport { in_flight: Some(0.0), free_slots: Some(90.0), ..LoadReport::default() };
     let mut late = 0;
     for i in 0..150 {
         stage.now += 50 * MS;
@@ -444,8 +444,8 @@
     set.free_slots_reported = true;
     set.tenants = vec![Tenant { quota_per_s: 50.0 }; 3];
     let mut stage = Stage::new(set, &workers(1));
-    let first = Report { in_flight: Some(0.0), free_slots: Some(4.0), ..Report::default() };
-    let full = Report { in_flight: Some(3.0), free_slots: Some(1.0), ..Report::default() };
+    let first = LoadReport { in_flight: Some(0.0), free_slots: Some(4.0), ..LoadReport::default() };
+    let full = LoadReport { in_flight: Some(3.0), free_slots: Some(1.0), ..LoadReport::default() };
     let (mut refused, mut next) = ([0; 3], 1000);
     for i in 0..2000u64 {
         stage.now += 10 * MS;
@@ -524,7 +524,8 @@
         assert!(sent(&actions).is_empty() && asked.len() == 3);
         for worker in asked {
             let busy = if worker == WorkerId(2) { 0.0 } else { 4.0 };
-            let report = Report { in_flight: Some(busy), free_slots: Some(5.0 - busy), ..Report::default() };
+            let report =
+                LoadReport { in_flight: Some(busy), free_slots: Some(5.0 - busy), ..LoadReport::default() };
             let ended = Ended { outcome: Outcome::Served, latency: MS, closed: false, report: Some(report) };
             stage.event(Event::Probed { worker, ended });
         }
@@ -594,7 +595,7 @@
         stage.list(ListKind::Complete, &workers(2));
         stage.event(Event::Peer(PeerId(1), Message::Here(ZoneId(0), Vec::new()).bytes()));
         let reported = |held: f64| {
-            Some(Report { in_flight: Some(held), free_slots: Some(4.0 - held), ..Report::default() })
+            Some(LoadReport { in_flight: Some(held), free_slots: Some(4.0 - held), ..LoadReport::default() })
         };
         let mut last = WorkerId(0);
         for held in [0.0, 0.0, 3.0] {
@@ -639,7 +640,7 @@
     let large = Request { slots: 4.0, ..Request::new(RequestId(1000), ClassId(0), 4 * S) };
     stage.event(Event::Request(large));
     let seen = |held: f64, free: f64| {
-        Some(Report { in_flight: Some(held), free_slots: Some(free), ..Report::default() })
+        Some(LoadReport { in_flight: Some(held), free_slots: Some(free), ..LoadReport::default() })
     };
     let ends = |stage: &mut Stage, id, report| {
         let ended = Ended { outcome: Outcome::Served, latency: 100 * MS, closed: true, report };
@@ -686,7 +687,7 @@
     // What it has learned it tells those that start after it.
     let mut stage = Stage::new(set, &workers(1));
     let (id, _) = stage.request(4 * S);
-    let report = Some(Report { in_flight: Some(0.0), free_slots: Some(5.0), ..Report::default() });
+    let report = Some(LoadReport { in_flight: Some(0.0), free_slots: Some(5.0), ..LoadReport::default() });
     let ended = Ended { outcome: Outcome::Served, latency: 100 * MS, closed: true, report };
     stage.event(Event::Ended { id, attempt: 0, ended });
     stage.now += S;
@@ -764,7 +765,8 @@
                 stage.event(Event::Peer(PeerId(1), Message::Holds(holds).bytes()));
             }
             stage.now += 100 * MS;
-            let report = Some(Report { in_flight: Some(0.0), free_slots: Some(4.0), ..Report::default() });
+            let report =
+                Some(LoadReport { in_flight: Some(0.0), free_slots: Some(4.0), ..LoadReport::default() });
             let ended = Ended { outcome: Outcome::Served, latency: 100 * MS + wait, closed: true, report };
             stage.event(Event::Ended { id, attempt: 0, ended });
         }
@@ -788,7 +790,7 @@
         let mut stage =
             Stage { dispatcher: Dispatcher::new(set.clone(), 5), now: 1_800_000_000 * S, next: 0 };
         stage.list(ListKind::Complete, &workers(8));
-        let free = Report { in_flight: Some(0.0), free_slots: Some(4.0), ..Report::default() };
+        let free = LoadReport { in_flight: Some(0.0), free_slots: Some(4.0), ..LoadReport::default() };
         let served = Ended { outcome: Outcome::Served, latency: 100 * MS, closed: true, report: Some(free) };
         for turn in 0..600u32 {
             stage.now += 5 * MS;
@@ -838,7 +840,7 @@
         ..settings(Idempotency::Idempotent)
     };
     let mut stage = Stage::new(set, &workers(1));
-    let free = Report { in_flight: Some(0.0), free_slots: Some(5.0), ..Report::default() };
+    let free = LoadReport { in_flight: Some(0.0), free_slots: Some(5.0), ..LoadReport::default() };
     let (id, _) = stage.request(4 * S);
     let served = Ended { outcome: Outcome::Served, latency: 100 * MS, closed: true, report: Some(free) };
     stage.event(Event::Ended { id, attempt: 0, ended: served });
--- a/crates/scheduler/src/relay.rs
+++ b/crates/scheduler/src/relay.rs
@@ -4,7 +4,7 @@
 use super::shares::Holding;
 use super::{Scheduler, route};
 use bytes::Bytes;
-use loomlb_policy::{Ended, Event, Note, Outcome, Report, RequestId};
+use loomlb_policy::{Ended, Event, LoadReport, Note, Outcome, RequestId};
 use serde::Deserialize;
 use std::borrow::Cow;
 use std::rc::Rc;
@@ -57,7 +57,7 @@
 }
 
 /// A forward has ended; what ends it a second time is passed over.
-pub fn ended(s: &Rc<Scheduler>, id: RequestId, n: u32, outcome: Outcome, report: Option<Report>) {
+pub fn ended(s: &Rc<Scheduler>, id: RequestId, n: u32, outcome: Outcome, report: Option<LoadReport>) {
     let mut book = s.book.borrow_mut();
     let Some(forward) = book.forward(id, n).filter(|f| f.stage != Stage::Ended) else { return };
     (forward.stage, forward.never_ran) = (Stage::Ended, outcome.never_ran());
@@ -128,7 +128,7 @@
     drop(book);
     // A report that cannot be read must not cost the flow its result.
     let report = said.load.as_ref().and_then(|load| load.as_object()).map(|load| {
-        let mut report = Report::default();
+        let mut report = LoadReport::default();
         let values = load.iter().filter_map(|(name, value)| Some((name, value.as_f64()?)));
         values.for_each(|(name, value)| s.epoch().terms.report(&mut report, name, value));
         report
--- a/crates/scheduler/src/send.rs
+++ b/crates/scheduler/src/send.rs
@@ -5,7 +5,7 @@
 use super::http::{Fault, Kind, Message, Wire};
 use super::wheel::Due;
 use super::{Scheduler, relay, route};
-use loomlb_policy::{Ended, Event, LoadReporting, Nanos, Outcome, Report, RequestId, WorkerId};
+use loomlb_policy::{Ended, Event, LoadReport, LoadReporting, Nanos, Outcome, RequestId, WorkerId};
 use loomlb_sockets::faults::ConnectFault;
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -477,7 +477,7 @@
 }
 
 /// What a target's answer means for the forward; none if the target has taken it.
-fn read_answer(s: &Scheduler, answer: &Message) -> Option<(Outcome, Option<Report>)> {
+fn read_answer(s: &Scheduler, answer: &Message) -> Option<(Outcome, Option<LoadReport>)> {
     let report = answer.text("X-Backend-Load").map(|text| read_report(s, text));
     let unprocessed = answer.text("X-Unprocessed") == Some("1");
     match answer.status {
@@ -490,8 +490,8 @@
 }
 
 /// A report in its header's form: `name=value,name=value`.
-fn read_report(s: &Scheduler, text: &str) -> Report {
-    let mut report = Report::default();
+fn read_report(s: &Scheduler, text: &str) -> LoadReport {
+    let mut report = LoadReport::default();
     for (name, value) in text.split(',').filter_map(|pair| pair.split_once('=')) {
         if let Ok(value) = value.trim().parse() {
             s.epoch().terms.report(&mut report, name.trim(), value);
--- a/crates/simhost/src/wire.rs
+++ b/crates/simhost/src/wire.rs
@@ -1,7 +1,7 @@
 //! The wire's lines as types. Unknown fields are skipped; what is missing or of a wrong type is named.
 
 use loomlb_policy::boot::BootInfo;
-use loomlb_policy::{Action, CellId, ListKind, Outcome, Receiver, Report, Worker, WorkerId, WorkerState};
+use loomlb_policy::{Action, CellId, ListKind, LoadReport, Outcome, Receiver, Worker, WorkerId, WorkerState};
 use serde::{Deserialize, Serialize};
 use std::borrow::Cow;
 
@@ -78,9 +78,15 @@
     x0: Option<f64>,
 }
 
-impl From<RawReport> for Report {
+impl From<RawReport> for LoadReport {
     fn from(r: RawReport) -> Self {
-        Report { in_flight: r.rif, queue: r.q, free_slots: r.x0, busy: r.busy, latency_ms: r.lat_ms }
+        LoadReport {
+            in_flight: r.rif,
+            queued: r.q,
+            free_slots: r.x0,
+            utilization: r.busy,
+            service_time_ms: r.lat_ms,
+        }
     }
 }
 
--- a/crates/simulation/src/simulate.rs
+++ b/crates/simulation/src/simulate.rs
@@ -13,7 +13,7 @@
 use crate::world::{Attempt, Counters, Deed, Dial, Reply, Signal, Word, World, ms};
 use loomlb_policy::boot::{Names, affinity_key};
 use loomlb_policy::{
-    Action, ClassId, Dispatcher, Ended, Event, ListKind, Nanos, Note, Outcome, PeerId, Receiver, Report,
+    Action, ClassId, Dispatcher, Ended, Event, ListKind, LoadReport, Nanos, Note, Outcome, PeerId, Receiver,
     Request as Asked, RequestId, Settings, TenantId,
 };
 use loomlb_quota::{Ask, Quota, Standing, Ticket, Verdict};
@@ -173,7 +173,7 @@
 }
 
 /// A word on its way: request, job, what is said, and the worker's load.
-type Said = (u64, u64, Word, Option<Report>);
+type Said = (u64, u64, Word, Option<LoadReport>);
 
 struct Host<'a> {
     world: World,
@@ -579,7 +579,7 @@
     }
 
     /// An attempt has ended, as its scheduler hears.
-    fn end(&mut self, s: usize, id: u64, n: u32, outcome: Outcome, report: Option<Report>) {
+    fn end(&mut self, s: usize, id: u64, n: u32, outcome: Outcome, report: Option<LoadReport>) {
         let now = self.now;
         let Some(flow) = self.nodes[s].flows.get_mut(&id) else { return };
         let answered = flow.answered;
@@ -756,7 +756,7 @@
 
     /// A word may be late, or of a job that an earlier run of this scheduler sent: it counts only while its forward
     /// is out.
-    fn word(&mut self, s: usize, id: u64, job: u64, word: Word, report: Option<Report>) {
+    fn word(&mut self, s: usize, id: u64, job: u64, word: Word, report: Option<LoadReport>) {
         let out = |f: &Flow| f.forwards.iter().position(|x| x.job == Some(job) && !x.ended);
         let Some(n) = self.nodes[s].flows.get(&id).and_then(out) else { return };
         let n = n as u32;
@@ -982,8 +982,8 @@
     id & 15 == 1
 }
 
-fn told(r: crate::world::Report) -> Report {
-    Report { in_flight: Some(r.held), free_slots: Some(r.free), ..Report::default() }
+fn told(r: crate::world::Report) -> LoadReport {
+    LoadReport { in_flight: Some(r.held), free_slots: Some(r.free), ..LoadReport::default() }
 }
 
 const OUTCOMES: [Outcome; 5] =
