--- a/crates/lab/src/baselines.rs
+++ b/crates/lab/src/baselines.rs
@@ -2,8 +2,8 @@
 //! drains, refusals), choose by their one idea, and learn nothing else.
 
 use loomlb_policy::{
-    Action, Class, DedupScope, Ended, Event, Idempotency, ListKind, Nanos, Outcome, Request, RequestId,
-    Settings, Worker, WorkerId, WorkerState, ZoneId,
+    Action, AttemptResult, Class, DedupScope, Event, Idempotency, ListKind, Nanos, Outcome, Request,
+    RequestId, Settings, Worker, WorkerId, WorkerState, ZoneId,
 };
 use loomlb_simulation::simulate::Decider;
 use rustc_hash::FxHashMap;
@@ -155,14 +155,14 @@
         out.push(if free { Action::Refuse { id, retry_after } } else { Action::Fail(id) });
     }
 
-    fn ended(&mut self, id: RequestId, attempt: u32, ended: Ended, out: &mut Vec<Action>) {
+    fn ended(&mut self, id: RequestId, attempt: u32, ended: AttemptResult, out: &mut Vec<Action>) {
         let Some(job) = self.jobs.get_mut(&id) else { return };
         let Some(a) = job.attempts.get_mut(attempt as usize) else { return };
         a.outcome = Some(ended.outcome);
         if let Some(load) = self.load.get_mut(&a.worker) {
             *load = load.saturating_sub(1);
         }
-        if ended.closed || ended.outcome == Outcome::Served {
+        if ended.request_finished || ended.outcome == Outcome::Served {
             self.jobs.remove(&id);
         } else {
             self.place(id, out);
@@ -198,7 +198,7 @@
                 }
                 // Its attempts still end, and count against their workers until then.
             }
-            Event::Ended { id, attempt, ended } => {
+            Event::AttemptEnded { id, attempt, result: ended } => {
                 let gone = ended.outcome == Outcome::Cancelled;
                 if gone && let Some(job) = self.jobs.remove(&id) {
                     for a in job.attempts.iter().filter(|a| a.outcome.is_none()) {
--- a/crates/lab/src/capacity/probe.rs
+++ b/crates/lab/src/capacity/probe.rs
@@ -1,7 +1,7 @@
 //! The decision module under a steady load, as `crates/policy/benches/decision.rs` drives it, and real entries of the list.
 
 use loomlb_policy::{
-    Action, Class, ClassId, Dispatcher, Ended, Event, Idempotency, Limits, ListKind, LoadReport,
+    Action, AttemptResult, Class, ClassId, Dispatcher, Event, Idempotency, Limits, ListKind, LoadReport,
     LoadReporting, Nanos, Note, Outcome, Request, RequestId, Settings, Tenant, TenantId, Worker, WorkerId,
 };
 use loomlb_simulation::Day;
@@ -97,10 +97,15 @@
         self.now += MS / 4;
         let Some(id) = self.out.pop_front() else { return 0 };
         let report = LoadReport { in_flight: Some(2.0), free_slots: Some(3.0), ..LoadReport::default() };
-        let ended = Ended { outcome: Outcome::Served, latency: 200 * MS, closed: true, report: Some(report) };
+        let ended = AttemptResult {
+            outcome: Outcome::Served,
+            latency: 200 * MS,
+            request_finished: true,
+            load_report: Some(report),
+        };
         self.tell(Event::Note(id, 0, Note::Started));
         let started = self.told();
-        self.tell(Event::Ended { id, attempt: 0, ended });
+        self.tell(Event::AttemptEnded { id, attempt: 0, result: ended });
         started + self.told()
     }
 
--- a/crates/policy/benches/decision.rs
+++ b/crates/policy/benches/decision.rs
@@ -75,10 +75,14 @@
         self.now += MS / 4;
         if let Some(id) = self.out.pop_front() {
             let report = LoadReport { in_flight: Some(2.0), free_slots: Some(3.0), ..LoadReport::default() };
-            let ended =
-                Ended { outcome: Outcome::Served, latency: 200 * MS, closed: true, report: Some(report) };
+            let ended = AttemptResult {
+                outcome: Outcome::Served,
+                latency: 200 * MS,
+                request_finished: true,
+                load_report: Some(report),
+            };
             self.tell(Event::Note(id, 0, Note::Started));
-            self.tell(Event::Ended { id, attempt: 0, ended });
+            self.tell(Event::AttemptEnded { id, attempt: 0, result: ended });
         }
         self.request();
     }
--- a/crates/policy/src/api.rs
+++ b/crates/policy/src/api.rs
@@ -343,15 +343,15 @@
 
 /// The end of an attempt.
 #[derive(Clone, Copy, Debug)]
-pub struct Ended {
+pub struct AttemptResult {
     /// How it ended.
     pub outcome: Outcome,
     /// Time since the send.
     pub latency: Nanos,
     /// The request is over.
-    pub closed: bool,
+    pub request_finished: bool,
     /// The worker's load.
-    pub report: Option<LoadReport>,
+    pub load_report: Option<LoadReport>,
 }
 
 /// News of an attempt that is still out.
@@ -420,20 +420,20 @@
     /// A streamed answer has begun: the attempt belongs to the client now.
     Opened(RequestId, u32),
     /// An attempt has ended.
-    Ended {
+    AttemptEnded {
         /// Its request.
         id: RequestId,
         /// Its number.
         attempt: u32,
         /// How it ended.
-        ended: Ended,
+        result: AttemptResult,
     },
     /// A probe has ended.
-    Probed {
+    ProbeEnded {
         /// The worker probed.
         worker: WorkerId,
         /// How it ended.
-        ended: Ended,
+        result: AttemptResult,
     },
     /// A timer that this dispatcher set.
     Timer(u64),
--- a/crates/policy/src/rules.rs
+++ b/crates/policy/src/rules.rs
@@ -138,10 +138,10 @@
             }
             Event::Note(id, attempt, note) => self.note(id, attempt, note),
             Event::Opened(id, _) => self.gone(id),
-            Event::Ended { id, attempt, ended } => self.outcome(id, attempt, ended, out),
-            Event::Probed { worker, ended } => {
+            Event::AttemptEnded { id, attempt, result: ended } => self.outcome(id, attempt, ended, out),
+            Event::ProbeEnded { worker, result: ended } => {
                 let Some(&w) = self.index.get(&worker) else { return };
-                match ended.report {
+                match ended.load_report {
                     Some(report) => self.report(w, &report),
                     None if ended.outcome != Outcome::Served => self.workers[w].failed(now, FORGET),
                     None => {}
@@ -834,7 +834,7 @@
         part.into_iter().for_each(|part| self.others_part += (part - self.others_part) * 0.02);
     }
 
-    fn outcome(&mut self, id: RequestId, attempt: u32, ended: Ended, out: &mut Vec<Action>) {
+    fn outcome(&mut self, id: RequestId, attempt: u32, ended: AttemptResult, out: &mut Vec<Action>) {
         let blind = self.blind();
         let Some(job) = self.jobs.get_mut(&id) else { return };
         let Some(a) = job.attempts.get_mut(attempt as usize).filter(|a| a.outcome.is_none()) else { return };
@@ -847,7 +847,7 @@
         let silent = known.silent(self.now) > SILENCE * self.mean_run;
         known.attempts = known.attempts.saturating_sub(1);
         known.own = (known.own - slots).max(0.0);
-        job.answered |= ended.closed;
+        job.answered |= ended.request_finished;
         let extra = known.meter.ended(id, attempt, self.now, ended.outcome == Outcome::Served);
         self.fetch += (extra.unwrap_or(self.fetch) - self.fetch) * 0.1;
         let pace = self.kind_pace.get_mut(known.entry.kind.0);
@@ -886,7 +886,7 @@
         if ended.outcome == Outcome::Full {
             self.waited(zone, 2.0 * self.mean_run);
         }
-        if let Some(report) = ended.report {
+        if let Some(report) = ended.load_report {
             self.report(w, &report);
         }
         let job = &self.jobs[&id];
--- a/crates/policy/tests/attempts.rs
+++ b/crates/policy/tests/attempts.rs
@@ -59,8 +59,13 @@
             self.seen.given_up += 1;
             let drawn = self.all.get_mut(&id).expect("a request that came");
             (drawn.attempts[attempt as usize].1, drawn.over) = (false, true);
-            let ended = Ended { outcome: Outcome::Cancelled, latency: 50 * MS, closed: true, report: None };
-            self.event(Event::Ended { id, attempt, ended });
+            let ended = AttemptResult {
+                outcome: Outcome::Cancelled,
+                latency: 50 * MS,
+                request_finished: true,
+                load_report: None,
+            };
+            self.event(Event::AttemptEnded { id, attempt, result: ended });
         }
     }
 
@@ -119,8 +124,13 @@
                     drawn.attempts[attempt as usize].1 = false;
                     drawn.over |= outcome == Served;
                     let closed = drawn.over;
-                    let ended = Ended { outcome, latency: 50 * MS, closed, report: None };
-                    story.event(Event::Ended { id, attempt, ended });
+                    let ended = AttemptResult {
+                        outcome,
+                        latency: 50 * MS,
+                        request_finished: closed,
+                        load_report: None,
+                    };
+                    story.event(Event::AttemptEnded { id, attempt, result: ended });
                 }
                 7 if !open.is_empty() => {
                     let (id, _) = open[rng.usize(..open.len())];
@@ -197,7 +207,16 @@
                     let attempt = *attempts.entry(id).and_modify(|n| *n += 1).or_insert(0);
                     let end = |outcome, latency| {
                         let closed = outcome == Outcome::Served;
-                        Event::Ended { id, attempt, ended: Ended { outcome, latency, closed, report: None } }
+                        Event::AttemptEnded {
+                            id,
+                            attempt,
+                            result: AttemptResult {
+                                outcome,
+                                latency,
+                                request_finished: closed,
+                                load_report: None,
+                            },
+                        }
                     };
                     let soon = rng.u64(1..20) * MS;
                     match trouble {
@@ -213,8 +232,13 @@
                 }
                 Action::Timer { after, token } => plan(after, Event::Timer(token)),
                 Action::Probe(worker) => {
-                    let ended = Ended { outcome: Outcome::Error, latency: MS, closed: false, report: None };
-                    plan(MS, Event::Probed { worker, ended });
+                    let ended = AttemptResult {
+                        outcome: Outcome::Error,
+                        latency: MS,
+                        request_finished: false,
+                        load_report: None,
+                    };
+                    plan(MS, Event::ProbeEnded { worker, result: ended });
                 }
                 Action::Refuse { .. } | Action::Fail(_) => turned_away += 1,
                 _ => {}
--- a/crates/policy/tests/cold_fleet.rs
+++ b/crates/policy/tests/cold_fleet.rs
@@ -99,8 +99,13 @@
             stage.now = now;
             let report =
                 Some(LoadReport { free_slots: Some(SLOTS), in_flight: Some(0.0), ..LoadReport::default() });
-            let ended = Ended { outcome: Outcome::Served, latency: now - sent, closed: true, report };
-            stage.event(Event::Ended { id: RequestId(id), attempt: 0, ended });
+            let ended = AttemptResult {
+                outcome: Outcome::Served,
+                latency: now - sent,
+                request_finished: true,
+                load_report: report,
+            };
+            stage.event(Event::AttemptEnded { id: RequestId(id), attempt: 0, result: ended });
         }
         for (me, stage) in all.iter_mut().enumerate() {
             stage.now = now;
--- a/crates/policy/tests/module.rs
+++ b/crates/policy/tests/module.rs
@@ -343,20 +343,25 @@
 fn odd_events_do_no_harm() {
     let mut stage = Stage::new(settings(Idempotency::Idempotent), &workers(2));
     let odd = LoadReport { in_flight: Some(f64::NAN), free_slots: Some(-1.0), ..LoadReport::default() };
-    let ended = Ended { outcome: Outcome::Served, latency: 0, closed: true, report: Some(odd) };
-    assert!(stage.event(Event::Ended { id: RequestId(99), attempt: 0, ended }).is_empty());
+    let ended = AttemptResult {
+        outcome: Outcome::Served,
+        latency: 0,
+        request_finished: true,
+        load_report: Some(odd),
+    };
+    assert!(stage.event(Event::AttemptEnded { id: RequestId(99), attempt: 0, result: ended }).is_empty());
     assert!(stage.event(Event::Gone(RequestId(99))).is_empty());
     assert!(stage.event(Event::Timer(12345)).is_empty());
     assert!(stage.event(Event::Note(RequestId(99), 3, Note::Progress(f64::NAN))).is_empty());
     assert!(stage.event(Event::Peer(PeerId(7), vec![255; 300])).is_empty());
-    stage.event(Event::Probed { worker: WorkerId(77), ended });
+    stage.event(Event::ProbeEnded { worker: WorkerId(77), result: ended });
     let id = RequestId(5);
     let unknown = Request { class: ClassId(9), ..Request::new(id, ClassId(9), S) };
     assert_eq!(answers(&stage.event(Event::Request(unknown))).len(), 1);
     let strange =
         Request { slots: f64::NAN, tenant: Some(TenantId(4)), ..Request::new(RequestId(6), ClassId(0), S) };
     stage.event(Event::Request(strange));
-    stage.event(Event::Ended { id: RequestId(6), attempt: 0, ended });
+    stage.event(Event::AttemptEnded { id: RequestId(6), attempt: 0, result: ended });
     let (id, actions) = stage.request(3 * S);
     assert_eq!(sent(&actions).len(), 1);
     stage.list(ListKind::Complete, &[]);
@@ -424,13 +429,13 @@
         late += usize::from(silent && i >= 90);
         // It is the fastest until it falls silent.
         if !silent || i < 40 {
-            let ended = Ended {
+            let ended = AttemptResult {
                 outcome: Outcome::Served,
                 latency: if silent { 30 } else { 100 } * MS,
-                closed: true,
-                report: Some(roomy),
+                request_finished: true,
+                load_report: Some(roomy),
             };
-            stage.event(Event::Ended { id, attempt: 0, ended });
+            stage.event(Event::AttemptEnded { id, attempt: 0, result: ended });
         }
     }
     assert!(late <= 5, "{late} jobs after it had been silent for seconds");
@@ -460,13 +465,13 @@
             match action {
                 Action::Refuse { id, .. } => refused[[0, 1, 2, 2, 2][(id.0 - 1001) as usize % 5]] += 1,
                 Action::Send { id, .. } => {
-                    let ended = Ended {
+                    let ended = AttemptResult {
                         outcome: Outcome::Served,
                         latency: 100 * MS,
-                        closed: true,
-                        report: Some(if i == 0 { first } else { full }),
+                        request_finished: true,
+                        load_report: Some(if i == 0 { first } else { full }),
                     };
-                    stage.event(Event::Ended { id: *id, attempt: 0, ended });
+                    stage.event(Event::AttemptEnded { id: *id, attempt: 0, result: ended });
                 }
                 _ => {}
             }
@@ -526,8 +531,13 @@
             let busy = if worker == WorkerId(2) { 0.0 } else { 4.0 };
             let report =
                 LoadReport { in_flight: Some(busy), free_slots: Some(5.0 - busy), ..LoadReport::default() };
-            let ended = Ended { outcome: Outcome::Served, latency: MS, closed: false, report: Some(report) };
-            stage.event(Event::Probed { worker, ended });
+            let ended = AttemptResult {
+                outcome: Outcome::Served,
+                latency: MS,
+                request_finished: false,
+                load_report: Some(report),
+            };
+            stage.event(Event::ProbeEnded { worker, result: ended });
         }
         stage.now += 5 * MS;
         // All but the exploring ones.
@@ -555,8 +565,9 @@
         stage.event(Event::Note(id, 0, Note::Started));
         stage.now += 100 * MS;
         let latency = if far { 100 * MS } else { 3100 * MS };
-        let ended = Ended { outcome: Outcome::Served, latency, closed: true, report: None };
-        stage.event(Event::Ended { id, attempt: 0, ended });
+        let ended =
+            AttemptResult { outcome: Outcome::Served, latency, request_finished: true, load_report: None };
+        stage.event(Event::AttemptEnded { id, attempt: 0, result: ended });
     }
     assert!(crossed > 20, "{crossed} jobs of 200 left the full zone");
 }
@@ -577,8 +588,13 @@
             stage.event(Event::Note(id, 0, Note::Started));
             stage.now += 100 * MS;
             let latency = if i < 60 { 100 * MS } else { 20_100 * MS };
-            let ended = Ended { outcome: Outcome::Served, latency, closed: true, report: None };
-            stage.event(Event::Ended { id, attempt: 0, ended });
+            let ended = AttemptResult {
+                outcome: Outcome::Served,
+                latency,
+                request_finished: true,
+                load_report: None,
+            };
+            stage.event(Event::AttemptEnded { id, attempt: 0, result: ended });
         }
     }
     assert!(refused[0] == 0 && refused[1] > 20, "{refused:?}");
@@ -601,9 +617,13 @@
         for held in [0.0, 0.0, 3.0] {
             let (id, actions) = stage.request(4 * S);
             last = sent(&actions)[0];
-            let ended =
-                Ended { outcome: Outcome::Served, latency: 100 * MS, closed: true, report: reported(held) };
-            stage.event(Event::Ended { id, attempt: 0, ended });
+            let ended = AttemptResult {
+                outcome: Outcome::Served,
+                latency: 100 * MS,
+                request_finished: true,
+                load_report: reported(held),
+            };
+            stage.event(Event::AttemptEnded { id, attempt: 0, result: ended });
         }
         // Nothing is out there: what the last report counted is over.
         let (id, actions) = stage.request(4 * S);
@@ -643,8 +663,13 @@
         Some(LoadReport { in_flight: Some(held), free_slots: Some(free), ..LoadReport::default() })
     };
     let ends = |stage: &mut Stage, id, report| {
-        let ended = Ended { outcome: Outcome::Served, latency: 100 * MS, closed: true, report };
-        stage.event(Event::Ended { id, attempt: 0, ended });
+        let ended = AttemptResult {
+            outcome: Outcome::Served,
+            latency: 100 * MS,
+            request_finished: true,
+            load_report: report,
+        };
+        stage.event(Event::AttemptEnded { id, attempt: 0, result: ended });
     };
     ends(&mut stage, RequestId(1000), seen(0.0, 5.0));
     for _ in 0..20 {
@@ -688,8 +713,13 @@
     let mut stage = Stage::new(set, &workers(1));
     let (id, _) = stage.request(4 * S);
     let report = Some(LoadReport { in_flight: Some(0.0), free_slots: Some(5.0), ..LoadReport::default() });
-    let ended = Ended { outcome: Outcome::Served, latency: 100 * MS, closed: true, report };
-    stage.event(Event::Ended { id, attempt: 0, ended });
+    let ended = AttemptResult {
+        outcome: Outcome::Served,
+        latency: 100 * MS,
+        request_finished: true,
+        load_report: report,
+    };
+    stage.event(Event::AttemptEnded { id, attempt: 0, result: ended });
     stage.now += S;
     let said = stage.event(Event::Peer(PeerId(2), Message::Hello(ZoneId(0)).bytes()));
     let here = Message::Here(ZoneId(0), vec![40]).bytes();
@@ -767,8 +797,13 @@
             stage.now += 100 * MS;
             let report =
                 Some(LoadReport { in_flight: Some(0.0), free_slots: Some(4.0), ..LoadReport::default() });
-            let ended = Ended { outcome: Outcome::Served, latency: 100 * MS + wait, closed: true, report };
-            stage.event(Event::Ended { id, attempt: 0, ended });
+            let ended = AttemptResult {
+                outcome: Outcome::Served,
+                latency: 100 * MS + wait,
+                request_finished: true,
+                load_report: report,
+            };
+            stage.event(Event::AttemptEnded { id, attempt: 0, result: ended });
         }
         assert!((10..=11).contains(&used.len()), "a third of 32 workers is a group's: {used:?}");
         left
@@ -791,7 +826,12 @@
             Stage { dispatcher: Dispatcher::new(set.clone(), 5), now: 1_800_000_000 * S, next: 0 };
         stage.list(ListKind::Complete, &workers(8));
         let free = LoadReport { in_flight: Some(0.0), free_slots: Some(4.0), ..LoadReport::default() };
-        let served = Ended { outcome: Outcome::Served, latency: 100 * MS, closed: true, report: Some(free) };
+        let served = AttemptResult {
+            outcome: Outcome::Served,
+            latency: 100 * MS,
+            request_finished: true,
+            load_report: Some(free),
+        };
         for turn in 0..600u32 {
             stage.now += 5 * MS;
             let holds = Holds {
@@ -804,7 +844,7 @@
             let mut actions = if turn % busy == 0 { stage.request(4 * S).1 } else { Vec::new() };
             while let Some(action) = actions.pop() {
                 if let Action::Send { id, .. } = action {
-                    actions.extend(stage.event(Event::Ended { id, attempt: 0, ended: served }));
+                    actions.extend(stage.event(Event::AttemptEnded { id, attempt: 0, result: served }));
                 }
             }
         }
@@ -842,8 +882,13 @@
     let mut stage = Stage::new(set, &workers(1));
     let free = LoadReport { in_flight: Some(0.0), free_slots: Some(5.0), ..LoadReport::default() };
     let (id, _) = stage.request(4 * S);
-    let served = Ended { outcome: Outcome::Served, latency: 100 * MS, closed: true, report: Some(free) };
-    stage.event(Event::Ended { id, attempt: 0, ended: served });
+    let served = AttemptResult {
+        outcome: Outcome::Served,
+        latency: 100 * MS,
+        request_finished: true,
+        load_report: Some(free),
+    };
+    stage.event(Event::AttemptEnded { id, attempt: 0, result: served });
     let out: Vec<_> = (0..5).map(|_| stage.request(4 * S)).collect();
     assert!(out.iter().all(|(_, actions)| sent(actions).len() == 1));
     assert!(sent(&stage.request(4 * S).1).is_empty());
--- a/crates/policy/tests/stage/mod.rs
+++ b/crates/policy/tests/stage/mod.rs
@@ -68,8 +68,8 @@
     }
     pub fn ends(&mut self, id: RequestId, attempt: u32, outcome: Outcome) -> Vec<Action> {
         let closed = outcome == Outcome::Served;
-        let ended = Ended { outcome, latency: 100 * MS, closed, report: None };
-        self.event(Event::Ended { id, attempt, ended })
+        let ended = AttemptResult { outcome, latency: 100 * MS, request_finished: closed, load_report: None };
+        self.event(Event::AttemptEnded { id, attempt, result: ended })
     }
 }
 
--- a/crates/policy/tests/starts.rs
+++ b/crates/policy/tests/starts.rs
@@ -23,8 +23,13 @@
     stage.now += wait;
     stage.event(Event::Note(id, 0, Note::Started));
     stage.now += run;
-    let ended = Ended { outcome: Outcome::Served, latency: wait + run, closed: true, report: None };
-    stage.event(Event::Ended { id, attempt: 0, ended })
+    let ended = AttemptResult {
+        outcome: Outcome::Served,
+        latency: wait + run,
+        request_finished: true,
+        load_report: None,
+    };
+    stage.event(Event::AttemptEnded { id, attempt: 0, result: ended })
 }
 
 /// All answers were late on such a site: no slots were known, so every worker had room.
--- a/crates/scheduler/src/relay.rs
+++ b/crates/scheduler/src/relay.rs
@@ -4,7 +4,7 @@
 use super::shares::Holding;
 use super::{Scheduler, route};
 use bytes::Bytes;
-use loomlb_policy::{Ended, Event, LoadReport, Note, Outcome, RequestId};
+use loomlb_policy::{AttemptResult, Event, LoadReport, Note, Outcome, RequestId};
 use serde::Deserialize;
 use std::borrow::Cow;
 use std::rc::Rc;
@@ -74,7 +74,14 @@
     book.counters.outcome(outcome);
     settle(s, book.tidy(id));
     drop(book);
-    route::feed(s, Event::Ended { id, attempt: n, ended: Ended { outcome, latency, closed, report } });
+    route::feed(
+        s,
+        Event::AttemptEnded {
+            id,
+            attempt: n,
+            result: AttemptResult { outcome, latency, request_finished: closed, load_report: report },
+        },
+    );
 }
 
 #[derive(Deserialize)]
--- a/crates/scheduler/src/send.rs
+++ b/crates/scheduler/src/send.rs
@@ -5,7 +5,7 @@
 use super::http::{Fault, Kind, Message, Wire};
 use super::wheel::Due;
 use super::{Scheduler, relay, route};
-use loomlb_policy::{Ended, Event, LoadReport, LoadReporting, Nanos, Outcome, RequestId, WorkerId};
+use loomlb_policy::{AttemptResult, Event, LoadReport, LoadReporting, Nanos, Outcome, RequestId, WorkerId};
 use loomlb_sockets::faults::ConnectFault;
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -621,8 +621,8 @@
             Err(_) => (Outcome::NoConnection, None),
         };
         let latency = s.clock.now().saturating_sub(sent);
-        let ended = Ended { outcome, latency, closed: false, report };
-        route::feed(&s, Event::Probed { worker: to, ended });
+        let ended = AttemptResult { outcome, latency, request_finished: false, load_report: report };
+        route::feed(&s, Event::ProbeEnded { worker: to, result: ended });
     });
 }
 
--- a/crates/simhost/src/main.rs
+++ b/crates/simhost/src/main.rs
@@ -5,7 +5,8 @@
 use base64::Engine as _;
 use loomlb_policy::boot::{Names, affinity_key};
 use loomlb_policy::{
-    Action, ClassId, Dispatcher, Ended, Event, Nanos, Note, PeerId, Request, RequestId, TenantId, WorkerId,
+    Action, AttemptResult, ClassId, Dispatcher, Event, Nanos, Note, PeerId, Request, RequestId, TenantId,
+    WorkerId,
 };
 use rustc_hash::FxHashMap;
 use std::io::{BufRead, Write};
@@ -99,7 +100,12 @@
             let word = need(e.status.as_deref(), "status")?;
             let outcome = wire::outcome(word).ok_or_else(|| format!("status: unknown word {word:?}"))?;
             let latency = need(e.duration, "duration")?;
-            Ok::<_, String>(Ended { outcome, latency, closed: e.closed, report: e.report.map(Into::into) })
+            Ok::<_, String>(AttemptResult {
+                outcome,
+                latency,
+                request_finished: e.closed,
+                load_report: e.report.map(Into::into),
+            })
         };
         Ok(match &*e.op {
             "ORDER" => {
@@ -123,7 +129,7 @@
                     expected_work: e.expected,
                 })
             }
-            "COMPLETED" => Event::Ended { id: id()?, attempt: attempt()?, ended: ended()? },
+            "COMPLETED" => Event::AttemptEnded { id: id()?, attempt: attempt()?, result: ended()? },
             "HEARTBEAT" => {
                 let note = match need(e.sort, "sort")? {
                     1 => Note::Started,
@@ -150,7 +156,9 @@
                     }
                 }
             },
-            "PING_RESULT" => Event::Probed { worker: WorkerId(need(e.worker, "worker")?), ended: ended()? },
+            "PING_RESULT" => {
+                Event::ProbeEnded { worker: WorkerId(need(e.worker, "worker")?), result: ended()? }
+            }
             "DATAGRAM" => {
                 let raw = need(e.raw.as_deref(), "raw")?;
                 let bytes = base64::engine::general_purpose::STANDARD.decode(raw);
--- a/crates/simulation/src/simulate.rs
+++ b/crates/simulation/src/simulate.rs
@@ -13,8 +13,8 @@
 use crate::world::{Attempt, Counters, Deed, Dial, Reply, Signal, Word, World, ms};
 use loomlb_policy::boot::{Names, affinity_key};
 use loomlb_policy::{
-    Action, ClassId, Dispatcher, Ended, Event, ListKind, LoadReport, Nanos, Note, Outcome, PeerId, Receiver,
-    Request as Asked, RequestId, Settings, TenantId,
+    Action, AttemptResult, ClassId, Dispatcher, Event, ListKind, LoadReport, Nanos, Note, Outcome, PeerId,
+    Receiver, Request as Asked, RequestId, Settings, TenantId,
 };
 use loomlb_quota::{Ask, Quota, Standing, Ticket, Verdict};
 use rayon::prelude::*;
@@ -405,10 +405,10 @@
             Event::Gone(id) => self.mark(5, &[s, id.0]),
             Event::Note(id, n, _) => self.mark(6, &[s, id.0, u64::from(*n)]),
             Event::Opened(id, n) => self.mark(7, &[s, id.0, u64::from(*n)]),
-            Event::Ended { id, attempt, ended } => {
+            Event::AttemptEnded { id, attempt, result: ended } => {
                 self.mark(8, &[s, id.0, u64::from(*attempt), ended.outcome as u64, ended.latency]);
             }
-            Event::Probed { worker, ended } => self.mark(9, &[s, worker.0, ended.outcome as u64]),
+            Event::ProbeEnded { worker, result: ended } => self.mark(9, &[s, worker.0, ended.outcome as u64]),
             Event::Timer(token) => self.mark(10, &[s, *token]),
             Event::Peer(from, bytes) => self.mark(11, &[s, u64::from(from.0), bytes.len() as u64]),
             // The model plays no reload.
@@ -590,10 +590,10 @@
         flow.ran += started.map_or(0.0, |at| now.saturating_sub(at) as f64 / 1e9);
         self.feed(
             s,
-            Event::Ended {
+            Event::AttemptEnded {
                 id: RequestId(id),
                 attempt: n,
-                ended: Ended { outcome, latency, closed: answered, report },
+                result: AttemptResult { outcome, latency, request_finished: answered, load_report: report },
             },
         );
         self.tidy(s, id);
@@ -682,8 +682,16 @@
             Due::Probed(s, run, w, up) if lives(self, s, run) => {
                 let report = if up { self.world.probe(now, s, w) } else { None };
                 let outcome = if report.is_some() { Outcome::Served } else { Outcome::NoConnection };
-                let ended = Ended { outcome, latency: 0, closed: false, report: report.map(told) };
-                self.feed(s, Event::Probed { worker: loomlb_policy::WorkerId(w as u64 + 1), ended });
+                let ended = AttemptResult {
+                    outcome,
+                    latency: 0,
+                    request_finished: false,
+                    load_report: report.map(told),
+                };
+                self.feed(
+                    s,
+                    Event::ProbeEnded { worker: loomlb_policy::WorkerId(w as u64 + 1), result: ended },
+                );
             }
             Due::Answer(id, code) => self.answered(id, code),
             Due::Leave(id) => self.leave(id),
--- a/crates/simulation/tests/referee.rs
+++ b/crates/simulation/tests/referee.rs
@@ -1,8 +1,8 @@
 //! Each rule of the referee is able to fail: a scheduler with one fault is caught by the rule it breaks.
 
 use loomlb_policy::{
-    Action, CellId, Ended, Event, Idempotency, ListKind, Nanos, Outcome, Request, RequestId, Settings,
-    Worker, WorkerId, WorkerState,
+    Action, AttemptResult, CellId, Event, Idempotency, ListKind, Nanos, Outcome, Request, RequestId,
+    Settings, Worker, WorkerId, WorkerState,
 };
 use loomlb_simulation::referee::{Answered, End, Ended as HowEnded, Referee, Rule};
 use loomlb_simulation::simulate::{self, Decider};
@@ -57,9 +57,9 @@
         out.push(Action::Send { id, worker: to.id, timeout: request.remaining.min(4_000_000_000) });
     }
 
-    fn ended(&mut self, id: RequestId, ended: Ended, out: &mut Vec<Action>) {
+    fn ended(&mut self, id: RequestId, ended: AttemptResult, out: &mut Vec<Action>) {
         let Some((request, sent)) = self.jobs.get(&id) else { return };
-        if ended.closed || ended.outcome == Outcome::Served {
+        if ended.request_finished || ended.outcome == Outcome::Served {
             self.jobs.remove(&id);
             return;
         }
@@ -108,7 +108,7 @@
                 }
             }
             Event::Timer(id) => out.push(Action::Fail(RequestId(id))),
-            Event::Ended { id, ended, .. } => self.ended(id, ended, out),
+            Event::AttemptEnded { id, result: ended, .. } => self.ended(id, ended, out),
             Event::Gone(id) => {
                 self.jobs.remove(&id);
             }
