--- a/crates/lab/src/capacity/probe.rs
+++ b/crates/lab/src/capacity/probe.rs
@@ -1,8 +1,9 @@
 //! The decision module under a steady load, as `crates/policy/benches/decision.rs` drives it, and real entries of the list.
 
 use loomlb_policy::{
-    Action, AttemptResult, Class, ClassId, Dispatcher, Event, Idempotency, Limits, ListKind, LoadReport,
-    LoadReporting, Nanos, Note, Outcome, Request, RequestId, Settings, Tenant, TenantId, Worker, WorkerId,
+    Action, AttemptResult, Class, ClassId, Dispatcher, Event, Idempotency, JobProgress, Limits, ListKind,
+    LoadReport, LoadReporting, Nanos, Outcome, Request, RequestId, Settings, Tenant, TenantId, Worker,
+    WorkerId,
 };
 use loomlb_simulation::Day;
 use loomlb_simulation::settings::entry;
@@ -103,7 +104,7 @@
             request_finished: true,
             load_report: Some(report),
         };
-        self.tell(Event::Note(id, 0, Note::Started));
+        self.tell(Event::JobProgress(id, 0, JobProgress::Started));
         let started = self.told();
         self.tell(Event::AttemptEnded { id, attempt: 0, result: ended });
         started + self.told()
--- a/crates/policy/benches/decision.rs
+++ b/crates/policy/benches/decision.rs
@@ -81,7 +81,7 @@
                 request_finished: true,
                 load_report: Some(report),
             };
-            self.tell(Event::Note(id, 0, Note::Started));
+            self.tell(Event::JobProgress(id, 0, JobProgress::Started));
             self.tell(Event::AttemptEnded { id, attempt: 0, result: ended });
         }
         self.request();
--- a/crates/policy/src/api.rs
+++ b/crates/policy/src/api.rs
@@ -356,11 +356,11 @@
 
 /// News of an attempt that is still out.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Note {
+pub enum JobProgress {
     /// The job has started.
     Started,
     /// This share of it is done.
-    Progress(f64),
+    Fraction(f64),
 }
 
 impl LoadReport {
@@ -416,7 +416,7 @@
     /// A request is over; its client has gone.
     Gone(RequestId),
     /// News of an attempt.
-    Note(RequestId, u32, Note),
+    JobProgress(RequestId, u32, JobProgress),
     /// A streamed answer has begun: the attempt belongs to the client now.
     Opened(RequestId, u32),
     /// An attempt has ended.
--- a/crates/policy/src/rules.rs
+++ b/crates/policy/src/rules.rs
@@ -136,7 +136,7 @@
                 self.cancel(id, out);
                 self.gone(id);
             }
-            Event::Note(id, attempt, note) => self.note(id, attempt, note),
+            Event::JobProgress(id, attempt, note) => self.note(id, attempt, note),
             Event::Opened(id, _) => self.gone(id),
             Event::AttemptEnded { id, attempt, result: ended } => self.outcome(id, attempt, ended, out),
             Event::ProbeEnded { worker, result: ended } => {
@@ -812,11 +812,11 @@
 
     // ---- what comes back
 
-    fn note(&mut self, id: RequestId, attempt: u32, note: Note) {
+    fn note(&mut self, id: RequestId, attempt: u32, note: JobProgress) {
         let job = self.jobs.get_mut(&id);
         let Some(a) = job.and_then(|j| j.attempts.get_mut(attempt as usize)) else { return };
         self.workers[a.worker].heard = self.now;
-        if note == Note::Started && a.started.is_none() {
+        if note == JobProgress::Started && a.started.is_none() {
             self.workers[a.worker].meter.started(id, attempt, self.now);
             a.started = Some(self.now);
             let (zone, wait) = (a.zone, self.now.saturating_sub(a.sent));
--- a/crates/policy/tests/attempts.rs
+++ b/crates/policy/tests/attempts.rs
@@ -223,7 +223,7 @@
                         Trouble::Ends(outcome) => plan(soon, end(outcome, soon)),
                         Trouble::Slow => {
                             let begins = timeout * 9 / 10;
-                            plan(begins, Event::Note(id, attempt, Note::Started));
+                            plan(begins, Event::JobProgress(id, attempt, JobProgress::Started));
                             plan(timeout - MS, end(Outcome::Served, timeout - MS));
                         }
                         Trouble::Hang if worker.0 % 2 == 0 => plan(timeout, end(Outcome::Timeout, timeout)),
--- a/crates/policy/tests/module.rs
+++ b/crates/policy/tests/module.rs
@@ -352,7 +352,7 @@
     assert!(stage.event(Event::AttemptEnded { id: RequestId(99), attempt: 0, result: ended }).is_empty());
     assert!(stage.event(Event::Gone(RequestId(99))).is_empty());
     assert!(stage.event(Event::Timer(12345)).is_empty());
-    assert!(stage.event(Event::Note(RequestId(99), 3, Note::Progress(f64::NAN))).is_empty());
+    assert!(stage.event(Event::JobProgress(RequestId(99), 3, JobProgress::Fraction(f64::NAN))).is_empty());
     assert!(stage.event(Event::Peer(PeerId(7), vec![255; 300])).is_empty());
     stage.event(Event::ProbeEnded { worker: WorkerId(77), result: ended });
     let id = RequestId(5);
@@ -562,7 +562,7 @@
         crossed += u32::from(far);
         // At home a job waits for three seconds before it starts, elsewhere it starts at once.
         stage.now += if far { 0 } else { 3 * S };
-        stage.event(Event::Note(id, 0, Note::Started));
+        stage.event(Event::JobProgress(id, 0, JobProgress::Started));
         stage.now += 100 * MS;
         let latency = if far { 100 * MS } else { 3100 * MS };
         let ended =
@@ -585,7 +585,7 @@
         if !sent(&actions).is_empty() {
             // Later on a job waits for twenty seconds before it starts.
             stage.now += if i < 60 { 0 } else { 20 * S };
-            stage.event(Event::Note(id, 0, Note::Started));
+            stage.event(Event::JobProgress(id, 0, JobProgress::Started));
             stage.now += 100 * MS;
             let latency = if i < 60 { 100 * MS } else { 20_100 * MS };
             let ended = AttemptResult {
@@ -788,7 +788,7 @@
                 used.insert(to);
             }
             stage.now += wait;
-            stage.event(Event::Note(id, 0, Note::Started));
+            stage.event(Event::JobProgress(id, 0, JobProgress::Started));
             // The group is full from the 120th job on, by the word of a peer of it.
             for &worker in used.iter().filter(|_| turn >= 120) {
                 let holds = Holds { worker, slots: 9, turn: turn as u16, failed: false };
--- a/crates/policy/tests/starts.rs
+++ b/crates/policy/tests/starts.rs
@@ -21,7 +21,7 @@
 /// Plays a job through: it starts after `wait` and runs for `run`.
 fn plays(stage: &mut Stage, id: RequestId, wait: Nanos, run: Nanos) -> Vec<Action> {
     stage.now += wait;
-    stage.event(Event::Note(id, 0, Note::Started));
+    stage.event(Event::JobProgress(id, 0, JobProgress::Started));
     stage.now += run;
     let ended = AttemptResult {
         outcome: Outcome::Served,
--- a/crates/scheduler/src/relay.rs
+++ b/crates/scheduler/src/relay.rs
@@ -4,7 +4,7 @@
 use super::shares::Holding;
 use super::{Scheduler, route};
 use bytes::Bytes;
-use loomlb_policy::{AttemptResult, Event, LoadReport, Note, Outcome, RequestId};
+use loomlb_policy::{AttemptResult, Event, JobProgress, LoadReport, Outcome, RequestId};
 use serde::Deserialize;
 use std::borrow::Cow;
 use std::rc::Rc;
@@ -141,8 +141,10 @@
         report
     });
     match &*said.state {
-        "started" => route::feed(s, Event::Note(id, n, Note::Started)),
-        "running" => route::feed(s, Event::Note(id, n, Note::Progress(said.share.unwrap_or(0.0)))),
+        "started" => route::feed(s, Event::JobProgress(id, n, JobProgress::Started)),
+        "running" => {
+            route::feed(s, Event::JobProgress(id, n, JobProgress::Fraction(said.share.unwrap_or(0.0))))
+        }
         "done" => {
             answer(s, id, Answer::Served(Bytes::from(said.result.unwrap_or_default())));
             ended(s, id, n, Outcome::Served, report);
--- a/crates/simhost/src/main.rs
+++ b/crates/simhost/src/main.rs
@@ -5,8 +5,8 @@
 use base64::Engine as _;
 use loomlb_policy::boot::{Names, affinity_key};
 use loomlb_policy::{
-    Action, AttemptResult, ClassId, Dispatcher, Event, Nanos, Note, PeerId, Request, RequestId, TenantId,
-    WorkerId,
+    Action, AttemptResult, ClassId, Dispatcher, Event, JobProgress, Nanos, PeerId, Request, RequestId,
+    TenantId, WorkerId,
 };
 use rustc_hash::FxHashMap;
 use std::io::{BufRead, Write};
@@ -132,10 +132,10 @@
             "COMPLETED" => Event::AttemptEnded { id: id()?, attempt: attempt()?, result: ended()? },
             "HEARTBEAT" => {
                 let note = match need(e.sort, "sort")? {
-                    1 => Note::Started,
-                    _ => Note::Progress(e.x.unwrap_or(0.0)),
+                    1 => JobProgress::Started,
+                    _ => JobProgress::Fraction(e.x.unwrap_or(0.0)),
                 };
-                Event::Note(id()?, attempt()?, note)
+                Event::JobProgress(id()?, attempt()?, note)
             }
             "RING" => Event::Timer(need(e.ctx, "ctx")?),
             "LAPSED" => Event::Gone(id()?),
--- a/crates/simulation/src/simulate.rs
+++ b/crates/simulation/src/simulate.rs
@@ -13,8 +13,8 @@
 use crate::world::{Attempt, Counters, Deed, Dial, Reply, Signal, Word, World, ms};
 use loomlb_policy::boot::{Names, affinity_key};
 use loomlb_policy::{
-    Action, AttemptResult, ClassId, Dispatcher, Event, ListKind, LoadReport, Nanos, Note, Outcome, PeerId,
-    Receiver, Request as Asked, RequestId, Settings, TenantId,
+    Action, AttemptResult, ClassId, Dispatcher, Event, JobProgress, ListKind, LoadReport, Nanos, Outcome,
+    PeerId, Receiver, Request as Asked, RequestId, Settings, TenantId,
 };
 use loomlb_quota::{Ask, Quota, Standing, Ticket, Verdict};
 use rayon::prelude::*;
@@ -403,7 +403,7 @@
             Event::ListFailed => self.mark(3, &[s]),
             Event::Request(r) => self.mark(4, &[s, r.id.0, r.class.0 as u64, r.remaining]),
             Event::Gone(id) => self.mark(5, &[s, id.0]),
-            Event::Note(id, n, _) => self.mark(6, &[s, id.0, u64::from(*n)]),
+            Event::JobProgress(id, n, _) => self.mark(6, &[s, id.0, u64::from(*n)]),
             Event::Opened(id, n) => self.mark(7, &[s, id.0, u64::from(*n)]),
             Event::AttemptEnded { id, attempt, result: ended } => {
                 self.mark(8, &[s, id.0, u64::from(*attempt), ended.outcome as u64, ended.latency]);
@@ -774,9 +774,9 @@
                 if let Some(f) = self.forward_of(s, id, n) {
                     f.started = Some(now);
                 }
-                self.feed(s, Event::Note(RequestId(id), n, Note::Started));
+                self.feed(s, Event::JobProgress(RequestId(id), n, JobProgress::Started));
             }
-            Word::Progress(x) => self.feed(s, Event::Note(RequestId(id), n, Note::Progress(x))),
+            Word::Progress(x) => self.feed(s, Event::JobProgress(RequestId(id), n, JobProgress::Fraction(x))),
             Word::Done => {
                 let w = self.forward_of(s, id, n).map_or(0, |f| f.worker);
                 self.answer(s, id, Answered::Served(World::result(w, job)), Try::Served);
