--- a/crates/lab/src/baselines.rs
+++ b/crates/lab/src/baselines.rs
@@ -174,7 +174,7 @@
     fn handle(&mut self, now: Nanos, event: Event, out: &mut Vec<Action>) {
         self.now = now;
         match event {
-            Event::Workers { kind, entries } => {
+            Event::WorkerList { kind, entries } => {
                 if kind != ListKind::Partial {
                     self.workers.clear();
                 }
@@ -191,7 +191,7 @@
                 self.jobs.insert(id, Job { request, deadline, attempts: Vec::new() });
                 self.place(id, out);
             }
-            Event::Gone(id) => {
+            Event::RequestAbandoned(id) => {
                 if let Some(job) = self.jobs.get(&id) {
                     let open = job.attempts.iter().enumerate().filter(|(_, a)| a.outcome.is_none());
                     out.extend(open.map(|(n, _)| Action::Cancel(id, n as u32)));
--- a/crates/lab/src/capacity/probe.rs
+++ b/crates/lab/src/capacity/probe.rs
@@ -66,7 +66,7 @@
             next: 0,
             tenants,
         };
-        probe.tell(Event::Workers { kind: ListKind::Complete, entries: self::workers(workers) });
+        probe.tell(Event::WorkerList { kind: ListKind::Complete, entries: self::workers(workers) });
         probe
     }
 
--- a/crates/lab/src/capacity/scheduler.rs
+++ b/crates/lab/src/capacity/scheduler.rs
@@ -120,7 +120,7 @@
         let entries = workers(*n);
         let tell = || {
             let mut probe = Probe::idle(0, 0, 1);
-            probe.tell(Event::Workers { kind: ListKind::Complete, entries: entries.clone() });
+            probe.tell(Event::WorkerList { kind: ListKind::Complete, entries: entries.clone() });
             black_box(&probe);
         };
         point(&mut told, *n as f64, plan.time(tell));
--- a/crates/policy/benches/decision.rs
+++ b/crates/policy/benches/decision.rs
@@ -50,7 +50,7 @@
             tenants,
         };
         let entries = (1..=workers).map(|i| Worker::new(WorkerId(i))).collect();
-        probe.tell(Event::Workers { kind: ListKind::Complete, entries });
+        probe.tell(Event::WorkerList { kind: ListKind::Complete, entries });
         // As many in flight as two for each worker, so that choices are real.
         (0..2 * workers).for_each(|_| probe.request());
         (0..4 * workers).for_each(|_| probe.step());
--- a/crates/policy/src/api.rs
+++ b/crates/policy/src/api.rs
@@ -401,24 +401,24 @@
 #[derive(Clone, Debug)]
 pub enum Event {
     /// News of the workers.
-    Workers {
+    WorkerList {
         /// How to read the entries.
         kind: ListKind,
         /// The entries.
         entries: Vec<Worker>,
     },
     /// The settings have changed. For each class, where it stands; requests keep the class that they came with.
-    Settings(Box<Settings>, Vec<Start>),
+    SettingsChanged(Box<Settings>, Vec<Start>),
     /// A call for the list failed, or the subscription broke.
-    ListFailed,
+    ListRequestFailed,
     /// A request is here.
     Request(Request),
     /// A request is over; its client has gone.
-    Gone(RequestId),
+    RequestAbandoned(RequestId),
     /// News of an attempt.
     JobProgress(RequestId, u32, JobProgress),
     /// A streamed answer has begun: the attempt belongs to the client now.
-    Opened(RequestId, u32),
+    ResponseStarted(RequestId, u32),
     /// An attempt has ended.
     AttemptEnded {
         /// Its request.
@@ -436,9 +436,9 @@
         result: AttemptResult,
     },
     /// A timer that this dispatcher set.
-    Timer(u64),
+    TimerFired(u64),
     /// A message of a peer.
-    Peer(PeerId, Vec<u8>),
+    PeerMessage(PeerId, Vec<u8>),
 }
 
 /// What a dispatcher wants done.
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -11,7 +11,7 @@
 //! let mut dispatcher = Dispatcher::new(settings, 7);
 //! let mut actions = Vec::new();
 //! let worker = Worker::new(WorkerId(1));
-//! dispatcher.handle(0, Event::Workers { kind: ListKind::Complete, entries: vec![worker] }, &mut actions);
+//! dispatcher.handle(0, Event::WorkerList { kind: ListKind::Complete, entries: vec![worker] }, &mut actions);
 //! let job = Request::new(RequestId(10), ClassId(0), 2_000_000_000);
 //! dispatcher.handle(1_000_000, Event::Request(job), &mut actions);
 //! assert!(actions.iter().any(|a| matches!(a, Action::Send { worker: WorkerId(1), .. })));
--- a/crates/policy/src/rules.rs
+++ b/crates/policy/src/rules.rs
@@ -127,17 +127,17 @@
     pub fn handle(&mut self, now: Nanos, event: Event, out: &mut Vec<Action>) {
         self.now = now;
         match event {
-            Event::Workers { kind, entries } => self.workers_news(kind, entries, out),
-            Event::ListFailed => self.list_failed(out),
-            Event::Settings(settings, starts) => self.retune(*settings, &starts),
+            Event::WorkerList { kind, entries } => self.workers_news(kind, entries, out),
+            Event::ListRequestFailed => self.list_failed(out),
+            Event::SettingsChanged(settings, starts) => self.retune(*settings, &starts),
             Event::Request(request) => self.request(request, out),
-            Event::Gone(id) => {
+            Event::RequestAbandoned(id) => {
                 // Nobody waits for it any more: its slots are for others.
                 self.cancel(id, out);
                 self.gone(id);
             }
             Event::JobProgress(id, attempt, note) => self.note(id, attempt, note),
-            Event::Opened(id, _) => self.gone(id),
+            Event::ResponseStarted(id, _) => self.gone(id),
             Event::AttemptEnded { id, attempt, result: ended } => self.outcome(id, attempt, ended, out),
             Event::ProbeEnded { worker, result: ended } => {
                 let Some(&w) = self.index.get(&worker) else { return };
@@ -147,14 +147,14 @@
                     None => {}
                 }
             }
-            Event::Timer(WATCH) => out.push(Action::Watch),
-            Event::Timer(SOON) => self.serve_held(out),
-            Event::Timer(HELD) => {
+            Event::TimerFired(WATCH) => out.push(Action::Watch),
+            Event::TimerFired(SOON) => self.serve_held(out),
+            Event::TimerFired(HELD) => {
                 self.held_timer = false;
                 self.serve_held(out);
             }
-            Event::Timer(_) => {}
-            Event::Peer(from, bytes) => {
+            Event::TimerFired(_) => {}
+            Event::PeerMessage(from, bytes) => {
                 Message::read(&bytes).into_iter().for_each(|message| self.peer(from, message, out))
             }
         }
--- a/crates/policy/tests/attempts.rs
+++ b/crates/policy/tests/attempts.rs
@@ -97,7 +97,7 @@
         list.iter_mut().for_each(|w| w.cell = CellId(w.id.0 % 2));
         let stage = Stage { dispatcher: Dispatcher::new(set, seed), now: S, next: 0 };
         let mut story = Story { stage, all: BTreeMap::new(), seen: Seen::default() };
-        story.event(Event::Workers { kind: ListKind::Complete, entries: list.clone() });
+        story.event(Event::WorkerList { kind: ListKind::Complete, entries: list.clone() });
         for _ in 0..300 {
             story.stage.now += rng.u64(0..60) * MS;
             let open: Vec<(RequestId, u32)> = story
@@ -136,15 +136,15 @@
                     let (id, _) = open[rng.usize(..open.len())];
                     if !std::mem::replace(&mut story.all.get_mut(&id).expect("it is open").over, true) {
                         story.seen.left_while_open += 1;
-                        story.event(Event::Gone(id));
+                        story.event(Event::RequestAbandoned(id));
                     }
                 }
                 8 => {
                     let mut one = list[rng.usize(..list.len())].clone();
                     one.state = if rng.bool() { WorkerState::Ready } else { WorkerState::Draining };
-                    story.event(Event::Workers { kind: ListKind::Partial, entries: vec![one] });
+                    story.event(Event::WorkerList { kind: ListKind::Partial, entries: vec![one] });
                 }
-                _ => story.event(Event::Timer(2)),
+                _ => story.event(Event::TimerFired(2)),
             }
         }
         seen.further += story.seen.further;
@@ -186,7 +186,7 @@
             Some(at) => {
                 stage.now = at;
                 let (_, n) = due.pop().expect("it was there");
-                let event = std::mem::replace(&mut events[n], Event::Timer(u64::MAX));
+                let event = std::mem::replace(&mut events[n], Event::TimerFired(u64::MAX));
                 stage.event(event)
             }
             None => {
@@ -230,7 +230,7 @@
                         Trouble::Hang => plan(soon, end(Outcome::Full, soon)),
                     }
                 }
-                Action::Timer { after, token } => plan(after, Event::Timer(token)),
+                Action::Timer { after, token } => plan(after, Event::TimerFired(token)),
                 Action::Probe(worker) => {
                     let ended = AttemptResult {
                         outcome: Outcome::Error,
--- a/crates/policy/tests/cold_fleet.rs
+++ b/crates/policy/tests/cold_fleet.rs
@@ -111,7 +111,7 @@
             stage.now = now;
             let (id, actions) = stage.request(6 * S);
             if sent(&actions).is_empty() {
-                stage.event(Event::Gone(id));
+                stage.event(Event::RequestAbandoned(id));
                 continue;
             }
             sent_at.push(now);
--- a/crates/policy/tests/module.rs
+++ b/crates/policy/tests/module.rs
@@ -21,7 +21,7 @@
         let (_, mut said) = stage.request(2 * S);
         while answers(&said).is_empty() {
             stage.now += 10 * MS;
-            said = stage.event(Event::Timer(2));
+            said = stage.event(Event::TimerFired(2));
         }
         let Action::Refuse { retry_after, .. } = answers(&said)[0] else { panic!("{said:?}") };
         assert!(*retry_after <= most && (*retry_after > 0) == (most > 0), "{retry_after} of {most}");
@@ -43,7 +43,7 @@
         said.extend(answers(&actions).into_iter().cloned());
         let Some((after, token)) = timers.first() else { break };
         stage.now += after;
-        actions = stage.event(Event::Timer(*token));
+        actions = stage.event(Event::TimerFired(*token));
     }
     assert_eq!(said, [Action::Refuse { id, retry_after: 0 }]);
     assert!(stage.now < S + 800 * MS);
@@ -71,7 +71,7 @@
 fn nothing_goes_out_for_a_request_whose_client_has_gone() {
     let mut stage = Stage::new(settings(Idempotency::Idempotent), &workers(3));
     let (id, _) = stage.request(3 * S);
-    assert_eq!(stage.event(Event::Gone(id)), [Action::Cancel(id, 0)]);
+    assert_eq!(stage.event(Event::RequestAbandoned(id)), [Action::Cancel(id, 0)]);
     let actions = stage.ends(id, 0, Outcome::Full);
     assert!(sent(&actions).is_empty() && answers(&actions).is_empty());
 }
@@ -88,7 +88,7 @@
             continue;
         }
         stage.now += S;
-        stage.event(Event::Gone(id));
+        stage.event(Event::RequestAbandoned(id));
         stage.ends(id, 0, Outcome::Cancelled);
         // Half of them would go there else; the fourth would find as much in its way at the other.
         let next: Vec<_> = (0..3).map(|_| stage.request(4 * S)).collect();
@@ -177,16 +177,16 @@
     set.dispatcher_count = 50;
     let mut dispatcher = Dispatcher::new(set, 5);
     let (mut now, mut out) = (S, Vec::new());
-    dispatcher.handle(now, Event::Workers { kind: ListKind::Persisted, entries: workers(2) }, &mut out);
+    dispatcher.handle(now, Event::WorkerList { kind: ListKind::Persisted, entries: workers(2) }, &mut out);
     for _ in 0..12 {
         let Some(Action::Timer { after, token }) = out.first().cloned() else { panic!("no timer: {out:?}") };
         assert!(after < 6 * S);
         now += after;
         out.clear();
-        dispatcher.handle(now, Event::Timer(token), &mut out);
+        dispatcher.handle(now, Event::TimerFired(token), &mut out);
         assert_eq!(out, [Action::Watch]);
         out.clear();
-        dispatcher.handle(now, Event::ListFailed, &mut out);
+        dispatcher.handle(now, Event::ListRequestFailed, &mut out);
     }
 }
 
@@ -350,10 +350,10 @@
         load_report: Some(odd),
     };
     assert!(stage.event(Event::AttemptEnded { id: RequestId(99), attempt: 0, result: ended }).is_empty());
-    assert!(stage.event(Event::Gone(RequestId(99))).is_empty());
-    assert!(stage.event(Event::Timer(12345)).is_empty());
+    assert!(stage.event(Event::RequestAbandoned(RequestId(99))).is_empty());
+    assert!(stage.event(Event::TimerFired(12345)).is_empty());
     assert!(stage.event(Event::JobProgress(RequestId(99), 3, JobProgress::Fraction(f64::NAN))).is_empty());
-    assert!(stage.event(Event::Peer(PeerId(7), vec![255; 300])).is_empty());
+    assert!(stage.event(Event::PeerMessage(PeerId(7), vec![255; 300])).is_empty());
     stage.event(Event::ProbeEnded { worker: WorkerId(77), result: ended });
     let id = RequestId(5);
     let unknown = Request { class: ClassId(9), ..Request::new(id, ClassId(9), S) };
@@ -460,7 +460,7 @@
         let request =
             Request { tenant: Some(TenantId(tenant)), ..Request::new(RequestId(next), ClassId(0), 4 * S) };
         let mut actions = stage.event(Event::Request(request));
-        actions.extend(stage.event(Event::Timer(2)));
+        actions.extend(stage.event(Event::TimerFired(2)));
         for action in &actions {
             match action {
                 Action::Refuse { id, .. } => refused[[0, 1, 2, 2, 2][(id.0 - 1001) as usize % 5]] += 1,
@@ -495,7 +495,7 @@
     for me in 0..2 {
         let said = pair[me].list(ListKind::Persisted, &workers(8));
         let Some(Action::Tell(Receiver::All, hello)) = said.first() else { panic!("{said:?}") };
-        pair[1 - me].event(Event::Peer(PeerId(me as u32), hello.clone()));
+        pair[1 - me].event(Event::PeerMessage(PeerId(me as u32), hello.clone()));
     }
     for turn in 0..8 {
         let me = turn % 2;
@@ -504,7 +504,7 @@
         for action in actions {
             if let Action::Tell(Receiver::One(to), bytes) = action {
                 assert_eq!(to, PeerId(1 - me as u32));
-                pair[1 - me].event(Event::Peer(PeerId(me as u32), bytes));
+                pair[1 - me].event(Event::PeerMessage(PeerId(me as u32), bytes));
             }
         }
     }
@@ -541,7 +541,7 @@
         }
         stage.now += 5 * MS;
         // All but the exploring ones.
-        free += u32::from(sent(&stage.event(Event::Timer(3))) == [WorkerId(2)]);
+        free += u32::from(sent(&stage.event(Event::TimerFired(3))) == [WorkerId(2)]);
     }
     assert!(free >= 16, "{free} of 20");
 }
@@ -609,7 +609,7 @@
     for seed in 0..40 {
         let mut stage = Stage { dispatcher: Dispatcher::new(set.clone(), seed), now: S, next: 0 };
         stage.list(ListKind::Complete, &workers(2));
-        stage.event(Event::Peer(PeerId(1), Message::Here(ZoneId(0), Vec::new()).bytes()));
+        stage.event(Event::PeerMessage(PeerId(1), Message::Here(ZoneId(0), Vec::new()).bytes()));
         let reported = |held: f64| {
             Some(LoadReport { in_flight: Some(held), free_slots: Some(4.0 - held), ..LoadReport::default() })
         };
@@ -630,17 +630,17 @@
         to_reported += u32::from(sent(&actions)[0] == last);
         stage.ends(id, 0, Outcome::Served);
         let holds = Holds { worker: last, slots: 4, turn: 7, failed: false };
-        stage.event(Event::Peer(PeerId(1), Message::Holds(holds).bytes()));
+        stage.event(Event::PeerMessage(PeerId(1), Message::Holds(holds).bytes()));
         // The same word once more, and an earlier one that comes later.
-        stage.event(Event::Peer(PeerId(1), Message::Holds(holds).bytes()));
+        stage.event(Event::PeerMessage(PeerId(1), Message::Holds(holds).bytes()));
         let earlier = Holds { slots: 0, turn: 6, ..holds };
-        stage.event(Event::Peer(PeerId(1), Message::Holds(earlier).bytes()));
+        stage.event(Event::PeerMessage(PeerId(1), Message::Holds(earlier).bytes()));
         // A job may hold its slots for long, and its scheduler may end with it.
         stage.now += 2 * S;
         let (id, actions) = stage.request(4 * S);
         assert_ne!(sent(&actions)[0], last);
         stage.ends(id, 0, Outcome::Served);
-        stage.event(Event::Peer(PeerId(1), Message::Hello(ZoneId(0)).bytes()));
+        stage.event(Event::PeerMessage(PeerId(1), Message::Hello(ZoneId(0)).bytes()));
         let picks: Vec<_> = (0..5).flat_map(|_| sent(&stage.request(4 * S).1)).collect();
         assert!(picks.contains(&last));
     }
@@ -701,9 +701,9 @@
     for (told, taken) in taken.iter_mut().enumerate() {
         let mut stage = Stage::new(set.clone(), &workers(1));
         if told == 1 {
-            stage.event(Event::Peer(PeerId(1), Message::Here(ZoneId(0), vec![24]).bytes()));
+            stage.event(Event::PeerMessage(PeerId(1), Message::Here(ZoneId(0), vec![24]).bytes()));
             // The first word counts, and one of no size says nothing.
-            stage.event(Event::Peer(PeerId(2), Message::Here(ZoneId(0), vec![80]).bytes()));
+            stage.event(Event::PeerMessage(PeerId(2), Message::Here(ZoneId(0), vec![80]).bytes()));
         }
         *taken = (0..20).filter(|_| !sent(&stage.request(4 * S).1).is_empty()).count();
     }
@@ -721,7 +721,7 @@
     };
     stage.event(Event::AttemptEnded { id, attempt: 0, result: ended });
     stage.now += S;
-    let said = stage.event(Event::Peer(PeerId(2), Message::Hello(ZoneId(0)).bytes()));
+    let said = stage.event(Event::PeerMessage(PeerId(2), Message::Hello(ZoneId(0)).bytes()));
     let here = Message::Here(ZoneId(0), vec![40]).bytes();
     assert!(said.contains(&Action::Tell(Receiver::One(PeerId(2)), here)), "{said:?}");
 }
@@ -734,12 +734,12 @@
     (set.load_reporting, set.free_slots_reported) = (LoadReporting::Inline, true);
     (set.dispatcher_count, set.zone_count, set.limits.peer_messages) = (3, 1, true);
     let mut stage = Stage::new(set, &workers(1));
-    stage.event(Event::Peer(PeerId(1), Message::Here(ZoneId(0), vec![32]).bytes()));
+    stage.event(Event::PeerMessage(PeerId(1), Message::Here(ZoneId(0), vec![32]).bytes()));
     let mut turn = 0;
     let mut says = |stage: &mut Stage, peer: u32, slots| {
         turn += 1;
         let holds = Holds { worker: WorkerId(1), slots, turn, failed: false };
-        stage.event(Event::Peer(PeerId(peer), Message::Holds(holds).bytes()));
+        stage.event(Event::PeerMessage(PeerId(peer), Message::Holds(holds).bytes()));
     };
     let mut taken = Vec::new();
     for step in 0..80 {
@@ -754,7 +754,7 @@
             stage.ends(id, 0, Outcome::Served);
         }
         stage.now += 60 * MS;
-        stage.event(Event::Timer(2));
+        stage.event(Event::TimerFired(2));
     }
     // Its words came every 160 ms, so it counts as gone after some 2.3 s, 15 steps, and not before 1 s.
     let first = taken.first().copied().unwrap_or(usize::MAX);
@@ -773,14 +773,14 @@
         let mut stage = Stage { dispatcher: Dispatcher::new(set.clone(), 5), now: S, next: 0 };
         stage.list(ListKind::Complete, &workers(32));
         for peer in 1..32 {
-            stage.event(Event::Peer(PeerId(peer), Message::Here(ZoneId(0), Vec::new()).bytes()));
+            stage.event(Event::PeerMessage(PeerId(peer), Message::Here(ZoneId(0), Vec::new()).bytes()));
         }
         let (mut used, mut left) = (std::collections::BTreeSet::new(), 0);
         for turn in 0..400 {
             let (id, mut actions) = stage.request(4 * S);
             while sent(&actions).is_empty() && answers(&actions).is_empty() {
                 stage.now += 20 * MS;
-                actions = stage.event(Event::Timer(2));
+                actions = stage.event(Event::TimerFired(2));
             }
             let Some(&to) = sent(&actions).last() else { continue };
             left += u32::from(turn >= 200 && !used.contains(&to));
@@ -792,7 +792,7 @@
             // The group is full from the 120th job on, by the word of a peer of it.
             for &worker in used.iter().filter(|_| turn >= 120) {
                 let holds = Holds { worker, slots: 9, turn: turn as u16, failed: false };
-                stage.event(Event::Peer(PeerId(1), Message::Holds(holds).bytes()));
+                stage.event(Event::PeerMessage(PeerId(1), Message::Holds(holds).bytes()));
             }
             stage.now += 100 * MS;
             let report =
@@ -840,7 +840,7 @@
                 turn: turn as u16,
                 failed: false,
             };
-            stage.event(Event::Peer(PeerId(1 + turn % 11), Message::Holds(holds).bytes()));
+            stage.event(Event::PeerMessage(PeerId(1 + turn % 11), Message::Holds(holds).bytes()));
             let mut actions = if turn % busy == 0 { stage.request(4 * S).1 } else { Vec::new() };
             while let Some(action) = actions.pop() {
                 if let Action::Send { id, .. } = action {
@@ -850,13 +850,13 @@
         }
         stage.now += if silent { 2 * S } else { 5 * MS };
         let (mut held, mut refused, begun) = (0, 0, stage.now);
-        stage.event(Event::Timer(2));
+        stage.event(Event::TimerFired(2));
         for _ in 0..30 {
             held += sent(&stage.request(4 * S).1).len();
         }
         for _ in 0..60 {
             stage.now += 20 * MS;
-            let actions = stage.event(Event::Timer(2));
+            let actions = stage.event(Event::TimerFired(2));
             held += sent(&actions).len();
             let late = |a: &&Action| matches!(a, Action::Refuse { retry_after, .. } if *retry_after > 0);
             refused += actions.iter().filter(late).count();
@@ -1011,7 +1011,7 @@
     let mut next = settings(Idempotency::Idempotent);
     next.classes.push(Class { idempotency: Idempotency::AtMostOnce, ..next.classes[0].clone() });
     next.limits.max_attempts = 1;
-    stage.event(Event::Settings(Box::new(next.clone()), vec![Start::Kept, Start::From(ClassId(0))]));
+    stage.event(Event::SettingsChanged(Box::new(next.clone()), vec![Start::Kept, Start::From(ClassId(0))]));
     assert_ne!(sent(&stage.ends(open, 0, Outcome::Reset)), [at], "a safe request is sent again, elsewhere");
     assert!(!answers(&stage.ends(open, 1, Outcome::Served)).iter().any(|a| matches!(a, Action::Fail(_))));
     stage.now += 30 * S;
--- a/crates/policy/tests/stage/mod.rs
+++ b/crates/policy/tests/stage/mod.rs
@@ -53,7 +53,7 @@
         out
     }
     pub fn list(&mut self, kind: ListKind, workers: &[Worker]) -> Vec<Action> {
-        self.event(Event::Workers { kind, entries: workers.to_vec() })
+        self.event(Event::WorkerList { kind, entries: workers.to_vec() })
     }
     pub fn request(&mut self, remaining: Nanos) -> (RequestId, Vec<Action>) {
         self.asks(remaining, |_| ())
--- a/crates/policy/tests/starts.rs
+++ b/crates/policy/tests/starts.rs
@@ -48,7 +48,7 @@
     let mut said = Vec::new();
     for _ in 0..40 {
         stage.now += 20 * MS;
-        said.extend(stage.event(Event::Timer(2)));
+        said.extend(stage.event(Event::TimerFired(2)));
     }
     assert!(matches!(answers(&said)[..], [Action::Refuse { id, .. }] if *id == late), "{said:?}");
     // A queue that nobody adds to shrinks; and without a hint nothing is said of a job's end.
--- a/crates/scheduler/src/discovery.rs
+++ b/crates/scheduler/src/discovery.rs
@@ -211,7 +211,7 @@
     let Some(target) = s.group.target(id).filter(|t| &*t.host == host) else { return };
     s.pool.release(id);
     let entry = effective(&s.orders.borrow(), &target);
-    route::feed(s, Event::Workers { kind: ListKind::Partial, entries: vec![entry] });
+    route::feed(s, Event::WorkerList { kind: ListKind::Partial, entries: vec![entry] });
 }
 
 /// Another scheduler's list says that a target is leaving in the life that we know: it counts as draining until our own
@@ -237,7 +237,7 @@
     let entry = effective(&s.orders.borrow(), target);
     drop(targets);
     s.pool.release(id);
-    route::feed(s, Event::Workers { kind: ListKind::Partial, entries: vec![entry] });
+    route::feed(s, Event::WorkerList { kind: ListKind::Partial, entries: vec![entry] });
     true
 }
 
@@ -254,7 +254,7 @@
         .collect();
     drop(targets);
     if !entries.is_empty() {
-        route::feed(s, Event::Workers { kind: ListKind::Partial, entries });
+        route::feed(s, Event::WorkerList { kind: ListKind::Partial, entries });
     }
 }
 
@@ -269,7 +269,7 @@
     });
     let entries = entries.collect();
     drop(targets);
-    route::feed(s, Event::Workers { kind: ListKind::Partial, entries });
+    route::feed(s, Event::WorkerList { kind: ListKind::Partial, entries });
 }
 
 /// What the settings do not know of a target's entry. The target itself can be used.
@@ -342,7 +342,7 @@
     starts.departed(now, departed.map(|(_, target)| (target.host.to_string(), target.incarnation())));
     drop(targets);
     drop(starts);
-    route::feed(s, Event::Workers { kind, entries });
+    route::feed(s, Event::WorkerList { kind, entries });
 }
 
 /// An entry with the address to dial, its own or the one known so far; none where that is no address, or where another
@@ -436,7 +436,7 @@
         s.book.borrow_mut().counters.list_faults += 1;
         tracing::warn!("discovery: {fault}; the last list stays");
         if s.epoch().settings.list_needs_watch {
-            route::feed(&s, Event::ListFailed);
+            route::feed(&s, Event::ListRequestFailed);
         }
         tokio::time::sleep(RETRY).await;
     }
--- a/crates/scheduler/src/lib.rs
+++ b/crates/scheduler/src/lib.rs
@@ -169,7 +169,7 @@
 /// A timer is due.
 pub fn due(s: &Rc<Scheduler>, due: Due) {
     match due {
-        Due::Module(token) => route::feed(s, Event::Timer(token)),
+        Due::Module(token) => route::feed(s, Event::TimerFired(token)),
         Due::Forward(id, n) => send::time_out(s, id, n),
         Due::Deadline(id) => relay::overdue(s, id),
         Due::Sweep => send::sweep(s),
--- a/crates/scheduler/src/peers.rs
+++ b/crates/scheduler/src/peers.rs
@@ -123,7 +123,7 @@
         if let Some(peer) = peer {
             s.book.borrow_mut().counters.peers_in += 1;
             if !s.shares.hear(s.clock.now(), peer, &buf[..length]) {
-                route::feed(&s, Event::Peer(PeerId(peer as u32), buf[..length].to_vec()));
+                route::feed(&s, Event::PeerMessage(PeerId(peer as u32), buf[..length].to_vec()));
             }
         }
     }
--- a/crates/scheduler/src/relay.rs
+++ b/crates/scheduler/src/relay.rs
@@ -44,7 +44,7 @@
         book.counters.gone += 1;
         settle(s, book.tidy(id));
         drop(book);
-        route::feed(s, Event::Gone(id));
+        route::feed(s, Event::RequestAbandoned(id));
     }
 }
 
@@ -52,7 +52,7 @@
 pub fn overdue(s: &Rc<Scheduler>, id: RequestId) {
     if answer(s, id, Answer::Failed) {
         s.book.borrow_mut().counters.overdue += 1;
-        route::feed(s, Event::Gone(id));
+        route::feed(s, Event::RequestAbandoned(id));
     }
 }
 
--- a/crates/scheduler/src/reload.rs
+++ b/crates/scheduler/src/reload.rs
@@ -79,7 +79,7 @@
     s.shares.classes(&next.aims());
     let settings = Box::new(next.settings.clone());
     *s.epoch.borrow_mut() = Rc::new(next);
-    route::feed(s, Event::Settings(settings, starts));
+    route::feed(s, Event::SettingsChanged(settings, starts));
     discovery::renamed(s);
     let (discovery, postponed) = (fresh.discovery, fresh.postponed.join(", "));
     s.config.took(fresh);
--- a/crates/scheduler/src/upgrade.rs
+++ b/crates/scheduler/src/upgrade.rs
@@ -447,7 +447,7 @@
     for (host, slots) in changed.chain(gone) {
         let turn = s.upgrade.next.replace(s.upgrade.next.get() + 1) as u16;
         let held = Held { worker: number(host), slots: slots.round() as u8, turn, failed: false };
-        route::feed(s, Event::Peer(me, Message::Holds(held).bytes()));
+        route::feed(s, Event::PeerMessage(me, Message::Holds(held).bytes()));
     }
 }
 
@@ -455,7 +455,10 @@
 fn forget(s: &Rc<Scheduler>) {
     route::feed(
         s,
-        Event::Peer(s.epoch().settings.own_id, Message::Hello(ZoneId(s.epoch().settings.own_zone.0)).bytes()),
+        Event::PeerMessage(
+            s.epoch().settings.own_id,
+            Message::Hello(ZoneId(s.epoch().settings.own_zone.0)).bytes(),
+        ),
     );
 }
 
--- a/crates/simhost/src/main.rs
+++ b/crates/simhost/src/main.rs
@@ -137,17 +137,17 @@
                 };
                 Event::JobProgress(id()?, attempt()?, note)
             }
-            "RING" => Event::Timer(need(e.ctx, "ctx")?),
-            "LAPSED" => Event::Gone(id()?),
-            "OPENED" => Event::Opened(id()?, attempt()?),
+            "RING" => Event::TimerFired(need(e.ctx, "ctx")?),
+            "LAPSED" => Event::RequestAbandoned(id()?),
+            "OPENED" => Event::ResponseStarted(id()?, attempt()?),
             "TARGETS" => match need(e.how.as_deref(), "how")? {
-                "Error" => Event::ListFailed,
+                "Error" => Event::ListRequestFailed,
                 word => {
                     let kind = wire::list_kind(word).ok_or_else(|| format!("how: unknown word {word:?}"))?;
                     let roster = need(e.roster_id, "roster_id")?;
                     let entries =
                         rosters.get(&roster).ok_or_else(|| format!("roster_id: no list {roster}"))?;
-                    Event::Workers {
+                    Event::WorkerList {
                         kind,
                         entries: entries
                             .iter()
@@ -162,7 +162,7 @@
             "DATAGRAM" => {
                 let raw = need(e.raw.as_deref(), "raw")?;
                 let bytes = base64::engine::general_purpose::STANDARD.decode(raw);
-                Event::Peer(PeerId(need(e.by, "by")?), bytes.map_err(|e| format!("raw: {e}"))?)
+                Event::PeerMessage(PeerId(need(e.by, "by")?), bytes.map_err(|e| format!("raw: {e}"))?)
             }
             other => return Err(format!("op: unknown word {other:?}")),
         })
--- a/crates/simulation/src/simulate.rs
+++ b/crates/simulation/src/simulate.rs
@@ -349,7 +349,7 @@
         let names = &self.nodes[s].names;
         let mut entries: Vec<_> = entries.iter().map(|e| settings::worker(&self.world, names, e)).collect();
         entries.retain(|e| e.state != loomlb_policy::WorkerState::Removed);
-        self.feed(s, Event::Workers { kind, entries });
+        self.feed(s, Event::WorkerList { kind, entries });
     }
 
     fn feed(&mut self, s: usize, event: Event) {
@@ -394,25 +394,25 @@
     fn mark_event(&mut self, s: usize, event: &Event) {
         let s = s as u64;
         match event {
-            Event::Workers { entries, .. } => {
+            Event::WorkerList { entries, .. } => {
                 self.mark(1, &[s, entries.len() as u64]);
                 entries
                     .iter()
                     .for_each(|e| self.mark(2, &[e.id.0, e.state as u64, e.weight.to_bits(), e.started_at]));
             }
-            Event::ListFailed => self.mark(3, &[s]),
+            Event::ListRequestFailed => self.mark(3, &[s]),
             Event::Request(r) => self.mark(4, &[s, r.id.0, r.class.0 as u64, r.remaining]),
-            Event::Gone(id) => self.mark(5, &[s, id.0]),
+            Event::RequestAbandoned(id) => self.mark(5, &[s, id.0]),
             Event::JobProgress(id, n, _) => self.mark(6, &[s, id.0, u64::from(*n)]),
-            Event::Opened(id, n) => self.mark(7, &[s, id.0, u64::from(*n)]),
+            Event::ResponseStarted(id, n) => self.mark(7, &[s, id.0, u64::from(*n)]),
             Event::AttemptEnded { id, attempt, result: ended } => {
                 self.mark(8, &[s, id.0, u64::from(*attempt), ended.outcome as u64, ended.latency]);
             }
             Event::ProbeEnded { worker, result: ended } => self.mark(9, &[s, worker.0, ended.outcome as u64]),
-            Event::Timer(token) => self.mark(10, &[s, *token]),
-            Event::Peer(from, bytes) => self.mark(11, &[s, u64::from(from.0), bytes.len() as u64]),
+            Event::TimerFired(token) => self.mark(10, &[s, *token]),
+            Event::PeerMessage(from, bytes) => self.mark(11, &[s, u64::from(from.0), bytes.len() as u64]),
             // The model plays no reload.
-            Event::Settings(..) => self.mark(12, &[s]),
+            Event::SettingsChanged(..) => self.mark(12, &[s]),
         }
     }
 
@@ -656,7 +656,7 @@
             Due::Try(number) => self.try_now(number),
             Due::Reach(id, s, run) => self.reach(id, s, run),
             Due::Tick => self.tick(),
-            Due::Timer(s, run, token) if lives(self, s, run) => self.feed(s, Event::Timer(token)),
+            Due::Timer(s, run, token) if lives(self, s, run) => self.feed(s, Event::TimerFired(token)),
             Due::Arrive(s, run, id, n) if lives(self, s, run) => self.arrive(s, run, id, n),
             Due::End(s, run, id, n, outcome) if lives(self, s, run) => {
                 let outcome = OUTCOMES[outcome as usize];
@@ -676,7 +676,7 @@
             Due::Datagram(s, run, at) => {
                 let Some((from, bytes)) = self.datagrams.try_remove(at) else { return };
                 if lives(self, s, run) {
-                    self.feed(s, Event::Peer(PeerId(from as u32), bytes));
+                    self.feed(s, Event::PeerMessage(PeerId(from as u32), bytes));
                 }
             }
             Due::Probed(s, run, w, up) if lives(self, s, run) => {
@@ -709,11 +709,11 @@
             }
             Due::List(s, run) if lives(self, s, run) => {
                 if !self.world.discovery_up() {
-                    return self.feed(s, Event::ListFailed);
+                    return self.feed(s, Event::ListRequestFailed);
                 }
                 self.tell_list(s, ListKind::Complete);
             }
-            Due::NoList(s, run) if lives(self, s, run) => self.feed(s, Event::ListFailed),
+            Due::NoList(s, run) if lives(self, s, run) => self.feed(s, Event::ListRequestFailed),
             // Of a run that is over.
             _ => {}
         }
@@ -732,7 +732,7 @@
             Deed::List { scheduler: s, entries, .. } => {
                 let names = &self.nodes[s].names;
                 let entries = entries.iter().map(|e| settings::worker(&self.world, names, e)).collect();
-                self.feed(s, Event::Workers { kind: ListKind::Partial, entries });
+                self.feed(s, Event::WorkerList { kind: ListKind::Partial, entries });
             }
             Deed::Signal(s, Signal::Kill) => self.stop(s, End::Killed),
             Deed::Signal(s, Signal::Term) => {
@@ -978,7 +978,7 @@
                 if let Some(flow) = self.nodes[s].flows.get_mut(&id) {
                     flow.answered = true;
                 }
-                self.feed(s, Event::Gone(RequestId(id)));
+                self.feed(s, Event::RequestAbandoned(RequestId(id)));
                 self.tidy(s, id);
             }
         }
--- a/crates/simulation/tests/referee.rs
+++ b/crates/simulation/tests/referee.rs
@@ -83,7 +83,7 @@
     fn handle(&mut self, now: Nanos, event: Event, out: &mut Vec<Action>) {
         self.now = now;
         match event {
-            Event::Workers { kind, entries } => {
+            Event::WorkerList { kind, entries } => {
                 for e in entries {
                     let known = self.workers.contains_key(&e.id);
                     if e.state == WorkerState::Ready {
@@ -107,9 +107,9 @@
                     }
                 }
             }
-            Event::Timer(id) => out.push(Action::Fail(RequestId(id))),
+            Event::TimerFired(id) => out.push(Action::Fail(RequestId(id))),
             Event::AttemptEnded { id, result: ended, .. } => self.ended(id, ended, out),
-            Event::Gone(id) => {
+            Event::RequestAbandoned(id) => {
                 self.jobs.remove(&id);
             }
             _ => {}
