--- a/crates/lab/src/capacity/probe.rs
+++ b/crates/lab/src/capacity/probe.rs
@@ -112,7 +112,7 @@
 
     /// Bytes that the module has its peers told by its last actions.
     pub fn told(&self) -> usize {
-        let told = |action: &Action| if let Action::Tell(_, bytes) = action { bytes.len() } else { 0 };
+        let told = |action: &Action| if let Action::SendToPeers(_, bytes) = action { bytes.len() } else { 0 };
         self.actions.iter().map(told).sum()
     }
 
--- a/crates/policy/src/api.rs
+++ b/crates/policy/src/api.rs
@@ -379,7 +379,7 @@
 
 /// Receivers of a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Receiver {
+pub enum Recipient {
     /// One peer.
     One(PeerId),
     /// All of them.
@@ -465,7 +465,7 @@
     /// Stop waiting for an attempt.
     Cancel(RequestId, u32),
     /// Ask for [`Event::Timer`] with this token after this time.
-    Timer {
+    SetTimer {
         /// From now.
         after: Nanos,
         /// Comes back with the event.
@@ -474,9 +474,9 @@
     /// Probe a worker.
     Probe(WorkerId),
     /// Close the idle connections to a worker.
-    Close(WorkerId),
+    CloseIdleConnections(WorkerId),
     /// Ask for changes of the list from now on.
-    Watch,
+    WatchList,
     /// Tell peers something.
-    Tell(Receiver, Vec<u8>),
+    SendToPeers(Recipient, Vec<u8>),
 }
--- a/crates/policy/src/rules.rs
+++ b/crates/policy/src/rules.rs
@@ -147,7 +147,7 @@
                     None => {}
                 }
             }
-            Event::TimerFired(WATCH) => out.push(Action::Watch),
+            Event::TimerFired(WATCH) => out.push(Action::WatchList),
             Event::TimerFired(SOON) => self.serve_held(out),
             Event::TimerFired(HELD) => {
                 self.held_timer = false;
@@ -184,14 +184,14 @@
             // In one zone nobody has to be asked who is near; a start by the dozen would miss many a word.
             let all = (0..self.set.dispatcher_count).filter(|_| self.set.zone_count <= 1);
             self.peers.extend(all.map(|p| (PeerId(p), Peer::new(self.set.own_zone, self.now))));
-            out.push(Action::Tell(Receiver::All, Message::Hello(self.set.own_zone).bytes()));
+            out.push(Action::SendToPeers(Recipient::All, Message::Hello(self.set.own_zone).bytes()));
         }
         if first && self.set.list_needs_watch {
             // All dispatchers may start at once, and the service of the list has a fixed capacity: the more
             // there are, the more their first calls are spread. Until then the old list serves.
             let spread = 0.5 - 0.5 / f64::from(self.set.dispatcher_count.max(1));
             let after = self.rng.0.f64() * spread * self.set.obligations.list_request_interval as f64;
-            out.push(Action::Timer { after: after as Nanos, token: WATCH });
+            out.push(Action::SetTimer { after: after as Nanos, token: WATCH });
         }
         self.serve_held(out);
     }
@@ -287,7 +287,7 @@
         let holds = Holds { worker: known.entry.id, slots: known.own as u8, turn: self.turn, failed };
         let bytes = Message::Holds(holds).bytes();
         let group = self.groups.get(known.part).unwrap_or(&self.group);
-        out.extend(group.iter().map(|&p| Action::Tell(Receiver::One(p), bytes.clone())));
+        out.extend(group.iter().map(|&p| Action::SendToPeers(Recipient::One(p), bytes.clone())));
     }
 
     fn peer(&mut self, from: PeerId, message: Message, out: &mut Vec<Action>) {
@@ -308,7 +308,10 @@
         // One that starts later than the others has missed their words.
         if stranger || self.now > self.born + 100_000_000 {
             let sizes = self.kind_slots.iter().map(|s| (s * 8.0) as u8).collect();
-            out.push(Action::Tell(Receiver::One(from), Message::Here(self.set.own_zone, sizes).bytes()));
+            out.push(Action::SendToPeers(
+                Recipient::One(from),
+                Message::Here(self.set.own_zone, sizes).bytes(),
+            ));
         }
     }
 
@@ -337,7 +340,7 @@
             / f64::from(16 >> self.failed_asks))
         .min(ASK_AGAIN);
         let after = most * (0.5 + 0.5 * self.rng.0.f64());
-        out.push(Action::Timer { after: after as Nanos, token: WATCH });
+        out.push(Action::SetTimer { after: after as Nanos, token: WATCH });
     }
 
     // ---- requests
@@ -440,7 +443,7 @@
         for _ in 0..probes.min(near.len()) {
             out.push(Action::Probe(near.swap_remove(self.rng.0.usize(..near.len()))));
         }
-        out.push(Action::Timer { after: wait, token: SOON });
+        out.push(Action::SetTimer { after: wait, token: SOON });
         true
     }
 
@@ -533,7 +536,7 @@
         }
         if !self.held.is_empty() && !std::mem::replace(&mut self.held_timer, true) {
             let aim = self.set.classes.iter().map(|c| c.latency_objective).min().unwrap_or(0);
-            out.push(Action::Timer { after: (aim / 16).max(self.set.tick), token: HELD });
+            out.push(Action::SetTimer { after: (aim / 16).max(self.set.tick), token: HELD });
         }
     }
 
@@ -881,7 +884,7 @@
         }
         if known.attempts == 0 && self.set.costs.handshake == 0.0 && std::mem::take(&mut known.peak) > 1 {
             // Idle connections beyond one crowd the worker's table, and a fuller table takes of its capacity.
-            out.push(Action::Close(known.entry.id));
+            out.push(Action::CloseIdleConnections(known.entry.id));
         }
         if ended.outcome == Outcome::Full {
             self.waited(zone, 2.0 * self.mean_run);
--- a/crates/policy/tests/attempts.rs
+++ b/crates/policy/tests/attempts.rs
@@ -230,7 +230,7 @@
                         Trouble::Hang => plan(soon, end(Outcome::Full, soon)),
                     }
                 }
-                Action::Timer { after, token } => plan(after, Event::TimerFired(token)),
+                Action::SetTimer { after, token } => plan(after, Event::TimerFired(token)),
                 Action::Probe(worker) => {
                     let ended = AttemptResult {
                         outcome: Outcome::Error,
--- a/crates/policy/tests/module.rs
+++ b/crates/policy/tests/module.rs
@@ -37,7 +37,7 @@
         let timers: Vec<_> = actions
             .iter()
             .filter_map(
-                |a| if let Action::Timer { after, token } = a { Some((*after, *token)) } else { None },
+                |a| if let Action::SetTimer { after, token } = a { Some((*after, *token)) } else { None },
             )
             .collect();
         said.extend(answers(&actions).into_iter().cloned());
@@ -179,12 +179,14 @@
     let (mut now, mut out) = (S, Vec::new());
     dispatcher.handle(now, Event::WorkerList { kind: ListKind::Persisted, entries: workers(2) }, &mut out);
     for _ in 0..12 {
-        let Some(Action::Timer { after, token }) = out.first().cloned() else { panic!("no timer: {out:?}") };
+        let Some(Action::SetTimer { after, token }) = out.first().cloned() else {
+            panic!("no timer: {out:?}")
+        };
         assert!(after < 6 * S);
         now += after;
         out.clear();
         dispatcher.handle(now, Event::TimerFired(token), &mut out);
-        assert_eq!(out, [Action::Watch]);
+        assert_eq!(out, [Action::WatchList]);
         out.clear();
         dispatcher.handle(now, Event::ListRequestFailed, &mut out);
     }
@@ -494,7 +496,7 @@
     let mut used = Vec::new();
     for me in 0..2 {
         let said = pair[me].list(ListKind::Persisted, &workers(8));
-        let Some(Action::Tell(Receiver::All, hello)) = said.first() else { panic!("{said:?}") };
+        let Some(Action::SendToPeers(Recipient::All, hello)) = said.first() else { panic!("{said:?}") };
         pair[1 - me].event(Event::PeerMessage(PeerId(me as u32), hello.clone()));
     }
     for turn in 0..8 {
@@ -502,7 +504,7 @@
         let (_, actions) = pair[me].request(4 * S);
         used.extend(sent(&actions));
         for action in actions {
-            if let Action::Tell(Receiver::One(to), bytes) = action {
+            if let Action::SendToPeers(Recipient::One(to), bytes) = action {
                 assert_eq!(to, PeerId(1 - me as u32));
                 pair[1 - me].event(Event::PeerMessage(PeerId(me as u32), bytes));
             }
@@ -690,7 +692,7 @@
     (set.dispatcher_count, set.zone_count, set.limits.peer_messages) = (3, 1, true);
     let mut stage = Stage::new(set.clone(), &workers(1));
     let (_, actions) = stage.request(4 * S);
-    let told = |a: &&Action| matches!(a, Action::Tell(Receiver::One(_), _));
+    let told = |a: &&Action| matches!(a, Action::SendToPeers(Recipient::One(_), _));
     assert_eq!(
         actions.iter().filter(told).count(),
         2,
@@ -723,7 +725,7 @@
     stage.now += S;
     let said = stage.event(Event::PeerMessage(PeerId(2), Message::Hello(ZoneId(0)).bytes()));
     let here = Message::Here(ZoneId(0), vec![40]).bytes();
-    assert!(said.contains(&Action::Tell(Receiver::One(PeerId(2)), here)), "{said:?}");
+    assert!(said.contains(&Action::SendToPeers(Recipient::One(PeerId(2)), here)), "{said:?}");
 }
 
 /// A scheduler that is killed says nothing of the end of its jobs. What it held would else count for a minute, and in a
--- a/crates/scheduler/src/peers.rs
+++ b/crates/scheduler/src/peers.rs
@@ -2,7 +2,7 @@
 
 use super::{Scheduler, route};
 use crate::config::Config;
-use loomlb_policy::{Event, PeerId, Receiver};
+use loomlb_policy::{Event, PeerId, Recipient};
 use loomlb_sockets::{AddressInUse, OpenRetry};
 use std::cell::OnceCell;
 use std::io;
@@ -65,17 +65,17 @@
     }
 
     /// Sends a message, once and without waiting: peers' messages may be lost anyway.
-    pub fn tell(&self, s: &Scheduler, to: Receiver, bytes: &[u8]) {
+    pub fn tell(&self, s: &Scheduler, to: Recipient, bytes: &[u8]) {
         // Of two processes the one that accepts speaks for both: peers know the scheduler, not its processes.
         let speaks = bytes.len() <= MAX && s.upgrade.accepts();
         let Some(socket) = self.socket.get().filter(|_| speaks) else { return };
         let (all, me) = (&s.config.peers, s.epoch().settings.own_id.0 as usize);
         let others = || all.iter().enumerate().filter(|p| p.0 != me).map(|p| *p.1);
         let receivers: Vec<SocketAddr> = match to {
-            Receiver::One(peer) if peer.0 as usize == me => Vec::new(),
-            Receiver::One(peer) => all.get(peer.0 as usize).copied().into_iter().collect(),
-            Receiver::All if others().next().is_none() => Vec::new(),
-            Receiver::All => s.config.peers_all.map_or_else(|| others().collect(), |all| vec![all]),
+            Recipient::One(peer) if peer.0 as usize == me => Vec::new(),
+            Recipient::One(peer) => all.get(peer.0 as usize).copied().into_iter().collect(),
+            Recipient::All if others().next().is_none() => Vec::new(),
+            Recipient::All => s.config.peers_all.map_or_else(|| others().collect(), |all| vec![all]),
         };
         for receiver in receivers {
             if socket.try_send_to(bytes, receiver).is_ok() {
@@ -90,7 +90,7 @@
     loop {
         tokio::time::sleep(TALK).await;
         for word in s.shares.talk(s.clock.now()) {
-            s.peers.tell(&s, Receiver::All, &word);
+            s.peers.tell(&s, Recipient::All, &word);
         }
     }
 }
--- a/crates/scheduler/src/route.rs
+++ b/crates/scheduler/src/route.rs
@@ -67,12 +67,12 @@
             relay::answer(s, id, Answer::Failed);
         }
         Action::Cancel(id, attempt) => send::cancel(s, id, attempt),
-        Action::Timer { after, token } => {
+        Action::SetTimer { after, token } => {
             s.wheel.set(s.clock.now().saturating_add(after), Due::Module(token));
         }
         Action::Probe(worker) => send::probe(s, worker),
-        Action::Close(worker) => s.pool.release(worker),
-        Action::Watch => s.group.ask(),
-        Action::Tell(to, bytes) => s.peers.tell(s, to, &bytes),
+        Action::CloseIdleConnections(worker) => s.pool.release(worker),
+        Action::WatchList => s.group.ask(),
+        Action::SendToPeers(to, bytes) => s.peers.tell(s, to, &bytes),
     }
 }
--- a/crates/simhost/src/wire.rs
+++ b/crates/simhost/src/wire.rs
@@ -1,7 +1,9 @@
 //! The wire's lines as types. Unknown fields are skipped; what is missing or of a wrong type is named.
 
 use loomlb_policy::boot::BootInfo;
-use loomlb_policy::{Action, CellId, ListKind, LoadReport, Outcome, Receiver, Worker, WorkerId, WorkerState};
+use loomlb_policy::{
+    Action, CellId, ListKind, LoadReport, Outcome, Recipient, Worker, WorkerId, WorkerState,
+};
 use serde::{Deserialize, Serialize};
 use std::borrow::Cow;
 
@@ -212,17 +214,17 @@
             Action::Fail(id) => RawAction::Error { req: id.0 },
             Action::Cancel(id, attempt) => RawAction::Withdraw { req: id.0, hop: attempt },
             // The wire takes timers of up to 71 minutes.
-            Action::Timer { after, token } => {
+            Action::SetTimer { after, token } => {
                 RawAction::Sleep { after: after.min(71 * 60_000_000_000), ctx: token }
             }
             Action::Probe(worker) => RawAction::Sample { worker: worker.0 },
-            Action::Close(worker) => RawAction::Release { worker: worker.0 },
-            Action::Watch => RawAction::Observe { on: true },
-            Action::Tell(to, bytes) => {
+            Action::CloseIdleConnections(worker) => RawAction::Release { worker: worker.0 },
+            Action::WatchList => RawAction::Observe { on: true },
+            Action::SendToPeers(to, bytes) => {
                 use base64::Engine as _;
                 let neighbour_id = match to {
-                    Receiver::One(peer) => RawReceiver::One(peer.0),
-                    Receiver::All => RawReceiver::Word("all"),
+                    Recipient::One(peer) => RawReceiver::One(peer.0),
+                    Recipient::All => RawReceiver::Word("all"),
                 };
                 RawAction::Post { neighbour_id, raw: base64::engine::general_purpose::STANDARD.encode(bytes) }
             }
--- a/crates/simulation/src/simulate.rs
+++ b/crates/simulation/src/simulate.rs
@@ -14,7 +14,7 @@
 use loomlb_policy::boot::{Names, affinity_key};
 use loomlb_policy::{
     Action, AttemptResult, ClassId, Dispatcher, Event, JobProgress, ListKind, LoadReport, Nanos, Outcome,
-    PeerId, Receiver, Request as Asked, RequestId, Settings, TenantId,
+    PeerId, Recipient, Request as Asked, RequestId, Settings, TenantId,
 };
 use loomlb_quota::{Ask, Quota, Standing, Ticket, Verdict};
 use rayon::prelude::*;
@@ -437,7 +437,7 @@
                 self.mark(35, &[me, id.0, u64::from(n)]);
                 self.give_up(s, id.0, n, Outcome::Cancelled);
             }
-            Action::Timer { after, token } => {
+            Action::SetTimer { after, token } => {
                 self.mark(36, &[me, after, token]);
                 self.push(self.now + after.max(1), Due::Timer(s, run, token));
             }
@@ -449,14 +449,14 @@
                 let after = if up { back } else { ms(self.world.day.network.dial_ms) };
                 self.push(self.now + after, Due::Probed(s, run, worker.0 as usize - 1, up));
             }
-            Action::Close(worker) => {
+            Action::CloseIdleConnections(worker) => {
                 self.mark(38, &[me, worker.0]);
                 let w = worker.0 as usize - 1;
                 for _ in self.nodes[s].pool.remove(&w).unwrap_or_default() {
                     self.world.disconnect(w);
                 }
             }
-            Action::Watch => {
+            Action::WatchList => {
                 self.mark(39, &[me]);
                 let (there, back) = (self.way_to_list(), self.way_to_list());
                 match self.world.list_call(self.now + there) {
@@ -464,11 +464,11 @@
                     Err(failed) => self.push(failed + back, Due::NoList(s, run)),
                 }
             }
-            Action::Tell(to, bytes) => {
+            Action::SendToPeers(to, bytes) => {
                 self.mark(40, &[me, bytes.len() as u64]);
                 let to: Vec<usize> = match to {
-                    Receiver::One(peer) => vec![peer.0 as usize],
-                    Receiver::All => (0..self.nodes.len()).filter(|p| *p != s).collect(),
+                    Recipient::One(peer) => vec![peer.0 as usize],
+                    Recipient::All => (0..self.nodes.len()).filter(|p| *p != s).collect(),
                 };
                 let known = self.nodes.len();
                 to.into_iter().filter(|p| *p < known).for_each(|peer| self.tell(s, peer, &bytes));
--- a/crates/simulation/tests/referee.rs
+++ b/crates/simulation/tests/referee.rs
@@ -97,7 +97,7 @@
                 let (id, remaining) = (request.id, request.remaining);
                 let forgets = self.fault == Fault::ForgetsRequests && id.0 % 7 == 0;
                 if self.fault == Fault::AnswersLate {
-                    return out.push(Action::Timer { after: remaining + 300_000_000, token: id.0 });
+                    return out.push(Action::SetTimer { after: remaining + 300_000_000, token: id.0 });
                 }
                 if !forgets {
                     self.jobs.insert(id, (request, Vec::new()));
