--- a/crates/policy/src/api.rs
+++ b/crates/policy/src/api.rs
@@ -388,13 +388,13 @@
 
 /// Where a class of new settings stands.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Start {
+pub enum ClassOrigin {
     /// It is the class that had this place before, unchanged, or kept for its open requests alone.
     Kept,
     /// It takes the place of a class that is no longer used, or a new one, and starts from what was learned of this class.
-    From(ClassId),
+    LearnedFrom(ClassId),
     /// The same, from nothing.
-    Afresh,
+    New,
 }
 
 /// What happens to a dispatcher.
@@ -408,7 +408,7 @@
         entries: Vec<Worker>,
     },
     /// The settings have changed. For each class, where it stands; requests keep the class that they came with.
-    SettingsChanged(Box<Settings>, Vec<Start>),
+    SettingsChanged(Box<Settings>, Vec<ClassOrigin>),
     /// A call for the list failed, or the subscription broke.
     ListRequestFailed,
     /// A request is here.
--- a/crates/policy/src/rules/carry.rs
+++ b/crates/policy/src/rules/carry.rs
@@ -180,14 +180,14 @@
 
     /// New settings. A class that is kept keeps all that was learned of it; so does one that has changed, under a
     /// number of its own, while requests of the old one go on by the old one's rules.
-    pub(super) fn retune(&mut self, settings: Settings, starts: &[Start]) {
+    pub(super) fn retune(&mut self, settings: Settings, starts: &[ClassOrigin]) {
         let (nets, learned) = (std::mem::take(&mut self.nets), std::mem::take(&mut self.learned));
         for (c, class) in settings.classes.iter().enumerate() {
             let fresh = || (Network::default(), Learned::new(class));
             let of = |c: usize| Some((nets.get(c)?.clone(), learned.get(c)?.clone()));
             let (mut net, learned) = match starts.get(c) {
-                Some(Start::From(from)) => of(from.0).unwrap_or_else(fresh),
-                Some(Start::Afresh) => fresh(),
+                Some(ClassOrigin::LearnedFrom(from)) => of(from.0).unwrap_or_else(fresh),
+                Some(ClassOrigin::New) => fresh(),
                 _ => of(c).unwrap_or_else(fresh),
             };
             for (w, known) in self.workers.iter().enumerate().filter(|k| k.1.listed) {
--- a/crates/policy/tests/module.rs
+++ b/crates/policy/tests/module.rs
@@ -1013,7 +1013,10 @@
     let mut next = settings(Idempotency::Idempotent);
     next.classes.push(Class { idempotency: Idempotency::AtMostOnce, ..next.classes[0].clone() });
     next.limits.max_attempts = 1;
-    stage.event(Event::SettingsChanged(Box::new(next.clone()), vec![Start::Kept, Start::From(ClassId(0))]));
+    stage.event(Event::SettingsChanged(
+        Box::new(next.clone()),
+        vec![ClassOrigin::Kept, ClassOrigin::LearnedFrom(ClassId(0))],
+    ));
     assert_ne!(sent(&stage.ends(open, 0, Outcome::Reset)), [at], "a safe request is sent again, elsewhere");
     assert!(!answers(&stage.ends(open, 1, Outcome::Served)).iter().any(|a| matches!(a, Action::Fail(_))));
     stage.now += 30 * S;
--- a/crates/scheduler/src/epoch.rs
+++ b/crates/scheduler/src/epoch.rs
@@ -1,7 +1,7 @@
 //! Epochs: settings in force, and how the next ones follow from a file that has changed. Pure: nothing is read here.
 
 use loomlb_policy::boot::{Names, Terms};
-use loomlb_policy::{Class, ClassId, KindId, Nanos, Settings, Start, Tenant, ZoneId};
+use loomlb_policy::{Class, ClassId, ClassOrigin, KindId, Nanos, Settings, Tenant, ZoneId};
 
 /// Classes that may have a number at once, those kept for open flows included.
 const CLASSES: usize = 256;
@@ -36,7 +36,7 @@
         &self,
         fresh: Epoch,
         in_use: impl Fn(ClassId) -> bool,
-    ) -> Result<(Epoch, Vec<Start>), String> {
+    ) -> Result<(Epoch, Vec<ClassOrigin>), String> {
         let mut next = fresh.clone();
         (next.names.zones, next.names.kinds) =
             (joined(&self.names.zones, &fresh.names.zones), joined(&self.names.kinds, &fresh.names.kinds));
@@ -48,7 +48,7 @@
         let class = |c: &Class| Class { kind: c.kind.map(kind), ..c.clone() };
 
         let (mut names, mut classes) = (self.names.classes.clone(), self.settings.classes.clone());
-        let mut starts = vec![Start::Kept; classes.len()];
+        let mut starts = vec![ClassOrigin::Kept; classes.len()];
         let mut homeless = Vec::new();
         for name in names.iter_mut().filter(|n| !fresh.names.classes.contains(n)) {
             *name = NOBODY.into();
@@ -57,13 +57,13 @@
             match names.iter().position(|n| n == name) {
                 Some(at) if classes[at] == new => {}
                 Some(at) if !in_use(ClassId(at)) => {
-                    (classes[at], starts[at]) = (new, Start::From(ClassId(at)))
+                    (classes[at], starts[at]) = (new, ClassOrigin::LearnedFrom(ClassId(at)))
                 }
                 Some(at) => {
                     names[at] = NOBODY.into();
-                    homeless.push((name, new, Start::From(ClassId(at))));
+                    homeless.push((name, new, ClassOrigin::LearnedFrom(ClassId(at))));
                 }
-                None => homeless.push((name, new, Start::Afresh)),
+                None => homeless.push((name, new, ClassOrigin::New)),
             }
         }
         for (name, new, start) in homeless {
@@ -73,7 +73,7 @@
             if at == names.len() {
                 names.push(String::new());
                 classes.push(Class::default());
-                starts.push(Start::Afresh);
+                starts.push(ClassOrigin::New);
             }
             (names[at], classes[at], starts[at]) = (name.clone(), new, start);
         }
@@ -137,18 +137,18 @@
         };
         // Another order alone changes nothing.
         let (same, starts) = step(&first, &[("lodge", 3), ("view", 1), ("sign", 2)], &[0, 1, 2]);
-        assert_eq!((shown(&same), starts), (shown(&first), vec![Start::Kept; 3]));
+        assert_eq!((shown(&same), starts), (shown(&first), vec![ClassOrigin::Kept; 3]));
         // Changed in use, changed out of use, dropped in use, new.
         let (next, starts) = step(&first, &[("view", 9), ("sign", 8), ("new", 7)], &[0, 2]);
         assert_eq!(shown(&next), "-=1 sign=8 -=3 view=9 new=7 ");
-        let (view, sign) = (Start::From(ClassId(0)), Start::From(ClassId(1)));
-        assert_eq!(starts, [Start::Kept, sign, Start::Kept, view, Start::Afresh]);
+        let (view, sign) = (ClassOrigin::LearnedFrom(ClassId(0)), ClassOrigin::LearnedFrom(ClassId(1)));
+        assert_eq!(starts, [ClassOrigin::Kept, sign, ClassOrigin::Kept, view, ClassOrigin::New]);
         // Numbers are used again once no flow has them, and not before.
         let (after, _) = step(&next, &[("view", 9), ("sign", 8), ("new", 7), ("more", 6)], &[0]);
         assert_eq!(shown(&after), "-=1 sign=8 more=6 view=9 new=7 ");
         // A class that was dropped and comes back is a new one.
         let (back, starts) = step(&after, &[("lodge", 3)], &[0, 1, 2, 3, 4]);
-        assert_eq!((shown(&back), starts[5]), ("-=1 -=8 -=6 -=9 -=7 lodge=3 ".into(), Start::Afresh));
+        assert_eq!((shown(&back), starts[5]), ("-=1 -=8 -=6 -=9 -=7 lodge=3 ".into(), ClassOrigin::New));
     }
 
     #[test]
@@ -165,7 +165,7 @@
         };
         let first = named(&["a", "b"], 1, &[("x", 1.0), ("y", 2.0)]);
         let (next, starts) = first.next(named(&["b", "c"], 0, &[("y", 3.0), ("w", 4.0)]), |_| true).unwrap();
-        assert_eq!(starts, [Start::Kept], "its kind is the same one by another number");
+        assert_eq!(starts, [ClassOrigin::Kept], "its kind is the same one by another number");
         assert_eq!(next.names.kinds, ["a", "b", "c"]);
         assert_eq!(next.names.tenants, [NOBODY, "y", "w"]);
         let quotas: Vec<f64> = next.settings.tenants.iter().map(|t| t.quota_per_s).collect();
--- a/crates/scheduler/src/reload.rs
+++ b/crates/scheduler/src/reload.rs
@@ -3,7 +3,7 @@
 
 use super::config::Fresh;
 use super::{Scheduler, agreed, discovery, route};
-use loomlb_policy::{Event, Start};
+use loomlb_policy::{ClassOrigin, Event};
 use std::io;
 use std::rc::Rc;
 use std::time::Duration;
@@ -73,7 +73,7 @@
     let book = s.book.borrow();
     let (next, starts) = s.epoch().next((*fresh.epoch).clone(), |class| book.has_class(class.0))?;
     drop(book);
-    let changed = starts.iter().filter(|start| **start != Start::Kept).count();
+    let changed = starts.iter().filter(|start| **start != ClassOrigin::Kept).count();
     s.pool.keepalive(next.terms.keepalive);
     s.shutdown.turn(|service| service.patience(next.longest()));
     s.shares.classes(&next.aims());
