--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -32,5 +32,5 @@
 mod talk;
 
 pub use api::*;
-pub use message::{Holds, Message};
+pub use message::{Message, SlotUsage};
 pub use rules::{Carried, Dispatcher};
--- a/crates/policy/src/message.rs
+++ b/crates/policy/src/message.rs
@@ -9,21 +9,21 @@
     Hello(ZoneId),
     /// I am here, in this zone; workers of the kinds, in their order, have so many slots in eighths, 0 where
     /// nothing has shown it.
-    Here(ZoneId, Vec<u8>),
+    HelloReply(ZoneId, Vec<u8>),
     /// What I hold at a worker has changed.
-    Holds(Holds),
+    SlotUsage(SlotUsage),
 }
 
 /// What a dispatcher holds at a worker. It is all of it rather than the change: a word may be lost or
 /// overtaken by the next one, and what is added up of changes would never be right again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Holds {
+pub struct SlotUsage {
     /// The worker.
     pub worker: WorkerId,
     /// The slots that the sender's jobs take there.
     pub slots: u8,
     /// Grows by one with every word of the sender.
-    pub turn: u16,
+    pub sequence: u16,
     /// A job of the sender has just ended there, and badly.
     pub failed: bool,
 }
@@ -34,13 +34,13 @@
 impl Message {
     /// The bytes of the message. Zones beyond 255 and worker ids beyond 32 bits are cut short: what is then
     /// taken for another's news is load that soon fades.
-    pub fn bytes(self) -> Vec<u8> {
-        let Holds { worker, slots, turn, failed } = match self {
+    pub fn encode(self) -> Vec<u8> {
+        let SlotUsage { worker, slots, sequence: turn, failed } = match self {
             Message::Hello(zone) => return vec![0, zone.0 as u8],
-            Message::Here(zone, sizes) => {
+            Message::HelloReply(zone, sizes) => {
                 return [1, zone.0 as u8].into_iter().chain(sizes.into_iter().take(KINDS)).collect();
             }
-            Message::Holds(holds) => holds,
+            Message::SlotUsage(holds) => holds,
         };
         let [low, high] = turn.to_le_bytes();
         let head = [if failed { 6 } else { 5 }, slots, low, high];
@@ -48,16 +48,16 @@
     }
 
     /// Reads a message; `None` if these bytes are none, or of a version that told changes.
-    pub fn read(bytes: &[u8]) -> Option<Message> {
+    pub fn decode(bytes: &[u8]) -> Option<Message> {
         match *bytes {
             [0, zone] => Some(Message::Hello(ZoneId(zone.into()))),
             [1, zone, ref sizes @ ..] if sizes.len() <= KINDS => {
-                Some(Message::Here(ZoneId(zone.into()), sizes.to_vec()))
+                Some(Message::HelloReply(ZoneId(zone.into()), sizes.to_vec()))
             }
-            [word @ (5 | 6), slots, low, high, a, b, c, d] => Some(Message::Holds(Holds {
+            [word @ (5 | 6), slots, low, high, a, b, c, d] => Some(Message::SlotUsage(SlotUsage {
                 worker: WorkerId(u32::from_le_bytes([a, b, c, d]).into()),
                 slots,
-                turn: u16::from_le_bytes([low, high]),
+                sequence: u16::from_le_bytes([low, high]),
                 failed: word == 6,
             })),
             _ => None,
--- a/crates/policy/src/rules.rs
+++ b/crates/policy/src/rules.rs
@@ -9,7 +9,7 @@
 use crate::cold;
 use crate::fading::{Fading, toward};
 use crate::groups::{Dealt, Tier, lean};
-use crate::message::{Holds, Message};
+use crate::message::{Message, SlotUsage};
 mod carry;
 pub use crate::network::Network;
 use crate::state::{Attempt, Best, Job, Known, Learned, Peer, Random, Repeat, Share, in_share};
@@ -155,7 +155,7 @@
             }
             Event::TimerFired(_) => {}
             Event::PeerMessage(from, bytes) => {
-                Message::read(&bytes).into_iter().for_each(|message| self.peer(from, message, out))
+                Message::decode(&bytes).into_iter().for_each(|message| self.peer(from, message, out))
             }
         }
     }
@@ -184,7 +184,7 @@
             // In one zone nobody has to be asked who is near; a start by the dozen would miss many a word.
             let all = (0..self.set.dispatcher_count).filter(|_| self.set.zone_count <= 1);
             self.peers.extend(all.map(|p| (PeerId(p), Peer::new(self.set.own_zone, self.now))));
-            out.push(Action::SendToPeers(Recipient::All, Message::Hello(self.set.own_zone).bytes()));
+            out.push(Action::SendToPeers(Recipient::All, Message::Hello(self.set.own_zone).encode()));
         }
         if first && self.set.list_needs_watch {
             // All dispatchers may start at once, and the service of the list has a fixed capacity: the more
@@ -284,8 +284,8 @@
         if known.near {
             self.talk.said(self.now);
         }
-        let holds = Holds { worker: known.entry.id, slots: known.own as u8, turn: self.turn, failed };
-        let bytes = Message::Holds(holds).bytes();
+        let holds = SlotUsage { worker: known.entry.id, slots: known.own as u8, sequence: self.turn, failed };
+        let bytes = Message::SlotUsage(holds).encode();
         let group = self.groups.get(known.part).unwrap_or(&self.group);
         out.extend(group.iter().map(|&p| Action::SendToPeers(Recipient::One(p), bytes.clone())));
     }
@@ -293,12 +293,12 @@
     fn peer(&mut self, from: PeerId, message: Message, out: &mut Vec<Action>) {
         self.peers.get_mut(&from).into_iter().for_each(|p| p.hear(self.now));
         let zone = match message {
-            Message::Holds(holds) => return self.told(from, holds),
-            Message::Hello(zone) | Message::Here(zone, _) => zone,
+            Message::SlotUsage(holds) => return self.told(from, holds),
+            Message::Hello(zone) | Message::HelloReply(zone, _) => zone,
         };
         let stranger = self.peers.insert(from, Peer::new(zone, self.now)).is_none();
         self.regroup |= stranger;
-        if let Message::Here(_, sizes) = message {
+        if let Message::HelloReply(_, sizes) = message {
             // How large workers are it has yet to learn, and a full one never shows.
             let own = self.kind_slots.iter_mut().zip(sizes).filter(|(own, _)| **own == 0.0);
             return own.for_each(|(own, size)| *own = f64::from(size) / 8.0);
@@ -310,12 +310,12 @@
             let sizes = self.kind_slots.iter().map(|s| (s * 8.0) as u8).collect();
             out.push(Action::SendToPeers(
                 Recipient::One(from),
-                Message::Here(self.set.own_zone, sizes).bytes(),
+                Message::HelloReply(self.set.own_zone, sizes).encode(),
             ));
         }
     }
 
-    fn told(&mut self, peer: PeerId, holds: Holds) {
+    fn told(&mut self, peer: PeerId, holds: SlotUsage) {
         let Some(&w) = self.index.get(&holds.worker) else { return };
         let known = &mut self.workers[w];
         if holds.failed {
--- a/crates/policy/src/state.rs
+++ b/crates/policy/src/state.rs
@@ -4,7 +4,7 @@
 use crate::cold;
 use crate::fading::{Fading, fade, lower_median};
 use crate::groups::{Dealt, Tier};
-use crate::message::Holds;
+use crate::message::SlotUsage;
 use crate::meter::Meter;
 use serde::{Deserialize, Serialize};
 
@@ -167,12 +167,12 @@
 
     /// Takes in what a peer says that it holds here, unless a later word has overtaken it. That comes within `late`: not so
     /// long that the turns could have come round.
-    pub(crate) fn hear(&mut self, peer: PeerId, holds: Holds, now: Nanos, late: Nanos) {
+    pub(crate) fn hear(&mut self, peer: PeerId, holds: SlotUsage, now: Nanos, late: Nanos) {
         let mut slots = Fading::default();
         slots.set(now, holds.slots.into());
-        let word = Told { peer, turn: holds.turn, slots, at: now };
+        let word = Told { peer, turn: holds.sequence, slots, at: now };
         match self.told.iter_mut().find(|t| t.peer == peer) {
-            Some(last) if holds.turn.wrapping_sub(last.turn) > u16::MAX / 2 && now < last.at + late => {}
+            Some(last) if holds.sequence.wrapping_sub(last.turn) > u16::MAX / 2 && now < last.at + late => {}
             Some(last) => *last = word,
             None => self.told.push(word),
         }
--- a/crates/policy/tests/module.rs
+++ b/crates/policy/tests/module.rs
@@ -611,7 +611,7 @@
     for seed in 0..40 {
         let mut stage = Stage { dispatcher: Dispatcher::new(set.clone(), seed), now: S, next: 0 };
         stage.list(ListKind::Complete, &workers(2));
-        stage.event(Event::PeerMessage(PeerId(1), Message::Here(ZoneId(0), Vec::new()).bytes()));
+        stage.event(Event::PeerMessage(PeerId(1), Message::HelloReply(ZoneId(0), Vec::new()).encode()));
         let reported = |held: f64| {
             Some(LoadReport { in_flight: Some(held), free_slots: Some(4.0 - held), ..LoadReport::default() })
         };
@@ -631,18 +631,18 @@
         let (id, actions) = stage.request(4 * S);
         to_reported += u32::from(sent(&actions)[0] == last);
         stage.ends(id, 0, Outcome::Served);
-        let holds = Holds { worker: last, slots: 4, turn: 7, failed: false };
-        stage.event(Event::PeerMessage(PeerId(1), Message::Holds(holds).bytes()));
+        let holds = SlotUsage { worker: last, slots: 4, sequence: 7, failed: false };
+        stage.event(Event::PeerMessage(PeerId(1), Message::SlotUsage(holds).encode()));
         // The same word once more, and an earlier one that comes later.
-        stage.event(Event::PeerMessage(PeerId(1), Message::Holds(holds).bytes()));
-        let earlier = Holds { slots: 0, turn: 6, ..holds };
-        stage.event(Event::PeerMessage(PeerId(1), Message::Holds(earlier).bytes()));
+        stage.event(Event::PeerMessage(PeerId(1), Message::SlotUsage(holds).encode()));
+        let earlier = SlotUsage { slots: 0, sequence: 6, ..holds };
+        stage.event(Event::PeerMessage(PeerId(1), Message::SlotUsage(earlier).encode()));
         // A job may hold its slots for long, and its scheduler may end with it.
         stage.now += 2 * S;
         let (id, actions) = stage.request(4 * S);
         assert_ne!(sent(&actions)[0], last);
         stage.ends(id, 0, Outcome::Served);
-        stage.event(Event::PeerMessage(PeerId(1), Message::Hello(ZoneId(0)).bytes()));
+        stage.event(Event::PeerMessage(PeerId(1), Message::Hello(ZoneId(0)).encode()));
         let picks: Vec<_> = (0..5).flat_map(|_| sent(&stage.request(4 * S).1)).collect();
         assert!(picks.contains(&last));
     }
@@ -703,9 +703,9 @@
     for (told, taken) in taken.iter_mut().enumerate() {
         let mut stage = Stage::new(set.clone(), &workers(1));
         if told == 1 {
-            stage.event(Event::PeerMessage(PeerId(1), Message::Here(ZoneId(0), vec![24]).bytes()));
+            stage.event(Event::PeerMessage(PeerId(1), Message::HelloReply(ZoneId(0), vec![24]).encode()));
             // The first word counts, and one of no size says nothing.
-            stage.event(Event::PeerMessage(PeerId(2), Message::Here(ZoneId(0), vec![80]).bytes()));
+            stage.event(Event::PeerMessage(PeerId(2), Message::HelloReply(ZoneId(0), vec![80]).encode()));
         }
         *taken = (0..20).filter(|_| !sent(&stage.request(4 * S).1).is_empty()).count();
     }
@@ -723,8 +723,8 @@
     };
     stage.event(Event::AttemptEnded { id, attempt: 0, result: ended });
     stage.now += S;
-    let said = stage.event(Event::PeerMessage(PeerId(2), Message::Hello(ZoneId(0)).bytes()));
-    let here = Message::Here(ZoneId(0), vec![40]).bytes();
+    let said = stage.event(Event::PeerMessage(PeerId(2), Message::Hello(ZoneId(0)).encode()));
+    let here = Message::HelloReply(ZoneId(0), vec![40]).encode();
     assert!(said.contains(&Action::SendToPeers(Recipient::One(PeerId(2)), here)), "{said:?}");
 }
 
@@ -736,12 +736,12 @@
     (set.load_reporting, set.free_slots_reported) = (LoadReporting::Inline, true);
     (set.dispatcher_count, set.zone_count, set.limits.peer_messages) = (3, 1, true);
     let mut stage = Stage::new(set, &workers(1));
-    stage.event(Event::PeerMessage(PeerId(1), Message::Here(ZoneId(0), vec![32]).bytes()));
+    stage.event(Event::PeerMessage(PeerId(1), Message::HelloReply(ZoneId(0), vec![32]).encode()));
     let mut turn = 0;
     let mut says = |stage: &mut Stage, peer: u32, slots| {
         turn += 1;
-        let holds = Holds { worker: WorkerId(1), slots, turn, failed: false };
-        stage.event(Event::PeerMessage(PeerId(peer), Message::Holds(holds).bytes()));
+        let holds = SlotUsage { worker: WorkerId(1), slots, sequence: turn, failed: false };
+        stage.event(Event::PeerMessage(PeerId(peer), Message::SlotUsage(holds).encode()));
     };
     let mut taken = Vec::new();
     for step in 0..80 {
@@ -775,7 +775,8 @@
         let mut stage = Stage { dispatcher: Dispatcher::new(set.clone(), 5), now: S, next: 0 };
         stage.list(ListKind::Complete, &workers(32));
         for peer in 1..32 {
-            stage.event(Event::PeerMessage(PeerId(peer), Message::Here(ZoneId(0), Vec::new()).bytes()));
+            stage
+                .event(Event::PeerMessage(PeerId(peer), Message::HelloReply(ZoneId(0), Vec::new()).encode()));
         }
         let (mut used, mut left) = (std::collections::BTreeSet::new(), 0);
         for turn in 0..400 {
@@ -793,8 +794,8 @@
             stage.event(Event::JobProgress(id, 0, JobProgress::Started));
             // The group is full from the 120th job on, by the word of a peer of it.
             for &worker in used.iter().filter(|_| turn >= 120) {
-                let holds = Holds { worker, slots: 9, turn: turn as u16, failed: false };
-                stage.event(Event::PeerMessage(PeerId(1), Message::Holds(holds).bytes()));
+                let holds = SlotUsage { worker, slots: 9, sequence: turn as u16, failed: false };
+                stage.event(Event::PeerMessage(PeerId(1), Message::SlotUsage(holds).encode()));
             }
             stage.now += 100 * MS;
             let report =
@@ -836,13 +837,13 @@
         };
         for turn in 0..600u32 {
             stage.now += 5 * MS;
-            let holds = Holds {
+            let holds = SlotUsage {
                 worker: WorkerId(u64::from(turn % 8) + 1),
                 slots: 0,
-                turn: turn as u16,
+                sequence: turn as u16,
                 failed: false,
             };
-            stage.event(Event::PeerMessage(PeerId(1 + turn % 11), Message::Holds(holds).bytes()));
+            stage.event(Event::PeerMessage(PeerId(1 + turn % 11), Message::SlotUsage(holds).encode()));
             let mut actions = if turn % busy == 0 { stage.request(4 * S).1 } else { Vec::new() };
             while let Some(action) = actions.pop() {
                 if let Action::Send { id, .. } = action {
--- a/crates/policy/tests/pins.rs
+++ b/crates/policy/tests/pins.rs
@@ -5,17 +5,18 @@
 mod golden;
 
 use loomlb_policy::boot::affinity_key;
-use loomlb_policy::{Carried, Holds, Message, Outcome, WorkerId, WorkerState, ZoneId};
+use loomlb_policy::{Carried, Message, Outcome, SlotUsage, WorkerId, WorkerState, ZoneId};
 
 fn messages() -> Vec<Message> {
-    let holds =
-        |slots, turn, failed| Message::Holds(Holds { worker: WorkerId(0x0102_0304), slots, turn, failed });
+    let holds = |slots, turn, failed| {
+        Message::SlotUsage(SlotUsage { worker: WorkerId(0x0102_0304), slots, sequence: turn, failed })
+    };
     vec![
         Message::Hello(ZoneId(0)),
         Message::Hello(ZoneId(255)),
-        Message::Here(ZoneId(1), Vec::new()),
-        Message::Here(ZoneId(2), vec![0, 8, 255]),
-        Message::Here(ZoneId(2), vec![1; 64]),
+        Message::HelloReply(ZoneId(1), Vec::new()),
+        Message::HelloReply(ZoneId(2), vec![0, 8, 255]),
+        Message::HelloReply(ZoneId(2), vec![1; 64]),
         holds(0, 0, false),
         holds(255, 0x0506, false),
         holds(1, u16::MAX, true),
@@ -26,15 +27,16 @@
 fn datagrams_keep_their_bytes_and_are_read_as_the_same() {
     let mut text = String::new();
     for message in messages() {
-        let bytes = message.clone().bytes();
+        let bytes = message.clone().encode();
         text += &format!("{}\n", golden::hex(&bytes));
-        assert_eq!(Message::read(&bytes), Some(message));
+        assert_eq!(Message::decode(&bytes), Some(message));
     }
     // What is cut short: a zone, a worker's number, and kinds beyond the most.
-    let long = Holds { worker: WorkerId(0x9_0000_0001), slots: 1, turn: 1, failed: false };
-    for message in [Message::Hello(ZoneId(257)), Message::Holds(long), Message::Here(ZoneId(0), vec![1; 65])]
+    let long = SlotUsage { worker: WorkerId(0x9_0000_0001), slots: 1, sequence: 1, failed: false };
+    for message in
+        [Message::Hello(ZoneId(257)), Message::SlotUsage(long), Message::HelloReply(ZoneId(0), vec![1; 65])]
     {
-        text += &format!("cut {}\n", golden::hex(&message.bytes()));
+        text += &format!("cut {}\n", golden::hex(&message.encode()));
     }
     golden::check("datagrams.txt", text.as_bytes());
 }
@@ -44,7 +46,7 @@
     for bytes in
         [&[][..], &[0], &[0, 1, 2], &[1], &[2, 0, 0, 0, 0, 0, 0, 0], &[3; 8], &[4; 8], &[5; 7], &[7; 8]]
     {
-        assert_eq!(Message::read(bytes), None, "{bytes:?}");
+        assert_eq!(Message::decode(bytes), None, "{bytes:?}");
     }
 }
 
--- a/crates/scheduler/src/upgrade.rs
+++ b/crates/scheduler/src/upgrade.rs
@@ -9,7 +9,7 @@
 use loomlb_hot_restart::link::{Inbox, Link};
 use loomlb_hot_restart::machine::{Act, New, Old};
 use loomlb_hot_restart::words::{Ask, Holds, VERSION, Word};
-use loomlb_policy::{Event, Holds as Held, Message, Nanos, WorkerId, ZoneId};
+use loomlb_policy::{Event, Message, Nanos, SlotUsage as Held, WorkerId, ZoneId};
 use loomlb_sockets::faults::{ConnectFault, connect_fault};
 use loomlb_sockets::{AcceptRetry, AddressInUse, OpenRetry};
 use serde::Deserialize;
@@ -446,8 +446,8 @@
     let changed = now.slots.iter().filter(|n| !before.slots.contains(n)).map(|n| (&n.0, n.1));
     for (host, slots) in changed.chain(gone) {
         let turn = s.upgrade.next.replace(s.upgrade.next.get() + 1) as u16;
-        let held = Held { worker: number(host), slots: slots.round() as u8, turn, failed: false };
-        route::feed(s, Event::PeerMessage(me, Message::Holds(held).bytes()));
+        let held = Held { worker: number(host), slots: slots.round() as u8, sequence: turn, failed: false };
+        route::feed(s, Event::PeerMessage(me, Message::SlotUsage(held).encode()));
     }
 }
 
@@ -457,7 +457,7 @@
         s,
         Event::PeerMessage(
             s.epoch().settings.own_id,
-            Message::Hello(ZoneId(s.epoch().settings.own_zone.0)).bytes(),
+            Message::Hello(ZoneId(s.epoch().settings.own_zone.0)).encode(),
         ),
     );
 }
