--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -19,7 +19,6 @@
 #![forbid(unsafe_code)]
 
 pub mod api;
-pub mod boot;
 mod cold;
 mod fading;
 mod groups;
@@ -27,6 +26,7 @@
 mod meter;
 mod network;
 mod neurons;
+pub mod raw_settings;
 pub mod rules;
 mod state;
 mod talk;
--- a/crates/policy/src/boot.rs
+++ b/crates/policy/src/raw_settings.rs
@@ -7,7 +7,7 @@
 
 /// An instance's names, in the order of its settings. What is not among them is numbered behind them.
 #[derive(Clone, Debug, Default)]
-pub struct Names {
+pub struct SettingNames {
     /// The classes.
     pub classes: Vec<String>,
     /// The tenants.
@@ -22,14 +22,14 @@
     names.iter().position(|n| n == name).unwrap_or(names.len())
 }
 
-impl Names {
+impl SettingNames {
     /// The worker with its zone and kind numbered as in the settings.
-    pub fn worker(&self, zone: &str, kind: &str, worker: Worker) -> Worker {
+    pub fn with_zone_and_kind(&self, zone: &str, kind: &str, worker: Worker) -> Worker {
         let (zone, kind) = (place(&self.zones, zone), place(&self.kinds, kind));
         Worker { zone: ZoneId(zone), kind: KindId(kind), ..worker }
     }
     /// The number of a class; that of no class if the name is unknown.
-    pub fn class(&self, name: &str) -> usize {
+    pub fn class_index(&self, name: &str) -> usize {
         place(&self.classes, name)
     }
 }
@@ -45,7 +45,7 @@
 #[derive(Clone, Debug, Deserialize, Default)]
 #[serde(default)]
 #[serde(expecting = "struct BootInfo")]
-pub struct BootInfo {
+pub struct RawSettings {
     balancers: u32,
     rank: u32,
     my_zone: String,
@@ -165,9 +165,9 @@
     report_x0: String,
 }
 
-impl BootInfo {
+impl RawSettings {
     /// The settings and names that these words stand for.
-    pub fn read(&self) -> (Settings, Names) {
+    pub fn to_settings(&self) -> (Settings, SettingNames) {
         let classes = self.classes.iter().enumerate().map(|(i, c)| Class {
             latency_objective: c.aim,
             objective_stretch: self.extra.class_stretch.get(i).copied().unwrap_or(c.aim_stretch),
@@ -238,7 +238,7 @@
                 handshake: self.penalties.handshake,
             },
         };
-        let names = Names {
+        let names = SettingNames {
             classes: self.classes.iter().map(|c| c.name.clone()).collect(),
             tenants: self.tenants.iter().map(|t| t.name.clone()).collect(),
             zones: self.zones.clone(),
@@ -247,7 +247,7 @@
         (settings, names)
     }
     /// The figures that the network code keeps to.
-    pub fn terms(&self) -> Terms {
+    pub fn network_settings(&self) -> Terms {
         Terms {
             dial_timeout: self.ceilings.dial_timeout,
             keepalive: self.ceilings.keepalive,
--- a/crates/policy/src/rules/carry.rs
+++ b/crates/policy/src/rules/carry.rs
@@ -67,7 +67,11 @@
 
 impl Carried {
     /// The same in the order of other settings: classes, tenants, kinds and zones are known by their names.
-    pub fn arranged(mut self, old: &crate::boot::Names, new: &crate::boot::Names) -> Carried {
+    pub fn arranged(
+        mut self,
+        old: &crate::raw_settings::SettingNames,
+        new: &crate::raw_settings::SettingNames,
+    ) -> Carried {
         arrange(&mut self.classes, &places(&new.classes, &old.classes));
         arrange(&mut self.tenants, &places(&new.tenants, &old.tenants));
         arrange(&mut self.kinds, &places(&new.kinds, &old.kinds));
--- a/crates/policy/tests/module.rs
+++ b/crates/policy/tests/module.rs
@@ -956,11 +956,11 @@
             old.ends(id, 1, Outcome::Served);
         }
     }
-    let names = |classes: &[&str]| boot::Names {
+    let names = |classes: &[&str]| raw_settings::SettingNames {
         classes: classes.iter().map(|c| c.to_string()).collect(),
         zones: vec!["z".into(), "y".into()],
         kinds: vec!["k".into()],
-        ..boot::Names::default()
+        ..raw_settings::SettingNames::default()
     };
     // As the link has it: in a text, and under settings with another class before.
     let text = serde_json::to_string(&old.dispatcher.carried()).unwrap();
--- a/crates/policy/tests/pins.rs
+++ b/crates/policy/tests/pins.rs
@@ -4,7 +4,7 @@
 #[path = "../../../tests/golden/mod.rs"]
 mod golden;
 
-use loomlb_policy::boot::affinity_key;
+use loomlb_policy::raw_settings::affinity_key;
 use loomlb_policy::{Carried, Message, Outcome, SlotUsage, WorkerId, WorkerState, ZoneId};
 
 fn messages() -> Vec<Message> {
--- a/crates/scheduler/src/admit.rs
+++ b/crates/scheduler/src/admit.rs
@@ -4,7 +4,7 @@
 use super::shares::Share;
 use super::wheel::Due;
 use super::{Scheduler, route};
-use loomlb_policy::boot::affinity_key;
+use loomlb_policy::raw_settings::affinity_key;
 use loomlb_policy::{ClassId, Event, Idempotency, Nanos, Request, RequestId, TenantId};
 use std::rc::Rc;
 use tokio::sync::oneshot;
@@ -64,7 +64,7 @@
 /// Takes an offer in, or says why not.
 pub fn admit(s: &Rc<Scheduler>, offer: Offer) -> Result<Taken, Rejection> {
     let epoch = s.epoch();
-    let class = epoch.names.class(&offer.class);
+    let class = epoch.names.class_index(&offer.class);
     let Some(settings) = epoch.settings.classes.get(class) else {
         return Err(Rejection::Bad("unknown class"));
     };
--- a/crates/scheduler/src/config.rs
+++ b/crates/scheduler/src/config.rs
@@ -4,7 +4,7 @@
 use super::epoch::Epoch;
 use loomlb_consensus::place::write_atomically;
 use loomlb_policy::PeerId;
-use loomlb_policy::boot::BootInfo;
+use loomlb_policy::raw_settings::RawSettings;
 use serde::Deserialize;
 use std::cell::{Cell, RefCell};
 use std::fmt;
@@ -101,7 +101,7 @@
     peers: Vec<String>,
     peers_all: Option<String>,
     known: serde_json::Value,
-    settings: Option<BootInfo>,
+    settings: Option<RawSettings>,
 }
 
 #[derive(Deserialize)]
@@ -259,7 +259,7 @@
 
     fn check(self, file: PathBuf, keys: Keys) -> Result<Config, String> {
         let boot = needed("settings", self.settings)?;
-        let (settings, names) = boot.read();
+        let (settings, names) = boot.to_settings();
         if settings.classes.is_empty() {
             return Err("settings.classes: names no class".into());
         }
--- a/crates/scheduler/src/discovery.rs
+++ b/crates/scheduler/src/discovery.rs
@@ -5,7 +5,7 @@
 use super::{Scheduler, route};
 use loomlb_consensus::lists::{LEAVING, Leaving, Mine};
 use loomlb_control::orders::{Effect, Orders};
-use loomlb_policy::boot::Names;
+use loomlb_policy::raw_settings::SettingNames;
 use loomlb_policy::{CellId, Event, ListKind, Nanos, Worker, WorkerId, WorkerState};
 use serde::{Deserialize, Serialize};
 use std::cell::{Cell, RefCell};
@@ -264,7 +264,8 @@
     let mut targets = s.group.targets.borrow_mut();
     let listed = targets.values_mut().filter(|t| t.word.state != WorkerState::Removed);
     let entries = listed.map(|target| {
-        target.word = epoch.names.worker(&target.said.site, &target.said.class, target.word.clone());
+        target.word =
+            epoch.names.with_zone_and_kind(&target.said.site, &target.said.class, target.word.clone());
         effective(&s.orders.borrow(), target)
     });
     let entries = entries.collect();
@@ -273,7 +274,7 @@
 }
 
 /// What the settings do not know of a target's entry. The target itself can be used.
-fn strange(names: &Names, host: &Host) -> Vec<String> {
+fn strange(names: &SettingNames, host: &Host) -> Vec<String> {
     let parts = [("site", &host.site, &names.zones), ("class", &host.class, &names.kinds)];
     let unknown = parts.into_iter().filter(|(_, said, known)| !known.contains(said));
     unknown.map(|(key, said, _)| format!("{key} {said:?} is not in the settings")).collect()
@@ -331,7 +332,7 @@
             started_at: started,
             ..Worker::new(id)
         };
-        let word = epoch.names.worker(&host.site, &host.class, worker);
+        let word = epoch.names.with_zone_and_kind(&host.site, &host.class, worker);
         let target =
             Target { host: host.host.as_str().into(), dial, leaving, hearsay, word, said: Rc::new(host) };
         entries.push(effective(&s.orders.borrow(), &target));
--- a/crates/scheduler/src/epoch.rs
+++ b/crates/scheduler/src/epoch.rs
@@ -1,6 +1,6 @@
 //! Epochs: settings in force, and how the next ones follow from a file that has changed. Pure: nothing is read here.
 
-use loomlb_policy::boot::{Names, Terms};
+use loomlb_policy::raw_settings::{SettingNames, Terms};
 use loomlb_policy::{Class, ClassId, ClassOrigin, KindId, Nanos, Settings, Tenant, ZoneId};
 
 /// Classes that may have a number at once, those kept for open flows included.
@@ -14,7 +14,7 @@
     /// For the module.
     pub settings: Settings,
     /// The names, in the settings' order.
-    pub names: Names,
+    pub names: SettingNames,
     /// For the network code.
     pub terms: Terms,
 }
@@ -120,7 +120,10 @@
     fn epoch(classes: &[(&str, Nanos)]) -> Epoch {
         let class = |c: &(&str, Nanos)| Class { client_timeout: c.1, ..Class::default() };
         let settings = Settings { classes: classes.iter().map(class).collect(), ..Settings::default() };
-        let names = Names { classes: classes.iter().map(|c| c.0.to_string()).collect(), ..Names::default() };
+        let names = SettingNames {
+            classes: classes.iter().map(|c| c.0.to_string()).collect(),
+            ..SettingNames::default()
+        };
         Epoch { settings, names, ..Epoch::default() }
     }
 
--- a/crates/scheduler/src/upgrade/snapshot.rs
+++ b/crates/scheduler/src/upgrade/snapshot.rs
@@ -12,7 +12,7 @@
 use super::super::worker_starts::WorkerStarts;
 use loomlb_control::orders::Orders;
 use loomlb_control::service::State;
-use loomlb_policy::boot::Names;
+use loomlb_policy::raw_settings::SettingNames;
 use loomlb_policy::{Carried, Nanos, WorkerId};
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
@@ -82,8 +82,12 @@
         }
         discovery::take_over(s, self.list, self.worker_starts);
         let carried = self.carried.with_starts(|id, listed| assigned_start(&s.group, id, listed));
-        let names =
-            Names { classes: self.classes, tenants: self.tenants, zones: self.zones, kinds: self.kinds };
+        let names = SettingNames {
+            classes: self.classes,
+            tenants: self.tenants,
+            zones: self.zones,
+            kinds: self.kinds,
+        };
         s.router.restore(carried.arranged(&names, &s.epoch().names));
     }
 }
--- a/crates/simhost/src/main.rs
+++ b/crates/simhost/src/main.rs
@@ -3,7 +3,7 @@
 mod wire;
 
 use base64::Engine as _;
-use loomlb_policy::boot::{Names, affinity_key};
+use loomlb_policy::raw_settings::{SettingNames, affinity_key};
 use loomlb_policy::{
     Action, AttemptResult, ClassId, Dispatcher, Event, JobProgress, Nanos, PeerId, Request, RequestId,
     TenantId, WorkerId,
@@ -15,7 +15,7 @@
 
 struct Instance {
     dispatcher: Dispatcher,
-    names: Names,
+    names: SettingNames,
 }
 
 #[derive(Default)]
@@ -60,7 +60,7 @@
                 return Ok(());
             }
             "BOOT" => {
-                let (settings, names) = need(e.boot_info, "boot_info")?.read();
+                let (settings, names) = need(e.boot_info, "boot_info")?.to_settings();
                 let dispatcher = Dispatcher::new(settings, need(e.nonce64, "nonce64")?);
                 self.instances.insert(who, Instance { dispatcher, names });
                 return Ok(());
@@ -90,7 +90,7 @@
 
 impl Instance {
     fn event(
-        names: &Names,
+        names: &SettingNames,
         e: RawEvent,
         rosters: &FxHashMap<usize, Vec<NamedEntry>>,
     ) -> Result<Event, String> {
@@ -117,7 +117,7 @@
                 };
                 Event::Request(Request {
                     id: id()?,
-                    class: ClassId(names.class(need(e.category.as_deref(), "category")?)),
+                    class: ClassId(names.class_index(need(e.category.as_deref(), "category")?)),
                     tenant,
                     affinity_key: e.path_key.as_deref().map(affinity_key),
                     slots: e.slots.unwrap_or(1.0),
@@ -151,7 +151,7 @@
                         kind,
                         entries: entries
                             .iter()
-                            .map(|e| names.worker(&e.zone, &e.kind, e.worker.clone()))
+                            .map(|e| names.with_zone_and_kind(&e.zone, &e.kind, e.worker.clone()))
                             .collect(),
                     }
                 }
--- a/crates/simhost/src/wire.rs
+++ b/crates/simhost/src/wire.rs
@@ -1,6 +1,6 @@
 //! The wire's lines as types. Unknown fields are skipped; what is missing or of a wrong type is named.
 
-use loomlb_policy::boot::BootInfo;
+use loomlb_policy::raw_settings::RawSettings;
 use loomlb_policy::{
     Action, CellId, ListKind, LoadReport, Outcome, Recipient, Worker, WorkerId, WorkerState,
 };
@@ -60,7 +60,7 @@
     #[serde(borrow)]
     pub how: Option<Cow<'a, str>>,
     pub nonce64: Option<u64>,
-    pub boot_info: Option<Box<BootInfo>>,
+    pub boot_info: Option<Box<RawSettings>>,
 }
 
 /// A tenant's name, or a number (0) where there is none.
--- a/crates/simulation/src/settings.rs
+++ b/crates/simulation/src/settings.rs
@@ -2,7 +2,7 @@
 
 use crate::day::{Day, Effect, Mode, Queue};
 use crate::world::{Entry, Health, World};
-use loomlb_policy::boot::{BootInfo, Names};
+use loomlb_policy::raw_settings::{RawSettings, SettingNames};
 use loomlb_policy::{CellId, Settings, Worker, WorkerId, WorkerState};
 use serde_json::{Value, json};
 
@@ -83,13 +83,15 @@
 }
 
 /// The same as the decision module takes it.
-pub fn settings(day: &Day, scheduler: usize, tenant_rates: &[f64]) -> (Settings, Names) {
+pub fn settings(day: &Day, scheduler: usize, tenant_rates: &[f64]) -> (Settings, SettingNames) {
     // The words are made above, so a key that does not fit is a fault of this file; a test reads them all.
-    serde_json::from_value::<BootInfo>(words(day, scheduler, tenant_rates)).unwrap_or_default().read()
+    serde_json::from_value::<RawSettings>(words(day, scheduler, tenant_rates))
+        .unwrap_or_default()
+        .to_settings()
 }
 
 /// An entry of the list as the decision module takes it.
-pub fn worker(world: &World, names: &Names, entry: &Entry) -> Worker {
+pub fn worker(world: &World, names: &SettingNames, entry: &Entry) -> Worker {
     let state = match entry.health {
         Health::Active => WorkerState::Ready,
         Health::Leaving => WorkerState::Draining,
@@ -103,7 +105,7 @@
         started_at: entry.born,
         ..Worker::new(id)
     };
-    names.worker(
+    names.with_zone_and_kind(
         &zone(&world.day, entry.worker),
         &world.day.fleet.kinds[world.kind(entry.worker)].name,
         worker,
--- a/crates/simulation/src/simulate.rs
+++ b/crates/simulation/src/simulate.rs
@@ -11,7 +11,7 @@
 use crate::seed::Stream;
 use crate::settings;
 use crate::world::{Attempt, Counters, Deed, Dial, Reply, Signal, Word, World, ms};
-use loomlb_policy::boot::{Names, affinity_key};
+use loomlb_policy::raw_settings::{SettingNames, affinity_key};
 use loomlb_policy::{
     Action, AttemptResult, ClassId, Dispatcher, Event, JobProgress, ListKind, LoadReport, Nanos, Outcome,
     PeerId, Recipient, Request as Asked, RequestId, Settings, TenantId,
@@ -148,7 +148,7 @@
     /// Nested quotas, where the day has them, and the mean seconds of each class's jobs.
     quota: Option<Quota>,
     mean: Vec<f64>,
-    names: Names,
+    names: SettingNames,
     up: bool,
     /// Seen by the front until then, though it is down.
     seen_until: Nanos,
--- a/crates/simulation/tests/day.rs
+++ b/crates/simulation/tests/day.rs
@@ -1,6 +1,6 @@
 //! A day file that asks for the impossible is refused with its line and a reason.
 
-use loomlb_policy::boot::BootInfo;
+use loomlb_policy::raw_settings::RawSettings;
 use loomlb_simulation::Day;
 use loomlb_simulation::settings;
 
@@ -50,7 +50,7 @@
 #[test]
 fn the_words_of_a_day_are_the_settings_that_the_module_reads() {
     let day = Day::read(&format!("{GOOD}[[tenant]]\nname = \"t\"\nshare = 1\n")).unwrap();
-    assert!(serde_json::from_value::<BootInfo>(settings::words(&day, 0, &[9.0])).is_ok());
+    assert!(serde_json::from_value::<RawSettings>(settings::words(&day, 0, &[9.0])).is_ok());
     let (set, names) = settings::settings(&day, 0, &[9.0]);
     assert_eq!((set.classes.len(), set.tenants.len(), set.kind_count, set.dispatcher_count), (3, 1, 2, 1));
     assert_eq!(names.classes, ["view", "sign", "lodge"]);
