--- a/crates/policy/src/raw_settings.rs
+++ b/crates/policy/src/raw_settings.rs
@@ -247,8 +247,8 @@
         (settings, names)
     }
     /// The figures that the network code keeps to.
-    pub fn network_settings(&self) -> Terms {
-        Terms {
+    pub fn network_settings(&self) -> NetworkSettings {
+        NetworkSettings {
             dial_timeout: self.ceilings.dial_timeout,
             keepalive: self.ceilings.keepalive,
             drain_grace: self.obligations.drain_grace,
@@ -260,7 +260,7 @@
 
 /// What the settings say to the network code alone.
 #[derive(Clone, Debug, Default)]
-pub struct Terms {
+pub struct NetworkSettings {
     /// A connection that is not up in this time counts as none.
     pub dial_timeout: Nanos,
     /// Workers close a connection that was idle for this long.
@@ -283,9 +283,9 @@
     ("eps", "fail_rate"),
 ];
 
-impl Terms {
+impl NetworkSettings {
     /// Takes one named value into a report, if the settings name it; sites' words for it count as well.
-    pub fn report(&self, report: &mut LoadReport, name: &str, value: f64) {
+    pub fn record_load_value(&self, report: &mut LoadReport, name: &str, value: f64) {
         let name = REPORT_WORDS.iter().find(|w| w.0 == name).map_or(name, |w| w.1);
         if !self.report_fields.iter().any(|f| f == name) {
             return;
--- a/crates/scheduler/src/config.rs
+++ b/crates/scheduler/src/config.rs
@@ -300,7 +300,7 @@
             peers: peers?,
             peers_all: optional("peers_all", self.peers_all)?,
             known: self.known,
-            epoch: Rc::new(Epoch { terms: boot.terms(), settings, names }),
+            epoch: Rc::new(Epoch { terms: boot.network_settings(), settings, names }),
             passed_over: None,
             file,
             keys: RefCell::new(keys),
--- a/crates/scheduler/src/epoch.rs
+++ b/crates/scheduler/src/epoch.rs
@@ -1,6 +1,6 @@
 //! Epochs: settings in force, and how the next ones follow from a file that has changed. Pure: nothing is read here.
 
-use loomlb_policy::raw_settings::{SettingNames, Terms};
+use loomlb_policy::raw_settings::{NetworkSettings, SettingNames};
 use loomlb_policy::{Class, ClassId, ClassOrigin, KindId, Nanos, Settings, Tenant, ZoneId};
 
 /// Classes that may have a number at once, those kept for open flows included.
@@ -16,7 +16,7 @@
     /// The names, in the settings' order.
     pub names: SettingNames,
     /// For the network code.
-    pub terms: Terms,
+    pub terms: NetworkSettings,
 }
 
 impl Epoch {
--- a/crates/scheduler/src/relay.rs
+++ b/crates/scheduler/src/relay.rs
@@ -137,7 +137,7 @@
     let report = said.load.as_ref().and_then(|load| load.as_object()).map(|load| {
         let mut report = LoadReport::default();
         let values = load.iter().filter_map(|(name, value)| Some((name, value.as_f64()?)));
-        values.for_each(|(name, value)| s.epoch().terms.report(&mut report, name, value));
+        values.for_each(|(name, value)| s.epoch().terms.record_load_value(&mut report, name, value));
         report
     });
     match &*said.state {
--- a/crates/scheduler/src/send.rs
+++ b/crates/scheduler/src/send.rs
@@ -494,7 +494,7 @@
     let mut report = LoadReport::default();
     for (name, value) in text.split(',').filter_map(|pair| pair.split_once('=')) {
         if let Ok(value) = value.trim().parse() {
-            s.epoch().terms.report(&mut report, name.trim(), value);
+            s.epoch().terms.record_load_value(&mut report, name.trim(), value);
         }
     }
     report
