--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -33,4 +33,4 @@
 
 pub use api::*;
 pub use message::{Message, SlotUsage};
-pub use rules::{Carried, Dispatcher};
+pub use rules::{Dispatcher, LearnedState};
--- a/crates/policy/src/rules.rs
+++ b/crates/policy/src/rules.rs
@@ -14,7 +14,7 @@
 pub use crate::network::Network;
 use crate::state::{Attempt, Best, Job, Known, Learned, Peer, Random, Repeat, Share, in_share};
 use crate::talk::Talk;
-pub use carry::Carried;
+pub use carry::LearnedState;
 use rustc_hash::FxHashMap;
 
 /// Share of requests sent to a random other worker.
--- a/crates/policy/src/rules/carry.rs
+++ b/crates/policy/src/rules/carry.rs
@@ -12,7 +12,7 @@
 /// learned under.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(default)]
-pub struct Carried {
+pub struct LearnedState {
     classes: Vec<Option<OfClass>>,
     tenants: Vec<Option<Share>>,
     kinds: Vec<Option<f64>>,
@@ -65,13 +65,13 @@
     names.iter().map(|name| among.iter().position(|other| other == name)).collect()
 }
 
-impl Carried {
+impl LearnedState {
     /// The same in the order of other settings: classes, tenants, kinds and zones are known by their names.
-    pub fn arranged(
+    pub fn remapped(
         mut self,
         old: &crate::raw_settings::SettingNames,
         new: &crate::raw_settings::SettingNames,
-    ) -> Carried {
+    ) -> LearnedState {
         arrange(&mut self.classes, &places(&new.classes, &old.classes));
         arrange(&mut self.tenants, &places(&new.tenants, &old.tenants));
         arrange(&mut self.kinds, &places(&new.kinds, &old.kinds));
@@ -80,7 +80,7 @@
     }
 
     /// The same with each worker's start replaced by what `start` makes of its id and that start.
-    pub fn with_starts(mut self, start: impl Fn(WorkerId, Nanos) -> Nanos) -> Carried {
+    pub fn with_start_times(mut self, start: impl Fn(WorkerId, Nanos) -> Nanos) -> LearnedState {
         for worker in &mut self.workers {
             worker.started = start(WorkerId(worker.id), worker.started);
         }
@@ -99,7 +99,7 @@
 
 impl Dispatcher {
     /// All that is worth carrying over.
-    pub fn carried(&self) -> Carried {
+    pub fn learned_state(&self) -> LearnedState {
         let id = |w: usize| self.workers[w].entry.id.0;
         let of_class = |(net, learned): (&Network, &Learned)| {
             let neurons = net.neurons.iter().map(|n| (id(n.worker), n.plus, n.minus, n.q)).collect();
@@ -119,7 +119,7 @@
             cold_phase: k.cold_phase,
             told: k.told.iter().map(|t| (t.peer.0, t.turn, t.slots, t.at)).collect(),
         };
-        Carried {
+        LearnedState {
             classes: self.nets.iter().zip(&self.learned).map(of_class).collect(),
             tenants: self.share.iter().cloned().map(Some).collect(),
             kinds: self.kind_slots.iter().copied().map(Some).collect(),
@@ -138,7 +138,7 @@
 
     /// Takes over what another dispatcher had learned, in the order of this one's settings, for the workers that are
     /// listed here.
-    pub fn restore(&mut self, carried: Carried) {
+    pub fn restore(&mut self, carried: LearnedState) {
         for (c, of_class) in carried.classes.into_iter().enumerate().take(self.nets.len()) {
             let Some(of_class) = of_class else { continue };
             self.learned[c] = of_class.learned;
--- a/crates/policy/tests/module.rs
+++ b/crates/policy/tests/module.rs
@@ -963,11 +963,11 @@
         ..raw_settings::SettingNames::default()
     };
     // As the link has it: in a text, and under settings with another class before.
-    let text = serde_json::to_string(&old.dispatcher.carried()).unwrap();
-    let carried: Carried = serde_json::from_str(&text).unwrap();
-    let carried = carried.arranged(&names(&["view"]), &names(&["other", "view"]));
+    let text = serde_json::to_string(&old.dispatcher.learned_state()).unwrap();
+    let carried: LearnedState = serde_json::from_str(&text).unwrap();
+    let carried = carried.remapped(&names(&["view"]), &names(&["other", "view"]));
     set.classes.insert(0, set.classes[0].clone());
-    let first_picks = |carried: Option<Carried>| {
+    let first_picks = |carried: Option<LearnedState>| {
         let mut new = Stage::new(set.clone(), &workers(2));
         new.now = old.now;
         carried.into_iter().for_each(|carried| new.dispatcher.restore(carried));
@@ -992,7 +992,7 @@
     let first = spends(&mut old);
     let mut new = Stage::new(set.clone(), &[cold(7)]);
     new.now = old.now;
-    new.dispatcher.restore(old.dispatcher.carried());
+    new.dispatcher.restore(old.dispatcher.learned_state());
     let more = spends(&mut new);
     assert!(first > 0 && more == 0, "{first} jobs to a cold worker, and {more} more after the handover");
 }
--- a/crates/policy/tests/pins.rs
+++ b/crates/policy/tests/pins.rs
@@ -5,7 +5,7 @@
 mod golden;
 
 use loomlb_policy::raw_settings::affinity_key;
-use loomlb_policy::{Carried, Message, Outcome, SlotUsage, WorkerId, WorkerState, ZoneId};
+use loomlb_policy::{LearnedState, Message, Outcome, SlotUsage, WorkerId, WorkerState, ZoneId};
 
 fn messages() -> Vec<Message> {
     let holds = |slots, turn, failed| {
@@ -52,10 +52,13 @@
 
 #[test]
 fn an_empty_snapshot_of_what_is_learned_keeps_its_json() {
-    let text = serde_json::to_string(&Carried::default()).unwrap() + "\n";
+    let text = serde_json::to_string(&LearnedState::default()).unwrap() + "\n";
     golden::check("carried-empty.txt", text.as_bytes());
     // Every key may be missing, as in a build that did not have it yet.
-    assert_eq!(serde_json::to_string(&serde_json::from_str::<Carried>("{}").unwrap()).unwrap() + "\n", text);
+    assert_eq!(
+        serde_json::to_string(&serde_json::from_str::<LearnedState>("{}").unwrap()).unwrap() + "\n",
+        text
+    );
 }
 
 /// The numbers that stand for subjects decide which worker a subject sticks to, across processes and versions.
--- a/crates/scheduler/src/route.rs
+++ b/crates/scheduler/src/route.rs
@@ -3,7 +3,7 @@
 use super::book::Answer;
 use super::wheel::Due;
 use super::{Scheduler, relay, send};
-use loomlb_policy::{Action, Carried, Dispatcher, Event};
+use loomlb_policy::{Action, Dispatcher, Event, LearnedState};
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
 use std::panic::{AssertUnwindSafe, catch_unwind};
@@ -19,12 +19,12 @@
 
 impl Router {
     /// What the module has learned.
-    pub fn carried(&self) -> Carried {
-        self.module.borrow().carried()
+    pub fn carried(&self) -> LearnedState {
+        self.module.borrow().learned_state()
     }
 
     /// Gives the module what another had learned.
-    pub fn restore(&self, carried: Carried) {
+    pub fn restore(&self, carried: LearnedState) {
         self.module.borrow_mut().restore(carried);
     }
 
--- a/crates/scheduler/src/upgrade/snapshot.rs
+++ b/crates/scheduler/src/upgrade/snapshot.rs
@@ -13,7 +13,7 @@
 use loomlb_control::orders::Orders;
 use loomlb_control::service::State;
 use loomlb_policy::raw_settings::SettingNames;
-use loomlb_policy::{Carried, Nanos, WorkerId};
+use loomlb_policy::{LearnedState, Nanos, WorkerId};
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -29,7 +29,7 @@
     tenants: Vec<String>,
     kinds: Vec<String>,
     zones: Vec<String>,
-    carried: Carried,
+    carried: LearnedState,
     orders: Orders,
     service: State,
     list: List,
@@ -53,7 +53,7 @@
             tenants: names.tenants.clone(),
             kinds: names.kinds.clone(),
             zones: names.zones.clone(),
-            carried: s.router.carried().with_starts(|id, started| listed_start(&s.group, id, started)),
+            carried: s.router.carried().with_start_times(|id, started| listed_start(&s.group, id, started)),
             orders: s.orders.borrow().clone(),
             service: s.shutdown.service().state(),
             list: s.group.list(),
@@ -81,14 +81,14 @@
             s.group.follow_at(address);
         }
         discovery::take_over(s, self.list, self.worker_starts);
-        let carried = self.carried.with_starts(|id, listed| assigned_start(&s.group, id, listed));
+        let carried = self.carried.with_start_times(|id, listed| assigned_start(&s.group, id, listed));
         let names = SettingNames {
             classes: self.classes,
             tenants: self.tenants,
             zones: self.zones,
             kinds: self.kinds,
         };
-        s.router.restore(carried.arranged(&names, &s.epoch().names));
+        s.router.restore(carried.remapped(&names, &s.epoch().names));
     }
 }
 
--- a/crates/scheduler/src/upgrade/snapshot/tests.rs
+++ b/crates/scheduler/src/upgrade/snapshot/tests.rs
@@ -15,7 +15,7 @@
     tenants: Vec<String>,
     kinds: Vec<String>,
     zones: Vec<String>,
-    carried: Carried,
+    carried: LearnedState,
     orders: Orders,
     service: State,
     list: List,
