--- a/crates/policy/src/api.rs
+++ b/crates/policy/src/api.rs
@@ -1,6 +1,6 @@
-//! The interface of the decision module: settings and events in, actions out. Times are nanoseconds.
+//! The interface of the decision module: settings and events in, actions out. All times are nanoseconds.
 
-/// A point in time or a span, in nanoseconds of the caller's clock.
+/// A point in time on the caller's clock, or a duration, in nanoseconds.
 pub type Nanos = u64;
 
 macro_rules! ids {
@@ -11,121 +11,122 @@
     )*};
 }
 ids! {
-    /// A client's request (one try of it).
+    /// One try of a client's request.
     RequestId(u64);
-    /// A worker; stays the same when its process restarts.
+    /// A worker; restarts of its process keep the id.
     WorkerId(u64);
-    /// A peer dispatcher, by its number.
+    /// The number of a dispatcher.
     PeerId(u32);
-    /// Place in [`Settings::classes`].
+    /// Index into [`Settings::classes`].
     ClassId(usize);
-    /// Place in [`Settings::tenants`].
+    /// Index into [`Settings::tenants`].
     TenantId(usize);
-    /// A zone, numbered as the operator likes below [`Settings::zone_count`].
+    /// The number of a zone, below [`Settings::zone_count`].
     ZoneId(usize);
-    /// A kind of machine, numbered below [`Settings::kind_count`].
+    /// The number of a kind of machine, below [`Settings::kind_count`].
     KindId(usize);
-    /// A small group of workers that share their memory of keys seen.
+    /// A small group of workers that deduplicate requests together.
     CellId(u64);
-    /// What a job is about (a hash of its name): jobs with the same key can share a warm worker.
+    /// A hash of the name of what a job is about. A worker serves jobs with a key that it has cached faster.
     AffinityKey(u64);
 }
 
-/// What a class permits when an attempt may already have run.
+/// Whether requests of a class may be sent again after an attempt that may have run.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Idempotency {
-    /// Repeat freely.
+    /// Requests may be repeated freely.
     Idempotent,
-    /// Repeats are dropped inside a group of workers for a while.
+    /// Repeats are dropped by the workers of this scope, for [`Class::dedup_window`].
     Deduplicated(DedupScope),
-    /// Never repeat what may have run.
+    /// Requests that may have run must not be repeated.
     #[default]
     AtMostOnce,
 }
 
-/// The workers that drop repeats of a keyed request.
+/// The workers that recognize and drop repeats of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DedupScope {
-    /// All of them.
+    /// All workers.
     All,
-    /// Those of one zone.
+    /// Workers of the zone of the first attempt.
     Zone,
-    /// Those of one cell.
+    /// Workers of the cell of the first attempt.
     Cell,
 }
 
 /// A class of requests.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Class {
-    /// An answer in this time (plus `stretch` times the job's running time) has the full worth.
+    /// An answer within this time, plus `objective_stretch` times the running time of the job, has full
+    /// worth.
     pub latency_objective: Nanos,
-    /// How far the aim grows with the running time of the job.
+    /// How much the objective grows with the running time of the job.
     pub objective_stretch: f64,
-    /// The total time a client waits.
+    /// How long a client waits, over all its tries.
     pub client_timeout: Nanos,
-    /// Worth of one request (or of a unit of its work).
+    /// Worth of a request, or of a unit of its work; see [`Settings::worth_by_work`].
     pub worth: f64,
-    /// The part of the worth left after the aim.
+    /// Fraction of the worth that remains after the objective.
     pub late_worth: f64,
-    /// What may be repeated.
+    /// Whether requests may be repeated.
     pub idempotency: Idempotency,
-    /// How long keyed repeats are dropped, from the send of the first attempt that may have run.
+    /// How long repeats are dropped, counted from the send of the first attempt that may have run.
     pub dedup_window: Nanos,
-    /// The one kind of machine that runs it, if it is bound.
+    /// The only kind of machine that runs the class, if it is bound to one.
     pub kind: Option<KindId>,
 }
 
-/// A tenant and its share.
+/// A tenant and its quota.
 #[derive(Clone, Debug, Default)]
 pub struct Tenant {
-    /// Requests a second inside its share, for all dispatchers together.
+    /// Requests per second within its share, over all dispatchers.
     pub quota_per_s: f64,
 }
 
-/// How a worker serves its queue.
+/// The order in which a worker serves its queue.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum QueueOrder {
-    /// In order; the head waits until it fits.
+    /// First in, first out; the first job waits until it fits.
     #[default]
     Fifo,
-    /// Whatever fits first.
+    /// The first job that fits is served next.
     Backfill,
-    /// By the classes' priority.
+    /// By the priority of the class.
     Priority,
 }
 
-/// How a worker's listed weight is to be read.
+/// The meaning of the weight of a listed worker.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum WeightMeaning {
-    /// It says nothing.
+    /// None.
     #[default]
     None,
-    /// About the worker's size.
+    /// The approximate size of the worker.
     Size,
-    /// Its size divided by one plus its requests a core, some time ago.
+    /// The size divided by one plus the requests per core, as of some time ago.
     Live,
 }
 
-/// How load reports come.
+/// How dispatchers receive load reports of workers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum LoadReporting {
-    /// Not at all.
+    /// There are no load reports.
     #[default]
     None,
-    /// With outcomes (and probes).
+    /// With the end of each attempt, and with probes.
     Inline,
     /// With probes only.
     OnProbe,
 }
 
-/// All that a dispatcher is told at its start.
+/// The settings of a dispatcher.
 #[derive(Clone, Debug, Default)]
 pub struct Settings {
-    /// Dispatchers in all.
+    /// Number of dispatchers.
     pub dispatcher_count: u32,
-    /// This one's number.
+    /// The number of this dispatcher.
     pub own_id: PeerId,
-    /// The zone it is in.
+    /// The zone of this dispatcher.
     pub own_zone: ZoneId,
     /// Number of zones.
     pub zone_count: usize,
@@ -135,74 +136,74 @@
     pub classes: Vec<Class>,
     /// The tenants; may be empty.
     pub tenants: Vec<Tenant>,
-    /// The worth of a request beyond its tenant's share, as a part of the usual.
+    /// Worth of a request beyond its tenant's share, as a fraction of its usual worth.
     pub over_share_worth: f64,
-    /// Worth counts for each unit of work rather than for each request.
+    /// Whether the worth of a class counts per unit of work rather than per request.
     pub worth_by_work: bool,
-    /// How workers serve their queues.
+    /// The order in which workers serve their queues.
     pub queue_order: QueueOrder,
-    /// Workers tell when a job starts.
+    /// Whether workers report when a job starts.
     pub job_starts_reported: bool,
-    /// Time between progress notes; 0 for none.
+    /// Time between progress reports of a job; 0 if there are none.
     pub progress_interval: Nanos,
-    /// The report's first extra value is the worker's free slots.
+    /// Whether load reports carry the number of free slots.
     pub free_slots_reported: bool,
-    /// How load reports come.
+    /// How load reports are received.
     pub load_reporting: LoadReporting,
-    /// How listed weights are to be read.
+    /// The meaning of the weights of listed workers.
     pub weight_meaning: WeightMeaning,
-    /// The list must be asked for (otherwise changes come by themselves).
+    /// Whether changes of the worker list arrive only after [`Action::WatchList`].
     pub list_needs_watch: bool,
     /// Shortest time between two moments at which the dispatcher may act.
     pub tick: Nanos,
-    /// What the site permits.
+    /// What the platform permits.
     pub limits: Limits,
-    /// The figures of the rules.
+    /// What the platform requires.
     pub obligations: Obligations,
-    /// What things cost, in the worth of the mean request.
+    /// What operations cost, in units of the worth of the mean request.
     pub costs: Costs,
 }
 
-/// What the site permits.
+/// What the platform permits.
 #[derive(Clone, Debug, Default)]
 pub struct Limits {
-    /// Attempts for one request.
+    /// Attempts per request at most.
     pub max_attempts: u32,
-    /// Attempts can be cancelled.
+    /// Whether attempts can be cancelled.
     pub cancel: bool,
-    /// Two attempts of a request may be out at once.
+    /// Whether a request may have two attempts in flight.
     pub hedging: bool,
-    /// Workers may be probed.
+    /// Whether workers may be probed.
     pub probing: bool,
-    /// Peers may be told things.
+    /// Whether messages may be sent to peers.
     pub peer_messages: bool,
-    /// Longest wait that clients follow after a refusal; 0 if they are not told.
+    /// Longest `retry_after` that clients follow; 0 if they follow none.
     pub max_retry_after: Nanos,
 }
 
-/// The figures of the four rules.
+/// What the platform requires of dispatchers.
 #[derive(Clone, Debug, Default)]
 pub struct Obligations {
-    /// A started worker is warm after this time at the latest.
+    /// Time after which a started worker is warm at the latest.
     pub warm_up_time: Nanos,
-    /// The part of its capacity that it starts with, at least.
+    /// Fraction of its capacity that a worker has at least when it starts.
     pub initial_capacity_share: f64,
-    /// A cold worker falls over beyond this multiple of its present capacity,
+    /// A cold worker fails if it is sent more than this multiple of its current capacity
     pub overload_factor: f64,
-    /// sent for this long.
+    /// during this time.
     pub overload_window: Nanos,
-    /// The list must be asked for at least this often while there is no subscription.
+    /// Longest time between two requests for the worker list, while there is no subscription.
     pub list_request_interval: Nanos,
 }
 
-/// Prices, in the worth of the mean request.
+/// Costs in units of the worth of the mean request.
 #[derive(Clone, Debug, Default)]
 pub struct Costs {
-    /// An attempt that crosses zones.
+    /// An attempt in another zone.
     pub cross_zone: f64,
     /// Work that served no answer.
     pub waste: f64,
-    /// Worth that ended unserved after its aim.
+    /// Worth that ended unserved after its objective.
     pub late_failure: f64,
     /// 256 bytes delivered to a peer.
     pub peer_message: f64,
@@ -212,271 +213,272 @@
     pub handshake: f64,
 }
 
-/// Kinds of list news.
+/// What the entries of a worker list stand for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListKind {
-    /// Only what changed.
+    /// The changes since the last list.
     Partial,
-    /// All of the list.
+    /// The complete list.
     Complete,
-    /// All of the list as this instance had it before its restart; may be old.
+    /// The complete list as it was before a restart of this dispatcher; possibly outdated.
     Persisted,
 }
 
-/// State of a listed worker.
+/// The state of a listed worker.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum WorkerState {
     /// May be used.
     #[default]
     Ready,
-    /// Finishes its work; nothing new.
+    /// Finishes its jobs and takes no new ones.
     Draining,
-    /// Removed.
+    /// Removed from the fleet.
     Removed,
 }
 
-/// One entry of the list of workers.
+/// An entry of the worker list.
 #[derive(Clone, Debug, Default)]
 pub struct Worker {
-    /// Which one.
+    /// The id.
     pub id: WorkerId,
-    /// Its zone, if known to the settings.
+    /// The zone, or [`Settings::zone_count`] if the settings don't name it.
     pub zone: ZoneId,
-    /// Its kind.
+    /// The kind of machine.
     pub kind: KindId,
-    /// Its cell.
+    /// The cell.
     pub cell: CellId,
-    /// Whether it may be used.
+    /// The state.
     pub state: WorkerState,
-    /// Its weight; see [`WeightMeaning`].
+    /// The weight; see [`WeightMeaning`].
     pub weight: f64,
-    /// When its process started last; 0 for long ago.
+    /// When its process was last started; 0 for long ago.
     pub started_at: Nanos,
 }
 
 impl Worker {
-    /// A ready worker of weight 1 in the first zone, started long ago.
+    /// Returns a ready worker of weight 1 in the first zone, started long ago.
     pub fn new(id: WorkerId) -> Self {
         Worker { id, weight: 1.0, ..Worker::default() }
     }
 }
 
-/// A request that a client hands in.
+/// A client's request.
 #[derive(Clone, Debug, Default)]
 pub struct Request {
-    /// Its id; never comes twice.
+    /// The id; unique.
     pub id: RequestId,
-    /// Its class.
+    /// The class.
     pub class: ClassId,
-    /// Its tenant, where there are any.
+    /// The tenant, if there are any.
     pub tenant: Option<TenantId>,
-    /// What it is about.
+    /// What the job is about.
     pub affinity_key: Option<AffinityKey>,
     /// Slots that the job takes.
     pub slots: f64,
-    /// Memory that the job takes, in units of a slot's share.
+    /// Memory that the job takes, in units of the memory per slot.
     pub memory: f64,
-    /// Time before the client stops waiting.
+    /// Time until the client stops waiting.
     pub remaining: Nanos,
-    /// The answer has to go out within this time, where that is sooner: the process ends, say. It tells nothing of
-    /// the client.
+    /// A shorter time within which the request must be answered, for example because the process shuts down.
+    /// Unlike `remaining` it is no sign that the client has been waiting.
     pub answer_within: Option<Nanos>,
-    /// The client repeats, where clients mark this.
+    /// Whether the client has marked the request as a retry.
     pub is_retry: bool,
-    /// Whether it is within its tenant's share, where that is decided elsewhere.
+    /// Whether the request is within its tenant's share, if the caller has decided that.
     pub in_share: Option<bool>,
-    /// A hint of its work.
+    /// Expected work of the job, if the client has given a hint.
     pub expected_work: Option<Nanos>,
 }
 
 impl Request {
-    /// A request for one slot without key, tenant or hint.
+    /// Returns a request for one slot without affinity key, tenant or hint.
     pub fn new(id: RequestId, class: ClassId, remaining: Nanos) -> Self {
         Request { id, class, remaining, slots: 1.0, ..Request::default() }
     }
 }
 
-/// How an attempt ended.
+/// How an attempt or a probe ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
     /// Served.
     Served,
-    /// The worker gave an error; it may have run.
+    /// The worker returned an error; the job may have run.
     Error,
-    /// Sent back unseen: it never ran.
+    /// The worker had no room; the job never ran.
     Full,
-    /// No answer in time; it may have run or still run.
+    /// No answer in time; the job may have run or still be running.
     Timeout,
-    /// No connection: it never ran.
+    /// No connection; the job never ran.
     NoConnection,
-    /// The connection broke; it may have run.
+    /// The connection broke; the job may have run.
     Reset,
-    /// Cancelled; it may have run.
+    /// Cancelled by the dispatcher; the job may have run.
     Cancelled,
-    /// Not sent: it never ran.
+    /// Not sent; the job never ran.
     NotSent,
-    /// The worker finds fault with the request itself: it never ran, and no other worker would run it.
+    /// The worker rejected the request as invalid; the job never ran, and no other worker would run it.
     Rejected,
 }
 
 impl Outcome {
-    /// Whether the outcome proves that the attempt never ran.
+    /// Whether the outcome proves that the job never ran.
     pub fn never_ran(self) -> bool {
         matches!(self, Outcome::Full | Outcome::NoConnection | Outcome::NotSent | Outcome::Rejected)
     }
 }
 
-/// A worker's report of its load; absent values are `None`.
+/// A worker's report of its load; each value is optional.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct LoadReport {
-    /// Requests it holds.
+    /// Requests that are queued or running.
     pub in_flight: Option<f64>,
-    /// Requests that wait.
+    /// Requests that are queued.
     pub queued: Option<f64>,
     /// Free slots.
     pub free_slots: Option<f64>,
-    /// How busy its cores are.
+    /// Utilization of the cores.
     pub utilization: Option<f64>,
-    /// Recent service time without waiting, in milliseconds.
+    /// Recent service time without queueing, in milliseconds.
     pub service_time_ms: Option<f64>,
 }
 
-/// The end of an attempt.
+/// The end of an attempt or a probe.
 #[derive(Clone, Copy, Debug)]
 pub struct AttemptResult {
     /// How it ended.
     pub outcome: Outcome,
-    /// Time since the send.
+    /// Time since it was sent.
     pub latency: Nanos,
-    /// The request is over.
+    /// Whether the request has its final answer or its client no longer waits.
     pub request_finished: bool,
     /// The worker's load.
     pub load_report: Option<LoadReport>,
 }
 
-/// News of an attempt that is still out.
+/// Progress of a job whose attempt has not ended.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum JobProgress {
     /// The job has started.
     Started,
-    /// This share of it is done.
+    /// This fraction of the job is done.
     Fraction(f64),
 }
 
 impl LoadReport {
-    /// The report without what is no count: negative, infinite or none.
-    pub(crate) fn sane(&self) -> LoadReport {
-        let sane = |v: Option<f64>| v.filter(|v| v.is_finite() && *v >= 0.0);
+    /// Returns the report without values that are negative or not finite.
+    pub(crate) fn valid_values(&self) -> LoadReport {
+        let valid = |v: Option<f64>| v.filter(|v| v.is_finite() && *v >= 0.0);
         LoadReport {
-            in_flight: sane(self.in_flight),
-            queued: sane(self.queued),
-            free_slots: sane(self.free_slots),
-            utilization: sane(self.utilization),
-            service_time_ms: sane(self.service_time_ms),
+            in_flight: valid(self.in_flight),
+            queued: valid(self.queued),
+            free_slots: valid(self.free_slots),
+            utilization: valid(self.utilization),
+            service_time_ms: valid(self.service_time_ms),
         }
     }
 }
 
-/// Receivers of a message.
+/// The recipients of a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Recipient {
     /// One peer.
     One(PeerId),
-    /// All of them.
+    /// All peers.
     All,
 }
 
-/// Where a class of new settings stands.
+/// Where the learned state of a class comes from when the settings change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ClassOrigin {
-    /// It is the class that had this place before, unchanged, or kept for its open requests alone.
+    /// The class with the same number, which is unchanged or kept only for its open requests.
     Kept,
-    /// It takes the place of a class that is no longer used, or a new one, and starts from what was learned of this class.
+    /// A copy of what was learned of this class. The number is new or was that of a class no longer used.
     LearnedFrom(ClassId),
-    /// The same, from nothing.
+    /// Nothing has been learned yet. The number is new or was that of a class no longer used.
     New,
 }
 
-/// What happens to a dispatcher.
+/// An input of a dispatcher.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// News of the workers.
+    /// The worker list was received.
     WorkerList {
-        /// How to read the entries.
+        /// What the entries stand for.
         kind: ListKind,
         /// The entries.
         entries: Vec<Worker>,
     },
-    /// The settings have changed. For each class, where it stands; requests keep the class that they came with.
+    /// The settings have changed. The origins are in the order of the classes; open requests keep their
+    /// class.
     SettingsChanged(Box<Settings>, Vec<ClassOrigin>),
-    /// A call for the list failed, or the subscription broke.
+    /// A request for the worker list failed, or the subscription broke.
     ListRequestFailed,
-    /// A request is here.
+    /// A request was received.
     Request(Request),
-    /// A request is over; its client has gone.
+    /// The client of a request no longer waits for an answer.
     RequestAbandoned(RequestId),
-    /// News of an attempt.
+    /// An attempt of a request has made progress.
     JobProgress(RequestId, u32, JobProgress),
-    /// A streamed answer has begun: the attempt belongs to the client now.
+    /// A streamed response has started; the client receives it from this attempt.
     ResponseStarted(RequestId, u32),
     /// An attempt has ended.
     AttemptEnded {
-        /// Its request.
+        /// The request.
         id: RequestId,
-        /// Its number.
+        /// The number of the attempt.
         attempt: u32,
-        /// How it ended.
+        /// The result.
         result: AttemptResult,
     },
     /// A probe has ended.
     ProbeEnded {
-        /// The worker probed.
+        /// The worker.
         worker: WorkerId,
-        /// How it ended.
+        /// The result.
         result: AttemptResult,
     },
-    /// A timer that this dispatcher set.
+    /// A timer set by [`Action::SetTimer`] has expired.
     TimerFired(u64),
-    /// A message of a peer.
+    /// A message from a peer was received.
     PeerMessage(PeerId, Vec<u8>),
 }
 
-/// What a dispatcher wants done.
+/// An output of a dispatcher.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Start an attempt; attempts of a request count from 0.
+    /// Start an attempt. The attempts of a request are numbered from 0.
     Send {
         /// The request.
         id: RequestId,
-        /// Where to.
+        /// The worker.
         worker: WorkerId,
-        /// Time-out of the attempt.
+        /// Timeout of the attempt.
         timeout: Nanos,
     },
-    /// Final answer: no, a new try does no harm.
+    /// Answer the client that the request was refused and that it may safely retry.
     Refuse {
         /// The request.
         id: RequestId,
-        /// How long the client should wait; 0 for no advice.
+        /// How long the client should wait before it retries; 0 for no advice.
         retry_after: Nanos,
     },
-    /// Final answer: failed.
+    /// Answer the client that the request has failed.
     Fail(RequestId),
-    /// Stop waiting for an attempt.
+    /// Cancel an attempt.
     Cancel(RequestId, u32),
-    /// Ask for [`Event::Timer`] with this token after this time.
+    /// Request an [`Event::TimerFired`].
     SetTimer {
-        /// From now.
+        /// Time from now.
         after: Nanos,
-        /// Comes back with the event.
+        /// Returned with the event.
         token: u64,
     },
     /// Probe a worker.
     Probe(WorkerId),
     /// Close the idle connections to a worker.
     CloseIdleConnections(WorkerId),
-    /// Ask for changes of the list from now on.
+    /// Subscribe to changes of the worker list.
     WatchList,
-    /// Tell peers something.
+    /// Send a message to peers.
     SendToPeers(Recipient, Vec<u8>),
 }
--- a/crates/policy/src/raw_settings.rs
+++ b/crates/policy/src/raw_settings.rs
@@ -1,11 +1,13 @@
-//! The settings that a dispatcher gets at its start, and their one parser. Unknown keys are skipped.
+//! The settings as the configuration file and the simulator spell them, and their conversion. Unknown keys
+//! are ignored.
 
 use crate::api::*;
 use rustc_hash::FxHasher;
 use serde::Deserialize;
 use std::hash::Hasher;
 
-/// An instance's names, in the order of its settings. What is not among them is numbered behind them.
+/// The names of classes, tenants, zones and kinds, in the order of the settings. An unknown name gets the
+/// number after the last one.
 #[derive(Clone, Debug, Default)]
 pub struct SettingNames {
     /// The classes.
@@ -18,30 +20,30 @@
     pub kinds: Vec<String>,
 }
 
-fn place(names: &[String], name: &str) -> usize {
+fn index_or_len(names: &[String], name: &str) -> usize {
     names.iter().position(|n| n == name).unwrap_or(names.len())
 }
 
 impl SettingNames {
-    /// The worker with its zone and kind numbered as in the settings.
+    /// Returns the worker with the numbers of this zone and kind.
     pub fn with_zone_and_kind(&self, zone: &str, kind: &str, worker: Worker) -> Worker {
-        let (zone, kind) = (place(&self.zones, zone), place(&self.kinds, kind));
+        let (zone, kind) = (index_or_len(&self.zones, zone), index_or_len(&self.kinds, kind));
         Worker { zone: ZoneId(zone), kind: KindId(kind), ..worker }
     }
-    /// The number of a class; that of no class if the name is unknown.
+    /// Returns the number of a class; the number of classes if the name is unknown.
     pub fn class_index(&self, name: &str) -> usize {
-        place(&self.classes, name)
+        index_or_len(&self.classes, name)
     }
 }
 
-/// The key that stands for a subject's name.
-pub fn affinity_key(text: &str) -> AffinityKey {
+/// Returns the affinity key for the name of what a job is about.
+pub fn affinity_key(name: &str) -> AffinityKey {
     let mut hasher = FxHasher::default();
-    hasher.write(text.as_bytes());
+    hasher.write(name.as_bytes());
     AffinityKey(hasher.finish())
 }
 
-/// The settings as they are sent at a start, in the simulator's words.
+/// The settings as they are configured.
 #[derive(Clone, Debug, Deserialize, Default)]
 #[serde(default)]
 #[serde(expecting = "struct BootInfo")]
@@ -59,10 +61,10 @@
     weights: String,
     tick: Nanos,
     load_report: RawLoadReport,
-    ceilings: Ceilings,
+    ceilings: RawCeilings,
     obligations: RawObligations,
-    penalties: Penalties,
-    extra: Extra,
+    penalties: RawPenalties,
+    extra: RawExtra,
 }
 
 #[derive(Clone, Debug, Deserialize, Default)]
@@ -99,7 +101,7 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(default)]
 #[serde(expecting = "struct Ceilings")]
-struct Ceilings {
+struct RawCeilings {
     cancel: bool,
     dial_timeout: Nanos,
     keepalive: Nanos,
@@ -112,9 +114,9 @@
     second_copies: bool,
 }
 
-impl Default for Ceilings {
+impl Default for RawCeilings {
     fn default() -> Self {
-        Ceilings {
+        RawCeilings {
             cancel: false,
             dial_timeout: 1_000_000_000,
             keepalive: 5_000_000_000,
@@ -144,7 +146,7 @@
 #[derive(Clone, Debug, Deserialize, Default)]
 #[serde(default)]
 #[serde(expecting = "struct Penalties")]
-struct Penalties {
+struct RawPenalties {
     cross_zone: f64,
     waste: f64,
     late_fail: f64,
@@ -156,7 +158,7 @@
 #[derive(Clone, Debug, Deserialize, Default)]
 #[serde(default)]
 #[serde(expecting = "struct Extra")]
-struct Extra {
+struct RawExtra {
     class_kind: Vec<i64>,
     class_stretch: Vec<f64>,
     progress: Nanos,
@@ -166,7 +168,7 @@
 }
 
 impl RawSettings {
-    /// The settings and names that these words stand for.
+    /// Converts the settings for the decision module, with the names that they use.
     pub fn to_settings(&self) -> (Settings, SettingNames) {
         let classes = self.classes.iter().enumerate().map(|(i, c)| Class {
             latency_objective: c.aim,
@@ -187,7 +189,7 @@
         let settings = Settings {
             dispatcher_count: self.balancers,
             own_id: PeerId(self.rank),
-            own_zone: ZoneId(place(&self.zones, &self.my_zone)),
+            own_zone: ZoneId(index_or_len(&self.zones, &self.my_zone)),
             zone_count: self.zones.len(),
             kind_count: self.kinds.len(),
             classes: classes.collect(),
@@ -246,7 +248,7 @@
         };
         (settings, names)
     }
-    /// The figures that the network code keeps to.
+    /// Returns the settings for the network code.
     pub fn network_settings(&self) -> NetworkSettings {
         NetworkSettings {
             dial_timeout: self.ceilings.dial_timeout,
@@ -258,23 +260,23 @@
     }
 }
 
-/// What the settings say to the network code alone.
+/// Settings that only the network code uses.
 #[derive(Clone, Debug, Default)]
 pub struct NetworkSettings {
-    /// A connection that is not up in this time counts as none.
+    /// Timeout for opening a connection.
     pub dial_timeout: Nanos,
-    /// Workers close a connection that was idle for this long.
+    /// Idle time after which workers close a connection.
     pub keepalive: Nanos,
-    /// Sends to a draining or gone worker end within this time.
+    /// Time after which attempts at a draining or removed worker end.
     pub drain_grace: Nanos,
     /// Open requests at most.
     pub max_open: usize,
-    /// Names of the values in a load report, as the settings call them.
+    /// The values in a load report, by the names that the settings use.
     pub report_fields: Vec<String>,
 }
 
-/// Load values that sites write in words of their own, and the settings' word for each.
-const REPORT_WORDS: [(&str, &str); 6] = [
+/// Names of load values that workers may use, and the names that the settings use for them.
+const LOAD_VALUE_ALIASES: [(&str, &str); 6] = [
     ("inflight", "rif"),
     ("queue", "q"),
     ("util", "busy"),
@@ -284,9 +286,9 @@
 ];
 
 impl NetworkSettings {
-    /// Takes one named value into a report, if the settings name it; sites' words for it count as well.
+    /// Sets a load value in a report by its name or alias, unless the settings don't list it.
     pub fn record_load_value(&self, report: &mut LoadReport, name: &str, value: f64) {
-        let name = REPORT_WORDS.iter().find(|w| w.0 == name).map_or(name, |w| w.1);
+        let name = LOAD_VALUE_ALIASES.iter().find(|alias| alias.0 == name).map_or(name, |alias| alias.1);
         if !self.report_fields.iter().any(|f| f == name) {
             return;
         }
--- a/crates/policy/src/rules.rs
+++ b/crates/policy/src/rules.rs
@@ -833,7 +833,7 @@
     fn report(&mut self, w: usize, report: &LoadReport) {
         let (told, need) = (self.all_told(), (self.mean_need, self.most_need));
         let of_kind = self.kind_slots.get_mut(self.workers[w].entry.kind.0);
-        let part = self.workers[w].take_in(self.now, &report.sane(), &self.set, need, of_kind, told);
+        let part = self.workers[w].take_in(self.now, &report.valid_values(), &self.set, need, of_kind, told);
         part.into_iter().for_each(|part| self.others_part += (part - self.others_part) * 0.02);
     }
 
