--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -20,7 +20,7 @@
 
 pub mod api;
 mod cold;
-mod fading;
+mod decay;
 mod groups;
 mod message;
 mod meter;
--- a/crates/policy/src/meter.rs
+++ b/crates/policy/src/meter.rs
@@ -2,7 +2,7 @@
 //! has at hand. Estimates alone: nothing is decided here.
 
 use crate::api::{AffinityKey, Nanos, RequestId};
-use crate::fading::fade;
+use crate::decay::decay_factor;
 use std::collections::VecDeque;
 
 /// How much a job that has ended moves the pace learned of its worker.
@@ -151,7 +151,7 @@
     /// longer is, so what was learned of late gives way to what is usual there.
     pub(crate) fn pace(&self, now: Nanos, like: f64) -> f64 {
         let Some((pace, usual, at)) = self.pace else { return if like > 0.0 { like } else { 1.0 } };
-        let pace = usual + (pace - usual) * fade(now.saturating_sub(at), RETURN);
+        let pace = usual + (pace - usual) * decay_factor(now.saturating_sub(at), RETURN);
         let running = self.out.iter().filter_map(|o| Some(now.saturating_sub(o.started?) as f64 / o.work));
         let most = running.fold(0.0, f64::max);
         if most > OVERDUE * pace { most } else { pace }
--- a/crates/policy/src/rules.rs
+++ b/crates/policy/src/rules.rs
@@ -7,7 +7,7 @@
 
 use crate::api::*;
 use crate::cold;
-use crate::fading::{Fading, toward};
+use crate::decay::{DecayingValue, update_mean};
 use crate::groups::{Dealt, Tier, lean};
 use crate::message::{Message, SlotUsage};
 mod carry;
@@ -91,7 +91,7 @@
     listed_once: bool,
     failed_asks: u32,
     mean_run: f64,
-    waits: Vec<Fading>,
+    waits: Vec<DecayingValue>,
     mean_worth: f64,
     /// How much longer a job runs where its subject's data must be fetched, and for a unit of work by kind.
     fetch: f64,
@@ -117,7 +117,7 @@
             kind_slots: vec![0.0; settings.kind_count],
             kind_pace: vec![0.0; settings.kind_count],
             share: vec![Share::default(); settings.tenants.len()],
-            waits: vec![Fading::default(); settings.zone_count],
+            waits: vec![DecayingValue::default(); settings.zone_count],
             set: settings,
             ..Dispatcher::default()
         }
@@ -365,7 +365,7 @@
         let told = |s: &mut Self| in_share(&mut s.share, &s.set, request.tenant, request.is_retry, s.now);
         let in_share = request.in_share.unwrap_or_else(|| told(self));
         let worth = self.worth(request.class.0);
-        toward(&mut self.mean_worth, worth, 0.01);
+        update_mean(&mut self.mean_worth, worth, 0.01);
         let job = Job {
             arrived: self.now,
             most: self.set.limits.max_attempts,
@@ -380,8 +380,8 @@
             ..Job::default()
         };
         let value = self.value(&job);
-        toward(&mut self.mean_value, value, 0.01);
-        toward(&mut self.mean_need, job.request.slots, 0.02);
+        update_mean(&mut self.mean_value, value, 0.01);
+        update_mean(&mut self.mean_need, job.request.slots, 0.02);
         self.most_need = self.most_need.max(job.request.slots);
         // Where no report tells of room nothing is held; in overload queues would grow until all is late.
         // Only jobs that go out tell that a wait is over, so one goes now and then.
@@ -620,7 +620,7 @@
                 in_way += known.meter.wait(self.now) / run;
             }
             let silent = known.silent(self.now) / (SILENCE * self.mean_run).max(1.0);
-            let failures = known.failures.get(self.now, FORGET) + silent * silent;
+            let failures = known.failures.value_at(self.now, FORGET) + silent * silent;
             let far = known.entry.zone != self.set.own_zone;
             if far {
                 in_way += cross;
@@ -718,7 +718,7 @@
     }
 
     fn zone_wait(&self, zone: usize) -> f64 {
-        self.waits.get(zone).map_or(0.0, |w| w.get(self.now, FORGET))
+        self.waits.get(zone).map_or(0.0, |w| w.value_at(self.now, FORGET))
     }
 
     fn waited(&mut self, zone: ZoneId, wait: f64) {
@@ -751,7 +751,7 @@
     /// job's time, and a worker that looks full and is left alone would send no further report. So it
     /// goes to the mean of all, short of full.
     fn others(&self, known: &Known) -> f64 {
-        let told: f64 = known.told.iter().map(|t| t.slots.get(self.now, LOST)).sum();
+        let told: f64 = known.told.iter().map(|t| t.slots.value_at(self.now, LOST)).sum();
         if self.all_told() || known.near && !self.group.is_empty() && !self.cut_off() {
             return told;
         }
@@ -854,7 +854,7 @@
         let extra = known.meter.ended(id, attempt, self.now, ended.outcome == Outcome::Served);
         self.fetch += (extra.unwrap_or(self.fetch) - self.fetch) * 0.1;
         let pace = self.kind_pace.get_mut(known.entry.kind.0);
-        pace.into_iter().for_each(|pace| toward(pace, known.meter.pace(self.now, *pace), 0.1));
+        pace.into_iter().for_each(|pace| update_mean(pace, known.meter.pace(self.now, *pace), 0.1));
         let learned = &mut self.learned[class];
         match ended.outcome {
             Outcome::Served => {
@@ -862,8 +862,8 @@
                 let waited = started.map_or(0, |s| s.saturating_sub(sent));
                 let run = ended.latency.saturating_sub(waited).max(1) as f64;
                 learned.ran(run);
-                toward(&mut self.mean_run, run, 0.02);
-                known.failures.set(self.now, known.failures.get(self.now, FORGET) * FORGIVE);
+                update_mean(&mut self.mean_run, run, 0.02);
+                known.failures.set(self.now, known.failures.value_at(self.now, FORGET) * FORGIVE);
                 self.nets[class].learn(w, ended.latency as f64);
             }
             // What has been out there in vain is the only sign that a silent worker gives.
--- a/crates/policy/src/rules/carry.rs
+++ b/crates/policy/src/rules/carry.rs
@@ -3,7 +3,7 @@
 
 use super::Dispatcher;
 use crate::api::*;
-use crate::fading::Fading;
+use crate::decay::DecayingValue;
 use crate::network::Network;
 use crate::state::{Learned, Share, Told};
 use serde::{Deserialize, Serialize};
@@ -16,7 +16,7 @@
     classes: Vec<Option<OfClass>>,
     tenants: Vec<Option<Share>>,
     kinds: Vec<Option<f64>>,
-    zones: Vec<Option<Fading>>,
+    zones: Vec<Option<DecayingValue>>,
     workers: Vec<OfWorker>,
     turn: u16,
     mean_run: f64,
@@ -47,13 +47,13 @@
     slots: Option<f64>,
     others: f64,
     reported: Nanos,
-    failures: Fading,
+    failures: DecayingValue,
     full_until: Nanos,
     cold_credit: f64,
     cold_at: Nanos,
     cold_phase: f64,
     /// Peer, turn, slots, since.
-    told: Vec<(u32, u16, Fading, Nanos)>,
+    told: Vec<(u32, u16, DecayingValue, Nanos)>,
 }
 
 fn arrange<T: Clone>(all: &mut Vec<Option<T>>, from: &[Option<usize>]) {
@@ -206,7 +206,7 @@
         }
         self.kind_slots.resize(settings.kind_count, 0.0);
         self.share.resize(settings.tenants.len(), Share::default());
-        self.waits.resize(settings.zone_count, Fading::default());
+        self.waits.resize(settings.zone_count, DecayingValue::default());
         self.set = settings;
         self.regroup = true;
     }
--- a/crates/policy/src/state.rs
+++ b/crates/policy/src/state.rs
@@ -2,7 +2,7 @@
 
 use crate::api::*;
 use crate::cold;
-use crate::fading::{Fading, fade, lower_median};
+use crate::decay::{DecayingValue, decay_factor, lower_median};
 use crate::groups::{Dealt, Tier};
 use crate::message::SlotUsage;
 use crate::meter::Meter;
@@ -51,7 +51,7 @@
     pub(crate) told: Vec<Told>,
     /// Slots, once reports or notes have shown them.
     pub(crate) slots: Option<f64>,
-    pub(crate) failures: Fading,
+    pub(crate) failures: DecayingValue,
     /// What its words on starts and ends tell.
     pub(crate) meter: Meter,
     /// When it last gave a sign of life, or got a job while it had none.
@@ -79,14 +79,14 @@
     }
     /// Its process has started anew, or it is new: cold, out of step with the others, and holding none of what it held.
     pub(crate) fn restarted(&mut self, now: Nanos, phase: f64) {
-        (self.others, self.failures, self.full_until) = (0.0, Fading::default(), 0);
+        (self.others, self.failures, self.full_until) = (0.0, DecayingValue::default(), 0);
         self.told.clear();
         self.meter.restarted();
         (self.cold_credit, self.cold_at, self.cold_phase) = (0.0, now, phase);
     }
     /// Brings the mean of own attempts up to now; it forgets within `span`.
     pub(crate) fn age(&mut self, now: Nanos, span: f64) {
-        let keep = fade(now.saturating_sub(self.mean_at), span);
+        let keep = decay_factor(now.saturating_sub(self.mean_at), span);
         self.own_mean = self.own_mean * keep + self.own * (1.0 - keep);
         self.mean_at = now;
     }
@@ -111,7 +111,7 @@
         if self.others == mean {
             return mean;
         }
-        mean + (self.others - mean) * fade(now.saturating_sub(self.reported), span)
+        mean + (self.others - mean) * decay_factor(now.saturating_sub(self.reported), span)
     }
 
     /// Takes in a report: the size of the worker and, unless all is `told`, what others hold there; then the part of its
@@ -168,7 +168,7 @@
     /// Takes in what a peer says that it holds here, unless a later word has overtaken it. That comes within `late`: not so
     /// long that the turns could have come round.
     pub(crate) fn hear(&mut self, peer: PeerId, holds: SlotUsage, now: Nanos, late: Nanos) {
-        let mut slots = Fading::default();
+        let mut slots = DecayingValue::default();
         slots.set(now, holds.slots.into());
         let word = Told { peer, turn: holds.sequence, slots, at: now };
         match self.told.iter_mut().find(|t| t.peer == peer) {
@@ -179,7 +179,7 @@
     }
 
     pub(crate) fn failed(&mut self, now: Nanos, span: f64) {
-        self.failures.set(now, self.failures.get(now, span) + 1.0);
+        self.failures.set(now, self.failures.value_at(now, span) + 1.0);
     }
 }
 
@@ -188,7 +188,7 @@
 pub(crate) struct Told {
     pub(crate) peer: PeerId,
     pub(crate) turn: u16,
-    pub(crate) slots: Fading,
+    pub(crate) slots: DecayingValue,
     pub(crate) at: Nanos,
 }
 
@@ -309,7 +309,7 @@
 /// A tenant's use of its share here: requests a second, and the bucket that its quota fills.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub(crate) struct Share {
-    pub(crate) used: Fading,
+    pub(crate) used: DecayingValue,
     level: f64,
     at: Nanos,
 }
@@ -339,7 +339,7 @@
 ) -> bool {
     let Some(t) = tenant.map(|t| t.0).filter(|&t| t < shares.len()) else { return true };
     let quota = |t: usize| set.tenants[t].quota_per_s.max(1e-9);
-    let here = |t: usize| shares[t].used.get(now, SHARE_SPAN * 1e9);
+    let here = |t: usize| shares[t].used.value_at(now, SHARE_SPAN * 1e9);
     let used = (0..shares.len()).map(|t| here(t) / quota(t)).collect();
     let part = lower_median(used).max(1.0 / f64::from(set.dispatcher_count.max(1)));
     let (rate, own) = (part * quota(t), here(t));
--- a/crates/policy/src/talk.rs
+++ b/crates/policy/src/talk.rs
@@ -2,7 +2,7 @@
 //! is decided here.
 
 use crate::api::Nanos;
-use crate::fading::toward;
+use crate::decay::update_mean;
 
 /// Words over which the part is averaged, and those without which there is no part yet.
 const WORDS: f64 = 300.0;
@@ -37,7 +37,7 @@
     pub(crate) fn heard(&mut self, now: Nanos) {
         // The time to the first word, from whenever the clock began, is no pause; words in one breath are one.
         if self.heard > 0 && now > self.heard + BREATH && !self.silent(now) {
-            toward(&mut self.gap, now.saturating_sub(self.heard) as f64, 0.02);
+            update_mean(&mut self.gap, now.saturating_sub(self.heard) as f64, 0.02);
         }
         self.heard = now;
         self.word(0.0);
