--- a/crates/policy/src/cold.rs
+++ b/crates/policy/src/cold.rs
@@ -2,7 +2,7 @@
 //! decided here.
 
 use crate::api::{Nanos, Obligations, Settings, WorkerId};
-use crate::groups::Tier;
+use crate::group_assignment::GroupLayout;
 
 /// Standard deviations kept free below a cold worker's limit.
 const SIGMAS: f64 = 3.5;
@@ -40,8 +40,8 @@
 pub(crate) fn sharers(set: &Settings, worker: WorkerId, group: usize) -> Option<usize> {
     let all = set.dispatcher_count.max(1) as usize;
     let split = if set.zone_count <= 1 && set.limits.peer_messages { all.div_ceil(group) } else { 1 };
-    let tier = Tier::new(all, split);
-    let sharers = tier.members(tier.home(worker.0));
+    let tier = GroupLayout::new(all, split);
+    let sharers = tier.members(tier.hashed_group(worker.0));
     (split <= 1 || sharers.contains(&(set.own_id.0 as usize))).then_some(sharers.len())
 }
 
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -21,7 +21,7 @@
 pub mod api;
 mod cold;
 mod decay;
-mod groups;
+mod group_assignment;
 mod message;
 mod meter;
 mod network;
--- a/crates/policy/src/rules.rs
+++ b/crates/policy/src/rules.rs
@@ -8,7 +8,7 @@
 use crate::api::*;
 use crate::cold;
 use crate::decay::{DecayingValue, update_mean};
-use crate::groups::{Dealt, Tier, lean};
+use crate::group_assignment::{AssignableWorker, GroupLayout, rendezvous_weight};
 use crate::message::{Message, SlotUsage};
 mod carry;
 pub use crate::network::Network;
@@ -261,17 +261,19 @@
         let mut order: Vec<usize> = (0..self.workers.len()).collect();
         order.retain(|&w| self.workers[w].listed && self.workers[w].entry.zone == self.set.own_zone);
         // As many groups as the settings make, or fewer where they would have hardly a worker each.
-        let tier = Tier::new(near.len(), near.len().div_ceil(GROUP).min(order.len().div_ceil(4)).max(1));
-        let mine = tier.group(near.iter().position(|p| *p == self.set.own_id).unwrap_or(0));
+        let tier =
+            GroupLayout::new(near.len(), near.len().div_ceil(GROUP).min(order.len().div_ceil(4)).max(1));
+        let mine = tier.group_of(near.iter().position(|p| *p == self.set.own_id).unwrap_or(0));
         let members = |g| tier.members(g).map(|i| near[i]).filter(|p| *p != self.set.own_id).collect();
-        self.groups = (0..tier.groups).map(members).collect();
+        self.groups = (0..tier.group_count).map(members).collect();
         self.group = self.groups[mine].clone();
         order.sort_by_cached_key(|&w| self.workers[w].entry.id);
         let (rules, now) = (&self.set.obligations, self.now);
-        let dealt: Vec<Dealt> = order.iter().map(|&w| self.workers[w].dealt(rules, now, tier)).collect();
+        let dealt: Vec<AssignableWorker> =
+            order.iter().map(|&w| self.workers[w].dealt(rules, now, tier)).collect();
         self.workers.iter_mut().for_each(|k| (k.near, k.part) = (false, mine));
         self.near = vec![false; self.workers.len()];
-        for (&w, part) in order.iter().zip(tier.deal(&dealt)) {
+        for (&w, part) in order.iter().zip(tier.assign(&dealt)) {
             (self.workers[w].near, self.workers[w].part) = (part == mine, part);
             self.near[w] = part == mine;
         }
@@ -485,7 +487,7 @@
         let most = self.set.limits.max_retry_after;
         let slots: f64 = self.workers.iter().filter(|k| k.listed).filter_map(|k| self.slots(k)).sum();
         let before = (1.0 + self.held.len() as f64) * self.mean_need.max(1.0);
-        let wait = self.mean_run * before / slots.max(1.0) * (0.5 + lean(id.0, 0));
+        let wait = self.mean_run * before / slots.max(1.0) * (0.5 + rendezvous_weight(id.0, 0));
         (wait as Nanos).max(self.set.tick).min(most)
     }
 
@@ -575,7 +577,7 @@
             self.crowded += (full - self.crowded) * 0.1;
         }
         let patient = self.now < job.arrived + job.start_by.saturating_sub(job.arrived) / 2;
-        let stay = patient || lean(id.0, 0) > (1.0 - self.crowded).powi(2).max(0.02);
+        let stay = patient || rendezvous_weight(id.0, 0) > (1.0 - self.crowded).powi(2).max(0.02);
         let grouped = self.set.load_reporting == LoadReporting::Inline && !self.group.is_empty();
         if among_group.is_none() && (cut_off || grouped && !tied && stay) {
             return None;
@@ -652,7 +654,7 @@
 
     /// How much a job belongs to a worker for its key; all the same without one.
     fn lean(&self, job: &Job, w: usize) -> f64 {
-        job.request.affinity_key.map_or(1.0, |k| lean(k.0, self.workers[w].entry.id.0))
+        job.request.affinity_key.map_or(1.0, |k| rendezvous_weight(k.0, self.workers[w].entry.id.0))
     }
 
     /// The part of the workers that a job may go to for its key: about one of all zones at first, all in the
--- a/crates/policy/src/state.rs
+++ b/crates/policy/src/state.rs
@@ -3,7 +3,7 @@
 use crate::api::*;
 use crate::cold;
 use crate::decay::{DecayingValue, decay_factor, lower_median};
-use crate::groups::{Dealt, Tier};
+use crate::group_assignment::{AssignableWorker, GroupLayout};
 use crate::message::SlotUsage;
 use crate::meter::Meter;
 use serde::{Deserialize, Serialize};
@@ -67,15 +67,15 @@
 
 impl Known {
     /// As it is dealt out to groups. Its favorite is remembered for as long as there are as many groups.
-    pub(crate) fn dealt(&mut self, rules: &Obligations, now: Nanos, tier: Tier) -> Dealt {
+    pub(crate) fn dealt(&mut self, rules: &Obligations, now: Nanos, tier: GroupLayout) -> AssignableWorker {
         let id = self.entry.id.0;
         let young = cold::warmth(rules, self.entry.started_at, now) < 1.0;
         let favorite = match self.favorite {
-            Some(favorite) if favorite.of_groups == tier.groups => favorite.group,
-            _ => tier.favorite(id),
+            Some(favorite) if favorite.of_groups == tier.group_count => favorite.group,
+            _ => tier.preferred_group(id),
         };
-        self.favorite = Some(Favorite { of_groups: tier.groups, group: favorite });
-        Dealt { id, young, favorite }
+        self.favorite = Some(Favorite { of_groups: tier.group_count, group: favorite });
+        AssignableWorker { id, cold: young, preferred_group: favorite }
     }
     /// Its process has started anew, or it is new: cold, out of step with the others, and holding none of what it held.
     pub(crate) fn restarted(&mut self, now: Nanos, phase: f64) {
