--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -19,7 +19,7 @@
 #![forbid(unsafe_code)]
 
 pub mod api;
-mod cold;
+mod cold_start;
 mod decay;
 mod group_assignment;
 mod message;
--- a/crates/policy/src/rules.rs
+++ b/crates/policy/src/rules.rs
@@ -6,7 +6,7 @@
 //! `usable` lets pass.
 
 use crate::api::*;
-use crate::cold;
+use crate::cold_start;
 use crate::decay::{DecayingValue, update_mean};
 use crate::group_assignment::{AssignableWorker, GroupLayout, rendezvous_weight};
 use crate::message::{Message, SlotUsage};
@@ -455,7 +455,7 @@
         let (zone, cell) = (known.entry.zone, known.entry.cell);
         known.sends(self.now, self.mean_run, job.request.slots);
         job.attempts.push(Attempt { worker: w, zone, cell, sent: self.now, started: None, outcome: None });
-        let work = job.work / cold::warmth(&self.set.obligations, known.entry.started_at, self.now);
+        let work = job.work / cold_start::warmth(&self.set.obligations, known.entry.started_at, self.now);
         known.meter.sent(id, job.attempts.len() as u32 - 1, self.now, work, job.request.affinity_key);
         let timeout = job.deadline.saturating_sub(2 * self.set.tick).saturating_sub(self.now).max(1);
         let worker = known.entry.id;
@@ -769,7 +769,7 @@
     }
 
     fn warmth(&self, entry: &Worker, at: Nanos) -> f64 {
-        cold::warmth(&self.set.obligations, entry.started_at, at)
+        cold_start::warmth(&self.set.obligations, entry.started_at, at)
     }
 
     /// What a job is charged on a cold worker, and the credit there. All dispatchers together must stay
@@ -783,9 +783,9 @@
         }
         let capacity = self.slots(known).unwrap_or(1.0).max(1.0);
         let before = self.warmth(&known.entry, known.cold_at);
-        let budget = cold::Budget::new(&self.set.obligations, capacity, before, warmth);
+        let budget = cold_start::ColdStartBudget::new(&self.set.obligations, capacity, before, warmth);
         let charge = budget.charge(self.learned[class].run * slots.max(1.0)) * self.learned[class].caution();
-        let Some(sharers) = cold::sharers(&self.set, known.entry.id, GROUP) else {
+        let Some(sharers) = cold_start::budget_sharers(&self.set, known.entry.id, GROUP) else {
             return Some((charge, f64::NEG_INFINITY));
         };
         let waited = self.now.saturating_sub(known.cold_at) as f64 * budget.rate / sharers as f64;
--- a/crates/policy/src/state.rs
+++ b/crates/policy/src/state.rs
@@ -1,7 +1,7 @@
 //! What a dispatcher remembers of workers, requests, classes and tenants. Nothing is decided here.
 
 use crate::api::*;
-use crate::cold;
+use crate::cold_start;
 use crate::decay::{DecayingValue, decay_factor, lower_median};
 use crate::group_assignment::{AssignableWorker, GroupLayout};
 use crate::message::SlotUsage;
@@ -69,7 +69,7 @@
     /// As it is dealt out to groups. Its favorite is remembered for as long as there are as many groups.
     pub(crate) fn dealt(&mut self, rules: &Obligations, now: Nanos, tier: GroupLayout) -> AssignableWorker {
         let id = self.entry.id.0;
-        let young = cold::warmth(rules, self.entry.started_at, now) < 1.0;
+        let young = cold_start::warmth(rules, self.entry.started_at, now) < 1.0;
         let favorite = match self.favorite {
             Some(favorite) if favorite.of_groups == tier.group_count => favorite.group,
             _ => tier.preferred_group(id),
