--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -20,10 +20,10 @@
 
 pub mod api;
 mod cold_start;
+mod completion_estimator;
 mod decay;
 mod group_assignment;
 mod message;
-mod meter;
 mod network;
 mod neurons;
 pub mod raw_settings;
--- a/crates/policy/src/rules.rs
+++ b/crates/policy/src/rules.rs
@@ -456,7 +456,13 @@
         known.sends(self.now, self.mean_run, job.request.slots);
         job.attempts.push(Attempt { worker: w, zone, cell, sent: self.now, started: None, outcome: None });
         let work = job.work / cold_start::warmth(&self.set.obligations, known.entry.started_at, self.now);
-        known.meter.sent(id, job.attempts.len() as u32 - 1, self.now, work, job.request.affinity_key);
+        known.estimator.record_sent(
+            id,
+            job.attempts.len() as u32 - 1,
+            self.now,
+            work,
+            job.request.affinity_key,
+        );
         let timeout = job.deadline.saturating_sub(2 * self.set.tick).saturating_sub(self.now).max(1);
         let worker = known.entry.id;
         let (class, slots) = (job.request.class.0, job.request.slots);
@@ -619,7 +625,7 @@
                 in_way += (self.zone_wait(known.entry.zone.0) - self.mean_run).max(0.0) / run;
             }
             if self.by_starts() {
-                in_way += known.meter.wait(self.now) / run;
+                in_way += known.estimator.expected_wait(self.now) / run;
             }
             let silent = known.silent(self.now) / (SILENCE * self.mean_run).max(1.0);
             let failures = known.failures.value_at(self.now, FORGET) + silent * silent;
@@ -698,7 +704,7 @@
         let margin = margin * self.set.classes[job.request.class.0].latency_objective as f64;
         let work = job.work / self.warmth(&known.entry, self.now);
         let like = self.kind_pace.get(known.entry.kind.0).copied().unwrap_or(0.0);
-        let end = known.meter.end(
+        let end = known.estimator.expected_end(
             self.now,
             work,
             like,
@@ -822,7 +828,7 @@
         let Some(a) = job.and_then(|j| j.attempts.get_mut(attempt as usize)) else { return };
         self.workers[a.worker].heard = self.now;
         if note == JobProgress::Started && a.started.is_none() {
-            self.workers[a.worker].meter.started(id, attempt, self.now);
+            self.workers[a.worker].estimator.record_started(id, attempt, self.now);
             a.started = Some(self.now);
             let (zone, wait) = (a.zone, self.now.saturating_sub(a.sent));
             if !self.workers[a.worker].near {
@@ -853,10 +859,11 @@
         known.attempts = known.attempts.saturating_sub(1);
         known.own = (known.own - slots).max(0.0);
         job.answered |= ended.request_finished;
-        let extra = known.meter.ended(id, attempt, self.now, ended.outcome == Outcome::Served);
+        let extra = known.estimator.record_ended(id, attempt, self.now, ended.outcome == Outcome::Served);
         self.fetch += (extra.unwrap_or(self.fetch) - self.fetch) * 0.1;
         let pace = self.kind_pace.get_mut(known.entry.kind.0);
-        pace.into_iter().for_each(|pace| update_mean(pace, known.meter.pace(self.now, *pace), 0.1));
+        pace.into_iter()
+            .for_each(|pace| update_mean(pace, known.estimator.run_time_per_work(self.now, *pace), 0.1));
         let learned = &mut self.learned[class];
         match ended.outcome {
             Outcome::Served => {
--- a/crates/policy/src/state.rs
+++ b/crates/policy/src/state.rs
@@ -2,10 +2,10 @@
 
 use crate::api::*;
 use crate::cold_start;
+use crate::completion_estimator::CompletionEstimator;
 use crate::decay::{DecayingValue, decay_factor, lower_median};
 use crate::group_assignment::{AssignableWorker, GroupLayout};
 use crate::message::SlotUsage;
-use crate::meter::Meter;
 use serde::{Deserialize, Serialize};
 
 /// Seconds over which a tenant's use is averaged and may run ahead of its share.
@@ -53,7 +53,7 @@
     pub(crate) slots: Option<f64>,
     pub(crate) failures: DecayingValue,
     /// What its words on starts and ends tell.
-    pub(crate) meter: Meter,
+    pub(crate) estimator: CompletionEstimator,
     /// When it last gave a sign of life, or got a job while it had none.
     pub(crate) heard: Nanos,
     /// When it last got a job of ours.
@@ -81,7 +81,7 @@
     pub(crate) fn restarted(&mut self, now: Nanos, phase: f64) {
         (self.others, self.failures, self.full_until) = (0.0, DecayingValue::default(), 0);
         self.told.clear();
-        self.meter.restarted();
+        self.estimator.record_restart();
         (self.cold_credit, self.cold_at, self.cold_phase) = (0.0, now, phase);
     }
     /// Brings the mean of own attempts up to now; it forgets within `span`.
