--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -23,13 +23,13 @@
 mod completion_estimator;
 mod decay;
 mod group_assignment;
+mod group_traffic;
 mod message;
 mod network;
 mod neurons;
 pub mod raw_settings;
 pub mod rules;
 mod state;
-mod talk;
 
 pub use api::*;
 pub use message::{Message, SlotUsage};
--- a/crates/policy/src/rules.rs
+++ b/crates/policy/src/rules.rs
@@ -11,9 +11,9 @@
 use crate::group_assignment::{AssignableWorker, GroupLayout, rendezvous_weight};
 use crate::message::{Message, SlotUsage};
 mod carry;
+use crate::group_traffic::GroupTraffic;
 pub use crate::network::Network;
 use crate::state::{Attempt, Best, Job, Known, Learned, Peer, Random, Repeat, Share, in_share};
-use crate::talk::Talk;
 pub use carry::LearnedState;
 use rustc_hash::FxHashMap;
 
@@ -104,7 +104,7 @@
     others_part: f64,
     /// The part of the jobs sent beyond the group of late that found no room there.
     crowded: f64,
-    talk: Talk,
+    group_traffic: GroupTraffic,
 }
 
 impl Dispatcher {
@@ -284,7 +284,7 @@
         self.turn = self.turn.wrapping_add(1);
         let known = &self.workers[w];
         if known.near {
-            self.talk.said(self.now);
+            self.group_traffic.record_sent(self.now);
         }
         let holds = SlotUsage { worker: known.entry.id, slots: known.own as u8, sequence: self.turn, failed };
         let bytes = Message::SlotUsage(holds).encode();
@@ -324,7 +324,7 @@
             known.failed(self.now, FORGET);
         }
         known.hear(peer, holds, self.now, LATE);
-        self.talk.heard(self.now);
+        self.group_traffic.record_received(self.now);
     }
 
     /// Forgets what those told that have ended: they are silent beyond measure, and their jobs are over.
@@ -736,7 +736,7 @@
 
     /// Whether the others of the group cannot be heard, or are not there any more.
     fn cut_off(&self) -> bool {
-        !self.group.is_empty() && self.talk.silent(self.now)
+        !self.group.is_empty() && self.group_traffic.is_silent(self.now)
     }
 
     /// Whether a job fits into the part of its group's slots that is surely this dispatcher's.
@@ -744,7 +744,7 @@
         let near = self.workers.iter().filter(|k| k.near && k.listed);
         let slots = |k| self.slots(k).unwrap_or(1.0) * self.warmth(&k.entry, self.now);
         let (own, all) = near.fold((0.0, 0.0), |(own, all), k| (own + k.own, all + slots(k)));
-        own + need / 2.0 <= self.talk.own(self.now, all)
+        own + need / 2.0 <= self.group_traffic.own_slots(self.now, all)
     }
 
     /// Whether all that is sent to the workers is sent here or told by peers: reports, late and noisy, then
