--- a/crates/policy/src/neurons.rs
+++ b/crates/policy/src/neurons.rs
@@ -1,60 +1,65 @@
-//! The neurons of a network, and what one that joins starts with. Nothing is decided here.
+//! The neurons of a network, and the initial values of a neuron that joins.
 
 use crate::api::KindId;
 use rustc_hash::FxHashMap;
 use std::ops::{Deref, DerefMut};
 
-/// The weights and the excitation probability of a neuron, or the mean of several.
+/// The weights and the excitation probability of a neuron, or the means over several.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub(crate) struct Level {
-    pub(crate) plus: f64,
-    pub(crate) minus: f64,
+pub(crate) struct NeuronValues {
+    pub(crate) excitation: f64,
+    pub(crate) inhibition: f64,
     pub(crate) q: f64,
 }
 
-/// What the first neuron of all starts with.
-const FIRST: Level = Level { plus: 0.5, minus: 0.5, q: 0.5 };
+/// Values of the first neuron of a network.
+const INITIAL_VALUES: NeuronValues = NeuronValues { excitation: 0.5, inhibition: 0.5, q: 0.5 };
 
+/// The neuron of a worker.
 #[derive(Clone, Debug)]
 pub(crate) struct Neuron {
     pub(crate) worker: usize,
     pub(crate) kind: KindId,
-    pub(crate) plus: f64,
-    pub(crate) minus: f64,
+    pub(crate) excitation: f64,
+    pub(crate) inhibition: f64,
     pub(crate) q: f64,
 }
 
-/// A sum over neurons, added up in their order: a floating-point sum depends on it.
+/// A sum over neurons in their order, on which a floating-point sum depends.
 #[derive(Clone, Copy, Debug, Default)]
-struct Sum {
-    level: Level,
+struct NeuronSum {
+    values: NeuronValues,
     count: f64,
 }
 
-impl Sum {
+impl NeuronSum {
     fn add(&mut self, neuron: &Neuron) {
-        self.level.plus += neuron.plus;
-        self.level.minus += neuron.minus;
-        self.level.q += neuron.q;
+        self.values.excitation += neuron.excitation;
+        self.values.inhibition += neuron.inhibition;
+        self.values.q += neuron.q;
         self.count += 1.0;
     }
 
-    fn mean(&self) -> Level {
-        let Level { plus, minus, q } = self.level;
-        Level { plus: plus / self.count, minus: minus / self.count, q: q / self.count }
+    fn mean(&self) -> NeuronValues {
+        let NeuronValues { excitation, inhibition, q } = self.values;
+        NeuronValues {
+            excitation: excitation / self.count,
+            inhibition: inhibition / self.count,
+            q: q / self.count,
+        }
     }
 }
 
-/// Sums over all neurons and over those of each kind.
+/// The sums over all neurons and over those of each kind.
 #[derive(Clone, Debug, Default)]
-struct Sums {
-    all: Sum,
-    by_kind: FxHashMap<KindId, Sum>,
+struct NeuronSums {
+    all: NeuronSum,
+    by_kind: FxHashMap<KindId, NeuronSum>,
 }
 
-impl Sums {
-    fn of(neurons: &[Neuron]) -> Sums {
-        let mut sums = Sums::default();
+impl NeuronSums {
+    fn of(neurons: &[Neuron]) -> NeuronSums {
+        let mut sums = NeuronSums::default();
         neurons.iter().for_each(|neuron| sums.add(neuron));
         sums
     }
@@ -65,30 +70,32 @@
     }
 }
 
-/// Neurons in the order in which they joined, but for those that took the place of one that left. The sums over them are
-/// kept while they only join, and dropped with every other change: a whole list joins one worker after the other, and
-/// adding all neurons up at each of them would take the square of its length.
+/// Neurons in the order in which they joined, except that the last one replaces one that is removed.
+///
+/// The sums are kept up to date while neurons only join, and dropped at every other change. Computing them
+/// anew for each worker of a list that joins would take quadratic time.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Neurons {
-    all: Vec<Neuron>,
-    sums: Option<Sums>,
+    neurons: Vec<Neuron>,
+    sums: Option<NeuronSums>,
 }
 
 impl Neurons {
-    /// Adds a neuron at the mean level of its kind, or of all if it is the first of its kind.
+    /// Adds a neuron with the mean values of its kind, or of all neurons if it is the first of its kind.
     pub(crate) fn join(&mut self, worker: usize, kind: KindId) {
-        let sums = self.sums.get_or_insert_with(|| Sums::of(&self.all));
-        let like = sums.by_kind.get(&kind).unwrap_or(&sums.all);
-        let Level { plus, minus, q } = if like.count > 0.0 { like.mean() } else { FIRST };
-        let neuron = Neuron { worker, kind, plus, minus, q };
+        let sums = self.sums.get_or_insert_with(|| NeuronSums::of(&self.neurons));
+        let sum = sums.by_kind.get(&kind).unwrap_or(&sums.all);
+        let NeuronValues { excitation, inhibition, q } =
+            if sum.count > 0.0 { sum.mean() } else { INITIAL_VALUES };
+        let neuron = Neuron { worker, kind, excitation, inhibition, q };
         sums.add(&neuron);
-        self.all.push(neuron);
+        self.neurons.push(neuron);
     }
 
-    /// Takes a neuron out; the last one takes its place.
-    pub(crate) fn swap_remove(&mut self, at: usize) {
+    /// Removes a neuron; the last one takes its position.
+    pub(crate) fn swap_remove(&mut self, position: usize) {
         self.sums = None;
-        self.all.swap_remove(at);
+        self.neurons.swap_remove(position);
     }
 }
 
@@ -96,14 +103,14 @@
     type Target = [Neuron];
 
     fn deref(&self) -> &[Neuron] {
-        &self.all
+        &self.neurons
     }
 }
 
 impl DerefMut for Neurons {
     fn deref_mut(&mut self) -> &mut [Neuron] {
         self.sums = None;
-        &mut self.all
+        &mut self.neurons
     }
 }
 
--- a/crates/policy/src/rules/carry.rs
+++ b/crates/policy/src/rules/carry.rs
@@ -102,8 +102,10 @@
     pub fn learned_state(&self) -> LearnedState {
         let id = |w: usize| self.workers[w].entry.id.0;
         let of_class = |(net, learned): (&Network, &Learned)| {
-            let neurons = net.neurons.iter().map(|n| (id(n.worker), n.plus, n.minus, n.q)).collect();
-            let (plus_all, minus_all, threshold) = (net.plus_all, net.minus_all, net.threshold);
+            let neurons =
+                net.neurons.iter().map(|n| (id(n.worker), n.excitation, n.inhibition, n.q)).collect();
+            let (plus_all, minus_all, threshold) =
+                (net.shared_excitation, net.shared_inhibition, net.threshold);
             Some(OfClass { learned: learned.clone(), plus_all, minus_all, threshold, neurons })
         };
         let of_worker = |k: &crate::state::Known| OfWorker {
@@ -143,13 +145,13 @@
             let Some(of_class) = of_class else { continue };
             self.learned[c] = of_class.learned;
             let net = &mut self.nets[c];
-            (net.plus_all, net.minus_all, net.threshold, net.stale) =
+            (net.shared_excitation, net.shared_inhibition, net.threshold, net.stale) =
                 (of_class.plus_all, of_class.minus_all, of_class.threshold, true);
             let by_id: rustc_hash::FxHashMap<u64, (f64, f64, f64)> =
                 of_class.neurons.into_iter().map(|(id, plus, minus, q)| (id, (plus, minus, q))).collect();
             for n in net.neurons.iter_mut() {
                 if let Some(known) = by_id.get(&self.workers[n.worker].entry.id.0) {
-                    (n.plus, n.minus, n.q) = *known;
+                    (n.excitation, n.inhibition, n.q) = *known;
                 }
             }
         }
