--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -1,9 +1,9 @@
 //! The decisions of a dispatcher that pushes jobs to workers, without any input or output.
 //!
-//! A [`Dispatcher`] is told what happens ([`Event`]) and answers with what to do ([`Action`]). It opens no
-//! socket, reads no clock and draws its random numbers from the seed it was given: the same events give the
-//! same actions. [`api`] holds the interface, [`rules`] every decision, but for the networks
-//! that it learns by.
+//! A [`Dispatcher`] handles [`Event`]s and returns [`Action`]s for its caller to carry out. It opens no
+//! socket, reads no clock and takes its random numbers from a seed: the same events give the same actions.
+//! [`api`] holds the interface, [`rules`] the decisions, and the private module `network` the random neural
+//! networks that they learn with.
 //!
 //! ```
 //! use loomlb_policy::*;
@@ -11,7 +11,8 @@
 //! let mut dispatcher = Dispatcher::new(settings, 7);
 //! let mut actions = Vec::new();
 //! let worker = Worker::new(WorkerId(1));
-//! dispatcher.handle(0, Event::WorkerList { kind: ListKind::Complete, entries: vec![worker] }, &mut actions);
+//! let list = Event::WorkerList { kind: ListKind::Complete, entries: vec![worker] };
+//! dispatcher.handle(0, list, &mut actions);
 //! let job = Request::new(RequestId(10), ClassId(0), 2_000_000_000);
 //! dispatcher.handle(1_000_000, Event::Request(job), &mut actions);
 //! assert!(actions.iter().any(|a| matches!(a, Action::Send { worker: WorkerId(1), .. })));
