--- a/crates/simhost/src/main.rs
+++ b/crates/simhost/src/main.rs
@@ -1,4 +1,5 @@
-//! Hosts many dispatchers on the simulator's wire: JSON lines in, JSON lines out, and no decision.
+//! Hosts many dispatchers for the simulator: batches of events on standard input, replies on standard output,
+//! both as JSON lines. All decisions are made by `loomlb_policy`.
 
 mod wire;
 
@@ -13,6 +14,7 @@
 use std::panic::{AssertUnwindSafe, catch_unwind};
 use wire::{Batch, NameOrZero, NamedEntry, Outbox, RawAction, RawEvent, Reply};
 
+/// A running dispatcher with the names in its settings.
 struct Instance {
     dispatcher: Dispatcher,
     names: SettingNames,
@@ -21,29 +23,32 @@
 #[derive(Default)]
 struct Host {
     instances: FxHashMap<u64, Instance>,
+    /// Worker lists by their `roster_id`.
     rosters: FxHashMap<usize, Vec<NamedEntry>>,
-    /// Room for the actions of one event.
+    /// Actions of one event; kept to reuse its allocation.
     actions: Vec<Action>,
 }
 
-fn need<T>(value: Option<T>, field: &str) -> Result<T, String> {
+/// Returns the value of a field, or an error that names the field.
+fn required<T>(value: Option<T>, field: &str) -> Result<T, String> {
     value.ok_or_else(|| format!("{field}: missing"))
 }
 
 impl Host {
-    fn line(&mut self, line: &[u8]) -> Result<Reply, String> {
-        let batch: Batch = serde_json::from_slice(line).map_err(|e| explain(line, &e))?;
+    /// Handles a batch and returns the reply.
+    fn handle_batch(&mut self, line: &[u8]) -> Result<Reply, String> {
+        let batch: Batch = serde_json::from_slice(line).map_err(|e| describe_parse_error(line, &e))?;
         let mut reply = Reply { round: batch.round, dispatchers: Vec::new() };
         let mut actions = Vec::new();
         for (g, inbox) in batch.dispatchers.into_iter().enumerate() {
             for (i, event) in inbox.input.into_iter().enumerate() {
-                self.event(batch.t, inbox.dispatcher, event, &mut actions)
+                self.handle_event(batch.t, inbox.dispatcher, event, &mut actions)
                     .map_err(|e| format!("batch {}: dispatchers[{g}].input[{i}]: {e}", batch.round))?;
             }
             if !actions.is_empty() {
                 let outbox = std::mem::take(&mut actions);
                 match reply.dispatchers.iter_mut().find(|o| o.dispatcher == inbox.dispatcher) {
-                    Some(same) => same.outbox.extend(outbox),
+                    Some(existing) => existing.outbox.extend(outbox),
                     None => reply.dispatchers.push(Outbox { dispatcher: inbox.dispatcher, outbox }),
                 }
             }
@@ -51,31 +56,39 @@
         Ok(reply)
     }
 
-    fn event(&mut self, now: Nanos, who: u64, e: RawEvent, out: &mut Vec<RawAction>) -> Result<(), String> {
+    fn handle_event(
+        &mut self,
+        now: Nanos,
+        dispatcher_id: u64,
+        e: RawEvent,
+        out: &mut Vec<RawAction>,
+    ) -> Result<(), String> {
         match &*e.op {
             "MANIFEST" => {
-                let entries = need(e.entries, "entries")?;
-                let named: Result<_, String> = entries.iter().map(|x| x.named()).collect();
-                self.rosters.insert(need(e.roster_id, "roster_id")?, named?);
+                let entries = required(e.entries, "entries")?;
+                let entries: Result<_, String> = entries.iter().map(|x| x.to_named_entry()).collect();
+                self.rosters.insert(required(e.roster_id, "roster_id")?, entries?);
                 return Ok(());
             }
             "BOOT" => {
-                let (settings, names) = need(e.boot_info, "boot_info")?.to_settings();
-                let dispatcher = Dispatcher::new(settings, need(e.nonce64, "nonce64")?);
-                self.instances.insert(who, Instance { dispatcher, names });
+                let (settings, names) = required(e.boot_info, "boot_info")?.to_settings();
+                let dispatcher = Dispatcher::new(settings, required(e.nonce64, "nonce64")?);
+                self.instances.insert(dispatcher_id, Instance { dispatcher, names });
                 return Ok(());
             }
             "SHUTDOWN" => {
-                // What it asked for in this batch dies with it.
+                // Actions of the same batch are dropped: the process no longer runs.
                 out.clear();
-                self.instances.remove(&who);
+                self.instances.remove(&dispatcher_id);
                 return Ok(());
             }
             _ => {}
         }
-        let instance =
-            self.instances.get_mut(&who).ok_or_else(|| format!("dispatcher {who} was not started"))?;
-        let event = Instance::event(&instance.names, e, &self.rosters)?;
+        let instance = self
+            .instances
+            .get_mut(&dispatcher_id)
+            .ok_or_else(|| format!("dispatcher {dispatcher_id} is not running: no BOOT before this event"))?;
+        let event = Instance::convert_event(&instance.names, e, &self.rosters)?;
         let actions = &mut self.actions;
         let handled = catch_unwind(AssertUnwindSafe(|| instance.dispatcher.handle(now, event, actions)));
         out.extend(actions.drain(..).map(RawAction::from));
@@ -89,17 +102,19 @@
 }
 
 impl Instance {
-    fn event(
+    /// Converts an event of the wire for the decision module.
+    fn convert_event(
         names: &SettingNames,
         e: RawEvent,
         rosters: &FxHashMap<usize, Vec<NamedEntry>>,
     ) -> Result<Event, String> {
-        let id = || need(e.req, "req").map(RequestId);
-        let attempt = || need(e.hop, "hop");
-        let ended = || {
-            let word = need(e.status.as_deref(), "status")?;
-            let outcome = wire::outcome(word).ok_or_else(|| format!("status: unknown word {word:?}"))?;
-            let latency = need(e.duration, "duration")?;
+        let id = || required(e.req, "req").map(RequestId);
+        let attempt = || required(e.hop, "hop");
+        let result = || {
+            let status = required(e.status.as_deref(), "status")?;
+            let outcome =
+                wire::parse_outcome(status).ok_or_else(|| format!("status: unknown value {status:?}"))?;
+            let latency = required(e.duration, "duration")?;
             Ok::<_, String>(AttemptResult {
                 outcome,
                 latency,
@@ -117,36 +132,38 @@
                 };
                 Event::Request(Request {
                     id: id()?,
-                    class: ClassId(names.class_index(need(e.category.as_deref(), "category")?)),
+                    class: ClassId(names.class_index(required(e.category.as_deref(), "category")?)),
                     tenant,
                     affinity_key: e.path_key.as_deref().map(affinity_key),
                     slots: e.slots.unwrap_or(1.0),
                     memory: e.mem.unwrap_or(0.0),
-                    remaining: need(e.remaining, "remaining")?,
+                    remaining: required(e.remaining, "remaining")?,
                     answer_within: None,
                     is_retry: e.retry,
                     in_share: None,
                     expected_work: e.expected,
                 })
             }
-            "COMPLETED" => Event::AttemptEnded { id: id()?, attempt: attempt()?, result: ended()? },
+            "COMPLETED" => Event::AttemptEnded { id: id()?, attempt: attempt()?, result: result()? },
             "HEARTBEAT" => {
-                let note = match need(e.sort, "sort")? {
+                let progress = match required(e.sort, "sort")? {
                     1 => JobProgress::Started,
                     _ => JobProgress::Fraction(e.x.unwrap_or(0.0)),
                 };
-                Event::JobProgress(id()?, attempt()?, note)
+                Event::JobProgress(id()?, attempt()?, progress)
             }
-            "RING" => Event::TimerFired(need(e.ctx, "ctx")?),
+            "RING" => Event::TimerFired(required(e.ctx, "ctx")?),
             "LAPSED" => Event::RequestAbandoned(id()?),
             "OPENED" => Event::ResponseStarted(id()?, attempt()?),
-            "TARGETS" => match need(e.how.as_deref(), "how")? {
+            "TARGETS" => match required(e.how.as_deref(), "how")? {
                 "Error" => Event::ListRequestFailed,
-                word => {
-                    let kind = wire::list_kind(word).ok_or_else(|| format!("how: unknown word {word:?}"))?;
-                    let roster = need(e.roster_id, "roster_id")?;
-                    let entries =
-                        rosters.get(&roster).ok_or_else(|| format!("roster_id: no list {roster}"))?;
+                how => {
+                    let kind =
+                        wire::parse_list_kind(how).ok_or_else(|| format!("how: unknown value {how:?}"))?;
+                    let roster_id = required(e.roster_id, "roster_id")?;
+                    let entries = rosters.get(&roster_id).ok_or_else(|| {
+                        format!("roster_id: no MANIFEST with {roster_id} before this event")
+                    })?;
                     Event::WorkerList {
                         kind,
                         entries: entries
@@ -157,20 +174,20 @@
                 }
             },
             "PING_RESULT" => {
-                Event::ProbeEnded { worker: WorkerId(need(e.worker, "worker")?), result: ended()? }
+                Event::ProbeEnded { worker: WorkerId(required(e.worker, "worker")?), result: result()? }
             }
             "DATAGRAM" => {
-                let raw = need(e.raw.as_deref(), "raw")?;
+                let raw = required(e.raw.as_deref(), "raw")?;
                 let bytes = base64::engine::general_purpose::STANDARD.decode(raw);
-                Event::PeerMessage(PeerId(need(e.by, "by")?), bytes.map_err(|e| format!("raw: {e}"))?)
+                Event::PeerMessage(PeerId(required(e.by, "by")?), bytes.map_err(|e| format!("raw: {e}"))?)
             }
-            other => return Err(format!("op: unknown word {other:?}")),
+            other => return Err(format!("op: unknown value {other:?}")),
         })
     }
 }
 
-/// Says which field of which batch is wrong; reads the line a second time to find out.
-fn explain(line: &[u8], error: &serde_json::Error) -> String {
+/// Describes which field of which batch is wrong. Parses the line again with the path of each field.
+fn describe_parse_error(line: &[u8], error: &serde_json::Error) -> String {
     #[derive(serde::Deserialize)]
     struct Round {
         round: u64,
@@ -185,7 +202,8 @@
     }
 }
 
-/// Hosts the decision module on the simulator's wire: JSON lines on standard input, replies on standard output.
+/// Hosts the decision module on the simulator's wire: JSON lines on standard input, replies on standard
+/// output.
 #[derive(clap::Parser)]
 #[command(name = "loomlb-simhost", version)]
 struct Args {}
@@ -208,7 +226,7 @@
             }
         }
         text.clear();
-        let written = host.line(&line).and_then(|reply| {
+        let written = host.handle_batch(&line).and_then(|reply| {
             serde_json::to_writer(&mut text, &reply).map_err(|e| e.to_string())?;
             text.push(b'\n');
             output.write_all(&text).and_then(|()| output.flush()).map_err(|e| format!("standard output: {e}"))
--- a/crates/simhost/src/wire.rs
+++ b/crates/simhost/src/wire.rs
@@ -1,4 +1,5 @@
-//! The wire's lines as types. Unknown fields are skipped; what is missing or of a wrong type is named.
+//! The JSON lines of the simulator's protocol. Fields have the names of the protocol; unknown ones are
+//! ignored, and errors name those that are missing or malformed.
 
 use loomlb_policy::raw_settings::RawSettings;
 use loomlb_policy::{
@@ -7,6 +8,7 @@
 use serde::{Deserialize, Serialize};
 use std::borrow::Cow;
 
+/// The events of one moment.
 #[derive(Deserialize)]
 pub struct Batch<'a> {
     pub t: u64,
@@ -15,6 +17,7 @@
     pub dispatchers: Vec<Inbox<'a>>,
 }
 
+/// The events for one dispatcher.
 #[derive(Deserialize)]
 pub struct Inbox<'a> {
     pub dispatcher: u64,
@@ -22,7 +25,7 @@
     pub input: Vec<RawEvent<'a>>,
 }
 
-/// Any event: the fields of all of them, each absent where the event has none such.
+/// An event of any type, with the fields of all types.
 #[derive(Deserialize)]
 pub struct RawEvent<'a> {
     #[serde(borrow)]
@@ -63,7 +66,7 @@
     pub boot_info: Option<Box<RawSettings>>,
 }
 
-/// A tenant's name, or a number (0) where there is none.
+/// The name of a tenant, or the number 0 for none.
 #[derive(Deserialize)]
 #[serde(untagged)]
 pub enum NameOrZero<'a> {
@@ -71,6 +74,7 @@
     Number(#[allow(dead_code)] u64),
 }
 
+/// A load report.
 #[derive(Deserialize, Clone, Copy)]
 pub struct RawReport {
     rif: Option<f64>,
@@ -92,6 +96,7 @@
     }
 }
 
+/// An entry of a worker list.
 #[derive(Deserialize)]
 pub struct RawEntry<'a> {
     worker: u64,
@@ -109,7 +114,7 @@
     last_start: u64,
 }
 
-/// A list entry with the names still in it: each instance looks them up in its own settings.
+/// A worker with the names of its zone and kind. Each instance has its own numbers for them.
 pub struct NamedEntry {
     pub zone: String,
     pub kind: String,
@@ -117,12 +122,13 @@
 }
 
 impl RawEntry<'_> {
-    pub fn named(&self) -> Result<NamedEntry, String> {
+    /// Converts the entry.
+    pub fn to_named_entry(&self) -> Result<NamedEntry, String> {
         let state = match &*self.phase {
             "IN" => WorkerState::Ready,
             "LAME" => WorkerState::Draining,
             "OUT" => WorkerState::Removed,
-            other => return Err(format!("phase: unknown word {other:?}")),
+            other => return Err(format!("phase: unknown value {other:?}")),
         };
         let worker = Worker {
             state,
@@ -135,8 +141,9 @@
     }
 }
 
-pub fn list_kind(word: &str) -> Option<ListKind> {
-    Some(match word {
+/// Converts the `how` of a worker list; `None` if it is unknown.
+pub fn parse_list_kind(how: &str) -> Option<ListKind> {
+    Some(match how {
         "Partial" => ListKind::Partial,
         "Complete" => ListKind::Complete,
         "Persisted" => ListKind::Persisted,
@@ -144,8 +151,9 @@
     })
 }
 
-pub fn outcome(word: &str) -> Option<Outcome> {
-    Some(match word {
+/// Converts the `status` of an attempt or a probe; `None` if it is unknown.
+pub fn parse_outcome(status: &str) -> Option<Outcome> {
+    Some(match status {
         "served" => Outcome::Served,
         "server_error" => Outcome::Error,
         "turned_away" => Outcome::Full,
@@ -158,18 +166,21 @@
     })
 }
 
+/// The actions in response to a batch.
 #[derive(Serialize)]
 pub struct Reply {
     pub round: u64,
     pub dispatchers: Vec<Outbox>,
 }
 
+/// The actions of one dispatcher.
 #[derive(Serialize)]
 pub struct Outbox {
     pub dispatcher: u64,
     pub outbox: Vec<RawAction>,
 }
 
+/// An action.
 #[derive(Serialize)]
 #[serde(tag = "op")]
 pub enum RawAction {
@@ -190,16 +201,17 @@
     #[serde(rename = "OBSERVE")]
     Observe { on: bool },
     #[serde(rename = "POST")]
-    Post { neighbour_id: RawReceiver, raw: String },
+    Post { neighbour_id: RawRecipient, raw: String },
     #[serde(rename = "BROKEN")]
     Broken { msg: String },
 }
 
+/// The recipients of a message: the number of a peer, or `all`.
 #[derive(Serialize)]
 #[serde(untagged)]
-pub enum RawReceiver {
+pub enum RawRecipient {
     One(u32),
-    Word(&'static str),
+    Keyword(&'static str),
 }
 
 impl From<Action> for RawAction {
@@ -213,18 +225,18 @@
             }
             Action::Fail(id) => RawAction::Error { req: id.0 },
             Action::Cancel(id, attempt) => RawAction::Withdraw { req: id.0, hop: attempt },
-            // The wire takes timers of up to 71 minutes.
+            // The protocol limits timers to 71 minutes.
             Action::SetTimer { after, token } => {
                 RawAction::Sleep { after: after.min(71 * 60_000_000_000), ctx: token }
             }
             Action::Probe(worker) => RawAction::Sample { worker: worker.0 },
             Action::CloseIdleConnections(worker) => RawAction::Release { worker: worker.0 },
             Action::WatchList => RawAction::Observe { on: true },
-            Action::SendToPeers(to, bytes) => {
+            Action::SendToPeers(recipient, bytes) => {
                 use base64::Engine as _;
-                let neighbour_id = match to {
-                    Recipient::One(peer) => RawReceiver::One(peer.0),
-                    Recipient::All => RawReceiver::Word("all"),
+                let neighbour_id = match recipient {
+                    Recipient::One(peer) => RawRecipient::One(peer.0),
+                    Recipient::All => RawRecipient::Keyword("all"),
                 };
                 RawAction::Post { neighbour_id, raw: base64::engine::general_purpose::STANDARD.encode(bytes) }
             }
--- a/crates/simhost/tests/adapter.rs
+++ b/crates/simhost/tests/adapter.rs
@@ -1,8 +1,9 @@
-//! The adapter on lines of its own.
+//! The simulator's protocol with single batches.
 
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
 
+/// Runs the program with these lines as input.
 fn run(lines: &str) -> Output {
     let mut child = Command::new(env!("CARGO_BIN_EXE_loomlb-simhost"))
         .stdin(Stdio::piped())
@@ -22,6 +23,7 @@
 const ORDER: &str =
     r#"{"op":"ORDER","req":1234567890123456,"category":"c","remaining":1000000000,"extra_field":[1]}"#;
 
+/// Returns a batch with these events for one dispatcher.
 fn batch(round: u32, input: &str) -> String {
     let line = format!(
         r#"{{"t":{round}000000000,"round":{round},"dispatchers":[{{"dispatcher":3,"input":[{input}]}}]}}"#
@@ -30,14 +32,14 @@
 }
 
 #[test]
-fn an_empty_batch_gets_an_empty_reply() {
+fn empty_batches_get_empty_replies() {
     let out = run("{\"t\":5,\"round\":7,\"dispatchers\":[]}\n");
     assert!(out.status.success());
     assert_eq!(String::from_utf8(out.stdout).unwrap(), "{\"round\":7,\"dispatchers\":[]}\n");
 }
 
 #[test]
-fn a_request_is_sent_to_the_listed_worker() {
+fn requests_are_sent_to_the_listed_worker() {
     let out = run(&batch(1, &format!("{BOOT},{LIST},{ORDER}")));
     let text = String::from_utf8(out.stdout).unwrap();
     assert!(
@@ -47,10 +49,10 @@
 }
 
 #[test]
-fn a_stop_and_a_start_in_one_batch_forget_what_was_before() {
-    let again = LIST.replace("42", "43");
+fn actions_before_a_shutdown_in_the_same_batch_are_dropped() {
+    let second_list = LIST.replace("42", "43");
     let input = format!(
-        r#"{BOOT},{LIST},{ORDER},{{"op":"SHUTDOWN"}},{BOOT},{again},{}"#,
+        r#"{BOOT},{LIST},{ORDER},{{"op":"SHUTDOWN"}},{BOOT},{second_list},{}"#,
         ORDER.replace("3456", "3457")
     );
     let text = String::from_utf8(run(&batch(1, &input)).stdout).unwrap();
@@ -58,9 +60,9 @@
 }
 
 #[test]
-fn what_is_malformed_is_named_and_nothing_is_written() {
+fn malformed_events_are_reported_with_batch_and_field_and_get_no_reply() {
     let start = format!("{BOOT},{LIST}");
-    for (input, word) in [
+    for (input, expected) in [
         (r#"{"op":"ORDER","category":"c","remaining":1}"#, "req: missing"),
         (r#"{"op":"ORDER","req":"x","category":"c","remaining":1}"#, "req"),
         (r#"{"op":"WHAT"}"#, "WHAT"),
@@ -70,8 +72,8 @@
     ] {
         let out = run(&(batch(1, &start) + &batch(2, input)));
         assert!(!out.status.success(), "{input}");
-        let said = String::from_utf8(out.stderr).unwrap();
-        assert!(said.contains(word) && said.contains("batch"), "{input}: {said}");
+        let error = String::from_utf8(out.stderr).unwrap();
+        assert!(error.contains(expected) && error.contains("batch"), "{input}: {error}");
         assert_eq!(String::from_utf8(out.stdout).unwrap().lines().count(), 1);
     }
 }
--- a/crates/simhost/tests/pins.rs
+++ b/crates/simhost/tests/pins.rs
@@ -1,5 +1,4 @@
-//! Pins of the simulator's protocol: a transcript of the adapter. `tests/golden/mod.rs` at the root says how to record it
-//! anew.
+//! Golden file of the simulator's protocol. `tests/golden/mod.rs` in the workspace root explains how to update it.
 
 #[path = "../../../tests/golden/mod.rs"]
 mod golden;
@@ -7,11 +6,11 @@
 use std::io::Write;
 use std::process::{Command, Stdio};
 
-/// Batches that bring each kind of input that the tests of the adapter know, in one run of two schedulers.
+/// Batches with events of every type, for two dispatchers.
 const INPUT: &str = include_str!("fixtures/batches.txt");
 
 #[test]
-fn a_transcript_keeps_its_bytes() {
+fn replies_keep_their_bytes() {
     let mut child = Command::new(env!("CARGO_BIN_EXE_loomlb-simhost"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
