--- a/crates/policy/tests/dispatcher.rs
+++ b/crates/policy/tests/dispatcher.rs
@@ -849,7 +849,7 @@
     );
 }
 
-/// Dispatchers that don't hear each other count only their own jobs and would all fill the same queues. Each
+/// Dispatchers without contact to each other count only their own jobs and would all fill the same queues. Each
 /// uses its share of recent traffic and refuses the rest before the latency objective has passed.
 #[test]
 fn isolated_dispatchers_use_their_own_share_and_refuse_the_rest_early() {
@@ -913,7 +913,7 @@
 }
 
 #[test]
-fn jobs_are_held_while_the_only_worker_is_full() {
+fn jobs_wait_at_the_dispatcher_while_the_only_worker_is_full() {
     let settings = Settings {
         load_reporting: LoadReporting::Inline,
         free_slots_reported: true,
@@ -948,8 +948,8 @@
     }
 }
 
-/// With few workers none may have enough affinity to a key. The job was then sent only at the next timer of
-/// held requests, although all workers were idle.
+/// With few workers none may be within a fixed affinity range of a key. Its jobs must not wait while all
+/// workers are idle.
 #[test]
 fn jobs_with_an_affinity_key_are_sent_at_once_if_workers_are_idle() {
     for n in [1, 2, 3, 5, 10, 14, 30] {
--- a/crates/policy/tests/start_reports.rs
+++ b/crates/policy/tests/start_reports.rs
@@ -45,7 +45,7 @@
     run_to_completion(&mut harness, id, 2 * S, 400 * MS);
     let (late, actions) = harness.request_with(5 * S, with_expected_work(400 * MS));
     assert!(sent_to(&actions).is_empty(), "{actions:?}");
-    // It is held only until its latest start.
+    // It waits only until its latest start.
     let mut actions = Vec::new();
     for _ in 0..40 {
         harness.now += 20 * MS;
