--- a/crates/policy/src/api.rs
+++ b/crates/policy/src/api.rs
@@ -188,9 +188,9 @@
     pub warm_up_time: Nanos,
     /// Fraction of its capacity that a worker has at least when it starts.
     pub initial_capacity_share: f64,
-    /// A cold worker fails if it is sent more than this multiple of its current capacity
+    /// Multiple of its current capacity beyond which a cold worker fails, on average over `overload_window`.
     pub overload_factor: f64,
-    /// during this time.
+    /// Time over which the work sent to a cold worker is averaged.
     pub overload_window: Nanos,
     /// Longest time between two requests for the worker list, while there is no subscription.
     pub list_request_interval: Nanos,
--- a/crates/policy/src/group_traffic.rs
+++ b/crates/policy/src/group_traffic.rs
@@ -1,4 +1,4 @@
-//! Message traffic in a dispatcher's group: whether the other members can still be heard, and which share of
+//! Message traffic in a dispatcher's group: whether the other members are still reachable, and which share of
 //! the group's sends is this dispatcher's own.
 
 use crate::api::Nanos;
@@ -8,16 +8,15 @@
 const AVERAGING_MESSAGES: f64 = 300.0;
 /// Messages before the own share counts as known.
 const MIN_MESSAGES: f64 = 30.0;
-/// The group counts as silent after this many mean intervals between messages,
+/// Mean intervals between messages that pass before the group counts as silent.
 const SILENCE_INTERVALS: f64 = 8.0;
-/// plus this time in nanoseconds.
+/// Additional time in nanoseconds before the group counts as silent.
 const MIN_SILENCE_NS: f64 = 200e6;
 /// Messages within this time of each other are one burst.
 const BURST_NS: Nanos = 1_000_000;
 /// Standard deviations of random load that the own share leaves room for.
 const SHARE_SIGMAS: f64 = 1.5;
-/// After this silence in nanoseconds the own share starts to grow; after twice as long it is the whole
-/// group's.
+/// After this silence in nanoseconds the own share starts to grow, up to all slots after twice as long.
 const TAKEOVER_DELAY_NS: f64 = 15e9;
 
 /// Messages sent and received about the workers of the own group.
@@ -30,7 +29,7 @@
 }
 
 impl GroupTraffic {
-    /// Records a message sent by this dispatcher. Messages sent while nobody answers don't change the own
+    /// Records a message sent by this dispatcher. Messages sent during a silence don't change the own
     /// share.
     pub(crate) fn record_sent(&mut self, now: Nanos) {
         if !self.is_silent(now) {
--- a/crates/policy/src/rules.rs
+++ b/crates/policy/src/rules.rs
@@ -36,11 +36,11 @@
 /// Fraction of its slack during which a job is bound to the workers of its key; they widen to all workers.
 const AFFINITY_SLACK_SHARE: f64 = 0.3;
 /// Weight of slots missing at a worker, in mean running times. A late answer has no worth, so workers with
-/// free slots come first; jobs without any wait at the dispatcher, which can still choose a worker for them.
+/// free slots come first. Jobs that find none wait at the dispatcher, where they can still go to any worker.
 const MISSING_SLOTS_RUN_TIMES: f64 = 4.0;
 /// After this time without a send or a response a job is sent even if recent waits were long.
 const RETRY_AFTER_QUIET_NS: Nanos = 1_000_000_000;
-/// Fraction of a worker's failures that remains after a served job: a worker that fails most jobs serves
+/// Fraction of a worker's failures that remains after a served job, as a worker that fails most jobs serves
 /// some.
 const FAILURES_KEPT_AFTER_SUCCESS: f64 = 0.7;
 /// Time constant with which usage announced by peers decays, as a later message may be lost. Jobs can run for
@@ -60,11 +60,11 @@
 
 /// Timer token: request the worker list.
 const LIST_TIMER: u64 = 1;
-/// Dispatchers in a group, whose members announce every send to each other.
+/// Dispatchers in a group. Every send is announced to the group that its worker is assigned to.
 const GROUP_SIZE: usize = 12;
-/// Timer token: try the held requests again, periodically.
-const HELD_TIMER: u64 = 2;
-/// Timer token: try the held requests again, once probes have been answered.
+/// Timer token: try to send the waiting requests, periodically.
+const WAITING_TIMER: u64 = 2;
+/// Timer token: try to send the waiting requests, once probes have been answered.
 const PROBE_TIMER: u64 = 3;
 /// Probes before a send at most.
 const MAX_PROBES: f64 = 3.0;
@@ -89,8 +89,8 @@
     /// Open requests.
     jobs: FxHashMap<RequestId, Job>,
     /// Requests that wait for a worker.
-    held: Vec<RequestId>,
-    held_timer_set: bool,
+    waiting: Vec<RequestId>,
+    waiting_timer_set: bool,
     peers: std::collections::BTreeMap<PeerId, Peer>,
     /// The other members of the own group, and of each group.
     own_group: Vec<PeerId>,
@@ -104,7 +104,9 @@
     first_list_at: Nanos,
     tenant_usage: Vec<TenantUsage>,
     list_received: bool,
+    /// Failures since the last list that was received.
     failed_list_requests: u32,
+    /// Mean running time of all jobs.
     mean_run_time: f64,
     /// Mean wait for a start in each zone.
     zone_waits: Vec<DecayingValue>,
@@ -140,7 +142,8 @@
         }
     }
 
-    /// Handles an event and appends the resulting actions to `out`. `now` must not decrease.
+    /// Handles an event that happens at `now` and appends the resulting actions to `out`. Events of the same
+    /// time are handled in their order.
     pub fn handle(&mut self, now: Nanos, event: Event, out: &mut Vec<Action>) {
         self.now = now;
         match event {
@@ -167,10 +170,10 @@
                 }
             }
             Event::TimerFired(LIST_TIMER) => out.push(Action::WatchList),
-            Event::TimerFired(PROBE_TIMER) => self.serve_held_requests(out),
-            Event::TimerFired(HELD_TIMER) => {
-                self.held_timer_set = false;
-                self.serve_held_requests(out);
+            Event::TimerFired(PROBE_TIMER) => self.serve_waiting_requests(out),
+            Event::TimerFired(WAITING_TIMER) => {
+                self.waiting_timer_set = false;
+                self.serve_waiting_requests(out);
             }
             Event::TimerFired(_) => {}
             Event::PeerMessage(from, bytes) => Message::decode(&bytes)
@@ -200,8 +203,8 @@
         let first = !std::mem::replace(&mut self.list_received, true);
         if first && self.settings.limits.peer_messages {
             self.first_list_at = self.now;
-            // In a single zone the settings name all peers. When many dispatchers start at once, messages
-            // that introduce them would be lost.
+            // In a single zone all dispatchers are peers. Their hellos need not arrive, as many are lost when
+            // many dispatchers start at once.
             let all = (0..self.settings.dispatcher_count).filter(|_| self.settings.zone_count <= 1);
             self.peers.extend(all.map(|p| (PeerId(p), Peer::new(self.settings.own_zone, self.now))));
             out.push(Action::SendToPeers(Recipient::All, Message::Hello(self.settings.own_zone).encode()));
@@ -213,7 +216,7 @@
             let after = self.rng.0.f64() * spread * self.settings.obligations.list_request_interval as f64;
             out.push(Action::SetTimer { after: after as Nanos, token: LIST_TIMER });
         }
-        self.serve_held_requests(out);
+        self.serve_waiting_requests(out);
     }
 
     fn update_worker(&mut self, entry: Worker) {
@@ -267,8 +270,8 @@
     // ---- peers
 
     /// Divides the dispatchers of a zone into groups and assigns each group an equal part of the zone's
-    /// workers. Members prefer the workers of their group and announce every send and end there to each
-    /// other, so that they know all attempts at those workers with few messages.
+    /// workers. Dispatchers prefer the workers of their group, and announce every send and end at a worker to
+    /// its group. So the members of a group know all attempts at its workers, with few messages.
     fn update_groups(&mut self) {
         if !std::mem::take(&mut self.groups_outdated) || self.peers.is_empty() {
             return;
@@ -294,7 +297,7 @@
         let (obligations, now) = (&self.settings.obligations, self.now);
         let assignable: Vec<AssignableWorker> =
             zone_workers.iter().map(|&w| self.workers[w].assignable(obligations, now, layout)).collect();
-        self.workers.iter_mut().for_each(|k| (k.in_own_group, k.group) = (false, own_group));
+        self.workers.iter_mut().for_each(|worker| (worker.in_own_group, worker.group) = (false, own_group));
         self.in_own_group = vec![false; self.workers.len()];
         for (&w, group) in zone_workers.iter().zip(layout.assign(&assignable)) {
             (self.workers[w].in_own_group, self.workers[w].group) = (group == own_group, group);
@@ -335,7 +338,7 @@
             return unknown.for_each(|(own, slots)| *own = f64::from(slots) / 8.0);
         }
         // The peer has restarted, so what its old process had announced no longer applies.
-        self.workers.iter_mut().for_each(|k| k.peer_usage.retain(|u| u.peer != from));
+        self.workers.iter_mut().for_each(|worker| worker.peer_usage.retain(|u| u.peer != from));
         // A peer that starts later than this dispatcher has missed its hello.
         if is_new || self.now > self.first_list_at + 100_000_000 {
             let slots_by_kind = self.kind_slots.iter().map(|s| (s * 8.0) as u8).collect();
@@ -361,7 +364,7 @@
     fn drop_usage_of_silent_peers(&mut self) {
         let now = self.now;
         for id in self.peers.iter_mut().filter_map(|(id, p)| p.falls_silent(now).then_some(id)) {
-            self.workers.iter_mut().for_each(|k| k.peer_usage.retain(|u| u.peer != *id));
+            self.workers.iter_mut().for_each(|worker| worker.peer_usage.retain(|u| u.peer != *id));
         }
     }
 
@@ -418,20 +421,24 @@
         update_mean(&mut self.mean_worth_density, worth_density, 0.01);
         update_mean(&mut self.mean_slots, job.request.slots, 0.02);
         self.max_slots = self.max_slots.max(job.request.slots);
-        // Without reported capacity nothing is held, or queues would grow in overload until all answers are
-        // late. Only sent jobs show that waits have become short again, so one is sent after a quiet time.
+        // If no capacity is known, requests are refused rather than queued once waits are long, or all
+        // answers would be late in overload. Only sent jobs show that waits have become short again, so one
+        // is sent after a quiet time.
         let max_wait = self.mean_run_time + slack * worth_density / self.mean_worth_density.max(1e-9);
-        let recently_active =
-            || self.workers.iter().any(|k| self.now < k.last_sent_at.max(k.heard_at) + RETRY_AFTER_QUIET_NS);
+        let recently_active = || {
+            self.workers.iter().any(|worker| {
+                self.now < worker.last_sent_at.max(worker.last_response_at) + RETRY_AFTER_QUIET_NS
+            })
+        };
         let refuse = self.capacity_unknown()
             && recently_active()
             && self.zone_wait(self.settings.own_zone.0) > max_wait;
         self.jobs.insert(id, job);
         if refuse {
             self.end_request(id, out);
-        } else if !self.held.is_empty() || !self.try_send(id, out) {
-            self.held.push(id);
-            self.serve_held_requests(out);
+        } else if !self.waiting.is_empty() || !self.try_send(id, out) {
+            self.waiting.push(id);
+            self.serve_waiting_requests(out);
         }
     }
 
@@ -535,13 +542,18 @@
         self.close_request(id);
     }
 
-    /// Returns how long a refused client should wait: the time in which the held requests and its own get a
-    /// slot, given the mean running time. It is spread by the request id, so that clients don't return at
+    /// Returns how long a refused client should wait: the time in which the waiting requests and its own get
+    /// a slot, given the mean running time. It is spread by the request id, so that clients don't return at
     /// once.
     fn retry_after(&self, id: RequestId) -> Nanos {
         let max_retry_after = self.settings.limits.max_retry_after;
-        let slots: f64 = self.workers.iter().filter(|k| k.listed).filter_map(|k| self.worker_slots(k)).sum();
-        let waiting_slots = (1.0 + self.held.len() as f64) * self.mean_slots.max(1.0);
+        let slots: f64 = self
+            .workers
+            .iter()
+            .filter(|worker| worker.listed)
+            .filter_map(|worker| self.worker_slots(worker))
+            .sum();
+        let waiting_slots = (1.0 + self.waiting.len() as f64) * self.mean_slots.max(1.0);
         let wait = self.mean_run_time * waiting_slots / slots.max(1.0) * (0.5 + rendezvous_weight(id.0, 0));
         (wait as Nanos).max(self.settings.tick).min(max_retry_after)
     }
@@ -562,25 +574,25 @@
         }
     }
 
-    /// Tries to send the held requests, those with the highest worth density first. A request that can no
+    /// Tries to send the waiting requests, those with the highest worth density first. A request that can no
     /// longer start in time is refused before its objective ends, as it would take the slots of one that can.
-    fn serve_held_requests(&mut self, out: &mut Vec<Action>) {
-        if self.held.is_empty() {
+    fn serve_waiting_requests(&mut self, out: &mut Vec<Action>) {
+        if self.waiting.is_empty() {
             return;
         }
-        let mut held = std::mem::take(&mut self.held);
+        let mut waiting = std::mem::take(&mut self.waiting);
         let rank =
             |id: &RequestId| self.jobs.get(id).map(|j| (self.worth_density(j).to_bits(), j.arrived_at));
-        held.sort_by_cached_key(|id| std::cmp::Reverse(rank(id)));
+        waiting.sort_by_cached_key(|id| std::cmp::Reverse(rank(id)));
         // The fewest slots for which no worker was found, by class.
         let mut blocked_slots = vec![f64::MAX; self.settings.classes.len()];
-        for id in held {
+        for id in waiting {
             let Some(job) = self.jobs.get(&id).filter(|j| !j.answered) else { continue };
             let (class, slots) = (job.request.class.0, job.request.slots);
             let may_have_run = job.possibly_run_attempts().next().is_some();
             let late = self.now >= job.latest_start || self.now >= self.attempts_end_by(job);
             if !may_have_run && !late && slots >= blocked_slots[class] && self.affinity_range(job) >= 1.0 {
-                self.held.push(id);
+                self.waiting.push(id);
             } else if !self.try_send(id, out) {
                 let delayed = self.now < self.jobs[&id].not_before;
                 if late {
@@ -589,15 +601,15 @@
                     if !may_have_run && !delayed && self.affinity_range(&self.jobs[&id]) >= 1.0 {
                         blocked_slots[class] = blocked_slots[class].min(slots);
                     }
-                    self.held.push(id);
+                    self.waiting.push(id);
                 }
             }
         }
-        if !self.held.is_empty() && !std::mem::replace(&mut self.held_timer_set, true) {
+        if !self.waiting.is_empty() && !std::mem::replace(&mut self.waiting_timer_set, true) {
             let min_objective = self.settings.classes.iter().map(|c| c.latency_objective).min().unwrap_or(0);
             out.push(Action::SetTimer {
                 after: (min_objective / 16).max(self.settings.tick),
-                token: HELD_TIMER,
+                token: WAITING_TIMER,
             });
         }
     }
@@ -621,7 +633,7 @@
         self.drop_usage_of_silent_peers();
         let congested =
             self.capacity_unknown() && self.zone_wait(self.settings.own_zone.0) > self.mean_run_time;
-        // Dispatchers that don't hear each other would all fill the same queues, so each keeps to its own
+        // Dispatchers without contact to each other would all fill the same queues, so each keeps to its own
         // share.
         let job = self.jobs.get(&id)?;
         let may_have_run = job.possibly_run_attempts().next().is_some();
@@ -664,11 +676,11 @@
         let exploring = affinity_range >= 1.0 && self.rng.0.f64() < EXPLORATION_RATE;
         // The range always includes the worker with the highest affinity. With few workers it might contain
         // none, and the job would wait while all are idle.
-        let in_range = self.networks[c]
+        let usable = self.networks[c]
             .neurons
             .iter()
             .filter(|n| affinity_range < 1.0 && self.is_usable(job, n.worker, own_group_only));
-        let max_affinity = in_range.map(|n| self.affinity(job, n.worker)).fold(0.0, f64::max);
+        let max_affinity = usable.map(|n| self.affinity(job, n.worker)).fold(0.0, f64::max);
         let affinity_range =
             if affinity_range < 1.0 { affinity_range.max(1.0 - max_affinity) } else { affinity_range };
         let (mut best, mut explored) = (BestCandidate::default(), BestCandidate::default());
@@ -823,9 +835,10 @@
 
     /// Whether a job fits into this dispatcher's own share of the slots of its group.
     fn fits_own_share(&self, job_slots: f64) -> bool {
-        let group_workers = self.workers.iter().filter(|k| k.in_own_group && k.listed);
-        let slots = |k| self.worker_slots(k).unwrap_or(1.0) * self.warmth(&k.entry, self.now);
-        let (own, all) = group_workers.fold((0.0, 0.0), |(own, all), k| (own + k.own_slots, all + slots(k)));
+        let group_workers = self.workers.iter().filter(|worker| worker.in_own_group && worker.listed);
+        let slots = |worker| self.worker_slots(worker).unwrap_or(1.0) * self.warmth(&worker.entry, self.now);
+        let (own, all) = group_workers
+            .fold((0.0, 0.0), |(own, all), worker| (own + worker.own_slots, all + slots(worker)));
         own + job_slots / 2.0 <= self.group_traffic.own_slots(self.now, all)
     }
 
@@ -848,7 +861,8 @@
             return announced;
         }
         let slots = self.worker_slots(worker).unwrap_or(0.0) * self.warmth(&worker.entry, self.now);
-        let first_class_run_time = self.class_estimates.first().map_or(0.0, |l| l.mean_run_time);
+        let first_class_run_time =
+            self.class_estimates.first().map_or(0.0, |estimate| estimate.mean_run_time);
         let run_time = if self.mean_run_time > 0.0 { self.mean_run_time } else { first_class_run_time };
         worker
             .others_slots_at(self.now, self.others_slot_share.min(0.8) * slots, 4.0 * run_time)
@@ -915,7 +929,7 @@
     fn record_progress(&mut self, id: RequestId, attempt: u32, progress: JobProgress) {
         let job = self.jobs.get_mut(&id);
         let Some(a) = job.and_then(|j| j.attempts.get_mut(attempt as usize)) else { return };
-        self.workers[a.worker].heard_at = self.now;
+        self.workers[a.worker].last_response_at = self.now;
         if progress == JobProgress::Started && a.started_at.is_none() {
             self.workers[a.worker].estimator.record_started(id, attempt, self.now);
             a.started_at = Some(self.now);
@@ -971,7 +985,7 @@
         let estimate = &mut self.class_estimates[class];
         match result.outcome {
             Outcome::Served => {
-                worker.heard_at = self.now;
+                worker.last_response_at = self.now;
                 let waited = started_at.map_or(0, |s| s.saturating_sub(sent_at));
                 let run_time = result.latency.saturating_sub(waited).max(1) as f64;
                 estimate.record_run_time(run_time);
@@ -986,7 +1000,7 @@
             Outcome::Cancelled if silent => worker.record_failure(self.now, FAILURE_DECAY_NS),
             Outcome::Cancelled | Outcome::NotSent => {}
             // The worker responds; whether it serves requests well is not known.
-            Outcome::Rejected => worker.heard_at = self.now,
+            Outcome::Rejected => worker.last_response_at = self.now,
             Outcome::Full => {
                 let full_count = if capacity_unknown { full_count } else { 0 };
                 job.not_before =
@@ -1021,12 +1035,12 @@
             // them.
             out.push(Action::Fail(id));
             self.close_request(id);
-        } else if job.attempts_in_flight() == 0 && !self.held.contains(&id) {
-            self.held.push(id);
+        } else if job.attempts_in_flight() == 0 && !self.waiting.contains(&id) {
+            self.waiting.push(id);
         }
         let failed = matches!(result.outcome, Outcome::Error | Outcome::Timeout | Outcome::Reset);
         self.announce_usage(w, failed, out);
         self.free_index(w);
-        self.serve_held_requests(out);
+        self.serve_waiting_requests(out);
     }
 }
--- a/crates/policy/src/state.rs
+++ b/crates/policy/src/state.rs
@@ -55,7 +55,7 @@
     pub(crate) failures: DecayingValue,
     pub(crate) estimator: CompletionEstimator,
     /// When it last responded, or got an own attempt while it had none.
-    pub(crate) heard_at: Nanos,
+    pub(crate) last_response_at: Nanos,
     /// When the last own attempt was sent.
     pub(crate) last_sent_at: Nanos,
     pub(crate) full_until: Nanos,
@@ -102,7 +102,7 @@
     pub(crate) fn record_sent(&mut self, now: Nanos, time_constant: f64, slots: f64) {
         self.update_mean_own_slots(now, time_constant);
         if self.attempts == 0 {
-            self.heard_at = now;
+            self.last_response_at = now;
         }
         self.attempts += 1;
         self.peak_attempts = self.peak_attempts.max(self.attempts);
@@ -111,7 +111,7 @@
     /// Returns how long own attempts have been in flight without any response. A worker that accepts jobs and
     /// never answers has no failures until its attempts time out.
     pub(crate) fn silent_for(&self, now: Nanos) -> f64 {
-        if self.attempts == 0 { 0.0 } else { now.saturating_sub(self.heard_at) as f64 }
+        if self.attempts == 0 { 0.0 } else { now.saturating_sub(self.last_response_at) as f64 }
     }
 
     /// Returns the slots taken by others according to load reports. The value approaches `mean` with this
