--- a/crates/lab/src/baselines.rs
+++ b/crates/lab/src/baselines.rs
@@ -2,8 +2,8 @@
 //! drains, refusals), choose by their one idea, and learn nothing else.
 
 use loomlb_policy::{
-    Action, Class, Effect, Ended, Event, Group, ListKind, Nanos, Outcome, Request, RequestId, Settings,
-    Worker, WorkerId, WorkerState, ZoneId,
+    Action, AttemptResult, Class, DedupScope, Event, Idempotency, ListKind, Nanos, Outcome, Request,
+    RequestId, Settings, Worker, WorkerId, WorkerState, ZoneId,
 };
 use loomlb_simulation::simulate::Decider;
 use rustc_hash::FxHashMap;
@@ -88,16 +88,16 @@
         let tied = job.attempts.iter().find(|a| a.outcome.is_none_or(|o| !o.never_ran()));
         let Some(first) = tied else { return true };
         let class = self.class(job);
-        match class.effect {
-            Effect::Safe => true,
-            Effect::Unsafe => false,
-            Effect::Keyed(group) => {
+        match class.idempotency {
+            Idempotency::Idempotent => true,
+            Idempotency::AtMostOnce => false,
+            Idempotency::Deduplicated(group) => {
                 let near = match group {
-                    Group::All => true,
-                    Group::Zone => worker.zone == first.zone,
-                    Group::Cell => worker.cell.0 == first.cell,
+                    DedupScope::All => true,
+                    DedupScope::Zone => worker.zone == first.zone,
+                    DedupScope::Cell => worker.cell.0 == first.cell,
                 };
-                near && self.now + 4 * self.set.tick < first.sent + class.window
+                near && self.now + 4 * self.set.tick < first.sent + class.dedup_window
             }
         }
     }
@@ -106,7 +106,8 @@
         let Some(job) = self.jobs.get(&id) else { return };
         let last = job.deadline.saturating_sub(2 * self.set.tick);
         let spent = job.attempts.len() as u32 >= self.set.limits.max_attempts.max(1);
-        let cold = |w: &Worker| w.started != 0 && self.now < w.started + self.set.rules.cold;
+        let cold =
+            |w: &Worker| w.started_at != 0 && self.now < w.started_at + self.set.obligations.warm_up_time;
         let tried = |w: &Worker| job.attempts.iter().any(|a| a.worker == w.id);
         let usable = |w: &&Worker| !cold(w) && !tried(w) && self.allows(job, w);
         if spent || self.now >= last {
@@ -145,19 +146,23 @@
     fn end(&mut self, id: RequestId, out: &mut Vec<Action>) {
         let Some(job) = self.jobs.remove(&id) else { return };
         let tied = job.attempts.iter().any(|a| a.outcome.is_none_or(|o| !o.never_ran()));
-        let free = !tied || matches!(self.class(&job).effect, Effect::Safe | Effect::Keyed(Group::All));
+        let free = !tied
+            || matches!(
+                self.class(&job).idempotency,
+                Idempotency::Idempotent | Idempotency::Deduplicated(DedupScope::All)
+            );
         let retry_after = self.set.limits.max_retry_after.min(200_000_000);
         out.push(if free { Action::Refuse { id, retry_after } } else { Action::Fail(id) });
     }
 
-    fn ended(&mut self, id: RequestId, attempt: u32, ended: Ended, out: &mut Vec<Action>) {
+    fn ended(&mut self, id: RequestId, attempt: u32, ended: AttemptResult, out: &mut Vec<Action>) {
         let Some(job) = self.jobs.get_mut(&id) else { return };
         let Some(a) = job.attempts.get_mut(attempt as usize) else { return };
         a.outcome = Some(ended.outcome);
         if let Some(load) = self.load.get_mut(&a.worker) {
             *load = load.saturating_sub(1);
         }
-        if ended.closed || ended.outcome == Outcome::Served {
+        if ended.request_finished || ended.outcome == Outcome::Served {
             self.jobs.remove(&id);
         } else {
             self.place(id, out);
@@ -169,7 +174,7 @@
     fn handle(&mut self, now: Nanos, event: Event, out: &mut Vec<Action>) {
         self.now = now;
         match event {
-            Event::Workers { kind, entries } => {
+            Event::WorkerList { kind, entries } => {
                 if kind != ListKind::Partial {
                     self.workers.clear();
                 }
@@ -186,14 +191,14 @@
                 self.jobs.insert(id, Job { request, deadline, attempts: Vec::new() });
                 self.place(id, out);
             }
-            Event::Gone(id) => {
+            Event::RequestAbandoned(id) => {
                 if let Some(job) = self.jobs.get(&id) {
                     let open = job.attempts.iter().enumerate().filter(|(_, a)| a.outcome.is_none());
                     out.extend(open.map(|(n, _)| Action::Cancel(id, n as u32)));
                 }
                 // Its attempts still end, and count against their workers until then.
             }
-            Event::Ended { id, attempt, ended } => {
+            Event::AttemptEnded { id, attempt, result: ended } => {
                 let gone = ended.outcome == Outcome::Cancelled;
                 if gone && let Some(job) = self.jobs.remove(&id) {
                     for a in job.attempts.iter().filter(|a| a.outcome.is_none()) {
--- a/crates/lab/src/capacity/probe.rs
+++ b/crates/lab/src/capacity/probe.rs
@@ -1,8 +1,9 @@
 //! The decision module under a steady load, as `crates/policy/benches/decision.rs` drives it, and real entries of the list.
 
 use loomlb_policy::{
-    Action, Class, ClassId, Dispatcher, Effect, Ended, Event, Limits, ListKind, Nanos, Note, Outcome, Report,
-    Reports, Request, RequestId, Settings, Tenant, TenantId, Worker, WorkerId,
+    Action, AttemptResult, Class, ClassId, Dispatcher, Event, Idempotency, JobProgress, Limits, ListKind,
+    LoadReport, LoadReporting, Nanos, Outcome, Request, RequestId, Settings, Tenant, TenantId, Worker,
+    WorkerId,
 };
 use loomlb_simulation::Day;
 use loomlb_simulation::settings::entry;
@@ -28,23 +29,23 @@
 /// Settings of one class and so many tenants, at one of so many schedulers.
 fn settings(tenants: usize, schedulers: u32) -> Settings {
     let class = Class {
-        aim: 150 * MS,
-        stretch: 2.0,
-        deadline: 5_000 * MS,
+        latency_objective: 150 * MS,
+        objective_stretch: 2.0,
+        client_timeout: 5_000 * MS,
         worth: 1.0,
-        effect: Effect::Safe,
+        idempotency: Idempotency::Idempotent,
         ..Class::default()
     };
     Settings {
-        dispatchers: schedulers,
-        zones: 1,
-        kinds: 1,
+        dispatcher_count: schedulers,
+        zone_count: 1,
+        kind_count: 1,
         tick: MS,
         classes: vec![class],
         tenants: vec![Tenant { quota_per_s: 50.0 }; tenants],
-        reports: Reports::Answers,
+        load_reporting: LoadReporting::Inline,
         free_slots_reported: true,
-        limits: Limits { max_attempts: 4, cancel: true, peers: schedulers > 1, ..Limits::default() },
+        limits: Limits { max_attempts: 4, cancel: true, peer_messages: schedulers > 1, ..Limits::default() },
         ..Settings::default()
     }
 }
@@ -65,7 +66,7 @@
             next: 0,
             tenants,
         };
-        probe.tell(Event::Workers { kind: ListKind::Complete, entries: self::workers(workers) });
+        probe.tell(Event::WorkerList { kind: ListKind::Complete, entries: self::workers(workers) });
         probe
     }
 
@@ -96,17 +97,22 @@
     pub fn end(&mut self) -> usize {
         self.now += MS / 4;
         let Some(id) = self.out.pop_front() else { return 0 };
-        let report = Report { in_flight: Some(2.0), free_slots: Some(3.0), ..Report::default() };
-        let ended = Ended { outcome: Outcome::Served, latency: 200 * MS, closed: true, report: Some(report) };
-        self.tell(Event::Note(id, 0, Note::Started));
+        let report = LoadReport { in_flight: Some(2.0), free_slots: Some(3.0), ..LoadReport::default() };
+        let ended = AttemptResult {
+            outcome: Outcome::Served,
+            latency: 200 * MS,
+            request_finished: true,
+            load_report: Some(report),
+        };
+        self.tell(Event::JobProgress(id, 0, JobProgress::Started));
         let started = self.told();
-        self.tell(Event::Ended { id, attempt: 0, ended });
+        self.tell(Event::AttemptEnded { id, attempt: 0, result: ended });
         started + self.told()
     }
 
     /// Bytes that the module has its peers told by its last actions.
     pub fn told(&self) -> usize {
-        let told = |action: &Action| if let Action::Tell(_, bytes) = action { bytes.len() } else { 0 };
+        let told = |action: &Action| if let Action::SendToPeers(_, bytes) = action { bytes.len() } else { 0 };
         self.actions.iter().map(told).sum()
     }
 
--- a/crates/policy/src/boot.rs
+++ b/crates/policy/src/raw_settings.rs
@@ -1,13 +1,15 @@
-//! The settings that a dispatcher gets at its start, and their one parser. Unknown keys are skipped.
+//! The settings as the configuration file and the simulator spell them, and their conversion. Unknown keys
+//! are ignored.
 
 use crate::api::*;
 use rustc_hash::FxHasher;
 use serde::Deserialize;
 use std::hash::Hasher;
 
-/// An instance's names, in the order of its settings. What is not among them is numbered behind them.
+/// The names of classes, tenants, zones and kinds, in the order of the settings. An unknown name gets the
+/// number after the last one.
 #[derive(Clone, Debug, Default)]
-pub struct Names {
+pub struct SettingNames {
     /// The classes.
     pub classes: Vec<String>,
     /// The tenants.
@@ -18,34 +20,34 @@
     pub kinds: Vec<String>,
 }
 
-fn place(names: &[String], name: &str) -> usize {
+fn index_or_len(names: &[String], name: &str) -> usize {
     names.iter().position(|n| n == name).unwrap_or(names.len())
 }
 
-impl Names {
-    /// The worker with its zone and kind numbered as in the settings.
-    pub fn worker(&self, zone: &str, kind: &str, worker: Worker) -> Worker {
-        let (zone, kind) = (place(&self.zones, zone), place(&self.kinds, kind));
+impl SettingNames {
+    /// Returns the worker with the numbers of this zone and kind.
+    pub fn with_zone_and_kind(&self, zone: &str, kind: &str, worker: Worker) -> Worker {
+        let (zone, kind) = (index_or_len(&self.zones, zone), index_or_len(&self.kinds, kind));
         Worker { zone: ZoneId(zone), kind: KindId(kind), ..worker }
     }
-    /// The number of a class; that of no class if the name is unknown.
-    pub fn class(&self, name: &str) -> usize {
-        place(&self.classes, name)
+    /// Returns the number of a class; the number of classes if the name is unknown.
+    pub fn class_index(&self, name: &str) -> usize {
+        index_or_len(&self.classes, name)
     }
 }
 
-/// The key that stands for a subject's name.
-pub fn key(text: &str) -> KeyId {
+/// Returns the affinity key for the name of what a job is about.
+pub fn affinity_key(name: &str) -> AffinityKey {
     let mut hasher = FxHasher::default();
-    hasher.write(text.as_bytes());
-    KeyId(hasher.finish())
+    hasher.write(name.as_bytes());
+    AffinityKey(hasher.finish())
 }
 
-/// The settings as they are sent at a start, in the simulator's words.
+/// The settings as they are configured.
 #[derive(Clone, Debug, Deserialize, Default)]
 #[serde(default)]
 #[serde(expecting = "struct BootInfo")]
-pub struct BootInfo {
+pub struct RawSettings {
     balancers: u32,
     rank: u32,
     my_zone: String,
@@ -58,11 +60,11 @@
     registry_mode: String,
     weights: String,
     tick: Nanos,
-    load_report: LoadReport,
-    ceilings: Ceilings,
-    obligations: Obligations,
-    penalties: Penalties,
-    extra: Extra,
+    load_report: RawLoadReport,
+    ceilings: RawCeilings,
+    obligations: RawObligations,
+    penalties: RawPenalties,
+    extra: RawExtra,
 }
 
 #[derive(Clone, Debug, Deserialize, Default)]
@@ -91,7 +93,7 @@
 #[derive(Clone, Debug, Deserialize, Default)]
 #[serde(default)]
 #[serde(expecting = "struct LoadReport")]
-struct LoadReport {
+struct RawLoadReport {
     fields: Vec<String>,
     how: String,
 }
@@ -99,7 +101,7 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(default)]
 #[serde(expecting = "struct Ceilings")]
-struct Ceilings {
+struct RawCeilings {
     cancel: bool,
     dial_timeout: Nanos,
     keepalive: Nanos,
@@ -112,9 +114,9 @@
     second_copies: bool,
 }
 
-impl Default for Ceilings {
+impl Default for RawCeilings {
     fn default() -> Self {
-        Ceilings {
+        RawCeilings {
             cancel: false,
             dial_timeout: 1_000_000_000,
             keepalive: 5_000_000_000,
@@ -132,7 +134,7 @@
 #[derive(Clone, Debug, Deserialize, Default)]
 #[serde(default)]
 #[serde(expecting = "struct Obligations")]
-struct Obligations {
+struct RawObligations {
     cold: Nanos,
     cold_from: f64,
     drain_grace: Nanos,
@@ -144,7 +146,7 @@
 #[derive(Clone, Debug, Deserialize, Default)]
 #[serde(default)]
 #[serde(expecting = "struct Penalties")]
-struct Penalties {
+struct RawPenalties {
     cross_zone: f64,
     waste: f64,
     late_fail: f64,
@@ -156,7 +158,7 @@
 #[derive(Clone, Debug, Deserialize, Default)]
 #[serde(default)]
 #[serde(expecting = "struct Extra")]
-struct Extra {
+struct RawExtra {
     class_kind: Vec<i64>,
     class_stretch: Vec<f64>,
     progress: Nanos,
@@ -165,31 +167,31 @@
     report_x0: String,
 }
 
-impl BootInfo {
-    /// The settings and names that these words stand for.
-    pub fn read(&self) -> (Settings, Names) {
+impl RawSettings {
+    /// Converts the settings for the decision module, with the names that they use.
+    pub fn to_settings(&self) -> (Settings, SettingNames) {
         let classes = self.classes.iter().enumerate().map(|(i, c)| Class {
-            aim: c.aim,
-            stretch: self.extra.class_stretch.get(i).copied().unwrap_or(c.aim_stretch),
-            deadline: c.give_up,
+            latency_objective: c.aim,
+            objective_stretch: self.extra.class_stretch.get(i).copied().unwrap_or(c.aim_stretch),
+            client_timeout: c.give_up,
             worth: c.worth,
             late_worth: c.late_worth,
-            effect: match (&*c.effect, &*c.group) {
-                ("idempotent", _) => Effect::Safe,
-                ("deduplicated", "all") => Effect::Keyed(Group::All),
-                ("deduplicated", "zone") => Effect::Keyed(Group::Zone),
-                ("deduplicated", "cell") => Effect::Keyed(Group::Cell),
-                _ => Effect::Unsafe,
+            idempotency: match (&*c.effect, &*c.group) {
+                ("idempotent", _) => Idempotency::Idempotent,
+                ("deduplicated", "all") => Idempotency::Deduplicated(DedupScope::All),
+                ("deduplicated", "zone") => Idempotency::Deduplicated(DedupScope::Zone),
+                ("deduplicated", "cell") => Idempotency::Deduplicated(DedupScope::Cell),
+                _ => Idempotency::AtMostOnce,
             },
-            window: c.repeat_window,
+            dedup_window: c.repeat_window,
             kind: self.extra.class_kind.get(i).and_then(|&k| usize::try_from(k).ok()).map(KindId),
         });
         let settings = Settings {
-            dispatchers: self.balancers,
-            me: PeerId(self.rank),
-            zone: ZoneId(place(&self.zones, &self.my_zone)),
-            zones: self.zones.len(),
-            kinds: self.kinds.len(),
+            dispatcher_count: self.balancers,
+            own_id: PeerId(self.rank),
+            own_zone: ZoneId(index_or_len(&self.zones, &self.my_zone)),
+            zone_count: self.zones.len(),
+            kind_count: self.kinds.len(),
             classes: classes.collect(),
             tenants: self.tenants.iter().map(|t| Tenant { quota_per_s: t.quota_rps }).collect(),
             over_share_worth: self.over_share_worth,
@@ -199,46 +201,46 @@
                 "priority" => QueueOrder::Priority,
                 _ => QueueOrder::Fifo,
             },
-            tells_start: self.extra.tells_start,
-            progress: self.extra.progress,
+            job_starts_reported: self.extra.tells_start,
+            progress_interval: self.extra.progress,
             free_slots_reported: self.extra.report_x0 == "free slots",
-            reports: match &*self.load_report.how {
-                "inline" => Reports::Answers,
-                "on_probe" => Reports::Probes,
-                _ => Reports::None,
+            load_reporting: match &*self.load_report.how {
+                "inline" => LoadReporting::Inline,
+                "on_probe" => LoadReporting::OnProbe,
+                _ => LoadReporting::None,
             },
-            weights: match &*self.weights {
-                "nominal" | "rough" => Weights::Size,
-                "live" => Weights::Live,
-                _ => Weights::None,
+            weight_meaning: match &*self.weights {
+                "nominal" | "rough" => WeightMeaning::Size,
+                "live" => WeightMeaning::Live,
+                _ => WeightMeaning::None,
             },
-            ask_for_list: self.registry_mode == "subscribe",
+            list_needs_watch: self.registry_mode == "subscribe",
             tick: self.tick,
             limits: Limits {
                 max_attempts: self.ceilings.max_attempts,
                 cancel: self.ceilings.cancel,
-                second_copies: self.ceilings.second_copies,
-                probes: self.ceilings.probing,
-                peers: self.ceilings.may_tell,
+                hedging: self.ceilings.second_copies,
+                probing: self.ceilings.probing,
+                peer_messages: self.ceilings.may_tell,
                 max_retry_after: if self.ceilings.retry_after { self.ceilings.max_retry_after } else { 0 },
             },
-            rules: Rules {
-                cold: self.obligations.cold,
-                cold_from: self.obligations.cold_from,
-                fall_multiple: self.obligations.overload_factor,
-                fall: self.obligations.overload_for,
-                ask_within: self.obligations.must_ask_in,
+            obligations: Obligations {
+                warm_up_time: self.obligations.cold,
+                initial_capacity_share: self.obligations.cold_from,
+                overload_factor: self.obligations.overload_factor,
+                overload_window: self.obligations.overload_for,
+                list_request_interval: self.obligations.must_ask_in,
             },
-            prices: Prices {
+            costs: Costs {
                 cross_zone: self.penalties.cross_zone,
                 waste: self.penalties.waste,
-                late_fail: self.penalties.late_fail,
-                peer: self.penalties.peer,
+                late_failure: self.penalties.late_fail,
+                peer_message: self.penalties.peer,
                 probe: self.penalties.probe,
                 handshake: self.penalties.handshake,
             },
         };
-        let names = Names {
+        let names = SettingNames {
             classes: self.classes.iter().map(|c| c.name.clone()).collect(),
             tenants: self.tenants.iter().map(|t| t.name.clone()).collect(),
             zones: self.zones.clone(),
@@ -246,9 +248,9 @@
         };
         (settings, names)
     }
-    /// The figures that the network code keeps to.
-    pub fn terms(&self) -> Terms {
-        Terms {
+    /// Returns the settings for the network code.
+    pub fn network_settings(&self) -> NetworkSettings {
+        NetworkSettings {
             dial_timeout: self.ceilings.dial_timeout,
             keepalive: self.ceilings.keepalive,
             drain_grace: self.obligations.drain_grace,
@@ -258,23 +260,23 @@
     }
 }
 
-/// What the settings say to the network code alone.
+/// Settings that only the network code uses.
 #[derive(Clone, Debug, Default)]
-pub struct Terms {
-    /// A connection that is not up in this time counts as none.
+pub struct NetworkSettings {
+    /// Timeout for opening a connection.
     pub dial_timeout: Nanos,
-    /// Workers close a connection that was idle for this long.
+    /// Idle time after which workers close a connection.
     pub keepalive: Nanos,
-    /// Sends to a draining or gone worker end within this time.
+    /// Time after which attempts at a draining or removed worker end.
     pub drain_grace: Nanos,
     /// Open requests at most.
     pub max_open: usize,
-    /// Names of the values in a load report, as the settings call them.
+    /// The values in a load report, by the names that the settings use.
     pub report_fields: Vec<String>,
 }
 
-/// Load values that sites write in words of their own, and the settings' word for each.
-const REPORT_WORDS: [(&str, &str); 6] = [
+/// Names of load values that workers may use, and the names that the settings use for them.
+const LOAD_VALUE_ALIASES: [(&str, &str); 6] = [
     ("inflight", "rif"),
     ("queue", "q"),
     ("util", "busy"),
@@ -283,18 +285,18 @@
     ("eps", "fail_rate"),
 ];
 
-impl Terms {
-    /// Takes one named value into a report, if the settings name it; sites' words for it count as well.
-    pub fn report(&self, report: &mut Report, name: &str, value: f64) {
-        let name = REPORT_WORDS.iter().find(|w| w.0 == name).map_or(name, |w| w.1);
+impl NetworkSettings {
+    /// Sets a load value in a report by its name or alias, unless the settings don't list it.
+    pub fn record_load_value(&self, report: &mut LoadReport, name: &str, value: f64) {
+        let name = LOAD_VALUE_ALIASES.iter().find(|alias| alias.0 == name).map_or(name, |alias| alias.1);
         if !self.report_fields.iter().any(|f| f == name) {
             return;
         }
         match name {
             "rif" => report.in_flight = Some(value),
-            "q" => report.queue = Some(value),
-            "busy" => report.busy = Some(value),
-            "lat_ms" => report.latency_ms = Some(value),
+            "q" => report.queued = Some(value),
+            "busy" => report.utilization = Some(value),
+            "lat_ms" => report.service_time_ms = Some(value),
             "x0" => report.free_slots = Some(value),
             _ => {}
         }
--- a/crates/scheduler/src/admit.rs
+++ b/crates/scheduler/src/admit.rs
@@ -4,8 +4,8 @@
 use super::shares::Share;
 use super::wheel::Due;
 use super::{Scheduler, route};
-use loomlb_policy::boot::key;
-use loomlb_policy::{ClassId, Effect, Event, Nanos, Request, RequestId, TenantId};
+use loomlb_policy::raw_settings::affinity_key;
+use loomlb_policy::{ClassId, Event, Idempotency, Nanos, Request, RequestId, TenantId};
 use std::rc::Rc;
 use tokio::sync::oneshot;
 
@@ -64,7 +64,7 @@
 /// Takes an offer in, or says why not.
 pub fn admit(s: &Rc<Scheduler>, offer: Offer) -> Result<Taken, Rejection> {
     let epoch = s.epoch();
-    let class = epoch.names.class(&offer.class);
+    let class = epoch.names.class_index(&offer.class);
     let Some(settings) = epoch.settings.classes.get(class) else {
         return Err(Rejection::Bad("unknown class"));
     };
@@ -96,7 +96,7 @@
             return Err(Rejection::NoRoom(after.min(longest)));
         }
     };
-    let patience = offer.patience.unwrap_or(settings.deadline);
+    let patience = offer.patience.unwrap_or(settings.client_timeout);
     // A process that ends answers sooner; to the module that is no sign of a client that has waited before.
     let within = s.shutdown.service().answer_by().map(|by| by.saturating_sub(now));
     let deadline = now.saturating_add(within.unwrap_or(patience).min(patience));
@@ -112,7 +112,7 @@
         slots,
         class,
         most,
-        window: matches!(settings.effect, Effect::Keyed(_)).then_some(settings.window),
+        window: matches!(settings.idempotency, Idempotency::Deduplicated(_)).then_some(settings.dedup_window),
         ran: 0.0,
     });
     drop(book);
@@ -131,14 +131,14 @@
         id,
         class: ClassId(class),
         tenant: tenant.map(TenantId),
-        key: offer.subject.as_deref().map(key),
+        affinity_key: offer.subject.as_deref().map(affinity_key),
         slots,
         memory: offer.memory.unwrap_or(0.0),
         remaining: patience,
-        within,
-        retry: offer.retry,
+        answer_within: within,
+        is_retry: offer.retry,
         in_share,
-        expected: offer.expected,
+        expected_work: offer.expected,
     };
     route::feed(s, Event::Request(request));
     Ok(Taken { id, answer })
--- a/crates/scheduler/src/relay.rs
+++ b/crates/scheduler/src/relay.rs
@@ -4,7 +4,7 @@
 use super::shares::Holding;
 use super::{Scheduler, route};
 use bytes::Bytes;
-use loomlb_policy::{Ended, Event, Note, Outcome, Report, RequestId};
+use loomlb_policy::{AttemptResult, Event, JobProgress, LoadReport, Outcome, RequestId};
 use serde::Deserialize;
 use std::borrow::Cow;
 use std::rc::Rc;
@@ -44,7 +44,7 @@
         book.counters.gone += 1;
         settle(s, book.tidy(id));
         drop(book);
-        route::feed(s, Event::Gone(id));
+        route::feed(s, Event::RequestAbandoned(id));
     }
 }
 
@@ -52,19 +52,19 @@
 pub fn overdue(s: &Rc<Scheduler>, id: RequestId) {
     if answer(s, id, Answer::Failed) {
         s.book.borrow_mut().counters.overdue += 1;
-        route::feed(s, Event::Gone(id));
+        route::feed(s, Event::RequestAbandoned(id));
     }
 }
 
 /// A forward has ended; what ends it a second time is passed over.
-pub fn ended(s: &Rc<Scheduler>, id: RequestId, n: u32, outcome: Outcome, report: Option<Report>) {
+pub fn ended(s: &Rc<Scheduler>, id: RequestId, n: u32, outcome: Outcome, report: Option<LoadReport>) {
     let mut book = s.book.borrow_mut();
     let Some(forward) = book.forward(id, n).filter(|f| f.stage != Stage::Ended) else { return };
     (forward.stage, forward.never_ran) = (Stage::Ended, outcome.never_ran());
     let now = s.clock.now();
     let latency = now.saturating_sub(forward.opened);
     // A job that its target never started has taken nothing; where starts are not told, all of its time counts.
-    let started = if s.epoch().settings.tells_start { forward.started } else { Some(forward.opened) };
+    let started = if s.epoch().settings.job_starts_reported { forward.started } else { Some(forward.opened) };
     let ran = started.filter(|_| !outcome.never_ran()).map_or(0.0, |at| now.saturating_sub(at) as f64 / 1e9);
     tracing::debug!(flow = id.0, target = &*forward.host, attempt = n, outcome = ?outcome, latency_us = latency / 1000, "ended");
     let closed = book.flow(id).is_none_or(|f| {
@@ -74,7 +74,14 @@
     book.counters.outcome(outcome);
     settle(s, book.tidy(id));
     drop(book);
-    route::feed(s, Event::Ended { id, attempt: n, ended: Ended { outcome, latency, closed, report } });
+    route::feed(
+        s,
+        Event::AttemptEnded {
+            id,
+            attempt: n,
+            result: AttemptResult { outcome, latency, request_finished: closed, load_report: report },
+        },
+    );
 }
 
 #[derive(Deserialize)]
@@ -128,14 +135,16 @@
     drop(book);
     // A report that cannot be read must not cost the flow its result.
     let report = said.load.as_ref().and_then(|load| load.as_object()).map(|load| {
-        let mut report = Report::default();
+        let mut report = LoadReport::default();
         let values = load.iter().filter_map(|(name, value)| Some((name, value.as_f64()?)));
-        values.for_each(|(name, value)| s.epoch().terms.report(&mut report, name, value));
+        values.for_each(|(name, value)| s.epoch().terms.record_load_value(&mut report, name, value));
         report
     });
     match &*said.state {
-        "started" => route::feed(s, Event::Note(id, n, Note::Started)),
-        "running" => route::feed(s, Event::Note(id, n, Note::Progress(said.share.unwrap_or(0.0)))),
+        "started" => route::feed(s, Event::JobProgress(id, n, JobProgress::Started)),
+        "running" => {
+            route::feed(s, Event::JobProgress(id, n, JobProgress::Fraction(said.share.unwrap_or(0.0))))
+        }
         "done" => {
             answer(s, id, Answer::Served(Bytes::from(said.result.unwrap_or_default())));
             ended(s, id, n, Outcome::Served, report);
--- a/crates/scheduler/src/send.rs
+++ b/crates/scheduler/src/send.rs
@@ -5,7 +5,7 @@
 use super::http::{Fault, Kind, Message, Wire};
 use super::wheel::Due;
 use super::{Scheduler, relay, route};
-use loomlb_policy::{Ended, Event, Nanos, Outcome, Report, Reports, RequestId, WorkerId};
+use loomlb_policy::{AttemptResult, Event, LoadReport, LoadReporting, Nanos, Outcome, RequestId, WorkerId};
 use loomlb_sockets::faults::ConnectFault;
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -262,7 +262,7 @@
     let n = flow.forwards.len() as u32;
     let over = flow.reply.is_none() || n >= flow.most;
     // A later forward must not overtake the news that an earlier one is given up.
-    let one_at_a_time = !s.epoch().settings.limits.second_copies;
+    let one_at_a_time = !s.epoch().settings.limits.hedging;
     let earlier = flow.forwards.iter().filter(|f| one_at_a_time || f.target == to);
     let undoing: Vec<Rc<Notify>> = earlier.filter_map(|f| f.undoing.clone()).collect();
     let work = Rc::clone(&flow.work);
@@ -477,7 +477,7 @@
 }
 
 /// What a target's answer means for the forward; none if the target has taken it.
-fn read_answer(s: &Scheduler, answer: &Message) -> Option<(Outcome, Option<Report>)> {
+fn read_answer(s: &Scheduler, answer: &Message) -> Option<(Outcome, Option<LoadReport>)> {
     let report = answer.text("X-Backend-Load").map(|text| read_report(s, text));
     let unprocessed = answer.text("X-Unprocessed") == Some("1");
     match answer.status {
@@ -490,11 +490,11 @@
 }
 
 /// A report in its header's form: `name=value,name=value`.
-fn read_report(s: &Scheduler, text: &str) -> Report {
-    let mut report = Report::default();
+fn read_report(s: &Scheduler, text: &str) -> LoadReport {
+    let mut report = LoadReport::default();
     for (name, value) in text.split(',').filter_map(|pair| pair.split_once('=')) {
         if let Ok(value) = value.trim().parse() {
-            s.epoch().terms.report(&mut report, name.trim(), value);
+            s.epoch().terms.record_load_value(&mut report, name.trim(), value);
         }
     }
     report
@@ -608,7 +608,8 @@
     s.book.borrow_mut().counters.probes += 1;
     let (s, sent) = (Rc::clone(s), s.clock.now());
     tokio::task::spawn_local(async move {
-        let path = if s.epoch().settings.reports == Reports::None { "/healthz" } else { "/load" };
+        let path =
+            if s.epoch().settings.load_reporting == LoadReporting::None { "/healthz" } else { "/load" };
         let (outcome, report) = match call(&s, to, "GET", path).await {
             Ok(answer) => {
                 let outcome = if answer.status == 200 { Outcome::Served } else { Outcome::Error };
@@ -620,8 +621,8 @@
             Err(_) => (Outcome::NoConnection, None),
         };
         let latency = s.clock.now().saturating_sub(sent);
-        let ended = Ended { outcome, latency, closed: false, report };
-        route::feed(&s, Event::Probed { worker: to, ended });
+        let ended = AttemptResult { outcome, latency, request_finished: false, load_report: report };
+        route::feed(&s, Event::ProbeEnded { worker: to, result: ended });
     });
 }
 
--- a/crates/scheduler/src/upgrade.rs
+++ b/crates/scheduler/src/upgrade.rs
@@ -9,7 +9,7 @@
 use loomlb_hot_restart::link::{Inbox, Link};
 use loomlb_hot_restart::machine::{Act, New, Old};
 use loomlb_hot_restart::words::{Ask, Holds, VERSION, Word};
-use loomlb_policy::{Event, Holds as Held, Message, Nanos, WorkerId, ZoneId};
+use loomlb_policy::{Event, Message, Nanos, SlotUsage as Held, WorkerId, ZoneId};
 use loomlb_sockets::faults::{ConnectFault, connect_fault};
 use loomlb_sockets::{AcceptRetry, AddressInUse, OpenRetry};
 use serde::Deserialize;
@@ -438,7 +438,7 @@
 
 /// The module takes what the other process holds for the word of a peer: this scheduler's own number, which no peer has.
 fn tell_module(s: &Rc<Scheduler>, partner: &Partner, holds: Holds) {
-    let me = s.epoch().settings.me;
+    let me = s.epoch().settings.own_id;
     let before = partner.holds.replace(holds);
     let now = partner.holds.borrow().clone();
     let gone = before.slots.iter().filter(|b| !now.slots.iter().any(|n| n.0 == b.0));
@@ -446,8 +446,8 @@
     let changed = now.slots.iter().filter(|n| !before.slots.contains(n)).map(|n| (&n.0, n.1));
     for (host, slots) in changed.chain(gone) {
         let turn = s.upgrade.next.replace(s.upgrade.next.get() + 1) as u16;
-        let held = Held { worker: number(host), slots: slots.round() as u8, turn, failed: false };
-        route::feed(s, Event::Peer(me, Message::Holds(held).bytes()));
+        let held = Held { worker: number(host), slots: slots.round() as u8, sequence: turn, failed: false };
+        route::feed(s, Event::PeerMessage(me, Message::SlotUsage(held).encode()));
     }
 }
 
@@ -455,7 +455,10 @@
 fn forget(s: &Rc<Scheduler>) {
     route::feed(
         s,
-        Event::Peer(s.epoch().settings.me, Message::Hello(ZoneId(s.epoch().settings.zone.0)).bytes()),
+        Event::PeerMessage(
+            s.epoch().settings.own_id,
+            Message::Hello(ZoneId(s.epoch().settings.own_zone.0)).encode(),
+        ),
     );
 }
 
--- a/crates/simulation/src/simulate.rs
+++ b/crates/simulation/src/simulate.rs
@@ -11,10 +11,10 @@
 use crate::seed::Stream;
 use crate::settings;
 use crate::world::{Attempt, Counters, Deed, Dial, Reply, Signal, Word, World, ms};
-use loomlb_policy::boot::{Names, key};
+use loomlb_policy::raw_settings::{SettingNames, affinity_key};
 use loomlb_policy::{
-    Action, ClassId, Dispatcher, Ended, Event, ListKind, Nanos, Note, Outcome, PeerId, Receiver, Report,
-    Request as Asked, RequestId, Settings, TenantId,
+    Action, AttemptResult, ClassId, Dispatcher, Event, JobProgress, ListKind, LoadReport, Nanos, Outcome,
+    PeerId, Recipient, Request as Asked, RequestId, Settings, TenantId,
 };
 use loomlb_quota::{Ask, Quota, Standing, Ticket, Verdict};
 use rayon::prelude::*;
@@ -148,7 +148,7 @@
     /// Nested quotas, where the day has them, and the mean seconds of each class's jobs.
     quota: Option<Quota>,
     mean: Vec<f64>,
-    names: Names,
+    names: SettingNames,
     up: bool,
     /// Seen by the front until then, though it is down.
     seen_until: Nanos,
@@ -173,7 +173,7 @@
 }
 
 /// A word on its way: request, job, what is said, and the worker's load.
-type Said = (u64, u64, Word, Option<Report>);
+type Said = (u64, u64, Word, Option<LoadReport>);
 
 struct Host<'a> {
     world: World,
@@ -348,8 +348,8 @@
         let (_, entries) = self.world.told(s);
         let names = &self.nodes[s].names;
         let mut entries: Vec<_> = entries.iter().map(|e| settings::worker(&self.world, names, e)).collect();
-        entries.retain(|e| e.state != loomlb_policy::WorkerState::Gone);
-        self.feed(s, Event::Workers { kind, entries });
+        entries.retain(|e| e.state != loomlb_policy::WorkerState::Removed);
+        self.feed(s, Event::WorkerList { kind, entries });
     }
 
     fn feed(&mut self, s: usize, event: Event) {
@@ -394,25 +394,25 @@
     fn mark_event(&mut self, s: usize, event: &Event) {
         let s = s as u64;
         match event {
-            Event::Workers { entries, .. } => {
+            Event::WorkerList { entries, .. } => {
                 self.mark(1, &[s, entries.len() as u64]);
                 entries
                     .iter()
-                    .for_each(|e| self.mark(2, &[e.id.0, e.state as u64, e.weight.to_bits(), e.started]));
+                    .for_each(|e| self.mark(2, &[e.id.0, e.state as u64, e.weight.to_bits(), e.started_at]));
             }
-            Event::ListFailed => self.mark(3, &[s]),
+            Event::ListRequestFailed => self.mark(3, &[s]),
             Event::Request(r) => self.mark(4, &[s, r.id.0, r.class.0 as u64, r.remaining]),
-            Event::Gone(id) => self.mark(5, &[s, id.0]),
-            Event::Note(id, n, _) => self.mark(6, &[s, id.0, u64::from(*n)]),
-            Event::Opened(id, n) => self.mark(7, &[s, id.0, u64::from(*n)]),
-            Event::Ended { id, attempt, ended } => {
+            Event::RequestAbandoned(id) => self.mark(5, &[s, id.0]),
+            Event::JobProgress(id, n, _) => self.mark(6, &[s, id.0, u64::from(*n)]),
+            Event::ResponseStarted(id, n) => self.mark(7, &[s, id.0, u64::from(*n)]),
+            Event::AttemptEnded { id, attempt, result: ended } => {
                 self.mark(8, &[s, id.0, u64::from(*attempt), ended.outcome as u64, ended.latency]);
             }
-            Event::Probed { worker, ended } => self.mark(9, &[s, worker.0, ended.outcome as u64]),
-            Event::Timer(token) => self.mark(10, &[s, *token]),
-            Event::Peer(from, bytes) => self.mark(11, &[s, u64::from(from.0), bytes.len() as u64]),
+            Event::ProbeEnded { worker, result: ended } => self.mark(9, &[s, worker.0, ended.outcome as u64]),
+            Event::TimerFired(token) => self.mark(10, &[s, *token]),
+            Event::PeerMessage(from, bytes) => self.mark(11, &[s, u64::from(from.0), bytes.len() as u64]),
             // The model plays no reload.
-            Event::Settings(..) => self.mark(12, &[s]),
+            Event::SettingsChanged(..) => self.mark(12, &[s]),
         }
     }
 
@@ -437,7 +437,7 @@
                 self.mark(35, &[me, id.0, u64::from(n)]);
                 self.give_up(s, id.0, n, Outcome::Cancelled);
             }
-            Action::Timer { after, token } => {
+            Action::SetTimer { after, token } => {
                 self.mark(36, &[me, after, token]);
                 self.push(self.now + after.max(1), Due::Timer(s, run, token));
             }
@@ -449,14 +449,14 @@
                 let after = if up { back } else { ms(self.world.day.network.dial_ms) };
                 self.push(self.now + after, Due::Probed(s, run, worker.0 as usize - 1, up));
             }
-            Action::Close(worker) => {
+            Action::CloseIdleConnections(worker) => {
                 self.mark(38, &[me, worker.0]);
                 let w = worker.0 as usize - 1;
                 for _ in self.nodes[s].pool.remove(&w).unwrap_or_default() {
                     self.world.disconnect(w);
                 }
             }
-            Action::Watch => {
+            Action::WatchList => {
                 self.mark(39, &[me]);
                 let (there, back) = (self.way_to_list(), self.way_to_list());
                 match self.world.list_call(self.now + there) {
@@ -464,11 +464,11 @@
                     Err(failed) => self.push(failed + back, Due::NoList(s, run)),
                 }
             }
-            Action::Tell(to, bytes) => {
+            Action::SendToPeers(to, bytes) => {
                 self.mark(40, &[me, bytes.len() as u64]);
                 let to: Vec<usize> = match to {
-                    Receiver::One(peer) => vec![peer.0 as usize],
-                    Receiver::All => (0..self.nodes.len()).filter(|p| *p != s).collect(),
+                    Recipient::One(peer) => vec![peer.0 as usize],
+                    Recipient::All => (0..self.nodes.len()).filter(|p| *p != s).collect(),
                 };
                 let known = self.nodes.len();
                 to.into_iter().filter(|p| *p < known).for_each(|peer| self.tell(s, peer, &bytes));
@@ -579,7 +579,7 @@
     }
 
     /// An attempt has ended, as its scheduler hears.
-    fn end(&mut self, s: usize, id: u64, n: u32, outcome: Outcome, report: Option<Report>) {
+    fn end(&mut self, s: usize, id: u64, n: u32, outcome: Outcome, report: Option<LoadReport>) {
         let now = self.now;
         let Some(flow) = self.nodes[s].flows.get_mut(&id) else { return };
         let answered = flow.answered;
@@ -590,10 +590,10 @@
         flow.ran += started.map_or(0.0, |at| now.saturating_sub(at) as f64 / 1e9);
         self.feed(
             s,
-            Event::Ended {
+            Event::AttemptEnded {
                 id: RequestId(id),
                 attempt: n,
-                ended: Ended { outcome, latency, closed: answered, report },
+                result: AttemptResult { outcome, latency, request_finished: answered, load_report: report },
             },
         );
         self.tidy(s, id);
@@ -656,7 +656,7 @@
             Due::Try(number) => self.try_now(number),
             Due::Reach(id, s, run) => self.reach(id, s, run),
             Due::Tick => self.tick(),
-            Due::Timer(s, run, token) if lives(self, s, run) => self.feed(s, Event::Timer(token)),
+            Due::Timer(s, run, token) if lives(self, s, run) => self.feed(s, Event::TimerFired(token)),
             Due::Arrive(s, run, id, n) if lives(self, s, run) => self.arrive(s, run, id, n),
             Due::End(s, run, id, n, outcome) if lives(self, s, run) => {
                 let outcome = OUTCOMES[outcome as usize];
@@ -676,14 +676,22 @@
             Due::Datagram(s, run, at) => {
                 let Some((from, bytes)) = self.datagrams.try_remove(at) else { return };
                 if lives(self, s, run) {
-                    self.feed(s, Event::Peer(PeerId(from as u32), bytes));
+                    self.feed(s, Event::PeerMessage(PeerId(from as u32), bytes));
                 }
             }
             Due::Probed(s, run, w, up) if lives(self, s, run) => {
                 let report = if up { self.world.probe(now, s, w) } else { None };
                 let outcome = if report.is_some() { Outcome::Served } else { Outcome::NoConnection };
-                let ended = Ended { outcome, latency: 0, closed: false, report: report.map(told) };
-                self.feed(s, Event::Probed { worker: loomlb_policy::WorkerId(w as u64 + 1), ended });
+                let ended = AttemptResult {
+                    outcome,
+                    latency: 0,
+                    request_finished: false,
+                    load_report: report.map(told),
+                };
+                self.feed(
+                    s,
+                    Event::ProbeEnded { worker: loomlb_policy::WorkerId(w as u64 + 1), result: ended },
+                );
             }
             Due::Answer(id, code) => self.answered(id, code),
             Due::Leave(id) => self.leave(id),
@@ -701,11 +709,11 @@
             }
             Due::List(s, run) if lives(self, s, run) => {
                 if !self.world.discovery_up() {
-                    return self.feed(s, Event::ListFailed);
+                    return self.feed(s, Event::ListRequestFailed);
                 }
                 self.tell_list(s, ListKind::Complete);
             }
-            Due::NoList(s, run) if lives(self, s, run) => self.feed(s, Event::ListFailed),
+            Due::NoList(s, run) if lives(self, s, run) => self.feed(s, Event::ListRequestFailed),
             // Of a run that is over.
             _ => {}
         }
@@ -724,7 +732,7 @@
             Deed::List { scheduler: s, entries, .. } => {
                 let names = &self.nodes[s].names;
                 let entries = entries.iter().map(|e| settings::worker(&self.world, names, e)).collect();
-                self.feed(s, Event::Workers { kind: ListKind::Partial, entries });
+                self.feed(s, Event::WorkerList { kind: ListKind::Partial, entries });
             }
             Deed::Signal(s, Signal::Kill) => self.stop(s, End::Killed),
             Deed::Signal(s, Signal::Term) => {
@@ -756,7 +764,7 @@
 
     /// A word may be late, or of a job that an earlier run of this scheduler sent: it counts only while its forward
     /// is out.
-    fn word(&mut self, s: usize, id: u64, job: u64, word: Word, report: Option<Report>) {
+    fn word(&mut self, s: usize, id: u64, job: u64, word: Word, report: Option<LoadReport>) {
         let out = |f: &Flow| f.forwards.iter().position(|x| x.job == Some(job) && !x.ended);
         let Some(n) = self.nodes[s].flows.get(&id).and_then(out) else { return };
         let n = n as u32;
@@ -766,9 +774,9 @@
                 if let Some(f) = self.forward_of(s, id, n) {
                     f.started = Some(now);
                 }
-                self.feed(s, Event::Note(RequestId(id), n, Note::Started));
+                self.feed(s, Event::JobProgress(RequestId(id), n, JobProgress::Started));
             }
-            Word::Progress(x) => self.feed(s, Event::Note(RequestId(id), n, Note::Progress(x))),
+            Word::Progress(x) => self.feed(s, Event::JobProgress(RequestId(id), n, JobProgress::Fraction(x))),
             Word::Done => {
                 let w = self.forward_of(s, id, n).map_or(0, |f| f.worker);
                 self.answer(s, id, Answered::Served(World::result(w, job)), Try::Served);
@@ -894,11 +902,11 @@
             id: RequestId(id),
             class: ClassId(class),
             tenant: tenant.map(TenantId),
-            key: subject.map(|s| key(&format!("s{s}"))),
+            affinity_key: subject.map(|s| affinity_key(&format!("s{s}"))),
             slots: f64::from(slots),
             remaining,
-            within: Some(within),
-            expected,
+            answer_within: Some(within),
+            expected_work: expected,
             ..Asked::default()
         };
         self.nodes[s].flows.insert(
@@ -970,7 +978,7 @@
                 if let Some(flow) = self.nodes[s].flows.get_mut(&id) {
                     flow.answered = true;
                 }
-                self.feed(s, Event::Gone(RequestId(id)));
+                self.feed(s, Event::RequestAbandoned(RequestId(id)));
                 self.tidy(s, id);
             }
         }
@@ -982,8 +990,8 @@
     id & 15 == 1
 }
 
-fn told(r: crate::world::Report) -> Report {
-    Report { in_flight: Some(r.held), free_slots: Some(r.free), ..Report::default() }
+fn told(r: crate::world::Report) -> LoadReport {
+    LoadReport { in_flight: Some(r.held), free_slots: Some(r.free), ..LoadReport::default() }
 }
 
 const OUTCOMES: [Outcome; 5] =
--- a/crates/simulation/tests/day.rs
+++ b/crates/simulation/tests/day.rs
@@ -1,6 +1,6 @@
 //! A day file that asks for the impossible is refused with its line and a reason.
 
-use loomlb_policy::boot::BootInfo;
+use loomlb_policy::raw_settings::RawSettings;
 use loomlb_simulation::Day;
 use loomlb_simulation::settings;
 
@@ -50,11 +50,13 @@
 #[test]
 fn the_words_of_a_day_are_the_settings_that_the_module_reads() {
     let day = Day::read(&format!("{GOOD}[[tenant]]\nname = \"t\"\nshare = 1\n")).unwrap();
-    assert!(serde_json::from_value::<BootInfo>(settings::words(&day, 0, &[9.0])).is_ok());
+    assert!(serde_json::from_value::<RawSettings>(settings::words(&day, 0, &[9.0])).is_ok());
     let (set, names) = settings::settings(&day, 0, &[9.0]);
-    assert_eq!((set.classes.len(), set.tenants.len(), set.kinds, set.dispatchers), (3, 1, 2, 1));
+    assert_eq!((set.classes.len(), set.tenants.len(), set.kind_count, set.dispatcher_count), (3, 1, 2, 1));
     assert_eq!(names.classes, ["view", "sign", "lodge"]);
     assert_eq!(set.tenants[0].quota_per_s, 9.0);
-    assert!(set.limits.cancel && set.limits.probes && set.limits.max_attempts == 4 && set.tells_start);
-    assert_eq!((set.rules.fall_multiple, set.rules.cold), (2.5, 18_000_000_000));
+    assert!(
+        set.limits.cancel && set.limits.probing && set.limits.max_attempts == 4 && set.job_starts_reported
+    );
+    assert_eq!((set.obligations.overload_factor, set.obligations.warm_up_time), (2.5, 18_000_000_000));
 }
