--- a/crates/conformance/src/tier_client.rs
+++ b/crates/conformance/src/tier_client.rs
@@ -5,7 +5,7 @@
 //! machine.
 
 use crate::Broken;
-use loomlb_consensus::Acting;
+use loomlb_consensus::EffectiveRules;
 use loomlb_consensus::frames::{self, Channel, FIRST, FORMAT, Nonce, Word};
 use loomlb_consensus::lists::Theirs;
 use loomlb_consensus::rules::Body;
@@ -242,7 +242,7 @@
         Word::Propose(Command::Propose { token, .. }) => {
             // Its outcome is known once there is a document.
             if tell.state.outcome(token).is_none() {
-                let outcome = Outcome::Missed(tell.state.newest());
+                let outcome = Outcome::Missed(tell.state.newest_version());
                 tell.state.outcomes.push_back((token, outcome));
             }
             Ok(())
@@ -261,7 +261,7 @@
     lie
 }
 
-type Question = (Instant, u64, usize, u64, Option<Acting>, u64);
+type Question = (Instant, u64, usize, u64, Option<EffectiveRules>, u64);
 
 /// Questions: when, on which link, to which voter, their number, what is acted on, and which state.
 fn questions(heard: &[Heard]) -> Vec<Question> {
@@ -309,9 +309,9 @@
     let document = |version, aim| Some(Document { version, by: "another".into(), body: body(aim) });
     let (old, new) = (document(1, 3_000_000_000), document(2, 2_000_000_000));
     let steps = [
-        (10, old.clone(), None, Acting::On(1)),
-        (11, old, new.clone(), Acting::Between(1)),
-        (12, new, None, Acting::On(2)),
+        (10, old.clone(), None, EffectiveRules::On(1)),
+        (11, old, new.clone(), EffectiveRules::Between(1)),
+        (12, new, None, EffectiveRules::On(2)),
     ];
     let mut given = Instant::now();
     for (index, active, coming, acting) in steps {
--- a/crates/consensus/src/agreement/tests.rs
+++ b/crates/consensus/src/agreement/tests.rs
@@ -25,7 +25,7 @@
         assert!(voter.propose(&propose(version, version, version)));
         voter.turn(&mut disk).unwrap();
     }
-    assert_eq!(voter.state().newest(), 600);
+    assert_eq!(voter.state().newest_version(), 600);
     drop(disk);
     let (mut disk, loaded) = LogFile::open(&place, "v", false).unwrap();
     assert!(loaded.entries.len() < 2 * KEPT as usize + 8, "{}", loaded.entries.len());
@@ -43,7 +43,7 @@
     }
     again.turn(&mut disk).unwrap();
     assert_eq!(again.state().outcome(1002), Some(&crate::state::Outcome::Missed(601)));
-    assert_eq!(again.state().newest(), 601);
+    assert_eq!(again.state().newest_version(), 601);
 }
 
 /// A disk that fails once: nothing is acknowledged any more.
@@ -58,7 +58,7 @@
             place.plan(Fault::Sync);
         }
         voter.tick();
-        voter.propose(&propose(n, voter.state().newest(), n));
+        voter.propose(&propose(n, voter.state().newest_version(), n));
         failed += u32::from(voter.turn(&mut disk).is_err());
     }
     assert_eq!((failed, voter.broken(), voter.settled()), (1, true, false));
@@ -75,10 +75,10 @@
         let mut voter = Agreement::new(1, 1, loaded).unwrap();
         for n in 0..40 {
             voter.tick();
-            voter.propose(&propose(n, voter.state().newest(), n));
+            voter.propose(&propose(n, voter.state().newest_version(), n));
             voter.turn(&mut disk).unwrap();
         }
-        let agreed = voter.state().newest();
+        let agreed = voter.state().newest_version();
         assert!(agreed > 5);
         place.plan(fault);
         voter.propose(&propose(99, agreed, 99));
@@ -90,10 +90,10 @@
         assert!(!again.broken() && !again.settled());
         for n in 100..140 {
             again.tick();
-            again.propose(&propose(n, again.state().newest(), n));
+            again.propose(&propose(n, again.state().newest_version(), n));
             again.turn(&mut disk).unwrap();
         }
-        assert!(again.settled() && again.state().newest() > agreed, "{fault:?}");
+        assert!(again.settled() && again.state().newest_version() > agreed, "{fault:?}");
         let kept =
             |state: &crate::state::State| state.history.iter().find(|past| past.version == agreed).cloned();
         assert_eq!(kept(again.state()), kept(voter.state()), "{fault:?}");
--- a/crates/consensus/src/check.rs
+++ b/crates/consensus/src/check.rs
@@ -1,6 +1,6 @@
 //! Checkers of histories: what the processes of a tier wrote of what they did, judged afterwards.
 
-use crate::{Acting, Nanos};
+use crate::{EffectiveRules, Nanos};
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
@@ -27,13 +27,13 @@
 pub enum Event {
     /// It put these rules in force for itself.
     #[serde(rename = "takes")]
-    Takes(Acting),
+    Takes(EffectiveRules),
     /// It sent a job on under these rules.
     #[serde(rename = "acts")]
     Acts {
         /// The rules.
         #[serde(rename = "on")]
-        on: Acting,
+        on: EffectiveRules,
         /// By its own clock it might have acted for so much longer.
         #[serde(rename = "left")]
         left: Nanos,
@@ -89,7 +89,7 @@
         }
     };
     // Per process: what it took last, and whether it may act.
-    let mut taken: std::collections::HashMap<(&str, u64), (Acting, bool)> = Default::default();
+    let mut taken: std::collections::HashMap<(&str, u64), (EffectiveRules, bool)> = Default::default();
     // The first act on a version's own rules, which the ones before do not allow.
     let mut first: std::collections::BTreeMap<u64, &Line> = Default::default();
     for line in sorted {
@@ -97,7 +97,7 @@
         match &line.event {
             Event::Takes(acting) => {
                 if let Some((before, _)) = taken.get(&key)
-                    && acting.newest() < before.newest()
+                    && acting.newest_version() < before.newest_version()
                 {
                     breach(&mut verdict, "versions only grow", format!("{line:?} after {before:?}"));
                 }
@@ -117,13 +117,14 @@
                 if *left == 0 {
                     breach(&mut verdict, "acts within its lease", format!("{line:?}"));
                 }
-                if let Acting::On(version) = on {
+                if let EffectiveRules::On(version) = on {
                     first.entry(*version).or_insert(line);
                 }
                 // Someone acted on a later version's rules before: since then nobody may act on rules that it, or one
                 // between, contradicts.
-                let later =
-                    first.range(on.newest() + 1..).find(|(v, _)| (on.newest() + 1..=**v).any(&contradicts));
+                let later = first
+                    .range(on.newest_version() + 1..)
+                    .find(|(v, _)| (on.newest_version() + 1..=**v).any(&contradicts));
                 if let Some((version, other)) = later {
                     let behind = line.at - other.at;
                     verdict.disagreed = verdict.disagreed.max(behind);
@@ -135,7 +136,7 @@
                         breach(&mut verdict, "no two act on contradicting versions", story);
                     }
                 }
-                if let Some((_, other)) = first.range(on.newest() + 1..).next() {
+                if let Some((_, other)) = first.range(on.newest_version() + 1..).next() {
                     verdict.spread = verdict.spread.max(line.at - other.at);
                 }
             }
@@ -153,7 +154,7 @@
     fn each_planted_fault_is_found_and_a_good_history_passes() {
         let line = |at: u64, who: &str, event| Line { at, who: who.into(), process: 1, event };
         let acts = |on| Event::Acts { on, left: 5 };
-        let (one, both, two) = (Acting::On(1), Acting::Between(1), Acting::On(2));
+        let (one, both, two) = (EffectiveRules::On(1), EffectiveRules::Between(1), EffectiveRules::On(2));
         let good = vec![
             line(1, "a", Event::Takes(one)),
             line(2, "b", Event::Takes(one)),
--- a/crates/consensus/src/frames.rs
+++ b/crates/consensus/src/frames.rs
@@ -3,7 +3,7 @@
 //! Both ends say a number used once; the key of a connection follows from the tier's key and both numbers, and each word
 //! is counted, so that none can be changed, left out, said again or carried over to another connection.
 
-use crate::Acting;
+use crate::EffectiveRules;
 use crate::lists::{Mine, Theirs};
 use crate::state::{Command, State};
 use serde::{Deserialize, Serialize};
@@ -47,7 +47,7 @@
         number: u64,
         /// What it acts on, if it knows of a document.
         #[serde(rename = "acting")]
-        acting: Option<Acting>,
+        acting: Option<EffectiveRules>,
         /// The state that it has.
         #[serde(rename = "index")]
         index: u64,
--- a/crates/consensus/src/holder.rs
+++ b/crates/consensus/src/holder.rs
@@ -3,7 +3,7 @@
 use crate::rules::{self, Body};
 use crate::state::State;
 use crate::timing::Timing;
-use crate::{Acting, Nanos};
+use crate::{EffectiveRules, Nanos};
 use std::collections::{BTreeSet, VecDeque};
 
 /// Questions whose answers are still awaited, at most: a lease's worth.
@@ -23,7 +23,7 @@
     timing: Timing,
     voters: usize,
     seen: State,
-    acting: Option<Acting>,
+    acting: Option<EffectiveRules>,
     number: u64,
     asked: VecDeque<Asked>,
     until: Option<Nanos>,
@@ -49,7 +49,7 @@
     }
 
     /// What it acts on, if it may act.
-    pub fn acting(&self) -> Option<Acting> {
+    pub fn acting(&self) -> Option<EffectiveRules> {
         self.acting
     }
 
@@ -64,7 +64,7 @@
     }
 
     /// The next question to all voters: its number, and what this scheduler acts on.
-    pub fn ask(&mut self, now: Nanos) -> (u64, Option<Acting>) {
+    pub fn ask(&mut self, now: Nanos) -> (u64, Option<EffectiveRules>) {
         self.number += 1;
         if self.acting.is_some() {
             if self.asked.len() >= ASKED {
@@ -99,8 +99,8 @@
         self.seen = news;
         let Some(active) = &self.seen.active else { return false };
         let to = match &self.seen.coming {
-            Some(_) => Acting::Between(active.version),
-            None => Acting::On(active.version),
+            Some(_) => EffectiveRules::Between(active.version),
+            None => EffectiveRules::On(active.version),
         };
         let changed = self.acting != Some(to);
         self.acting = Some(to);
--- a/crates/consensus/src/lib.rs
+++ b/crates/consensus/src/lib.rs
@@ -30,7 +30,7 @@
 
 /// What a scheduler acts on: the rules of one version, or the strictest of two neighbours while the later is coming.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, serde::Serialize, serde::Deserialize)]
-pub enum Acting {
+pub enum EffectiveRules {
     /// One version's rules.
     #[serde(rename = "On")]
     On(Version),
@@ -39,19 +39,19 @@
     Between(Version),
 }
 
-impl Acting {
+impl EffectiveRules {
     /// The newest version whose rules are kept.
-    pub fn newest(self) -> Version {
+    pub fn newest_version(self) -> Version {
         match self {
-            Acting::On(v) => v,
-            Acting::Between(v) => v + 1,
+            EffectiveRules::On(v) => v,
+            EffectiveRules::Between(v) => v + 1,
         }
     }
 
     /// The oldest version whose rules are kept.
-    pub fn oldest(self) -> Version {
+    pub fn oldest_version(self) -> Version {
         match self {
-            Acting::On(v) | Acting::Between(v) => v,
+            EffectiveRules::On(v) | EffectiveRules::Between(v) => v,
         }
     }
 }
--- a/crates/consensus/src/promises.rs
+++ b/crates/consensus/src/promises.rs
@@ -2,7 +2,7 @@
 
 use crate::state::State;
 use crate::timing::Timing;
-use crate::{Acting, Nanos, Version};
+use crate::{EffectiveRules, Nanos, Version};
 use std::collections::BTreeMap;
 
 /// Promises kept at most; a scheduler that would need one more is turned down, and counted.
@@ -14,7 +14,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct Promise {
     asked: u64,
-    acting: Acting,
+    acting: EffectiveRules,
     until: Nanos,
 }
 
@@ -39,9 +39,18 @@
 
     /// A process asks to act on something until a promise's time from now is over. Yes if this voter, with what it has
     /// seen agreed, has not begun to wait for a later version.
-    pub fn ask(&mut self, now: Nanos, who: &Process, asked: u64, acting: Acting, seen: &State) -> bool {
+    pub fn ask(
+        &mut self,
+        now: Nanos,
+        who: &Process,
+        asked: u64,
+        acting: EffectiveRules,
+        seen: &State,
+    ) -> bool {
         // What comes after a later word of the same process was held up on the way.
-        if acting.newest() < seen.newest() || self.given.get(who).is_some_and(|p| p.asked > asked) {
+        if acting.newest_version() < seen.newest_version()
+            || self.given.get(who).is_some_and(|p| p.asked > asked)
+        {
             return false;
         }
         if self.given.len() >= MOST && !self.given.contains_key(who) {
@@ -61,12 +70,12 @@
     pub fn ready(&self, now: Nanos, seen: &State) -> Option<Version> {
         let version = seen.coming.as_ref()?.version;
         let quiet = now >= self.since + self.timing.promise;
-        (quiet && self.given.values().all(|p| now >= p.until || p.acting.newest() >= version))
+        (quiet && self.given.values().all(|p| now >= p.until || p.acting.newest_version() >= version))
             .then_some(version)
     }
 
     /// Processes that hold a promise now, with what they act on.
-    pub fn holders(&self, now: Nanos) -> impl Iterator<Item = (&Process, Acting)> {
+    pub fn holders(&self, now: Nanos) -> impl Iterator<Item = (&Process, EffectiveRules)> {
         self.given.iter().filter(move |(_, p)| now < p.until).map(|(who, p)| (who, p.acting))
     }
 }
--- a/crates/consensus/src/state.rs
+++ b/crates/consensus/src/state.rs
@@ -102,7 +102,7 @@
 
 impl State {
     /// The newest version, in force or coming.
-    pub fn newest(&self) -> Version {
+    pub fn newest_version(&self) -> Version {
         self.coming.as_ref().or(self.active.as_ref()).map_or(0, |d| d.version)
     }
 
@@ -136,14 +136,14 @@
     }
 
     fn propose(&mut self, by: String, base: Version, body: Body) -> Outcome {
-        if base != self.newest() {
-            return Outcome::Missed(self.newest());
+        if base != self.newest_version() {
+            return Outcome::Missed(self.newest_version());
         }
         let Some(active) = &self.active else {
             return self.take(by, body, Vec::new(), false);
         };
         if self.coming.is_some() {
-            return Outcome::Missed(self.newest());
+            return Outcome::Missed(self.newest_version());
         }
         let changes = rules::differences(&active.body, &body);
         let keys = |kind: Option<Kind>| {
@@ -166,7 +166,7 @@
     }
 
     fn take(&mut self, by: String, body: Body, keys: Vec<String>, contradicts: bool) -> Outcome {
-        let version = self.newest() + 1;
+        let version = self.newest_version() + 1;
         self.history.push_back(Past { version, by: by.clone(), keys, contradicts });
         self.history.keep_latest(HISTORY);
         let document = Some(Document { version, by, body });
--- a/crates/consensus/tests/model.rs
+++ b/crates/consensus/tests/model.rs
@@ -6,7 +6,7 @@
 use loomlb_consensus::rules::Body;
 use loomlb_consensus::state::{Command, State};
 use loomlb_consensus::timing::Timing;
-use loomlb_consensus::{Acting, Nanos};
+use loomlb_consensus::{EffectiveRules, Nanos};
 use serde_json::json;
 use stateright::{Checker, Model, Property};
 use std::collections::BTreeSet;
@@ -20,7 +20,7 @@
     holder: usize,
     voter: usize,
     number: u64,
-    acting: Acting,
+    acting: EffectiveRules,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -184,15 +184,15 @@
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
             Property::always("no two act on contradicting versions", |_, tier| {
-                !(on(tier, Acting::On(1)) && on(tier, Acting::On(2)))
+                !(on(tier, EffectiveRules::On(1)) && on(tier, EffectiveRules::On(2)))
             }),
-            Property::sometimes("the later version is acted on", |_, tier| on(tier, Acting::On(2))),
+            Property::sometimes("the later version is acted on", |_, tier| on(tier, EffectiveRules::On(2))),
         ]
     }
 }
 
 /// Whether a scheduler that may act now acts on this.
-fn on(tier: &Tier, acting: Acting) -> bool {
+fn on(tier: &Tier, acting: EffectiveRules) -> bool {
     tier.holders.iter().any(|h| h.may_act(tier.time) && h.acting() == Some(acting))
 }
 
--- a/crates/consensus/tests/pins.rs
+++ b/crates/consensus/tests/pins.rs
@@ -4,7 +4,7 @@
 #[path = "../../../tests/golden/mod.rs"]
 mod golden;
 
-use loomlb_consensus::Acting;
+use loomlb_consensus::EffectiveRules;
 use loomlb_consensus::agreement::Agreement;
 use loomlb_consensus::check::{Event, Line};
 use loomlb_consensus::disk::{Disk, LogFile};
@@ -70,8 +70,8 @@
         Word::Hello { format: 1, name: "a".into(), process: u64::MAX, voter: Some(1) },
         Word::Hello { format: 1, name: "é".into(), process: 1, voter: None },
         ask(None),
-        ask(Some(Acting::On(1))),
-        ask(Some(Acting::Between(1))),
+        ask(Some(EffectiveRules::On(1))),
+        ask(Some(EffectiveRules::Between(1))),
         answer(true, None),
         answer(false, Some(Box::new(State::default()))),
         answer(true, Some(Box::new(state()))),
@@ -114,9 +114,9 @@
         serde_json::to_string(&Command::Activate(2)).unwrap(),
     ];
     let events = [
-        Event::Takes(Acting::On(1)),
-        Event::Takes(Acting::Between(1)),
-        Event::Acts { on: Acting::On(2), left: 5 },
+        Event::Takes(EffectiveRules::On(1)),
+        Event::Takes(EffectiveRules::Between(1)),
+        Event::Acts { on: EffectiveRules::On(2), left: 5 },
         Event::Lapsed,
         Event::Renewed,
     ];
--- a/crates/lab/src/capacity/voter.rs
+++ b/crates/lab/src/capacity/voter.rs
@@ -14,7 +14,7 @@
 use super::tier::{DOCUMENTS, answer, bytes, link, state};
 use crate::trial;
 use loomlb_capacity::{Series, Source};
-use loomlb_consensus::Acting;
+use loomlb_consensus::EffectiveRules;
 use loomlb_consensus::agreement::Agreement;
 use loomlb_consensus::disk::LogFile;
 use loomlb_consensus::frames::Word;
@@ -94,7 +94,7 @@
         Ok(Asked { promises, lists, seen: seen.clone(), now: 0 })
     }
 
-    fn ask(&mut self, who: &Process, number: u64, acting: Acting, list: &Mine) -> Word {
+    fn ask(&mut self, who: &Process, number: u64, acting: EffectiveRules, list: &Mine) -> Word {
         self.lists.hear(self.now, who, list);
         let yes = self.promises.ask(self.now, who, number, acting, &self.seen);
         Word::Answer { number, yes, news: None, lists: self.lists.tell(self.now) }
@@ -109,7 +109,7 @@
     let mut time = meter::series(keys[0], "ns", "schedulers", Source::Timed, "a question and its answer");
     let mut memory = meter::series(keys[1], "bytes", "schedulers", Source::Counted, "promises and lists");
     let seen = state(69, 3);
-    let acting = Acting::On(seen.newest());
+    let acting = EffectiveRules::On(seen.newest_version());
     for n in plan.sizes(&[10usize, 30, 100, 300, 1_000, 3_000]) {
         let all: Vec<Process> = (0..*n as u64).map(|i| (format!("s-{i:08x}"), i)).collect();
         // The state that it knows is not the schedulers'.
--- a/crates/lab/src/scale/hollow.rs
+++ b/crates/lab/src/scale/hollow.rs
@@ -8,7 +8,7 @@
 use loomlb_consensus::rules::Body;
 use loomlb_consensus::state::{Command, State};
 use loomlb_consensus::timing::Timing;
-use loomlb_consensus::{Acting, Nanos};
+use loomlb_consensus::{EffectiveRules, Nanos};
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
 use std::io;
@@ -78,7 +78,7 @@
 #[derive(Debug, Default)]
 pub struct Marks {
     /// When it began to act on what, by the machine's monotonic clock.
-    pub takes: RefCell<Vec<(Nanos, Acting)>>,
+    pub takes: RefCell<Vec<(Nanos, EffectiveRules)>>,
     /// Leases that ended without a renewal.
     pub lapses: Cell<u64>,
     /// Those of them at which its own timer was late.
@@ -301,7 +301,9 @@
             Some(Flaw::RepeatsNumbers) => number = number.min(3),
             Some(Flaw::SilentOnState) => index = 0,
             Some(Flaw::ClaimsAState) => index = index.max(1),
-            Some(Flaw::AsksBeforeInForce) => acting = before.map(|a| Acting::On(a.oldest().max(1) - 1)),
+            Some(Flaw::AsksBeforeInForce) => {
+                acting = before.map(|a| EffectiveRules::On(a.oldest_version().max(1) - 1))
+            }
             _ => {}
         }
         for (voter, outbox) in self.boxes.iter().enumerate() {
--- a/crates/lab/src/scale/play.rs
+++ b/crates/lab/src/scale/play.rs
@@ -12,7 +12,7 @@
 use super::{Error, Options, Sizes, ZONES, workers};
 use loomlb_capacity::Costs;
 use loomlb_consensus::check::Event;
-use loomlb_consensus::{Acting, Nanos};
+use loomlb_consensus::{EffectiveRules, Nanos};
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
@@ -50,7 +50,7 @@
     /// Hollow schedulers that start anew.
     restart: Mutex<VecDeque<usize>>,
     /// What they began to act on: who, when, what.
-    takes: Mutex<Vec<(usize, Nanos, Acting)>>,
+    takes: Mutex<Vec<(usize, Nanos, EffectiveRules)>>,
     looks: AtomicU64,
     kept: AtomicU64,
     lapses: AtomicU64,
@@ -656,13 +656,13 @@
     let mut since: BTreeMap<usize, Vec<(Nanos, u64)>> = BTreeMap::new();
     let hollow = locked(&stage.shared.takes);
     for (who, at, acting) in hollow.iter().filter(|t| !options.faults || !in_region(t.0)) {
-        since.entry(*who).or_default().push((*at, acting.oldest()));
+        since.entry(*who).or_default().push((*at, acting.oldest_version()));
     }
     drop(hollow);
     for (n, node) in stage.fleet.nodes.iter().enumerate() {
         if matches!(node.role, Role::Serving | Role::Idle) {
             let takes = stage.fleet.history(n).into_iter().filter_map(|l| match l.event {
-                Event::Takes(acting) => Some((l.at, acting.oldest())),
+                Event::Takes(acting) => Some((l.at, acting.oldest_version())),
                 _ => None,
             });
             since.insert(usize::MAX - n, takes.collect());
--- a/crates/lab/src/trial.rs
+++ b/crates/lab/src/trial.rs
@@ -15,7 +15,7 @@
 use loomlb_consensus::state::{Command, Outcome, State};
 use loomlb_consensus::timing::{Terms, Timing};
 use loomlb_consensus::votes::{Vote, Votes};
-use loomlb_consensus::{Acting, Nanos, Version};
+use loomlb_consensus::{EffectiveRules, Nanos, Version};
 use serde::Serialize;
 use serde_json::{Value, json};
 use std::cmp::Reverse;
@@ -728,7 +728,7 @@
             && !self.everywhere.contains_key(&version)
             && self.nodes.iter().enumerate().all(|(i, node)| {
                 let may = node.up && node.holder.may_act(self.clock(i));
-                !may || node.holder.acting() == Some(Acting::On(version))
+                !may || node.holder.acting() == Some(EffectiveRules::On(version))
             })
         {
             self.everywhere.insert(version, self.now);
@@ -824,7 +824,7 @@
 
     fn propose_at(&mut self, n: usize, token: u64, number: u64) -> bool {
         let node = &mut self.nodes[n];
-        let base = node.holder.seen().newest();
+        let base = node.holder.seen().newest_version();
         let may = node.up && !node.stopped && node.proposal.is_none();
         if may {
             let body = with_tenants(body(number), &self.tenants);
@@ -919,7 +919,8 @@
         breaches.extend(self.breaches.iter().cloned());
         let newest = self.force.keys().next_back().copied().unwrap_or(0);
         for (n, node) in self.nodes.iter().enumerate() {
-            if !node.holder.may_act(self.clock(n)) || node.holder.acting() != Some(Acting::On(newest)) {
+            if !node.holder.may_act(self.clock(n)) || node.holder.acting() != Some(EffectiveRules::On(newest))
+            {
                 let (acting, may) = (node.holder.acting(), node.holder.may_act(self.clock(n)));
                 breaches.push(format!(
                     "all agree in the end: n{n} acts on {acting:?} of {newest}, may act: {may}"
--- a/crates/lab/tests/capacity.rs
+++ b/crates/lab/tests/capacity.rs
@@ -122,7 +122,7 @@
         assert_eq!(tier::bytes(tenants), json.len() as f64);
     }
     let state = tier::state(4, 80);
-    assert_eq!((state.history.len(), state.outcomes.len(), state.newest()), (64, 64, 80));
+    assert_eq!((state.history.len(), state.outcomes.len(), state.newest_version()), (64, 64, 80));
     let word = Word::Answer { number: 1, yes: false, news: Some(Box::new(state)), lists: Theirs::default() };
     let only = |key: &str| {
         let options = Options { quick: true, only: Some(key.into()), ..Options::default() };
--- a/crates/tier/src/lib.rs
+++ b/crates/tier/src/lib.rs
@@ -30,7 +30,7 @@
 use loomlb_consensus::lists::{Leaving, Mine};
 use loomlb_consensus::state::State;
 use loomlb_consensus::timing::Timing;
-use loomlb_consensus::{Acting, Nanos};
+use loomlb_consensus::{EffectiveRules, Nanos};
 use loomlb_sockets::OpenRetry;
 use proposals::Waiting;
 use serde_json::Value;
@@ -86,7 +86,7 @@
     voter: RefCell<Option<Voter>>,
     holder: RefCell<Holder>,
     /// What is in force in this process, and what of it staff have taken out.
-    applied: Cell<Option<Acting>>,
+    applied: Cell<Option<EffectiveRules>>,
     out: RefCell<BTreeSet<String>>,
     /// What was agreed and cannot be read here.
     fault: RefCell<Option<String>>,
--- a/crates/tier/src/proposals.rs
+++ b/crates/tier/src/proposals.rs
@@ -37,7 +37,7 @@
 
 /// Sends this scheduler's proposals again until their outcome is known; proposes its own file where there is nothing yet.
 pub(crate) fn settle(on: &On, around: &dyn Application, turn: usize) {
-    let empty = on.holder.borrow().seen().newest() == 0;
+    let empty = on.holder.borrow().seen().newest_version() == 0;
     if empty && on.proposals.borrow().is_empty() {
         let body = Body::of(&around.settings(), BTreeSet::new());
         propose(on, 0, body);
@@ -137,8 +137,8 @@
     if let Err(e) = around.check(whole) {
         return (400, json!({"yes": false, "why": e}));
     }
-    let (out, newest) =
-        on.seen(|seen| (seen.latest().map(|d| d.body.out.clone()).unwrap_or_default(), seen.newest()));
+    let (out, newest) = on
+        .seen(|seen| (seen.latest().map(|d| d.body.out.clone()).unwrap_or_default(), seen.newest_version()));
     let base = base.unwrap_or(newest);
     match propose(on, base, Body::of(&settings, out)) {
         Some(token) => reply(outcome(on, token).await),
