--- a/crates/consensus/src/holder.rs
+++ b/crates/consensus/src/holder.rs
@@ -2,7 +2,7 @@
 
 use crate::rules::{self, Body};
 use crate::state::State;
-use crate::timing::Timing;
+use crate::timing::LeaseTiming;
 use crate::{EffectiveRules, Nanos};
 use std::collections::{BTreeSet, VecDeque};
 
@@ -20,7 +20,7 @@
 /// The machine of one scheduler's lease.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Holder {
-    timing: Timing,
+    timing: LeaseTiming,
     voters: usize,
     seen: State,
     acting: Option<EffectiveRules>,
@@ -31,7 +31,7 @@
 
 impl Holder {
     /// Knows nothing yet, in a tier of so many voters.
-    pub fn new(timing: Timing, voters: usize) -> Holder {
+    pub fn new(timing: LeaseTiming, voters: usize) -> Holder {
         Holder {
             timing,
             voters,
@@ -84,11 +84,11 @@
             // A promise on what was acted on then covers what is acted on now: every move leads to what the voters
             // that promised hold back just as well (docs/design/0006-accord.md).
             if asked.yes.len() >= need {
-                let until = asked.at + self.timing.lease;
+                let until = asked.at + self.timing.lease_duration;
                 self.until = Some(self.until.map_or(until, |u| u.max(until)));
             }
         }
-        self.asked.retain(|a| a.at + self.timing.lease > now);
+        self.asked.retain(|a| a.at + self.timing.lease_duration > now);
         match news.filter(|n| n.index > self.seen.index) {
             Some(news) => self.learn(news),
             None => false,
--- a/crates/consensus/src/promises.rs
+++ b/crates/consensus/src/promises.rs
@@ -1,7 +1,7 @@
 //! What a voter has promised to schedulers: that no version which contradicts what they act on comes into force.
 
 use crate::state::State;
-use crate::timing::Timing;
+use crate::timing::LeaseTiming;
 use crate::{EffectiveRules, Nanos, Version};
 use std::collections::BTreeMap;
 
@@ -22,7 +22,7 @@
 /// forgotten has ended.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Promises {
-    timing: Timing,
+    timing: LeaseTiming,
     given: BTreeMap<Process, Promise>,
     since: Nanos,
     /// Turned down for want of room.
@@ -33,7 +33,7 @@
 
 impl Promises {
     /// None yet, at a voter that starts now.
-    pub fn new(timing: Timing, now: Nanos) -> Promises {
+    pub fn new(timing: LeaseTiming, now: Nanos) -> Promises {
         Promises { timing, given: BTreeMap::new(), since: now, full: 0, count: 0 }
     }
 
@@ -61,7 +61,7 @@
             }
         }
         self.count += 1;
-        self.given.insert(who.clone(), Promise { asked, acting, until: now + self.timing.promise });
+        self.given.insert(who.clone(), Promise { asked, acting, until: now + self.timing.grant_duration });
         true
     }
 
@@ -69,7 +69,7 @@
     /// older rules that still holds, and gives none any more.
     pub fn ready(&self, now: Nanos, seen: &State) -> Option<Version> {
         let version = seen.coming.as_ref()?.version;
-        let quiet = now >= self.since + self.timing.promise;
+        let quiet = now >= self.since + self.timing.grant_duration;
         (quiet && self.given.values().all(|p| now >= p.until || p.acting.newest_version() >= version))
             .then_some(version)
     }
--- a/crates/consensus/tests/model.rs
+++ b/crates/consensus/tests/model.rs
@@ -5,7 +5,7 @@
 use loomlb_consensus::promises::Promises;
 use loomlb_consensus::rules::Body;
 use loomlb_consensus::state::{Command, State};
-use loomlb_consensus::timing::Timing;
+use loomlb_consensus::timing::LeaseTiming;
 use loomlb_consensus::{EffectiveRules, Nanos};
 use serde_json::json;
 use stateright::{Checker, Model, Property};
@@ -85,8 +85,12 @@
 }
 
 impl Small {
-    fn timing(&self) -> Timing {
-        Timing { promise: 2, lease: if self.generous { 3 } else { 2 }, renew: 1 }
+    fn timing(&self) -> LeaseTiming {
+        LeaseTiming {
+            grant_duration: 2,
+            lease_duration: if self.generous { 3 } else { 2 },
+            renewal_interval: 1,
+        }
     }
 
     fn ask(&self, tier: &mut Tier, holder: usize) {
--- a/crates/lab/src/capacity/tier.rs
+++ b/crates/lab/src/capacity/tier.rs
@@ -28,7 +28,7 @@
 use loomlb_consensus::holder::Holder;
 use loomlb_consensus::lists::{Mine, Theirs};
 use loomlb_consensus::state::{Command, State};
-use loomlb_consensus::timing::Terms;
+use loomlb_consensus::timing::TimingConfig;
 use rayon::prelude::*;
 use serde_json::json;
 use std::hint::black_box;
@@ -82,7 +82,7 @@
 
 /// A calm tier.
 pub fn calm(schedulers: usize, voters: usize, seconds: u64, every: u64) -> Trial {
-    let (terms, without) = (Terms::default(), Without::Nothing);
+    let (terms, without) = (TimingConfig::default(), Without::Nothing);
     Trial { schedulers, voters, seconds, terms, faults: false, disks: false, every, without }
 }
 
@@ -301,7 +301,7 @@
     if !plan.wants_any(&[&keys[0], &keys[1], &keys[2]]) {
         return Ok(Vec::new());
     }
-    let timing = Terms::default().derive().map_err(|(key, why)| format!("{key}: {why}"))?;
+    let timing = TimingConfig::default().derive().map_err(|(key, why)| format!("{key}: {why}"))?;
     let size = "bytes of the document";
     let note = "a question sealed, its answer opened and taken in, for one voter";
     let mut idle = meter::series(&keys[0], "ns", size, Source::Timed, note);
--- a/crates/lab/src/capacity/voter.rs
+++ b/crates/lab/src/capacity/voter.rs
@@ -22,7 +22,7 @@
 use loomlb_consensus::place::{Lasting, Place};
 use loomlb_consensus::promises::{Process, Promises};
 use loomlb_consensus::state::{Command, State};
-use loomlb_consensus::timing::Terms;
+use loomlb_consensus::timing::TimingConfig;
 use serde_json::json;
 use std::cell::Cell;
 use std::hint::black_box;
@@ -89,7 +89,7 @@
 
 impl Asked {
     fn new(seen: &State) -> Result<Asked, String> {
-        let timing = Terms::default().derive().map_err(|(key, why)| format!("{key}: {why}"))?;
+        let timing = TimingConfig::default().derive().map_err(|(key, why)| format!("{key}: {why}"))?;
         let (promises, lists) = (Promises::new(timing, 0), Lists::default());
         Ok(Asked { promises, lists, seen: seen.clone(), now: 0 })
     }
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -3,7 +3,7 @@
 
 use clap::{Parser, Subcommand, ValueEnum};
 use loomlb_capacity::plan;
-use loomlb_consensus::timing::Terms;
+use loomlb_consensus::timing::TimingConfig;
 use loomlb_emulator::{Live, Options, Stop};
 use loomlb_lab::baselines::{Baseline, Idea};
 use loomlb_lab::processes::{self, Schedule};
@@ -410,7 +410,7 @@
     if args.processes || args.file.is_some() {
         return pool.install(|| of_processes(args));
     }
-    let terms = Terms { bound: (args.bound * 1e9) as u64, ..Terms::default() };
+    let terms = TimingConfig { bound: (args.bound * 1e9) as u64, ..TimingConfig::default() };
     let trial = trial::Trial {
         schedulers: args.schedulers as usize,
         voters: args.voters,
--- a/crates/lab/src/scale/hollow.rs
+++ b/crates/lab/src/scale/hollow.rs
@@ -7,7 +7,7 @@
 use loomlb_consensus::lists::Mine;
 use loomlb_consensus::rules::Body;
 use loomlb_consensus::state::{Command, State};
-use loomlb_consensus::timing::Timing;
+use loomlb_consensus::timing::LeaseTiming;
 use loomlb_consensus::{EffectiveRules, Nanos};
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
@@ -38,7 +38,7 @@
     /// Where the voters listen.
     pub voters: Vec<SocketAddr>,
     /// The figures of its lease.
-    pub timing: Timing,
+    pub timing: LeaseTiming,
     /// The version of the list that it says it has.
     pub list: u64,
     /// What it does wrong, for tests of what should notice.
@@ -269,7 +269,7 @@
     }
 
     async fn renew(self: Rc<Self>) {
-        let pause = Duration::from_nanos(self.spec.timing.renew);
+        let pause = Duration::from_nanos(self.spec.timing.renewal_interval);
         let pause = if self.spec.flaw == Some(Flaw::Hurries) { pause / 10 } else { pause };
         let part = random().map_or(0, |r| r[0]);
         tokio::time::sleep(pause.mul_f64(f64::from(part) / 256.0)).await;
@@ -343,7 +343,7 @@
 
     /// A lease bears three lost renewals: only a longer silence of its own can have ended one.
     fn stall(&self, now: Nanos) {
-        if now > self.asked.get() + 4 * self.spec.timing.renew && self.asked.get() > 0 {
+        if now > self.asked.get() + 4 * self.spec.timing.renewal_interval && self.asked.get() > 0 {
             self.stalled.set(Some(now));
         }
     }
@@ -359,7 +359,7 @@
         }
         self.marks.lapses.set(self.marks.lapses.get() + 1);
         self.stall(now);
-        if self.stalled.get().is_some_and(|at| now <= at + self.spec.timing.lease) {
+        if self.stalled.get().is_some_and(|at| now <= at + self.spec.timing.lease_duration) {
             self.marks.late_lapses.set(self.marks.late_lapses.get() + 1);
         }
     }
--- a/crates/lab/src/scale/mod.rs
+++ b/crates/lab/src/scale/mod.rs
@@ -20,7 +20,7 @@
 use loomlb_capacity::predict::predict;
 use loomlb_capacity::report::Report as Slopes;
 use loomlb_capacity::{Costs, Workload};
-use loomlb_consensus::timing::{Terms, Timing};
+use loomlb_consensus::timing::{LeaseTiming, TimingConfig};
 use loomlb_emulator::Stop;
 use std::ffi::OsString;
 use std::io;
@@ -220,8 +220,8 @@
         self.voters + self.serving + 3 + usize::from(self.faults)
     }
 
-    fn timing(&self) -> Result<Timing, Error> {
-        let terms = Terms { bound: (self.bound * 1e9) as u64, ..Terms::default() };
+    fn timing(&self) -> Result<LeaseTiming, Error> {
+        let terms = TimingConfig { bound: (self.bound * 1e9) as u64, ..TimingConfig::default() };
         terms.derive().map_err(|(_, reason)| Error::Option { key: "bound", reason })
     }
 
@@ -233,7 +233,7 @@
             workers: sizes.workers as f64,
             document: document as f64,
             changes: sizes.changes,
-            renew: Terms::default().renew as f64 / 1e9,
+            renew: TimingConfig::default().renewal_interval as f64 / 1e9,
             starts: sizes.starts,
             flows: sizes.flows as f64,
         }
--- a/crates/lab/src/trial.rs
+++ b/crates/lab/src/trial.rs
@@ -13,7 +13,7 @@
 use loomlb_consensus::promises::Promises;
 use loomlb_consensus::rules::Body;
 use loomlb_consensus::state::{Command, Outcome, State};
-use loomlb_consensus::timing::{Terms, Timing};
+use loomlb_consensus::timing::{LeaseTiming, TimingConfig};
 use loomlb_consensus::votes::{Vote, Votes};
 use loomlb_consensus::{EffectiveRules, Nanos, Version};
 use serde::Serialize;
@@ -58,7 +58,7 @@
     /// Length of the part with faults, in seconds.
     pub seconds: u64,
     /// The figures of the leases.
-    pub terms: Terms,
+    pub terms: TimingConfig,
     /// Whether anything goes wrong.
     pub faults: bool,
     /// Whether voters' disks fail for a while as well, beside the other faults or alone.
@@ -218,7 +218,7 @@
 
 struct Host {
     trial: Trial,
-    timing: Timing,
+    timing: LeaseTiming,
     rng: fastrand::Rng,
     now: Nanos,
     pushed: u64,
@@ -354,7 +354,7 @@
     fn run(&mut self) -> Result<(), String> {
         let drift = match self.trial.without {
             Without::Drift => 0.3,
-            _ => self.trial.terms.drift,
+            _ => self.trial.terms.clock_drift,
         };
         for n in 0..self.trial.schedulers {
             let rate = if self.trial.faults { 1.0 + drift * [-1.0, 0.0, 1.0][n % 3] } else { 1.0 };
@@ -436,7 +436,7 @@
         }
         let run = self.nodes[n].run;
         // Schedulers that start at once do not ask at once.
-        let late = self.rng.u64(0..self.timing.renew);
+        let late = self.rng.u64(0..self.timing.renewal_interval);
         self.push(self.now + late, Due::Renew(n, run));
         self.push(self.now + late, Due::Act(n, run));
         Ok(())
@@ -479,7 +479,7 @@
             }
             Due::Renew(n, run) => {
                 self.renew(n);
-                self.push(self.after(n, self.timing.renew), Due::Renew(n, run));
+                self.push(self.after(n, self.timing.renewal_interval), Due::Renew(n, run));
             }
             Due::Act(n, run) => {
                 self.act(n);
--- a/crates/lab/tests/capacity.rs
+++ b/crates/lab/tests/capacity.rs
@@ -6,7 +6,7 @@
 use loomlb_consensus::frames::Word;
 use loomlb_consensus::lists::Theirs;
 use loomlb_consensus::place::Memory;
-use loomlb_consensus::timing::Terms;
+use loomlb_consensus::timing::TimingConfig;
 use loomlb_lab::capacity::voter::Counted;
 use loomlb_lab::capacity::{self, Options, meter, probe, tier};
 use loomlb_lab::trial::{self, Load, Trial, Without};
@@ -97,7 +97,7 @@
         schedulers: 5,
         voters: 3,
         seconds: 18,
-        terms: Terms::default(),
+        terms: TimingConfig::default(),
         faults: false,
         disks: false,
         every: 2_000_000_000,
@@ -165,7 +165,7 @@
 /// A trial that is measured is the trial: counting changes nothing of what happens.
 #[test]
 fn counting_changes_nothing_of_a_trial() {
-    let terms = Terms { bound: 2_500_000_000, ..Terms::default() };
+    let terms = TimingConfig { bound: 2_500_000_000, ..TimingConfig::default() };
     let trial = Trial {
         schedulers: 6,
         voters: 3,
--- a/crates/lab/tests/tier_client.rs
+++ b/crates/lab/tests/tier_client.rs
@@ -2,7 +2,7 @@
 //! does wrong is found by it.
 
 use loomlb_conformance::tier_client::{self, BOUND_S, KEY, NAME, RENEW_S, VOTERS};
-use loomlb_consensus::timing::Terms;
+use loomlb_consensus::timing::TimingConfig;
 use loomlb_lab::scale::changes::settings;
 use loomlb_lab::scale::fleet::Fleet;
 use loomlb_lab::scale::hollow::{Flaw, Life, Marks, Spec};
@@ -15,7 +15,11 @@
 use std::sync::Arc;
 
 fn hollow(voters: &[SocketAddr], flaw: Option<Flaw>) -> Box<dyn Any> {
-    let terms = Terms { bound: (BOUND_S * 1e9) as u64, renew: (RENEW_S * 1e9) as u64, ..Terms::default() };
+    let terms = TimingConfig {
+        bound: (BOUND_S * 1e9) as u64,
+        renewal_interval: (RENEW_S * 1e9) as u64,
+        ..TimingConfig::default()
+    };
     let timing = terms.derive().unwrap();
     let spec = Spec { key: KEY.into(), name: NAME.into(), voters: voters.to_vec(), timing, list: 1, flaw };
     let opened = Host::start("hollow", move || async move {
--- a/crates/lab/tests/trials.rs
+++ b/crates/lab/tests/trials.rs
@@ -1,11 +1,11 @@
 //! The tier's agreement under faults, in virtual time.
 
-use loomlb_consensus::timing::Terms;
+use loomlb_consensus::timing::TimingConfig;
 use loomlb_lab::processes::{self, What};
 use loomlb_lab::trial::{Told, Trial, Without, play};
 
 fn trial(without: Without) -> Trial {
-    let terms = Terms { bound: 2_500_000_000, ..Terms::default() };
+    let terms = TimingConfig { bound: 2_500_000_000, ..TimingConfig::default() };
     Trial {
         schedulers: 6,
         voters: 3,
@@ -70,7 +70,7 @@
 #[test]
 fn without_any_one_part_of_it_the_checker_finds_a_breach() {
     // Long leases outlast a restart of the voters.
-    let terms = Terms { bound: 8_000_000_000, ..Terms::default() };
+    let terms = TimingConfig { bound: 8_000_000_000, ..TimingConfig::default() };
     for without in [Without::Quiet, Without::Readiness, Without::Drift] {
         let mut told = (0..400).map(|seed| (seed, play(&Trial { terms, ..trial(without) }, seed).unwrap()));
         let rule = "no two act on contradicting versions";
--- a/crates/leases/src/holder.rs
+++ b/crates/leases/src/holder.rs
@@ -3,7 +3,7 @@
 use crate::table::{Command, Table};
 use crate::{Duty, Process, Token};
 use loomlb_consensus::Nanos;
-use loomlb_consensus::timing::Timing;
+use loomlb_consensus::timing::LeaseTiming;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 /// Questions whose answers are still awaited, at most.
@@ -32,7 +32,7 @@
 /// The machine of one process's duties.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Holder {
-    timing: Timing,
+    timing: LeaseTiming,
     voters: usize,
     me: Process,
     seen: Table,
@@ -45,7 +45,7 @@
 
 impl Holder {
     /// A process that has just started, in a tier of so many voters.
-    pub fn new(timing: Timing, voters: usize, me: Process) -> Holder {
+    pub fn new(timing: LeaseTiming, voters: usize, me: Process) -> Holder {
         Holder {
             timing,
             voters,
@@ -94,7 +94,7 @@
 
     /// A voter's answer. A lease counts from before its question was asked, and needs promises of a majority.
     pub fn answer(&mut self, now: Nanos, voter: usize, answer: &Answer) {
-        let (need, lease) = (self.voters / 2 + 1, self.timing.lease);
+        let (need, lease) = (self.voters / 2 + 1, self.timing.lease_duration);
         self.asked.retain(|a| a.at + lease > now);
         let Some(asked) = self.asked.iter_mut().find(|a| a.number == answer.number) else { return };
         for key in &answer.free {
--- a/crates/leases/src/voter.rs
+++ b/crates/leases/src/voter.rs
@@ -3,14 +3,14 @@
 use crate::table::{Command, Table};
 use crate::{Duty, Process, Token};
 use loomlb_consensus::Nanos;
-use loomlb_consensus::timing::Timing;
+use loomlb_consensus::timing::LeaseTiming;
 use std::collections::BTreeMap;
 
 /// The promises of one voter, in memory alone: a voter that starts is ready for nothing until all that it may have
 /// forgotten has ended.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Voter {
-    timing: Timing,
+    timing: LeaseTiming,
     since: Nanos,
     given: BTreeMap<(Duty, Token), Nanos>,
     /// The token of each duty, and since when this voter has seen it.
@@ -19,7 +19,7 @@
 
 impl Voter {
     /// None yet, at a voter that starts now.
-    pub fn new(timing: Timing, now: Nanos) -> Voter {
+    pub fn new(timing: LeaseTiming, now: Nanos) -> Voter {
         Voter { timing, since: now, given: BTreeMap::new(), met: BTreeMap::new() }
     }
 
@@ -33,12 +33,12 @@
         }
         // One promise for each duty is kept, besides those of tokens that have ended meanwhile.
         self.given.retain(|_, until| now < *until);
-        self.given.insert((duty.into(), token), now + self.timing.promise);
+        self.given.insert((duty.into(), token), now + self.timing.grant_duration);
         true
     }
 
     fn quiet(&self, now: Nanos) -> bool {
-        now >= self.since + self.timing.promise
+        now >= self.since + self.timing.grant_duration
     }
 
     fn over(&self, now: Nanos, duty: &str, token: Token) -> bool {
@@ -50,8 +50,9 @@
     /// bids next as well: a duty would go round and never be held.
     pub fn free(&self, now: Nanos, duty: &str, table: &Table) -> bool {
         let held = table.get(duty);
-        let waited =
-            |(token, since): &(Token, Nanos)| *token == held.token && now >= *since + self.timing.promise;
+        let waited = |(token, since): &(Token, Nanos)| {
+            *token == held.token && now >= *since + self.timing.grant_duration
+        };
         let open = self.over(now, duty, held.token) && self.met.get(duty).is_some_and(waited);
         held.holder.is_none() || open
     }
--- a/crates/leases/tests/trial.rs
+++ b/crates/leases/tests/trial.rs
@@ -2,7 +2,7 @@
 //! clocks that run apart. Never do two hold a duty at once, and once the faults are over each duty is held again.
 
 use loomlb_consensus::Nanos;
-use loomlb_consensus::timing::{Terms, Timing};
+use loomlb_consensus::timing::{LeaseTiming, TimingConfig};
 use loomlb_leases::fence::{Fence, Refused};
 use loomlb_leases::holder::{Answer, Holder};
 use loomlb_leases::table::{Command, Table};
@@ -52,7 +52,7 @@
 struct World {
     rng: fastrand::Rng,
     now: Nanos,
-    timing: Timing,
+    timing: LeaseTiming,
     without: Without,
     nodes: Vec<Node>,
     seats: Vec<Seat>,
@@ -78,7 +78,7 @@
 
 impl World {
     fn new(seed: u64, nodes: usize, seats: usize, without: Without) -> World {
-        let timing = Terms::default().derive().unwrap();
+        let timing = TimingConfig::default().derive().unwrap();
         let drift = if without == Without::Drift { 0.25 } else { 0.01 };
         let rate = |n: usize| 1.0 + drift * [-1.0, 0.0, 1.0][n % 3];
         let seat = |v| {
@@ -251,7 +251,7 @@
         if !node.up || node.stopped_until > self.now || node.next_ask > self.now {
             return;
         }
-        node.next_ask = self.now + self.timing.renew;
+        node.next_ask = self.now + self.timing.renewal_interval;
         let early = if self.without == Without::EarlyCount { 2 * S } else { 0 };
         let (number, held) = node.holder.ask(clock(node.rate, self.now) + early);
         let run = node.run;
@@ -279,7 +279,7 @@
         match self.rng.u8(..10) {
             0 => self.nodes[n].up = false,
             1 => self.restart(n),
-            2 => self.nodes[n].stopped_until = self.now + self.timing.lease,
+            2 => self.nodes[n].stopped_until = self.now + self.timing.lease_duration,
             3 => self.nodes[n].stopped_until = self.now + self.rng.u64(1..6000) * MS,
             4 => self.cut.extend((0..self.seats.len()).map(|v| (n, v)).collect::<Vec<_>>()),
             5 => self.seats[v].up = false,
@@ -402,10 +402,10 @@
             gaps.push(*world.gaps.first().expect("passed on"));
         }
         gaps.sort();
-        let terms = Terms::default();
+        let terms = TimingConfig::default();
         let timing = terms.derive().unwrap();
-        let promise = (timing.promise as f64 / (1.0 - terms.drift)) as Nanos;
-        let rest = 4 * timing.renew + 2 * terms.delay;
+        let promise = (timing.grant_duration as f64 / (1.0 - terms.clock_drift)) as Nanos;
+        let rest = 4 * timing.renewal_interval + 2 * terms.voter_delay;
         let bound = if back { rest } else { promise + rest };
         println!(
             "given back {back}: {:?} ms, bound {} ms",
@@ -439,7 +439,7 @@
 /// rare for drawn schedules, and all the same a way for two to hold.
 #[test]
 fn a_voter_that_starts_is_ready_for_nothing_that_it_may_have_promised() {
-    let timing = Terms::default().derive().unwrap();
+    let timing = TimingConfig::default().derive().unwrap();
     let bid = |base, name: &str| Command::Bid { duty: "dealer".into(), base, who: (name.into(), 1) };
     let mut table = Table::default();
     table.apply(1, &bid(0, "a"));
@@ -451,14 +451,14 @@
     assert_eq!(table.get("dealer").next, Some(("b".into(), 1)), "the first to bid");
     assert!(!voter.ask(10 * S + MS, &("a".into(), 1), "dealer", 1, &table), "nothing more for the holder");
     let pass = [Command::Pass { duty: "dealer".into(), token: 1 }];
-    assert!(voter.tick(10 * S + timing.promise - MS, &table).is_empty());
-    assert_eq!(voter.tick(10 * S + timing.promise, &table), pass);
+    assert!(voter.tick(10 * S + timing.grant_duration - MS, &table).is_empty());
+    assert_eq!(voter.tick(10 * S + timing.grant_duration, &table), pass);
     let mut anew = Voter::new(timing, 10 * S + MS);
-    assert!(anew.tick(10 * S + timing.promise, &table).is_empty());
-    assert_eq!(anew.tick(10 * S + MS + timing.promise, &table), pass);
+    assert!(anew.tick(10 * S + timing.grant_duration, &table).is_empty());
+    assert_eq!(anew.tick(10 * S + MS + timing.grant_duration, &table), pass);
     table.apply(4, &pass[0]);
     table.apply(5, &pass[0]);
     let held = table.get("dealer");
     assert_eq!((held.token, held.holder, held.next), (2, Some(("b".into(), 1)), None));
-    assert!(!anew.free(11 * S + timing.promise, "dealer", &table), "b has not had the time to ask");
+    assert!(!anew.free(11 * S + timing.grant_duration, "dealer", &table), "b has not had the time to ask");
 }
--- a/crates/tier/src/lease.rs
+++ b/crates/tier/src/lease.rs
@@ -18,7 +18,7 @@
 /// Renews the lease for as long as the program runs, and sees when it has ended.
 pub(crate) async fn renew(on: Rc<On>, around: Rc<dyn Application>) {
     let (on, around) = (&*on, &*around);
-    let pause = Duration::from_nanos(on.timing.renew);
+    let pause = Duration::from_nanos(on.timing.renewal_interval);
     let mut turn = 0;
     // Schedulers that start in the same moment do not ask in the same moments ever after.
     tokio::time::sleep(pause.mul_f64(random().unwrap_or(0) as f64 / u64::MAX as f64)).await;
--- a/crates/tier/src/lib.rs
+++ b/crates/tier/src/lib.rs
@@ -29,7 +29,7 @@
 use loomlb_consensus::holder::Holder;
 use loomlb_consensus::lists::{Leaving, Mine};
 use loomlb_consensus::state::State;
-use loomlb_consensus::timing::Timing;
+use loomlb_consensus::timing::LeaseTiming;
 use loomlb_consensus::{EffectiveRules, Nanos};
 use loomlb_sockets::OpenRetry;
 use proposals::Waiting;
@@ -77,7 +77,7 @@
 struct On {
     spec: Spec,
     name: String,
-    timing: Timing,
+    timing: LeaseTiming,
     /// This process, as no other is called.
     process: u64,
     started: Instant,
--- a/crates/tier/src/proposals.rs
+++ b/crates/tier/src/proposals.rs
@@ -47,7 +47,7 @@
     proposals.retain(|token, _| seen.seen().outcome(*token).is_none());
     drop(seen);
     let waiting: Vec<Command> =
-        proposals.values_mut().filter_map(|p| p.due(on.now(), on.timing.renew)).collect();
+        proposals.values_mut().filter_map(|p| p.due(on.now(), on.timing.renewal_interval)).collect();
     drop(proposals);
     let voter = turn % on.boxes.len();
     for command in waiting {
--- a/crates/tier/src/spec.rs
+++ b/crates/tier/src/spec.rs
@@ -1,7 +1,7 @@
 //! What the operator file says of the tier.
 
 use loomlb_consensus::Nanos;
-use loomlb_consensus::timing::{Terms, Timing};
+use loomlb_consensus::timing::{LeaseTiming, TimingConfig};
 use serde::Deserialize;
 use std::collections::BTreeSet;
 use std::fmt;
@@ -91,7 +91,7 @@
 
 impl Spec {
     /// The figures of the leases, or the key that cannot be kept.
-    pub(crate) fn timing(&self) -> Result<Timing, (&'static str, String)> {
+    pub(crate) fn timing(&self) -> Result<LeaseTiming, (&'static str, String)> {
         let nanos = |key, seconds: f64| {
             let fits = (0.0..=86_400.0).contains(&seconds);
             if fits {
@@ -100,11 +100,11 @@
                 Err((key, format!("{seconds}: from 0 to 86400 s")))
             }
         };
-        let terms = Terms {
+        let terms = TimingConfig {
             bound: nanos("bound_s", self.bound_s)?,
-            drift: self.drift,
-            delay: nanos("delay_s", self.delay_s)?,
-            renew: nanos("renew_s", self.renew_s)?,
+            clock_drift: self.drift,
+            voter_delay: nanos("delay_s", self.delay_s)?,
+            renewal_interval: nanos("renew_s", self.renew_s)?,
         };
         terms.derive()
     }
@@ -133,6 +133,6 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let names: Vec<&str> = self.voters.iter().map(|v| &*v.name).collect();
         write!(f, "voters {}, bound {} s", names.join(", "), self.bound_s)?;
-        self.timing().map_or(Ok(()), |t| write!(f, ", leases of {:.2} s", t.lease as f64 / 1e9))
+        self.timing().map_or(Ok(()), |t| write!(f, ", leases of {:.2} s", t.lease_duration as f64 / 1e9))
     }
 }
--- a/crates/tier/src/voter.rs
+++ b/crates/tier/src/voter.rs
@@ -14,7 +14,7 @@
 use loomlb_consensus::promises::{Process, Promises};
 use loomlb_consensus::state::Command;
 use loomlb_consensus::store_error::StoreError;
-use loomlb_consensus::timing::Timing;
+use loomlb_consensus::timing::LeaseTiming;
 use loomlb_sockets::{AddressInUse, OpenRetry};
 use std::io;
 use std::rc::Rc;
@@ -63,7 +63,7 @@
     spec: &Spec,
     name: &str,
     number: u64,
-    timing: Timing,
+    timing: LeaseTiming,
     now: Nanos,
     opening: &OpenRetry,
 ) -> Result<(TcpListener, Voter), VoterError> {
