--- a/crates/consensus/src/holder.rs
+++ b/crates/consensus/src/lease_holder.rs
@@ -19,7 +19,7 @@
 
 /// The machine of one scheduler's lease.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Holder {
+pub struct LeaseHolder {
     timing: LeaseTiming,
     voters: usize,
     seen: State,
@@ -29,10 +29,10 @@
     until: Option<Nanos>,
 }
 
-impl Holder {
+impl LeaseHolder {
     /// Knows nothing yet, in a tier of so many voters.
-    pub fn new(timing: LeaseTiming, voters: usize) -> Holder {
-        Holder {
+    pub fn new(timing: LeaseTiming, voters: usize) -> LeaseHolder {
+        LeaseHolder {
             timing,
             voters,
             seen: State::default(),
@@ -44,27 +44,27 @@
     }
 
     /// What this scheduler knows to be agreed.
-    pub fn seen(&self) -> &State {
+    pub fn state(&self) -> &State {
         &self.seen
     }
 
     /// What it acts on, if it may act.
-    pub fn acting(&self) -> Option<EffectiveRules> {
+    pub fn rules(&self) -> Option<EffectiveRules> {
         self.acting
     }
 
     /// Whether it may act now. To be looked at immediately before each act.
-    pub fn may_act(&self, now: Nanos) -> bool {
+    pub fn has_valid_lease(&self, now: Nanos) -> bool {
         self.until.is_some_and(|until| now < until)
     }
 
     /// Until when it may act, by its own clock.
-    pub fn until(&self) -> Option<Nanos> {
+    pub fn lease_expiry(&self) -> Option<Nanos> {
         self.until
     }
 
     /// The next question to all voters: its number, and what this scheduler acts on.
-    pub fn ask(&mut self, now: Nanos) -> (u64, Option<EffectiveRules>) {
+    pub fn start_renewal(&mut self, now: Nanos) -> (u64, Option<EffectiveRules>) {
         self.number += 1;
         if self.acting.is_some() {
             if self.asked.len() >= ASKED {
@@ -77,7 +77,14 @@
 
     /// A voter's answer: to which question, whether it promised, and what it knows to be agreed if that is news. True if
     /// what this scheduler acts on has changed: it must be in force here before the next question is asked.
-    pub fn answer(&mut self, now: Nanos, voter: usize, number: u64, yes: bool, news: Option<State>) -> bool {
+    pub fn handle_response(
+        &mut self,
+        now: Nanos,
+        voter: usize,
+        number: u64,
+        yes: bool,
+        news: Option<State>,
+    ) -> bool {
         let need = self.voters / 2 + 1;
         if let Some(asked) = self.asked.iter_mut().find(|a| a.number == number).filter(|_| yes) {
             asked.yes.insert(voter);
@@ -108,7 +115,7 @@
     }
 
     /// What to act on: the document in force, or the strictest of it and the one that is coming.
-    pub fn body(&self) -> Option<Body> {
+    pub fn effective_body(&self) -> Option<Body> {
         let active = self.seen.active.as_ref()?;
         Some(match &self.seen.coming {
             Some(coming) => rules::meet(&active.body, &coming.body),
--- a/crates/consensus/tests/model.rs
+++ b/crates/consensus/tests/model.rs
@@ -1,7 +1,7 @@
 //! A model check of leases and promises: the real cores, over every interleaving of asking, answering, losing, delaying,
 //! agreeing, crashing and time, in a small tier. That the voters agree is taken from the library; each sees it late.
 
-use loomlb_consensus::holder::Holder;
+use loomlb_consensus::lease_holder::LeaseHolder;
 use loomlb_consensus::promises::Promises;
 use loomlb_consensus::rules::Body;
 use loomlb_consensus::state::{Command, State};
@@ -30,7 +30,7 @@
     agreed: usize,
     seen: [usize; VOTERS],
     promises: Vec<Promises>,
-    holders: Vec<Holder>,
+    holders: Vec<LeaseHolder>,
     asked: Vec<u8>,
     ready: BTreeSet<usize>,
     flying: BTreeSet<Question>,
@@ -94,7 +94,7 @@
     }
 
     fn ask(&self, tier: &mut Tier, holder: usize) {
-        let (number, acting) = tier.holders[holder].ask(tier.time);
+        let (number, acting) = tier.holders[holder].start_renewal(tier.time);
         if let Some(acting) = acting {
             tier.asked[holder] += 1;
             tier.flying.extend((0..VOTERS).map(|voter| Question { holder, voter, number, acting }));
@@ -107,8 +107,8 @@
     type Action = Step;
 
     fn init_states(&self) -> Vec<Tier> {
-        let mut holders = vec![Holder::new(self.timing(), VOTERS); self.holders];
-        holders.iter_mut().for_each(|h| _ = h.answer(0, 0, 0, false, Some(state(1).clone())));
+        let mut holders = vec![LeaseHolder::new(self.timing(), VOTERS); self.holders];
+        holders.iter_mut().for_each(|h| _ = h.handle_response(0, 0, 0, false, Some(state(1).clone())));
         // The voters have been up for long.
         let promises = vec![Promises::new(self.timing(), 0); VOTERS];
         let mut tier = Tier {
@@ -138,7 +138,7 @@
             actions.push(Step::Activate);
         }
         for voter in 0..VOTERS {
-            let news = |h: &usize| state(tier.seen[voter]).index > tier.holders[*h].seen().index;
+            let news = |h: &usize| state(tier.seen[voter]).index > tier.holders[*h].state().index;
             actions.extend((1..self.holders).filter(news).map(|h| Step::Hear(h, voter)));
             if tier.seen[voter] < tier.agreed {
                 actions.push(Step::Learn(voter));
@@ -164,7 +164,7 @@
             Step::Learn(voter) => next.seen[voter] += 1,
             Step::Hear(holder, voter) => {
                 let news = Some(state(next.seen[voter]).clone());
-                next.holders[holder].answer(next.time, voter, 0, false, news);
+                next.holders[holder].handle_response(next.time, voter, 0, false, news);
             }
             Step::Ask(holder) => self.ask(&mut next, holder),
             Step::Ready(voter) => _ = next.ready.insert(voter),
@@ -179,7 +179,7 @@
                 let Question { holder, voter, number, acting } = question;
                 let (who, seen) = ((format!("h{holder}"), 1), state(next.seen[voter]));
                 let yes = next.promises[voter].ask(next.time, &who, number, acting, seen);
-                next.holders[holder].answer(next.time, voter, number, yes, None);
+                next.holders[holder].handle_response(next.time, voter, number, yes, None);
             }
         }
         Some(next)
@@ -197,7 +197,7 @@
 
 /// Whether a scheduler that may act now acts on this.
 fn on(tier: &Tier, acting: EffectiveRules) -> bool {
-    tier.holders.iter().any(|h| h.may_act(tier.time) && h.acting() == Some(acting))
+    tier.holders.iter().any(|h| h.has_valid_lease(tier.time) && h.rules() == Some(acting))
 }
 
 fn check(small: Small) -> (usize, Vec<&'static str>) {
--- a/crates/lab/src/capacity/tier.rs
+++ b/crates/lab/src/capacity/tier.rs
@@ -25,7 +25,7 @@
 use loomlb_capacity::fit::median;
 use loomlb_capacity::{Series, Source};
 use loomlb_consensus::frames::{Channel, Word, channels};
-use loomlb_consensus::holder::Holder;
+use loomlb_consensus::lease_holder::LeaseHolder;
 use loomlb_consensus::lists::{Mine, Theirs};
 use loomlb_consensus::state::{Command, State};
 use loomlb_consensus::timing::TimingConfig;
@@ -314,8 +314,8 @@
     for tenants in plan.sizes(&DOCUMENTS) {
         let known = state(*tenants, 80);
         let holder = || {
-            let mut holder = Holder::new(timing, 3);
-            holder.answer(0, 0, 0, false, Some(known.clone()));
+            let mut holder = LeaseHolder::new(timing, 3);
+            holder.handle_response(0, 0, 0, false, Some(known.clone()));
             holder
         };
         let (mut held, bytes_held) = live(holder);
@@ -327,12 +327,12 @@
         let mut now = 0;
         let asked = plan.time(|| {
             now += S / 4;
-            let (number, acting) = held.ask(now);
-            let index = held.seen().index;
+            let (number, acting) = held.start_renewal(now);
+            let index = held.state().index;
             black_box(to.seal(&Word::Ask { number, acting, index, list: Mine::default() }));
             let opened = from.clone().open(&mut quiet.clone());
             if let Ok(Some(Word::Answer { yes, news, .. })) = opened {
-                black_box(held.answer(now, 0, number, yes, news.map(|n| *n)));
+                black_box(held.handle_response(now, 0, number, yes, news.map(|n| *n)));
             }
         });
         point(&mut idle, bytes(*tenants), asked);
@@ -341,9 +341,9 @@
         let heard = plan.time(|| {
             let opened = from.clone().open(&mut told.clone());
             if let Ok(Some(Word::Answer { number, yes, news, .. })) = opened {
-                let mut holder = Holder::new(timing, 3);
-                black_box(holder.answer(0, 0, number, yes, news.map(|n| *n)));
-                black_box(holder.body().map(|body| body.settings_for(&mine)));
+                let mut holder = LeaseHolder::new(timing, 3);
+                black_box(holder.handle_response(0, 0, number, yes, news.map(|n| *n)));
+                black_box(holder.effective_body().map(|body| body.settings_for(&mine)));
             }
         });
         point(&mut news, bytes(*tenants), heard);
--- a/crates/lab/src/scale/hollow.rs
+++ b/crates/lab/src/scale/hollow.rs
@@ -3,7 +3,7 @@
 
 use super::host::{Counted, machine};
 use loomlb_consensus::frames::{self, Channel, FIRST, FORMAT, Nonce, Word};
-use loomlb_consensus::holder::Holder;
+use loomlb_consensus::lease_holder::LeaseHolder;
 use loomlb_consensus::lists::Mine;
 use loomlb_consensus::rules::Body;
 use loomlb_consensus::state::{Command, State};
@@ -93,7 +93,7 @@
     spec: Spec,
     process: u64,
     started: Instant,
-    holder: RefCell<Holder>,
+    holder: RefCell<LeaseHolder>,
     boxes: Vec<Outbox>,
     hurry: Notify,
     held: Cell<bool>,
@@ -132,7 +132,7 @@
         Ok(Rc::new(Life {
             process: u64::from_le_bytes(process),
             started: Instant::now(),
-            holder: RefCell::new(Holder::new(spec.timing, spec.voters.len())),
+            holder: RefCell::new(LeaseHolder::new(spec.timing, spec.voters.len())),
             boxes: spec.voters.iter().map(|_| Outbox::default()).collect(),
             hurry: Notify::new(),
             held: Cell::new(false),
@@ -152,7 +152,7 @@
 
     /// Whether it may act now; none before its first lease.
     pub fn may_act(&self) -> Option<bool> {
-        let holds = self.holder.borrow().may_act(self.now());
+        let holds = self.holder.borrow().has_valid_lease(self.now());
         (self.had.get() || holds).then_some(holds)
     }
 
@@ -294,9 +294,9 @@
         let now = self.now();
         self.stall(now);
         self.asked.set(now);
-        let before = self.holder.borrow().acting();
-        let (mut number, mut acting) = self.holder.borrow_mut().ask(now);
-        let mut index = self.holder.borrow().seen().index;
+        let before = self.holder.borrow().rules();
+        let (mut number, mut acting) = self.holder.borrow_mut().start_renewal(now);
+        let mut index = self.holder.borrow().state().index;
         match self.spec.flaw {
             Some(Flaw::RepeatsNumbers) => number = number.min(3),
             Some(Flaw::SilentOnState) => index = 0,
@@ -330,10 +330,10 @@
     }
 
     fn answered(&self, voter: usize, number: u64, yes: bool, news: Option<State>) {
-        let changed = self.holder.borrow_mut().answer(self.now(), voter, number, yes, news);
+        let changed = self.holder.borrow_mut().handle_response(self.now(), voter, number, yes, news);
         if changed {
             // Nothing stands between learning of it and acting on it: there are no rules to put in force here.
-            if let Some(acting) = self.holder.borrow().acting() {
+            if let Some(acting) = self.holder.borrow().rules() {
                 self.marks.takes.borrow_mut().push((machine(), acting));
             }
             self.hurry.notify_one();
@@ -350,7 +350,7 @@
 
     fn look(&self) {
         let now = self.now();
-        let holds = self.holder.borrow().may_act(now);
+        let holds = self.holder.borrow().has_valid_lease(now);
         if self.held.replace(holds) == holds {
             return;
         }
--- a/crates/lab/src/trial.rs
+++ b/crates/lab/src/trial.rs
@@ -7,7 +7,7 @@
 use loomlb_consensus::check::{Event as Did, Line, Verdict, judge};
 use loomlb_consensus::disk::{Disk, LogFile};
 use loomlb_consensus::frames::{self, Channel, Word};
-use loomlb_consensus::holder::Holder;
+use loomlb_consensus::lease_holder::LeaseHolder;
 use loomlb_consensus::lists::{Mine, Theirs};
 use loomlb_consensus::place::{Fault, Memory};
 use loomlb_consensus::promises::Promises;
@@ -206,7 +206,7 @@
     stopped: bool,
     held_up: Vec<Due>,
     rate: f64,
-    holder: Holder,
+    holder: LeaseHolder,
     voter: Option<(Agreement, Promises)>,
     place: Memory,
     log: Option<LogFile>,
@@ -358,7 +358,7 @@
         };
         for n in 0..self.trial.schedulers {
             let rate = if self.trial.faults { 1.0 + drift * [-1.0, 0.0, 1.0][n % 3] } else { 1.0 };
-            let holder = Holder::new(self.timing, self.trial.voters);
+            let holder = LeaseHolder::new(self.timing, self.trial.voters);
             self.nodes.push(Node {
                 run: 0,
                 up: false,
@@ -416,7 +416,7 @@
         node.run += 1;
         (node.up, node.stopped, node.may, node.proposal) = (true, false, false, None);
         node.held_up.clear();
-        node.holder = Holder::new(self.timing, self.trial.voters);
+        node.holder = LeaseHolder::new(self.timing, self.trial.voters);
         if n < self.trial.voters {
             let (id, all) = (n as u64 + 1, self.trial.voters as u64);
             // What its last process had open is closed; what that was told lasts, does.
@@ -687,14 +687,14 @@
 
     fn renew(&mut self, n: usize) {
         let now = self.clock(n);
-        let (number, acting) = self.nodes[n].holder.ask(now);
-        let index = self.nodes[n].holder.seen().index;
+        let (number, acting) = self.nodes[n].holder.start_renewal(now);
+        let index = self.nodes[n].holder.state().index;
         for voter in 0..self.trial.voters {
             self.send(n, voter, Word::Ask { number, acting, index, list: Mine::default() });
         }
         let waiting = self.nodes[n].proposal.clone();
         if let Some(Command::Propose { token, .. }) = &waiting {
-            match self.nodes[n].holder.seen().outcome(*token) {
+            match self.nodes[n].holder.state().outcome(*token) {
                 None => {
                     let to = self.rng.usize(0..self.trial.voters);
                     if let Some(command) = waiting {
@@ -714,7 +714,7 @@
     fn act(&mut self, n: usize) {
         let now = self.clock(n);
         let holder = &self.nodes[n].holder;
-        let (may, on, until) = (holder.may_act(now), holder.acting(), holder.until());
+        let (may, on, until) = (holder.has_valid_lease(now), holder.rules(), holder.lease_expiry());
         self.could.0 += u64::from(may);
         self.could.1 += 1;
         if may != self.nodes[n].may {
@@ -727,8 +727,8 @@
         if let Some(version) = self.force.keys().next_back().copied()
             && !self.everywhere.contains_key(&version)
             && self.nodes.iter().enumerate().all(|(i, node)| {
-                let may = node.up && node.holder.may_act(self.clock(i));
-                !may || node.holder.acting() == Some(EffectiveRules::On(version))
+                let may = node.up && node.holder.has_valid_lease(self.clock(i));
+                !may || node.holder.rules() == Some(EffectiveRules::On(version))
             })
         {
             self.everywhere.insert(version, self.now);
@@ -782,8 +782,8 @@
         now: Nanos,
         (number, yes, news): (u64, bool, Option<State>),
     ) {
-        if self.nodes[n].holder.answer(now, voter, number, yes, news)
-            && let Some(acting) = self.nodes[n].holder.acting()
+        if self.nodes[n].holder.handle_response(now, voter, number, yes, news)
+            && let Some(acting) = self.nodes[n].holder.rules()
         {
             self.log(n, Did::Takes(acting));
             self.renew(n);
@@ -824,7 +824,7 @@
 
     fn propose_at(&mut self, n: usize, token: u64, number: u64) -> bool {
         let node = &mut self.nodes[n];
-        let base = node.holder.seen().newest_version();
+        let base = node.holder.state().newest_version();
         let may = node.up && !node.stopped && node.proposal.is_none();
         if may {
             let body = with_tenants(body(number), &self.tenants);
@@ -897,7 +897,7 @@
         };
         let voters = self.trial.voters;
         let others = self.nodes.len().saturating_sub(voters).max(1);
-        let newest = self.nodes.iter().filter_map(|n| n.holder.seen().latest()).max_by_key(|d| d.version);
+        let newest = self.nodes.iter().filter_map(|n| n.holder.state().latest()).max_by_key(|d| d.version);
         Traffic {
             seconds,
             scheduler: flow(&|n| n >= voters),
@@ -919,9 +919,10 @@
         breaches.extend(self.breaches.iter().cloned());
         let newest = self.force.keys().next_back().copied().unwrap_or(0);
         for (n, node) in self.nodes.iter().enumerate() {
-            if !node.holder.may_act(self.clock(n)) || node.holder.acting() != Some(EffectiveRules::On(newest))
+            if !node.holder.has_valid_lease(self.clock(n))
+                || node.holder.rules() != Some(EffectiveRules::On(newest))
             {
-                let (acting, may) = (node.holder.acting(), node.holder.may_act(self.clock(n)));
+                let (acting, may) = (node.holder.rules(), node.holder.has_valid_lease(self.clock(n)));
                 breaches.push(format!(
                     "all agree in the end: n{n} acts on {acting:?} of {newest}, may act: {may}"
                 ));
--- a/crates/tier/src/lease.rs
+++ b/crates/tier/src/lease.rs
@@ -37,8 +37,8 @@
 
 /// Asks all voters.
 fn ask(on: &On, around: &dyn Application) {
-    let (number, acting) = on.holder.borrow_mut().ask(on.now());
-    let index = on.holder.borrow().seen().index;
+    let (number, acting) = on.holder.borrow_mut().start_renewal(on.now());
+    let index = on.holder.borrow().state().index;
     // A look at every worker: once for all voters.
     let list = around.list();
     for voter in 0..on.boxes.len() {
@@ -63,7 +63,7 @@
     yes: bool,
     news: Option<State>,
 ) {
-    let changed = on.holder.borrow_mut().answer(on.now(), voter, number, yes, news);
+    let changed = on.holder.borrow_mut().handle_response(on.now(), voter, number, yes, news);
     if changed {
         put_in_force(on, around);
         on.hurry.notify_one();
@@ -112,8 +112,8 @@
 /// Puts in force what this scheduler acts on from now on. Another act on what was before is not possible meanwhile, as
 /// all is done on one thread.
 fn put_in_force(on: &On, around: &dyn Application) {
-    let acting = on.holder.borrow().acting();
-    let holds = on.holder.borrow().may_act(on.now());
+    let acting = on.holder.borrow().rules();
+    let holds = on.holder.borrow().has_valid_lease(on.now());
     enforce(on, around, holds || on.spec.on_lapse == OnLapse::Leave);
     on.applied.set(acting);
     if let Some(acting) = acting {
@@ -123,7 +123,7 @@
 }
 
 fn enforce(on: &On, around: &dyn Application, agreed: bool) {
-    let Some(body) = on.holder.borrow().body() else { return };
+    let Some(body) = on.holder.borrow().effective_body() else { return };
     let body = if agreed { body } else { rules::careful(&body) };
     match around.put_in_force(body.settings_for(&around.settings())) {
         Ok(()) => {
--- a/crates/tier/src/lib.rs
+++ b/crates/tier/src/lib.rs
@@ -26,7 +26,7 @@
 use link::Outbox;
 use loomlb_consensus::check::{Event as Did, Line};
 use loomlb_consensus::frames::Word;
-use loomlb_consensus::holder::Holder;
+use loomlb_consensus::lease_holder::LeaseHolder;
 use loomlb_consensus::lists::{Leaving, Mine};
 use loomlb_consensus::state::State;
 use loomlb_consensus::timing::LeaseTiming;
@@ -84,7 +84,7 @@
     /// This voter's number, from 1, if it is one.
     number: Option<u64>,
     voter: RefCell<Option<Voter>>,
-    holder: RefCell<Holder>,
+    holder: RefCell<LeaseHolder>,
     /// What is in force in this process, and what of it staff have taken out.
     applied: Cell<Option<EffectiveRules>>,
     out: RefCell<BTreeSet<String>>,
@@ -164,13 +164,15 @@
 
     /// Something of what this scheduler knows to be agreed.
     fn seen<T>(&self, of: impl FnOnce(&State) -> T) -> T {
-        of(self.holder.borrow().seen())
+        of(self.holder.borrow().state())
     }
 
     /// Whether a lease holds now on what is in force here.
     fn holds(&self) -> bool {
         let holder = self.holder.borrow();
-        holder.may_act(self.now()) && holder.acting() == self.applied.get() && self.fault.borrow().is_none()
+        holder.has_valid_lease(self.now())
+            && holder.rules() == self.applied.get()
+            && self.fault.borrow().is_none()
     }
 }
 
@@ -191,7 +193,7 @@
     pub fn acts(&self) -> bool {
         let Some(on) = &self.0 else { return true };
         if on.holds() {
-            let left = on.holder.borrow().until().unwrap_or(0).saturating_sub(on.now());
+            let left = on.holder.borrow().lease_expiry().unwrap_or(0).saturating_sub(on.now());
             if let Some(acting) = on.applied.get() {
                 on.log(Did::Acts { on: acting, left });
             }
@@ -228,7 +230,7 @@
             started,
             number,
             voter: RefCell::new(voter),
-            holder: RefCell::new(Holder::new(timing, spec.voters.len())),
+            holder: RefCell::new(LeaseHolder::new(timing, spec.voters.len())),
             applied: Cell::default(),
             out: RefCell::default(),
             fault: RefCell::default(),
--- a/crates/tier/src/proposals.rs
+++ b/crates/tier/src/proposals.rs
@@ -37,14 +37,14 @@
 
 /// Sends this scheduler's proposals again until their outcome is known; proposes its own file where there is nothing yet.
 pub(crate) fn settle(on: &On, around: &dyn Application, turn: usize) {
-    let empty = on.holder.borrow().seen().newest_version() == 0;
+    let empty = on.holder.borrow().state().newest_version() == 0;
     if empty && on.proposals.borrow().is_empty() {
         let body = Body::of(&around.settings(), BTreeSet::new());
         propose(on, 0, body);
     }
     let seen = on.holder.borrow();
     let mut proposals = on.proposals.borrow_mut();
-    proposals.retain(|token, _| seen.seen().outcome(*token).is_none());
+    proposals.retain(|token, _| seen.state().outcome(*token).is_none());
     drop(seen);
     let waiting: Vec<Command> =
         proposals.values_mut().filter_map(|p| p.due(on.now(), on.timing.renewal_interval)).collect();
--- a/crates/tier/src/status.rs
+++ b/crates/tier/src/status.rs
@@ -8,8 +8,8 @@
     let Some(on) = &tier.0 else { return Value::Null };
     let (holder, voter) = (on.holder.borrow(), on.voter.borrow());
     let health = on.store_health.borrow();
-    let seen = holder.seen();
-    let left = holder.until().unwrap_or(0).saturating_sub(on.now());
+    let seen = holder.state();
+    let left = holder.lease_expiry().unwrap_or(0).saturating_sub(on.now());
     let vote = voter.as_ref().map(|v| {
         let holders: Vec<Value> = v
             .promises
