--- a/crates/consensus/src/lib.rs
+++ b/crates/consensus/src/lib.rs
@@ -1,7 +1,7 @@
 //! What the schedulers of a tier have agreed on, and for how long each may act on it.
 //!
 //! Pure cores, apart from [`disk`] and the [`place`] beneath it: no sockets, no clock, time passed in. [`agreement`] has the voters agree on one
-//! document ([`state`]) by the Raft library; [`promises`] is what a voter has promised to whom, [`lease_holder`] what a
+//! document ([`state`]) by the Raft library; [`lease_grants`] is what a voter has promised to whom, [`lease_holder`] what a
 //! scheduler may act on now, [`timing`] the figures that both go by, with their proof in docs/design/0006-accord.md.
 //! [`rules`] tells which changes contradict each other and what is the strictest of two documents; [`check`] reads the
 //! histories of all schedulers and says where an invariant broke; [`lists`] tells how far apart their lists of workers are. [`frames`] are the words on the tier link.
@@ -13,10 +13,10 @@
 pub mod check;
 pub mod disk;
 pub mod frames;
+pub mod lease_grants;
 pub mod lease_holder;
 pub mod lists;
 pub mod place;
-pub mod promises;
 pub mod rules;
 pub mod state;
 pub mod store_error;
--- a/crates/consensus/src/lists.rs
+++ b/crates/consensus/src/lists.rs
@@ -5,7 +5,7 @@
 //! asks, and a drain that one has heard of is known to all within two renewals.
 
 use crate::Nanos;
-use crate::promises::Process;
+use crate::lease_grants::ProcessId;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
@@ -55,13 +55,13 @@
 /// The words of all schedulers at one voter.
 #[derive(Clone, Debug, Default)]
 pub struct Lists {
-    said: BTreeMap<Process, (u64, Nanos)>,
+    said: BTreeMap<ProcessId, (u64, Nanos)>,
     leaving: BTreeMap<Leaving, Nanos>,
 }
 
 impl Lists {
     /// A process says what it has.
-    pub fn hear(&mut self, now: Nanos, who: &Process, mine: &Mine) {
+    pub fn hear(&mut self, now: Nanos, who: &ProcessId, mine: &Mine) {
         if self.said.len() < PROCESSES || self.said.contains_key(who) {
             self.said.insert(who.clone(), (mine.version, now));
         }
--- a/crates/consensus/tests/model.rs
+++ b/crates/consensus/tests/model.rs
@@ -1,8 +1,8 @@
 //! A model check of leases and promises: the real cores, over every interleaving of asking, answering, losing, delaying,
 //! agreeing, crashing and time, in a small tier. That the voters agree is taken from the library; each sees it late.
 
+use loomlb_consensus::lease_grants::LeaseGrants;
 use loomlb_consensus::lease_holder::LeaseHolder;
-use loomlb_consensus::promises::Promises;
 use loomlb_consensus::rules::Body;
 use loomlb_consensus::state::{Command, State};
 use loomlb_consensus::timing::LeaseTiming;
@@ -29,7 +29,7 @@
     /// Commands agreed, of those below, and how many each voter has seen.
     agreed: usize,
     seen: [usize; VOTERS],
-    promises: Vec<Promises>,
+    promises: Vec<LeaseGrants>,
     holders: Vec<LeaseHolder>,
     asked: Vec<u8>,
     ready: BTreeSet<usize>,
@@ -110,7 +110,7 @@
         let mut holders = vec![LeaseHolder::new(self.timing(), VOTERS); self.holders];
         holders.iter_mut().for_each(|h| _ = h.handle_response(0, 0, 0, false, Some(state(1).clone())));
         // The voters have been up for long.
-        let promises = vec![Promises::new(self.timing(), 0); VOTERS];
+        let promises = vec![LeaseGrants::new(self.timing(), 0); VOTERS];
         let mut tier = Tier {
             time: 2,
             agreed: 1,
@@ -144,7 +144,7 @@
                 actions.push(Step::Learn(voter));
             }
             if !tier.ready.contains(&voter)
-                && tier.promises[voter].ready(tier.time, state(tier.seen[voter])).is_some()
+                && tier.promises[voter].ready_version(tier.time, state(tier.seen[voter])).is_some()
             {
                 actions.push(Step::Ready(voter));
             }
@@ -171,14 +171,14 @@
             Step::Crash(voter) => {
                 // What was agreed is on its disk; what it promised is not.
                 let since = if self.hasty { 0 } else { next.time };
-                next.promises[voter] = Promises::new(self.timing(), since);
+                next.promises[voter] = LeaseGrants::new(self.timing(), since);
                 next.crashes += 1;
             }
             Step::Deliver(question) => {
                 next.flying.remove(&question);
                 let Question { holder, voter, number, acting } = question;
                 let (who, seen) = ((format!("h{holder}"), 1), state(next.seen[voter]));
-                let yes = next.promises[voter].ask(next.time, &who, number, acting, seen);
+                let yes = next.promises[voter].try_grant(next.time, &who, number, acting, seen);
                 next.holders[holder].handle_response(next.time, voter, number, yes, None);
             }
         }
--- a/crates/lab/src/capacity/voter.rs
+++ b/crates/lab/src/capacity/voter.rs
@@ -18,9 +18,9 @@
 use loomlb_consensus::agreement::Agreement;
 use loomlb_consensus::disk::LogFile;
 use loomlb_consensus::frames::Word;
+use loomlb_consensus::lease_grants::{LeaseGrants, ProcessId};
 use loomlb_consensus::lists::{Lists, Mine};
 use loomlb_consensus::place::{Lasting, Place};
-use loomlb_consensus::promises::{Process, Promises};
 use loomlb_consensus::state::{Command, State};
 use loomlb_consensus::timing::TimingConfig;
 use serde_json::json;
@@ -81,7 +81,7 @@
 
 /// What schedulers tell and ask of a voter.
 struct Asked {
-    promises: Promises,
+    promises: LeaseGrants,
     lists: Lists,
     seen: State,
     now: u64,
@@ -90,13 +90,13 @@
 impl Asked {
     fn new(seen: &State) -> Result<Asked, String> {
         let timing = TimingConfig::default().derive().map_err(|(key, why)| format!("{key}: {why}"))?;
-        let (promises, lists) = (Promises::new(timing, 0), Lists::default());
+        let (promises, lists) = (LeaseGrants::new(timing, 0), Lists::default());
         Ok(Asked { promises, lists, seen: seen.clone(), now: 0 })
     }
 
-    fn ask(&mut self, who: &Process, number: u64, acting: EffectiveRules, list: &Mine) -> Word {
+    fn ask(&mut self, who: &ProcessId, number: u64, acting: EffectiveRules, list: &Mine) -> Word {
         self.lists.hear(self.now, who, list);
-        let yes = self.promises.ask(self.now, who, number, acting, &self.seen);
+        let yes = self.promises.try_grant(self.now, who, number, acting, &self.seen);
         Word::Answer { number, yes, news: None, lists: self.lists.tell(self.now) }
     }
 }
@@ -111,7 +111,7 @@
     let seen = state(69, 3);
     let acting = EffectiveRules::On(seen.newest_version());
     for n in plan.sizes(&[10usize, 30, 100, 300, 1_000, 3_000]) {
-        let all: Vec<Process> = (0..*n as u64).map(|i| (format!("s-{i:08x}"), i)).collect();
+        let all: Vec<ProcessId> = (0..*n as u64).map(|i| (format!("s-{i:08x}"), i)).collect();
         // The state that it knows is not the schedulers'.
         let mut asked = Asked::new(&seen)?;
         let ((), held) = live(|| {
--- a/crates/lab/src/trial.rs
+++ b/crates/lab/src/trial.rs
@@ -7,10 +7,10 @@
 use loomlb_consensus::check::{Event as Did, Line, Verdict, judge};
 use loomlb_consensus::disk::{Disk, LogFile};
 use loomlb_consensus::frames::{self, Channel, Word};
+use loomlb_consensus::lease_grants::LeaseGrants;
 use loomlb_consensus::lease_holder::LeaseHolder;
 use loomlb_consensus::lists::{Mine, Theirs};
 use loomlb_consensus::place::{Fault, Memory};
-use loomlb_consensus::promises::Promises;
 use loomlb_consensus::rules::Body;
 use loomlb_consensus::state::{Command, Outcome, State};
 use loomlb_consensus::timing::{LeaseTiming, TimingConfig};
@@ -207,7 +207,7 @@
     held_up: Vec<Due>,
     rate: f64,
     holder: LeaseHolder,
-    voter: Option<(Agreement, Promises)>,
+    voter: Option<(Agreement, LeaseGrants)>,
     place: Memory,
     log: Option<LogFile>,
     /// How often the disk has begun to fail.
@@ -430,7 +430,7 @@
                 Without::Quiet => None,
                 _ => Some(self.clock(n)),
             };
-            let promises = Promises::new(self.timing, since.unwrap_or(0));
+            let promises = LeaseGrants::new(self.timing, since.unwrap_or(0));
             self.nodes[n].voter = Some((agreement, promises));
             self.push(self.now, Due::Tick(n, self.nodes[n].run));
         }
@@ -468,7 +468,7 @@
                     agreement.tick();
                     (
                         agreement.leader(),
-                        promises.ready(now, agreement.state()).filter(|_| agreement.settled()),
+                        promises.ready_version(now, agreement.state()).filter(|_| agreement.settled()),
                     )
                 });
                 if let Some((leader, ready)) = leader {
@@ -539,7 +539,7 @@
     fn voter<T>(
         &mut self,
         n: usize,
-        word: impl FnOnce(&mut Agreement, &mut Promises, Nanos) -> T,
+        word: impl FnOnce(&mut Agreement, &mut LeaseGrants, Nanos) -> T,
     ) -> Option<T> {
         let now = self.clock(n);
         self.nodes[n].voter.as_mut().map(|(agreement, promises)| word(agreement, promises, now))
@@ -619,7 +619,7 @@
         let (id, all) = (n as u64 + 1, self.trial.voters as u64);
         let agreement = Agreement::new(id, all, loaded).map_err(|e| e.to_string())?;
         let since = if self.trial.without == Without::Quiet { 0 } else { self.clock(n) };
-        self.nodes[n].voter = Some((agreement, Promises::new(self.timing, since)));
+        self.nodes[n].voter = Some((agreement, LeaseGrants::new(self.timing, since)));
         self.recoveries += 1;
         Ok(())
     }
@@ -743,7 +743,8 @@
                 let answer = self.voter(to, |agreement, promises, now| {
                     let state = agreement.state();
                     let yes = agreement.settled()
-                        && acting.is_some_and(|acting| promises.ask(now, &process, number, acting, state));
+                        && acting
+                            .is_some_and(|acting| promises.try_grant(now, &process, number, acting, state));
                     (yes, (state.index > index).then(|| Box::new(state.clone())))
                 });
                 // An answer to an earlier process of this name finds nobody.
--- a/crates/leases/src/lib.rs
+++ b/crates/leases/src/lib.rs
@@ -16,4 +16,4 @@
 /// Grows by one with every holder of a duty; 0 before the first.
 pub type Token = u64;
 /// A process of a scheduler, as no other is called: its name and a number.
-pub type Process = loomlb_consensus::promises::Process;
+pub type Process = loomlb_consensus::lease_grants::ProcessId;
--- a/crates/tier/src/voter.rs
+++ b/crates/tier/src/voter.rs
@@ -10,8 +10,8 @@
 use loomlb_consensus::agreement_error::AgreementError;
 use loomlb_consensus::disk::{Disk, LogFile};
 use loomlb_consensus::frames::Word;
+use loomlb_consensus::lease_grants::{LeaseGrants, ProcessId};
 use loomlb_consensus::lists::Lists;
-use loomlb_consensus::promises::{Process, Promises};
 use loomlb_consensus::state::Command;
 use loomlb_consensus::store_error::StoreError;
 use loomlb_consensus::timing::LeaseTiming;
@@ -29,7 +29,7 @@
 #[derive(Debug)]
 pub(crate) struct Voter {
     pub(crate) agreement: Agreement,
-    pub(crate) promises: Promises,
+    pub(crate) promises: LeaseGrants,
     pub(crate) lists: Lists,
     pub(crate) log: LogFile,
     /// The task that accepts links of other schedulers, once it runs.
@@ -45,7 +45,7 @@
         let loaded = self.log.recover()?;
         let number = on.number.unwrap_or_default();
         self.agreement = Agreement::new(number, on.spec.voters.len() as u64, loaded)?;
-        self.promises = Promises::new(on.timing, on.now());
+        self.promises = LeaseGrants::new(on.timing, on.now());
         Ok(())
     }
 }
@@ -77,7 +77,7 @@
     let opened = opening.open("listen", at, AddressInUse::Report, bind).await;
     let listener = opened.map_err(|e| VoterError::Listen { at, source: e.into() })?;
     let agreement = Agreement::new(number, spec.voters.len() as u64, loaded)?;
-    let promises = Promises::new(timing, now);
+    let promises = LeaseGrants::new(timing, now);
     let voter = Voter { agreement, promises, lists: Lists::default(), log, accepting: None, stopped: false };
     Ok((listener, voter))
 }
@@ -125,7 +125,7 @@
 }
 
 /// What this voter makes of a word, and its reply.
-pub(crate) fn voter_hears(on: &On, who: &Process, voter: Option<u64>, word: Word) -> Option<Word> {
+pub(crate) fn voter_hears(on: &On, who: &ProcessId, voter: Option<u64>, word: Word) -> Option<Word> {
     let now = on.now();
     let mut held = on.voter.borrow_mut();
     let Voter { agreement, promises, lists, .. } = held.as_mut()?;
@@ -134,7 +134,7 @@
             lists.hear(now, who, &list);
             let state = agreement.state();
             let yes = agreement.settled()
-                && acting.is_some_and(|acting| promises.ask(now, who, number, acting, state));
+                && acting.is_some_and(|acting| promises.try_grant(now, who, number, acting, state));
             let news = (state.index > index).then(|| Box::new(state.clone()));
             return Some(Word::Answer { number, yes, news, lists: lists.tell(now) });
         }
@@ -225,7 +225,7 @@
 fn tick(on: &On, voter: &mut Voter) {
     let Voter { agreement, promises, .. } = voter;
     agreement.tick();
-    let ready = promises.ready(on.now(), agreement.state()).filter(|_| agreement.settled());
+    let ready = promises.ready_version(on.now(), agreement.state()).filter(|_| agreement.settled());
     if let Some(version) = ready {
         match agreement.leader() {
             0 => {}
