--- a/crates/conformance/src/tier_client.rs
+++ b/crates/conformance/src/tier_client.rs
@@ -7,9 +7,9 @@
 use crate::Broken;
 use loomlb_consensus::EffectiveRules;
 use loomlb_consensus::frames::{self, Channel, FIRST, FORMAT, Nonce, Word};
-use loomlb_consensus::lists::Theirs;
 use loomlb_consensus::rules::Body;
 use loomlb_consensus::state::{Command, Document, Outcome, State};
+use loomlb_consensus::worker_lists::ListSummary;
 use std::collections::{BTreeMap, BTreeSet};
 use std::io::{self, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -230,7 +230,7 @@
             let news = (tell.state.index > index).then(|| Box::new(tell.state.clone()));
             let falsely = tell.falsely == Some(voter);
             let news = if falsely { Some(Box::new(lie(&tell.state))) } else { news };
-            let reply = Word::Answer { number, yes: acting.is_some(), news, lists: Theirs::default() };
+            let reply = Word::Answer { number, yes: acting.is_some(), news, lists: ListSummary::default() };
             let mut bytes = to.seal(&reply);
             if falsely {
                 bytes[6] ^= 1;
--- a/crates/consensus/src/frames.rs
+++ b/crates/consensus/src/frames.rs
@@ -4,8 +4,8 @@
 //! is counted, so that none can be changed, left out, said again or carried over to another connection.
 
 use crate::EffectiveRules;
-use crate::lists::{Mine, Theirs};
 use crate::state::{Command, State};
+use crate::worker_lists::{ListReport, ListSummary};
 use serde::{Deserialize, Serialize};
 
 /// Version of the words; another one is not spoken to.
@@ -53,7 +53,7 @@
         index: u64,
         /// Its list of workers.
         #[serde(rename = "list")]
-        list: Mine,
+        list: ListReport,
     },
     /// A voter's answer.
     #[serde(rename = "Answer")]
@@ -69,7 +69,7 @@
         news: Option<Box<State>>,
         /// The lists of all.
         #[serde(rename = "lists")]
-        lists: Theirs,
+        lists: ListSummary,
     },
     /// A scheduler proposes; it asks again until it sees the outcome.
     #[serde(rename = "Propose")]
--- a/crates/consensus/src/lib.rs
+++ b/crates/consensus/src/lib.rs
@@ -4,7 +4,7 @@
 //! document ([`state`]) by the Raft library; [`lease_grants`] is what a voter has promised to whom, [`lease_holder`] what a
 //! scheduler may act on now, [`timing`] the figures that both go by, with their proof in docs/design/0006-accord.md.
 //! [`rules`] tells which changes contradict each other and what is the strictest of two documents; [`check`] reads the
-//! histories of all schedulers and says where an invariant broke; [`lists`] tells how far apart their lists of workers are. [`frames`] are the words on the tier link.
+//! histories of all schedulers and says where an invariant broke; [`worker_lists`] tells how far apart their lists of workers are. [`frames`] are the words on the tier link.
 
 #![forbid(unsafe_code)]
 
@@ -15,13 +15,13 @@
 pub mod frames;
 pub mod lease_grants;
 pub mod lease_holder;
-pub mod lists;
 pub mod place;
 pub mod rules;
 pub mod state;
 pub mod store_error;
 pub mod timing;
 pub mod votes;
+pub mod worker_lists;
 
 /// A point in time or a span, in nanoseconds of whoever's clock is at hand.
 pub type Nanos = u64;
--- a/crates/consensus/src/lists.rs
+++ b/crates/consensus/src/worker_lists.rs
@@ -14,11 +14,11 @@
 /// Processes that are remembered.
 const PROCESSES: usize = 10_000;
 /// Workers that are told to be leaving, at once.
-pub const LEAVING: usize = 64;
+pub const MAX_LEAVING_WORKERS: usize = 64;
 
 /// A worker that a list has told to be leaving, in one of its lives.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Leaving {
+pub struct LeavingWorker {
     /// Its name.
     #[serde(rename = "host")]
     pub host: String,
@@ -29,18 +29,18 @@
 
 /// What a scheduler says of its list.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Mine {
+pub struct ListReport {
     /// Its version; 0 without one.
     #[serde(rename = "version")]
     pub version: u64,
-    /// Workers that it was told to be leaving lately, [`LEAVING`] at the most.
+    /// Workers that it was told to be leaving lately, [`MAX_LEAVING_WORKERS`] at the most.
     #[serde(rename = "leaving")]
-    pub leaving: Vec<Leaving>,
+    pub leaving: Vec<LeavingWorker>,
 }
 
 /// What a voter says of all schedulers' lists.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Theirs {
+pub struct ListSummary {
     /// The newest version that anybody has.
     #[serde(rename = "newest")]
     pub newest: u64,
@@ -49,35 +49,35 @@
     pub oldest: u64,
     /// Workers that somebody was told to be leaving.
     #[serde(rename = "leaving")]
-    pub leaving: Vec<Leaving>,
+    pub leaving: Vec<LeavingWorker>,
 }
 
 /// The words of all schedulers at one voter.
 #[derive(Clone, Debug, Default)]
-pub struct Lists {
+pub struct ListReports {
     said: BTreeMap<ProcessId, (u64, Nanos)>,
-    leaving: BTreeMap<Leaving, Nanos>,
+    leaving: BTreeMap<LeavingWorker, Nanos>,
 }
 
-impl Lists {
+impl ListReports {
     /// A process says what it has.
-    pub fn hear(&mut self, now: Nanos, who: &ProcessId, mine: &Mine) {
+    pub fn record(&mut self, now: Nanos, who: &ProcessId, mine: &ListReport) {
         if self.said.len() < PROCESSES || self.said.contains_key(who) {
             self.said.insert(who.clone(), (mine.version, now));
         }
-        for leaving in mine.leaving.iter().take(LEAVING) {
-            if self.leaving.len() < LEAVING || self.leaving.contains_key(leaving) {
+        for leaving in mine.leaving.iter().take(MAX_LEAVING_WORKERS) {
+            if self.leaving.len() < MAX_LEAVING_WORKERS || self.leaving.contains_key(leaving) {
                 self.leaving.insert(leaving.clone(), now);
             }
         }
     }
 
     /// What all have, of those that have spoken lately.
-    pub fn tell(&mut self, now: Nanos) -> Theirs {
+    pub fn summarize(&mut self, now: Nanos) -> ListSummary {
         self.said.retain(|_, (_, at)| now < *at + KEPT);
         self.leaving.retain(|_, at| now < *at + KEPT);
         let versions = || self.said.values().map(|s| s.0);
-        Theirs {
+        ListSummary {
             newest: versions().max().unwrap_or(0),
             oldest: versions().min().unwrap_or(0),
             leaving: self.leaving.keys().cloned().collect(),
@@ -91,17 +91,17 @@
 
     #[test]
     fn the_latest_word_of_each_counts_and_is_forgotten_in_time() {
-        let mut lists = Lists::default();
-        let leaving = Leaving { host: "w".into(), born_ms: 5 };
+        let mut lists = ListReports::default();
+        let leaving = LeavingWorker { host: "w".into(), born_ms: 5 };
         let who = |name: &str| (name.to_string(), 1);
-        lists.hear(0, &who("a"), &Mine { version: 7, leaving: vec![leaving.clone()] });
-        lists.hear(1, &who("b"), &Mine { version: 4, leaving: Vec::new() });
-        assert_eq!(lists.tell(2), Theirs { newest: 7, oldest: 4, leaving: vec![leaving.clone()] });
-        lists.hear(KEPT - 1, &who("b"), &Mine { version: 6, leaving: Vec::new() });
+        lists.record(0, &who("a"), &ListReport { version: 7, leaving: vec![leaving.clone()] });
+        lists.record(1, &who("b"), &ListReport { version: 4, leaving: Vec::new() });
+        assert_eq!(lists.summarize(2), ListSummary { newest: 7, oldest: 4, leaving: vec![leaving.clone()] });
+        lists.record(KEPT - 1, &who("b"), &ListReport { version: 6, leaving: Vec::new() });
         // The first has been silent for too long: its list is nobody's, and its word on the worker is over.
-        assert_eq!(lists.tell(KEPT), Theirs { newest: 6, oldest: 6, leaving: Vec::new() });
-        let many = (0..200).map(|i| Leaving { host: format!("w{i}"), born_ms: 0 }).collect();
-        lists.hear(KEPT, &who("b"), &Mine { version: 6, leaving: many });
-        assert_eq!(lists.tell(KEPT).leaving.len(), LEAVING);
+        assert_eq!(lists.summarize(KEPT), ListSummary { newest: 6, oldest: 6, leaving: Vec::new() });
+        let many = (0..200).map(|i| LeavingWorker { host: format!("w{i}"), born_ms: 0 }).collect();
+        lists.record(KEPT, &who("b"), &ListReport { version: 6, leaving: many });
+        assert_eq!(lists.summarize(KEPT).leaving.len(), MAX_LEAVING_WORKERS);
     }
 }
--- a/crates/consensus/tests/pins.rs
+++ b/crates/consensus/tests/pins.rs
@@ -9,10 +9,10 @@
 use loomlb_consensus::check::{Event, Line};
 use loomlb_consensus::disk::{Disk, LogFile};
 use loomlb_consensus::frames::{Word, channels, greeting};
-use loomlb_consensus::lists::{Leaving, Mine, Theirs};
 use loomlb_consensus::place::Memory;
 use loomlb_consensus::rules::Body;
 use loomlb_consensus::state::{Command, Document, Outcome, Past, State};
+use loomlb_consensus::worker_lists::{LeavingWorker, ListReport, ListSummary};
 use protobuf::Message as _;
 use raft::eraftpb::{ConfState, Entry, EntryType, HardState, Snapshot};
 use serde_json::json;
@@ -61,9 +61,9 @@
 }
 
 fn messages() -> Vec<Word> {
-    let leaving = vec![Leaving { host: "s-00000001".into(), born_ms: 12 }];
-    let mine = Mine { version: 7, leaving: leaving.clone() };
-    let theirs = Theirs { newest: 7, oldest: 6, leaving };
+    let leaving = vec![LeavingWorker { host: "s-00000001".into(), born_ms: 12 }];
+    let mine = ListReport { version: 7, leaving: leaving.clone() };
+    let theirs = ListSummary { newest: 7, oldest: 6, leaving };
     let ask = |acting| Word::Ask { number: 3, acting, index: 9, list: mine.clone() };
     let answer = |yes, news| Word::Answer { number: 3, yes, news, lists: theirs.clone() };
     vec![
--- a/crates/lab/src/capacity/tier.rs
+++ b/crates/lab/src/capacity/tier.rs
@@ -26,9 +26,9 @@
 use loomlb_capacity::{Series, Source};
 use loomlb_consensus::frames::{Channel, Word, channels};
 use loomlb_consensus::lease_holder::LeaseHolder;
-use loomlb_consensus::lists::{Mine, Theirs};
 use loomlb_consensus::state::{Command, State};
 use loomlb_consensus::timing::TimingConfig;
+use loomlb_consensus::worker_lists::{ListReport, ListSummary};
 use rayon::prelude::*;
 use serde_json::json;
 use std::hint::black_box;
@@ -279,7 +279,7 @@
 
 /// A voter's answer to a scheduler that has nothing.
 pub fn answer(state: &State) -> Word {
-    Word::Answer { number: 1, yes: false, news: Some(Box::new(state.clone())), lists: Theirs::default() }
+    Word::Answer { number: 1, yes: false, news: Some(Box::new(state.clone())), lists: ListSummary::default() }
 }
 
 fn first_state(plan: &Plan) -> Option<Series> {
@@ -322,14 +322,14 @@
         point(&mut memory, bytes(*tenants), vec![bytes_held]);
 
         let (mut to, from) = link();
-        let quiet = Word::Answer { number: 1, yes: true, news: None, lists: Theirs::default() };
+        let quiet = Word::Answer { number: 1, yes: true, news: None, lists: ListSummary::default() };
         let quiet = from.clone().seal(&quiet);
         let mut now = 0;
         let asked = plan.time(|| {
             now += S / 4;
             let (number, acting) = held.start_renewal(now);
             let index = held.state().index;
-            black_box(to.seal(&Word::Ask { number, acting, index, list: Mine::default() }));
+            black_box(to.seal(&Word::Ask { number, acting, index, list: ListReport::default() }));
             let opened = from.clone().open(&mut quiet.clone());
             if let Ok(Some(Word::Answer { yes, news, .. })) = opened {
                 black_box(held.handle_response(now, 0, number, yes, news.map(|n| *n)));
--- a/crates/lab/src/capacity/voter.rs
+++ b/crates/lab/src/capacity/voter.rs
@@ -19,10 +19,10 @@
 use loomlb_consensus::disk::LogFile;
 use loomlb_consensus::frames::Word;
 use loomlb_consensus::lease_grants::{LeaseGrants, ProcessId};
-use loomlb_consensus::lists::{Lists, Mine};
 use loomlb_consensus::place::{Lasting, Place};
 use loomlb_consensus::state::{Command, State};
 use loomlb_consensus::timing::TimingConfig;
+use loomlb_consensus::worker_lists::{ListReport, ListReports};
 use serde_json::json;
 use std::cell::Cell;
 use std::hint::black_box;
@@ -82,7 +82,7 @@
 /// What schedulers tell and ask of a voter.
 struct Asked {
     promises: LeaseGrants,
-    lists: Lists,
+    lists: ListReports,
     seen: State,
     now: u64,
 }
@@ -90,14 +90,14 @@
 impl Asked {
     fn new(seen: &State) -> Result<Asked, String> {
         let timing = TimingConfig::default().derive().map_err(|(key, why)| format!("{key}: {why}"))?;
-        let (promises, lists) = (LeaseGrants::new(timing, 0), Lists::default());
+        let (promises, lists) = (LeaseGrants::new(timing, 0), ListReports::default());
         Ok(Asked { promises, lists, seen: seen.clone(), now: 0 })
     }
 
-    fn ask(&mut self, who: &ProcessId, number: u64, acting: EffectiveRules, list: &Mine) -> Word {
-        self.lists.hear(self.now, who, list);
+    fn ask(&mut self, who: &ProcessId, number: u64, acting: EffectiveRules, list: &ListReport) -> Word {
+        self.lists.record(self.now, who, list);
         let yes = self.promises.try_grant(self.now, who, number, acting, &self.seen);
-        Word::Answer { number, yes, news: None, lists: self.lists.tell(self.now) }
+        Word::Answer { number, yes, news: None, lists: self.lists.summarize(self.now) }
     }
 }
 
@@ -115,11 +115,12 @@
         // The state that it knows is not the schedulers'.
         let mut asked = Asked::new(&seen)?;
         let ((), held) = live(|| {
-            all.iter().for_each(|who| _ = asked.ask(who, 0, acting, &Mine { version: 9, leaving: vec![] }));
+            all.iter()
+                .for_each(|who| _ = asked.ask(who, 0, acting, &ListReport { version: 9, leaving: vec![] }));
         });
         point(&mut memory, *n as f64, vec![held]);
         let (from, mut to) = link();
-        let (index, list) = (seen.index, Mine { version: 1_000_000, leaving: Vec::new() });
+        let (index, list) = (seen.index, ListReport { version: 1_000_000, leaving: Vec::new() });
         let sealed = from.clone().seal(&Word::Ask { number: 100_000, acting: Some(acting), index, list });
         let mut number = 0;
         let took = plan.time(|| {
--- a/crates/lab/src/scale/hollow.rs
+++ b/crates/lab/src/scale/hollow.rs
@@ -4,10 +4,10 @@
 use super::host::{Counted, machine};
 use loomlb_consensus::frames::{self, Channel, FIRST, FORMAT, Nonce, Word};
 use loomlb_consensus::lease_holder::LeaseHolder;
-use loomlb_consensus::lists::Mine;
 use loomlb_consensus::rules::Body;
 use loomlb_consensus::state::{Command, State};
 use loomlb_consensus::timing::LeaseTiming;
+use loomlb_consensus::worker_lists::ListReport;
 use loomlb_consensus::{EffectiveRules, Nanos};
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
@@ -310,7 +310,7 @@
             if voter > 0 && self.spec.flaw == Some(Flaw::AsksOne) {
                 continue;
             }
-            let list = Mine { version: self.spec.list, leaving: Vec::new() };
+            let list = ListReport { version: self.spec.list, leaving: Vec::new() };
             let mut words = outbox.words.borrow_mut();
             if words.len() >= WAITING {
                 words.pop_front();
--- a/crates/lab/src/trial.rs
+++ b/crates/lab/src/trial.rs
@@ -9,12 +9,12 @@
 use loomlb_consensus::frames::{self, Channel, Word};
 use loomlb_consensus::lease_grants::LeaseGrants;
 use loomlb_consensus::lease_holder::LeaseHolder;
-use loomlb_consensus::lists::{Mine, Theirs};
 use loomlb_consensus::place::{Fault, Memory};
 use loomlb_consensus::rules::Body;
 use loomlb_consensus::state::{Command, Outcome, State};
 use loomlb_consensus::timing::{LeaseTiming, TimingConfig};
 use loomlb_consensus::votes::{Vote, Votes};
+use loomlb_consensus::worker_lists::{ListReport, ListSummary};
 use loomlb_consensus::{EffectiveRules, Nanos, Version};
 use serde::Serialize;
 use serde_json::{Value, json};
@@ -690,7 +690,7 @@
         let (number, acting) = self.nodes[n].holder.start_renewal(now);
         let index = self.nodes[n].holder.state().index;
         for voter in 0..self.trial.voters {
-            self.send(n, voter, Word::Ask { number, acting, index, list: Mine::default() });
+            self.send(n, voter, Word::Ask { number, acting, index, list: ListReport::default() });
         }
         let waiting = self.nodes[n].proposal.clone();
         if let Some(Command::Propose { token, .. }) = &waiting {
@@ -751,7 +751,7 @@
                 if let Some((yes, news)) = answer
                     && self.nodes[from].run == from_run
                 {
-                    self.send(to, from, Word::Answer { number, yes, news, lists: Theirs::default() });
+                    self.send(to, from, Word::Answer { number, yes, news, lists: ListSummary::default() });
                 }
             }
             Word::Answer { number, yes, news, .. } => {
--- a/crates/lab/tests/capacity.rs
+++ b/crates/lab/tests/capacity.rs
@@ -4,9 +4,9 @@
 use loomlb_capacity::report::Report;
 use loomlb_consensus::disk::LogFile;
 use loomlb_consensus::frames::Word;
-use loomlb_consensus::lists::Theirs;
 use loomlb_consensus::place::Memory;
 use loomlb_consensus::timing::TimingConfig;
+use loomlb_consensus::worker_lists::ListSummary;
 use loomlb_lab::capacity::voter::Counted;
 use loomlb_lab::capacity::{self, Options, meter, probe, tier};
 use loomlb_lab::trial::{self, Load, Trial, Without};
@@ -123,7 +123,8 @@
     }
     let state = tier::state(4, 80);
     assert_eq!((state.history.len(), state.outcomes.len(), state.newest_version()), (64, 64, 80));
-    let word = Word::Answer { number: 1, yes: false, news: Some(Box::new(state)), lists: Theirs::default() };
+    let word =
+        Word::Answer { number: 1, yes: false, news: Some(Box::new(state)), lists: ListSummary::default() };
     let only = |key: &str| {
         let options = Options { quick: true, only: Some(key.into()), ..Options::default() };
         let told = capacity::run(&options).unwrap();
--- a/crates/scheduler/src/agreed.rs
+++ b/crates/scheduler/src/agreed.rs
@@ -1,7 +1,7 @@
 //! Agreed: what the tier has agreed on, put in force in this scheduler; and files that go to the tier as proposals.
 
 use super::{Scheduler, control, discovery, reload};
-use loomlb_consensus::lists::{Leaving, Mine};
+use loomlb_consensus::worker_lists::{LeavingWorker, ListReport};
 use loomlb_tier::Application;
 use serde_json::Value;
 use std::rc::Rc;
@@ -17,7 +17,7 @@
 }
 
 impl Application for Around {
-    fn list(&self) -> Mine {
+    fn list(&self) -> ListReport {
         self.0.group.mine(self.0.clock.now())
     }
 
@@ -37,7 +37,7 @@
         control::agreed(&self.0, worker, out);
     }
 
-    fn leaving(&self, leaving: &Leaving) -> bool {
+    fn leaving(&self, leaving: &LeavingWorker) -> bool {
         discovery::hearsay(&self.0, &leaving.host, leaving.born_ms)
     }
 
--- a/crates/scheduler/src/discovery.rs
+++ b/crates/scheduler/src/discovery.rs
@@ -3,7 +3,7 @@
 use super::http::{Kind, Message, Wire};
 use super::worker_starts::{Incarnation, WorkerStarts};
 use super::{Scheduler, route};
-use loomlb_consensus::lists::{LEAVING, Leaving, Mine};
+use loomlb_consensus::worker_lists::{LeavingWorker, ListReport, MAX_LEAVING_WORKERS};
 use loomlb_control::orders::{Effect, Orders};
 use loomlb_policy::boot::Names;
 use loomlb_policy::{CellId, Event, ListKind, Nanos, Worker, WorkerId, WorkerState};
@@ -171,11 +171,14 @@
     }
 
     /// What this scheduler tells others of its list: the version, and what is leaving by discovery's own word.
-    pub fn mine(&self, now: Nanos) -> Mine {
+    pub fn mine(&self, now: Nanos) -> ListReport {
         let targets = self.targets.borrow();
         let lately = targets.values().filter(|t| t.leaving.is_some_and(|at| now < at + TOLD));
-        let leaving = lately.map(|t| Leaving { host: t.host.to_string(), born_ms: t.said.born_ms });
-        Mine { version: self.seq.get().unwrap_or(0), leaving: leaving.take(LEAVING).collect() }
+        let leaving = lately.map(|t| LeavingWorker { host: t.host.to_string(), born_ms: t.said.born_ms });
+        ListReport {
+            version: self.seq.get().unwrap_or(0),
+            leaving: leaving.take(MAX_LEAVING_WORKERS).collect(),
+        }
     }
 
     /// Others have a newer list: the whole of it is asked for at once.
--- a/crates/tier/src/lease.rs
+++ b/crates/tier/src/lease.rs
@@ -6,9 +6,9 @@
 use loomlb_consensus::Nanos;
 use loomlb_consensus::check::Event as Did;
 use loomlb_consensus::frames::Word;
-use loomlb_consensus::lists::Theirs;
 use loomlb_consensus::rules;
 use loomlb_consensus::state::State;
+use loomlb_consensus::worker_lists::ListSummary;
 use std::rc::Rc;
 use std::time::Duration;
 
@@ -72,7 +72,7 @@
 }
 
 /// What other schedulers have been told of the workers: whoever is behind asks discovery, and takes their word for a drain.
-pub(crate) fn compare(on: &On, around: &dyn Application, theirs: &Theirs) {
+pub(crate) fn compare(on: &On, around: &dyn Application, theirs: &ListSummary) {
     let (now, mine) = (on.now(), around.list().version);
     on.lists.set((theirs.newest, theirs.oldest));
     for leaving in &theirs.leaving {
--- a/crates/tier/src/lib.rs
+++ b/crates/tier/src/lib.rs
@@ -27,9 +27,9 @@
 use loomlb_consensus::check::{Event as Did, Line};
 use loomlb_consensus::frames::Word;
 use loomlb_consensus::lease_holder::LeaseHolder;
-use loomlb_consensus::lists::{Leaving, Mine};
 use loomlb_consensus::state::State;
 use loomlb_consensus::timing::LeaseTiming;
+use loomlb_consensus::worker_lists::{LeavingWorker, ListReport};
 use loomlb_consensus::{EffectiveRules, Nanos};
 use loomlb_sockets::OpenRetry;
 use proposals::Waiting;
@@ -52,7 +52,7 @@
 /// What acts by the tier's rules: the process around it. The tier asks no more of it than this.
 pub trait Application {
     /// What it has been told of the workers.
-    fn list(&self) -> Mine;
+    fn list(&self) -> ListReport;
     /// The settings that are in force in it, its own keys included.
     fn settings(&self) -> Value;
     /// Why it could not act on these settings, by their key; it changes nothing.
@@ -62,7 +62,7 @@
     /// Takes a worker out, or puts it back.
     fn order(&self, worker: &str, out: bool);
     /// Another scheduler was told that a worker is leaving; true if that is news here.
-    fn leaving(&self, leaving: &Leaving) -> bool;
+    fn leaving(&self, leaving: &LeavingWorker) -> bool;
     /// Words of others on leaving workers that were not said again for a while are over.
     fn forget_leaving(&self);
     /// Others have a newer list: it is asked for at once.
--- a/crates/tier/src/voter.rs
+++ b/crates/tier/src/voter.rs
@@ -11,10 +11,10 @@
 use loomlb_consensus::disk::{Disk, LogFile};
 use loomlb_consensus::frames::Word;
 use loomlb_consensus::lease_grants::{LeaseGrants, ProcessId};
-use loomlb_consensus::lists::Lists;
 use loomlb_consensus::state::Command;
 use loomlb_consensus::store_error::StoreError;
 use loomlb_consensus::timing::LeaseTiming;
+use loomlb_consensus::worker_lists::ListReports;
 use loomlb_sockets::{AddressInUse, OpenRetry};
 use std::io;
 use std::rc::Rc;
@@ -30,7 +30,7 @@
 pub(crate) struct Voter {
     pub(crate) agreement: Agreement,
     pub(crate) promises: LeaseGrants,
-    pub(crate) lists: Lists,
+    pub(crate) lists: ListReports,
     pub(crate) log: LogFile,
     /// The task that accepts links of other schedulers, once it runs.
     accepting: Option<AbortHandle>,
@@ -78,7 +78,8 @@
     let listener = opened.map_err(|e| VoterError::Listen { at, source: e.into() })?;
     let agreement = Agreement::new(number, spec.voters.len() as u64, loaded)?;
     let promises = LeaseGrants::new(timing, now);
-    let voter = Voter { agreement, promises, lists: Lists::default(), log, accepting: None, stopped: false };
+    let voter =
+        Voter { agreement, promises, lists: ListReports::default(), log, accepting: None, stopped: false };
     Ok((listener, voter))
 }
 
@@ -131,12 +132,12 @@
     let Voter { agreement, promises, lists, .. } = held.as_mut()?;
     let reply = match word {
         Word::Ask { number, acting, index, list } => {
-            lists.hear(now, who, &list);
+            lists.record(now, who, &list);
             let state = agreement.state();
             let yes = agreement.settled()
                 && acting.is_some_and(|acting| promises.try_grant(now, who, number, acting, state));
             let news = (state.index > index).then(|| Box::new(state.clone()));
-            return Some(Word::Answer { number, yes, news, lists: lists.tell(now) });
+            return Some(Word::Answer { number, yes, news, lists: lists.summarize(now) });
         }
         Word::Propose(command @ Command::Propose { .. }) => {
             agreement.propose(&command);
--- a/crates/tier/tests/proposals.rs
+++ b/crates/tier/tests/proposals.rs
@@ -1,9 +1,9 @@
 //! What a scheduler says to the voters, heard by stand-ins that never agree.
 
 use loomlb_consensus::frames::{self, FIRST, Word};
-use loomlb_consensus::lists::{Leaving, Mine, Theirs};
 use loomlb_consensus::rules::Body;
 use loomlb_consensus::state::{Command, Document, State};
+use loomlb_consensus::worker_lists::{LeavingWorker, ListReport, ListSummary};
 use loomlb_tier::{Application, Spec};
 use serde_json::{Value, json};
 use std::cell::Cell;
@@ -19,8 +19,8 @@
 struct Idle;
 
 impl Application for Idle {
-    fn list(&self) -> Mine {
-        Mine::default()
+    fn list(&self) -> ListReport {
+        ListReport::default()
     }
     fn settings(&self) -> Value {
         json!({"tick": 1})
@@ -32,7 +32,7 @@
         Ok(())
     }
     fn order(&self, _: &str, _: bool) {}
-    fn leaving(&self, _: &Leaving) -> bool {
+    fn leaving(&self, _: &LeavingWorker) -> bool {
         false
     }
     fn forget_leaving(&self) {}
@@ -64,7 +64,7 @@
                 Word::Ask { number, index, .. } => {
                     heard.questions.set(heard.questions.get() + 1);
                     let news = (index < 1).then(|| Box::new(state.clone()));
-                    let answer = Word::Answer { number, yes: true, news, lists: Theirs::default() };
+                    let answer = Word::Answer { number, yes: true, news, lists: ListSummary::default() };
                     stream.write_all(&to.seal(&answer)).await?;
                 }
                 // Not the file that it proposed before it knew of a document.
