--- a/crates/conformance/src/tier_client.rs
+++ b/crates/conformance/src/tier_client.rs
@@ -6,7 +6,7 @@
 
 use crate::Broken;
 use loomlb_consensus::EffectiveRules;
-use loomlb_consensus::frames::{self, Channel, FIRST, FORMAT, Nonce, Word};
+use loomlb_consensus::link_protocol::{self, Channel, GREETING_BYTES, LinkMessage, Nonce, PROTOCOL_VERSION};
 use loomlb_consensus::rules::Body;
 use loomlb_consensus::state::{Command, Document, Outcome, State};
 use loomlb_consensus::worker_lists::ListSummary;
@@ -64,7 +64,7 @@
 #[derive(Clone, Debug)]
 enum What {
     Nonce(Nonce),
-    Word(Word),
+    Word(LinkMessage),
     /// What cannot be read, or is no greeting.
     Faulty(String),
     /// The other end has closed.
@@ -169,7 +169,7 @@
     stream.set_read_timeout(Some(Duration::from_millis(20))).map_err(broke)?;
     let mut first = Vec::new();
     let begun = Instant::now();
-    while first.len() < FIRST {
+    while first.len() < GREETING_BYTES {
         let mut byte = [0; 1];
         match stream.read(&mut byte) {
             Ok(1) => first.push(byte[0]),
@@ -178,15 +178,15 @@
             Err(e) => return Err(format!("no greeting: {e}")),
         }
     }
-    let mut whole = [0; FIRST];
+    let mut whole = [0; GREETING_BYTES];
     whole.copy_from_slice(&first);
-    let theirs = frames::greeted(&whole).map_err(|e| format!("its greeting: {e}"))?;
+    let theirs = link_protocol::parse_greeting(&whole).map_err(|e| format!("its greeting: {e}"))?;
     hear(shared, voter, link, What::Nonce(theirs));
     let mut mine = Nonce::default();
     mine[..8].copy_from_slice(&link.to_le_bytes());
     mine[8] = voter as u8;
-    stream.write_all(&frames::greeting(&mine)).map_err(broke)?;
-    let (mut from, mut to) = frames::channels(KEY, &theirs, &mine);
+    stream.write_all(&link_protocol::greeting(&mine)).map_err(broke)?;
+    let (mut from, mut to) = link_protocol::derive_channels(KEY, &theirs, &mine);
     let mut bytes = Vec::new();
     while !shared.over.load(Ordering::Relaxed) {
         if shared.tell().ends == Some(voter) {
@@ -220,17 +220,22 @@
     shared: &Shared,
     voter: usize,
     link: u64,
-    word: Word,
+    word: LinkMessage,
     to: &mut Channel,
     stream: &mut TcpStream,
 ) -> io::Result<()> {
     let mut tell = shared.tell();
     match word {
-        Word::Ask { number, acting, index, .. } => {
+        LinkMessage::LeaseRequest { number, rules: acting, index, .. } => {
             let news = (tell.state.index > index).then(|| Box::new(tell.state.clone()));
             let falsely = tell.falsely == Some(voter);
             let news = if falsely { Some(Box::new(lie(&tell.state))) } else { news };
-            let reply = Word::Answer { number, yes: acting.is_some(), news, lists: ListSummary::default() };
+            let reply = LinkMessage::LeaseResponse {
+                number,
+                granted: acting.is_some(),
+                newer_state: news,
+                lists: ListSummary::default(),
+            };
             let mut bytes = to.seal(&reply);
             if falsely {
                 bytes[6] ^= 1;
@@ -239,7 +244,7 @@
             }
             stream.write_all(&bytes)
         }
-        Word::Propose(Command::Propose { token, .. }) => {
+        LinkMessage::Propose(Command::Propose { token, .. }) => {
             // Its outcome is known once there is a document.
             if tell.state.outcome(token).is_none() {
                 let outcome = Outcome::Missed(tell.state.newest_version());
@@ -266,7 +271,7 @@
 /// Questions: when, on which link, to which voter, their number, what is acted on, and which state.
 fn questions(heard: &[Heard]) -> Vec<Question> {
     let asks = heard.iter().filter_map(|h| match &h.what {
-        What::Word(Word::Ask { number, acting, index, .. }) => {
+        What::Word(LinkMessage::LeaseRequest { number, rules: acting, index, .. }) => {
             Some((h.at, h.link, h.voter, *number, *acting, *index))
         }
         _ => None,
@@ -373,9 +378,9 @@
     let heard = voters.heard();
     throughout(&heard, &mut say);
     // What was on its way when the document came is no fault.
-    let late = heard
-        .iter()
-        .find(|h| h.at > given + Duration::from_secs(2) && matches!(h.what, What::Word(Word::Propose(_))));
+    let late = heard.iter().find(|h| {
+        h.at > given + Duration::from_secs(2) && matches!(h.what, What::Word(LinkMessage::Propose(_)))
+    });
     if let Some(late) = late {
         say(PROPOSALS, format!("voter {} heard one while there is a document", late.voter));
     }
@@ -421,15 +426,18 @@
             What::Word(word) => {
                 if first_words.insert(h.link) {
                     match word {
-                        Word::Hello { format: FORMAT, name, process: number, voter: None }
-                            if name == NAME =>
-                        {
+                        LinkMessage::Hello {
+                            format: PROTOCOL_VERSION,
+                            name,
+                            process: number,
+                            voter: None,
+                        } if name == NAME => {
                             process.insert(h.link, *number);
                         }
                         other => say(HELLO, format!("{other:?}")),
                     }
                 }
-                if let Word::Ask { number, .. } = word {
+                if let LinkMessage::LeaseRequest { number, .. } = word {
                     let by = (h.voter, process.get(&h.link).copied().unwrap_or(0));
                     let last = numbers.insert(by, *number);
                     if last.is_some_and(|last| last >= *number) {
--- a/crates/consensus/src/lib.rs
+++ b/crates/consensus/src/lib.rs
@@ -4,7 +4,7 @@
 //! document ([`state`]) by the Raft library; [`lease_grants`] is what a voter has promised to whom, [`lease_holder`] what a
 //! scheduler may act on now, [`timing`] the figures that both go by, with their proof in docs/design/0006-accord.md.
 //! [`rules`] tells which changes contradict each other and what is the strictest of two documents; [`check`] reads the
-//! histories of all schedulers and says where an invariant broke; [`worker_lists`] tells how far apart their lists of workers are. [`frames`] are the words on the tier link.
+//! histories of all schedulers and says where an invariant broke; [`worker_lists`] tells how far apart their lists of workers are. [`link_protocol`] are the words on the tier link.
 
 #![forbid(unsafe_code)]
 
@@ -12,9 +12,9 @@
 pub mod agreement_error;
 pub mod check;
 pub mod disk;
-pub mod frames;
 pub mod lease_grants;
 pub mod lease_holder;
+pub mod link_protocol;
 pub mod place;
 pub mod rules;
 pub mod state;
--- a/crates/consensus/src/frames.rs
+++ b/crates/consensus/src/link_protocol.rs
@@ -9,20 +9,20 @@
 use serde::{Deserialize, Serialize};
 
 /// Version of the words; another one is not spoken to.
-pub const FORMAT: u32 = 1;
+pub const PROTOCOL_VERSION: u32 = 1;
 /// A longer word is none, in bytes.
-pub const LONGEST: usize = 4 << 20;
+pub const MAX_MESSAGE_BYTES: usize = 4 << 20;
 /// A number used once.
 pub type Nonce = [u8; 16];
 /// What each end says first, before its number.
-const GREETING: [u8; 4] = *b"LLT1";
+const GREETING_MAGIC: [u8; 4] = *b"LLT1";
 /// Length of the greeting with the number.
-pub const FIRST: usize = 20;
-const CODE: usize = 16;
+pub const GREETING_BYTES: usize = 20;
+const MAC_BYTES: usize = 16;
 
 /// A word on the link.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Word {
+pub enum LinkMessage {
     /// The caller's first word.
     #[serde(rename = "Hello")]
     Hello {
@@ -41,13 +41,13 @@
     },
     /// A scheduler asks to go on acting.
     #[serde(rename = "Ask")]
-    Ask {
+    LeaseRequest {
         /// Number of the question.
         #[serde(rename = "number")]
         number: u64,
         /// What it acts on, if it knows of a document.
         #[serde(rename = "acting")]
-        acting: Option<EffectiveRules>,
+        rules: Option<EffectiveRules>,
         /// The state that it has.
         #[serde(rename = "index")]
         index: u64,
@@ -57,16 +57,16 @@
     },
     /// A voter's answer.
     #[serde(rename = "Answer")]
-    Answer {
+    LeaseResponse {
         /// To which question.
         #[serde(rename = "number")]
         number: u64,
         /// Whether it promised.
         #[serde(rename = "yes")]
-        yes: bool,
+        granted: bool,
         /// The state, if it is newer than the asker's.
         #[serde(rename = "news")]
-        news: Option<Box<State>>,
+        newer_state: Option<Box<State>>,
         /// The lists of all.
         #[serde(rename = "lists")]
         lists: ListSummary,
@@ -102,38 +102,38 @@
 
 /// Why a link cannot go on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Fault {
+pub enum LinkError {
     /// It is no tier link.
-    Stranger,
+    NotATierLink,
     /// A code is wrong: another key, or something on the way has changed a word.
-    Code,
+    InvalidMac,
     /// A word that is too long.
-    Length,
+    TooLong,
     /// A word that cannot be read.
     Malformed,
 }
 
-impl std::fmt::Display for Fault {
+impl std::fmt::Display for LinkError {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.write_str(match self {
-            Fault::Stranger => "no tier link",
-            Fault::Code => "a false code: another tier.key, or a changed word",
-            Fault::Length => "a word that is too long",
-            Fault::Malformed => "a word that cannot be read",
+            LinkError::NotATierLink => "no tier link",
+            LinkError::InvalidMac => "a false code: another tier.key, or a changed word",
+            LinkError::TooLong => "a word that is too long",
+            LinkError::Malformed => "a word that cannot be read",
         })
     }
 }
 
 /// What an end says first.
 pub fn greeting(nonce: &Nonce) -> Vec<u8> {
-    [&GREETING[..], nonce].concat()
+    [&GREETING_MAGIC[..], nonce].concat()
 }
 
 /// The number that the other end said first.
-pub fn greeted(bytes: &[u8; FIRST]) -> Result<Nonce, Fault> {
+pub fn parse_greeting(bytes: &[u8; GREETING_BYTES]) -> Result<Nonce, LinkError> {
     let mut nonce = Nonce::default();
     nonce.copy_from_slice(&bytes[4..]);
-    if bytes[..4] == GREETING { Ok(nonce) } else { Err(Fault::Stranger) }
+    if bytes[..4] == GREETING_MAGIC { Ok(nonce) } else { Err(LinkError::NotATierLink) }
 }
 
 /// One direction of a link.
@@ -144,7 +144,7 @@
 }
 
 /// Both directions of a link: from the caller, and to it.
-pub fn channels(secret: &str, caller: &Nonce, called: &Nonce) -> (Channel, Channel) {
+pub fn derive_channels(secret: &str, caller: &Nonce, called: &Nonce) -> (Channel, Channel) {
     let tier = blake3::derive_key("loomlb tier link 1", secret.as_bytes());
     let way = |to: u8| {
         let mut hasher = blake3::Hasher::new_keyed(&tier);
@@ -155,18 +155,18 @@
 }
 
 impl Channel {
-    fn code(&self, payload: &[u8]) -> [u8; CODE] {
+    fn code(&self, payload: &[u8]) -> [u8; MAC_BYTES] {
         let mut hasher = blake3::Hasher::new_keyed(&self.key);
         hasher.update(&self.count.to_le_bytes()).update(payload);
-        let mut code = [0; CODE];
-        code.copy_from_slice(&hasher.finalize().as_bytes()[..CODE]);
+        let mut code = [0; MAC_BYTES];
+        code.copy_from_slice(&hasher.finalize().as_bytes()[..MAC_BYTES]);
         code
     }
 
     /// The bytes of a word.
-    pub fn seal(&mut self, word: &Word) -> Vec<u8> {
+    pub fn seal(&mut self, word: &LinkMessage) -> Vec<u8> {
         let payload = serde_json::to_vec(word).unwrap_or_default();
-        let mut out = Vec::with_capacity(4 + CODE + payload.len());
+        let mut out = Vec::with_capacity(4 + MAC_BYTES + payload.len());
         out.extend_from_slice(&(payload.len() as u32).to_le_bytes());
         out.extend_from_slice(&self.code(&payload));
         out.extend_from_slice(&payload);
@@ -175,27 +175,27 @@
     }
 
     /// Takes the next word off the bytes; none until it is whole.
-    pub fn open(&mut self, bytes: &mut Vec<u8>) -> Result<Option<Word>, Fault> {
-        let Some(head) = bytes.get(..4 + CODE) else { return Ok(None) };
+    pub fn open(&mut self, bytes: &mut Vec<u8>) -> Result<Option<LinkMessage>, LinkError> {
+        let Some(head) = bytes.get(..4 + MAC_BYTES) else { return Ok(None) };
         let length = u32::from_le_bytes([head[0], head[1], head[2], head[3]]) as usize;
-        if length > LONGEST {
-            return Err(Fault::Length);
+        if length > MAX_MESSAGE_BYTES {
+            return Err(LinkError::TooLong);
         }
-        let Some(payload) = bytes.get(4 + CODE..4 + CODE + length) else { return Ok(None) };
+        let Some(payload) = bytes.get(4 + MAC_BYTES..4 + MAC_BYTES + length) else { return Ok(None) };
         // Compared in constant time.
         if blake3::Hash::from(widened(&self.code(payload))) != blake3::Hash::from(widened(&head[4..])) {
-            return Err(Fault::Code);
+            return Err(LinkError::InvalidMac);
         }
-        let word = serde_json::from_slice(payload).map_err(|_| Fault::Malformed)?;
+        let word = serde_json::from_slice(payload).map_err(|_| LinkError::Malformed)?;
         self.count += 1;
-        bytes.drain(..4 + CODE + length);
+        bytes.drain(..4 + MAC_BYTES + length);
         Ok(Some(word))
     }
 }
 
 fn widened(code: &[u8]) -> [u8; 32] {
     let mut wide = [0; 32];
-    wide[..CODE].copy_from_slice(&code[..CODE]);
+    wide[..MAC_BYTES].copy_from_slice(&code[..MAC_BYTES]);
     wide
 }
 
@@ -205,10 +205,10 @@
 
     #[test]
     fn words_come_through_in_pieces_and_nothing_changed_repeated_or_foreign_does() {
-        let word = Word::Raft(vec![0, 1, 254, 255]);
-        let (mut to, _) = channels("secret", &[1; 16], &[2; 16]);
-        let (mut from, _) = channels("secret", &[1; 16], &[2; 16]);
-        let sealed: Vec<u8> = [to.seal(&word), to.seal(&Word::Ready(3))].concat();
+        let word = LinkMessage::Raft(vec![0, 1, 254, 255]);
+        let (mut to, _) = derive_channels("secret", &[1; 16], &[2; 16]);
+        let (mut from, _) = derive_channels("secret", &[1; 16], &[2; 16]);
+        let sealed: Vec<u8> = [to.seal(&word), to.seal(&LinkMessage::Ready(3))].concat();
         let (mut bytes, mut heard) = (Vec::new(), Vec::new());
         for byte in &sealed {
             bytes.push(*byte);
@@ -222,18 +222,18 @@
         let once = sealed[..sealed.len() / 2].to_vec();
         assert!(from.open(&mut sealed.clone()).is_err(), "said again");
         for at in 4..once.len().min(40) {
-            let (mut fresh, _) = channels("secret", &[1; 16], &[2; 16]);
+            let (mut fresh, _) = derive_channels("secret", &[1; 16], &[2; 16]);
             let mut changed = sealed.clone();
             changed[at] ^= 1;
-            assert_eq!(fresh.open(&mut changed), Err(Fault::Code));
+            assert_eq!(fresh.open(&mut changed), Err(LinkError::InvalidMac));
         }
         for (key, nonce) in [("other", [2; 16]), ("secret", [3; 16])] {
-            let (mut fresh, mut back) = channels(key, &[1; 16], &nonce);
-            assert_eq!(fresh.open(&mut sealed.clone()), Err(Fault::Code));
-            assert_eq!(back.open(&mut sealed.clone()), Err(Fault::Code));
+            let (mut fresh, mut back) = derive_channels(key, &[1; 16], &nonce);
+            assert_eq!(fresh.open(&mut sealed.clone()), Err(LinkError::InvalidMac));
+            assert_eq!(back.open(&mut sealed.clone()), Err(LinkError::InvalidMac));
         }
         let mut long = vec![255; 40];
-        assert_eq!(from.open(&mut long), Err(Fault::Length));
-        assert_eq!(greeted(&[7; FIRST]), Err(Fault::Stranger));
+        assert_eq!(from.open(&mut long), Err(LinkError::TooLong));
+        assert_eq!(parse_greeting(&[7; GREETING_BYTES]), Err(LinkError::NotATierLink));
     }
 }
--- a/crates/consensus/tests/pins.rs
+++ b/crates/consensus/tests/pins.rs
@@ -8,7 +8,7 @@
 use loomlb_consensus::agreement::Agreement;
 use loomlb_consensus::check::{Event, Line};
 use loomlb_consensus::disk::{Disk, LogFile};
-use loomlb_consensus::frames::{Word, channels, greeting};
+use loomlb_consensus::link_protocol::{LinkMessage, derive_channels, greeting};
 use loomlb_consensus::place::Memory;
 use loomlb_consensus::rules::Body;
 use loomlb_consensus::state::{Command, Document, Outcome, Past, State};
@@ -60,25 +60,30 @@
     }
 }
 
-fn messages() -> Vec<Word> {
+fn messages() -> Vec<LinkMessage> {
     let leaving = vec![LeavingWorker { host: "s-00000001".into(), born_ms: 12 }];
     let mine = ListReport { version: 7, leaving: leaving.clone() };
     let theirs = ListSummary { newest: 7, oldest: 6, leaving };
-    let ask = |acting| Word::Ask { number: 3, acting, index: 9, list: mine.clone() };
-    let answer = |yes, news| Word::Answer { number: 3, yes, news, lists: theirs.clone() };
+    let ask = |acting| LinkMessage::LeaseRequest { number: 3, rules: acting, index: 9, list: mine.clone() };
+    let answer = |yes, news| LinkMessage::LeaseResponse {
+        number: 3,
+        granted: yes,
+        newer_state: news,
+        lists: theirs.clone(),
+    };
     vec![
-        Word::Hello { format: 1, name: "a".into(), process: u64::MAX, voter: Some(1) },
-        Word::Hello { format: 1, name: "é".into(), process: 1, voter: None },
+        LinkMessage::Hello { format: 1, name: "a".into(), process: u64::MAX, voter: Some(1) },
+        LinkMessage::Hello { format: 1, name: "é".into(), process: 1, voter: None },
         ask(None),
         ask(Some(EffectiveRules::On(1))),
         ask(Some(EffectiveRules::Between(1))),
         answer(true, None),
         answer(false, Some(Box::new(State::default()))),
         answer(true, Some(Box::new(state()))),
-        Word::Propose(command(5, 1, "deduplicated")),
-        Word::Propose(Command::Activate(2)),
-        Word::Ready(2),
-        Word::Raft(vec![0, 1, 254, 255]),
+        LinkMessage::Propose(command(5, 1, "deduplicated")),
+        LinkMessage::Propose(Command::Activate(2)),
+        LinkMessage::Ready(2),
+        LinkMessage::Raft(vec![0, 1, 254, 255]),
     ]
 }
 
@@ -87,7 +92,7 @@
 fn frames_of_a_link_keep_their_bytes_and_are_read_as_the_same() {
     let (caller, called) = ([1; 16], [2; 16]);
     let mut text = format!("greeting {}\n", golden::hex(&greeting(&caller)));
-    let (mut to, mut from) = channels("sixteen letters.", &caller, &called);
+    let (mut to, mut from) = derive_channels("sixteen letters.", &caller, &called);
     for (name, channel) in [("to the voter", &mut to), ("from the voter", &mut from)] {
         for message in messages() {
             let frame = channel.seal(&message);
@@ -97,10 +102,10 @@
     }
     golden::check("frames.txt", text.as_bytes());
     // What is written is what is read.
-    let (mut to, _) = channels("sixteen letters.", &caller, &called);
+    let (mut to, _) = derive_channels("sixteen letters.", &caller, &called);
     let mut bytes: Vec<u8> = messages().iter().flat_map(|message| to.seal(message)).collect();
-    let (mut from, _) = channels("sixteen letters.", &caller, &called);
-    let read: Vec<Word> = std::iter::from_fn(|| from.open(&mut bytes).unwrap()).collect();
+    let (mut from, _) = derive_channels("sixteen letters.", &caller, &called);
+    let read: Vec<LinkMessage> = std::iter::from_fn(|| from.open(&mut bytes).unwrap()).collect();
     assert_eq!(read, messages());
 }
 
--- a/crates/lab/src/capacity/tier.rs
+++ b/crates/lab/src/capacity/tier.rs
@@ -1,7 +1,7 @@
 //! The tier's links and what a scheduler does with what it hears there.
 //!
 //! What goes over the links is counted on the tier of [`crate::trial`] in virtual time, calm, renewals four a second, each
-//! word with the bytes that it is sealed to ([`loomlb_consensus::frames::Channel::seal`]); headers of TCP and IP are not in it.
+//! word with the bytes that it is sealed to ([`loomlb_consensus::link_protocol::Channel::seal`]); headers of TCP and IP are not in it.
 //! Three voters and six schedulers, voters included, unless the series says otherwise; all figures are of a scheduler that
 //! does not vote, or of a mean voter. Two proposals in three change a class's effect, one in four a worker that is out,
 //! so most versions contradict the one before and come into force in two steps.
@@ -24,8 +24,8 @@
 use crate::trial::{self, Load, TENANT, Traffic, Trial, Without};
 use loomlb_capacity::fit::median;
 use loomlb_capacity::{Series, Source};
-use loomlb_consensus::frames::{Channel, Word, channels};
 use loomlb_consensus::lease_holder::LeaseHolder;
+use loomlb_consensus::link_protocol::{Channel, LinkMessage, derive_channels};
 use loomlb_consensus::state::{Command, State};
 use loomlb_consensus::timing::TimingConfig;
 use loomlb_consensus::worker_lists::{ListReport, ListSummary};
@@ -66,7 +66,7 @@
 
 /// Both ways of a link.
 pub fn link() -> (Channel, Channel) {
-    channels("a key of sixteen bytes", &[1; 16], &[2; 16])
+    derive_channels("a key of sixteen bytes", &[1; 16], &[2; 16])
 }
 
 /// All series of the links.
@@ -278,8 +278,13 @@
 }
 
 /// A voter's answer to a scheduler that has nothing.
-pub fn answer(state: &State) -> Word {
-    Word::Answer { number: 1, yes: false, news: Some(Box::new(state.clone())), lists: ListSummary::default() }
+pub fn answer(state: &State) -> LinkMessage {
+    LinkMessage::LeaseResponse {
+        number: 1,
+        granted: false,
+        newer_state: Some(Box::new(state.clone())),
+        lists: ListSummary::default(),
+    }
 }
 
 fn first_state(plan: &Plan) -> Option<Series> {
@@ -322,16 +327,26 @@
         point(&mut memory, bytes(*tenants), vec![bytes_held]);
 
         let (mut to, from) = link();
-        let quiet = Word::Answer { number: 1, yes: true, news: None, lists: ListSummary::default() };
+        let quiet = LinkMessage::LeaseResponse {
+            number: 1,
+            granted: true,
+            newer_state: None,
+            lists: ListSummary::default(),
+        };
         let quiet = from.clone().seal(&quiet);
         let mut now = 0;
         let asked = plan.time(|| {
             now += S / 4;
             let (number, acting) = held.start_renewal(now);
             let index = held.state().index;
-            black_box(to.seal(&Word::Ask { number, acting, index, list: ListReport::default() }));
+            black_box(to.seal(&LinkMessage::LeaseRequest {
+                number,
+                rules: acting,
+                index,
+                list: ListReport::default(),
+            }));
             let opened = from.clone().open(&mut quiet.clone());
-            if let Ok(Some(Word::Answer { yes, news, .. })) = opened {
+            if let Ok(Some(LinkMessage::LeaseResponse { granted: yes, newer_state: news, .. })) = opened {
                 black_box(held.handle_response(now, 0, number, yes, news.map(|n| *n)));
             }
         });
@@ -340,7 +355,9 @@
         let told = from.clone().seal(&answer(&known));
         let heard = plan.time(|| {
             let opened = from.clone().open(&mut told.clone());
-            if let Ok(Some(Word::Answer { number, yes, news, .. })) = opened {
+            if let Ok(Some(LinkMessage::LeaseResponse { number, granted: yes, newer_state: news, .. })) =
+                opened
+            {
                 let mut holder = LeaseHolder::new(timing, 3);
                 black_box(holder.handle_response(0, 0, number, yes, news.map(|n| *n)));
                 black_box(holder.effective_body().map(|body| body.settings_for(&mine)));
--- a/crates/lab/src/capacity/voter.rs
+++ b/crates/lab/src/capacity/voter.rs
@@ -17,8 +17,8 @@
 use loomlb_consensus::EffectiveRules;
 use loomlb_consensus::agreement::Agreement;
 use loomlb_consensus::disk::LogFile;
-use loomlb_consensus::frames::Word;
 use loomlb_consensus::lease_grants::{LeaseGrants, ProcessId};
+use loomlb_consensus::link_protocol::LinkMessage;
 use loomlb_consensus::place::{Lasting, Place};
 use loomlb_consensus::state::{Command, State};
 use loomlb_consensus::timing::TimingConfig;
@@ -94,10 +94,21 @@
         Ok(Asked { promises, lists, seen: seen.clone(), now: 0 })
     }
 
-    fn ask(&mut self, who: &ProcessId, number: u64, acting: EffectiveRules, list: &ListReport) -> Word {
+    fn ask(
+        &mut self,
+        who: &ProcessId,
+        number: u64,
+        acting: EffectiveRules,
+        list: &ListReport,
+    ) -> LinkMessage {
         self.lists.record(self.now, who, list);
         let yes = self.promises.try_grant(self.now, who, number, acting, &self.seen);
-        Word::Answer { number, yes, news: None, lists: self.lists.summarize(self.now) }
+        LinkMessage::LeaseResponse {
+            number,
+            granted: yes,
+            newer_state: None,
+            lists: self.lists.summarize(self.now),
+        }
     }
 }
 
@@ -121,13 +132,18 @@
         point(&mut memory, *n as f64, vec![held]);
         let (from, mut to) = link();
         let (index, list) = (seen.index, ListReport { version: 1_000_000, leaving: Vec::new() });
-        let sealed = from.clone().seal(&Word::Ask { number: 100_000, acting: Some(acting), index, list });
+        let sealed = from.clone().seal(&LinkMessage::LeaseRequest {
+            number: 100_000,
+            rules: Some(acting),
+            index,
+            list,
+        });
         let mut number = 0;
         let took = plan.time(|| {
             number += 1;
             asked.now += 250_000_000 / *n as u64;
             let opened = from.clone().open(&mut sealed.clone());
-            if let Ok(Some(Word::Ask { list, .. })) = opened {
+            if let Ok(Some(LinkMessage::LeaseRequest { list, .. })) = opened {
                 let answer = asked.ask(&all[number as usize % n], number, acting, &list);
                 black_box(to.seal(&answer));
             }
--- a/crates/lab/src/scale/hollow.rs
+++ b/crates/lab/src/scale/hollow.rs
@@ -2,8 +2,8 @@
 //! jobs behind them. What `loomlb-scheduler` does around the same core is told here once more, in little.
 
 use super::host::{Counted, machine};
-use loomlb_consensus::frames::{self, Channel, FIRST, FORMAT, Nonce, Word};
 use loomlb_consensus::lease_holder::LeaseHolder;
+use loomlb_consensus::link_protocol::{self, Channel, GREETING_BYTES, LinkMessage, Nonce, PROTOCOL_VERSION};
 use loomlb_consensus::rules::Body;
 use loomlb_consensus::state::{Command, State};
 use loomlb_consensus::timing::LeaseTiming;
@@ -109,7 +109,7 @@
 
 #[derive(Debug, Default)]
 struct Outbox {
-    words: RefCell<VecDeque<Word>>,
+    words: RefCell<VecDeque<LinkMessage>>,
     more: Notify,
 }
 
@@ -214,21 +214,21 @@
             _ => random()?,
         };
         *last = Some(mine);
-        stream.write_all(&frames::greeting(&mine)).await?;
-        let mut first = [0; FIRST];
+        stream.write_all(&link_protocol::greeting(&mine)).await?;
+        let mut first = [0; GREETING_BYTES];
         stream.read_exact(&mut first).await?;
-        self.bytes.said(voter, FIRST);
-        self.bytes.heard(voter, FIRST);
-        let theirs = frames::greeted(&first).map_err(|e| io::Error::other(e.to_string()))?;
+        self.bytes.said(voter, GREETING_BYTES);
+        self.bytes.heard(voter, GREETING_BYTES);
+        let theirs = link_protocol::parse_greeting(&first).map_err(|e| io::Error::other(e.to_string()))?;
         let key = if self.spec.flaw == Some(Flaw::OtherKey) { "another key" } else { &self.spec.key };
-        Ok((stream, frames::channels(key, &mine, &theirs)))
+        Ok((stream, link_protocol::derive_channels(key, &mine, &theirs)))
     }
 
     async fn hear(&self, voter: usize, mut from: OwnedReadHalf, mut channel: Channel) -> io::Result<()> {
         let mut bytes = Vec::new();
         loop {
             match channel.open(&mut bytes) {
-                Ok(Some(Word::Answer { number, yes, news, .. })) => {
+                Ok(Some(LinkMessage::LeaseResponse { number, granted: yes, newer_state: news, .. })) => {
                     self.answered(voter, number, yes, news.map(|n| *n));
                     continue;
                 }
@@ -247,8 +247,8 @@
 
     async fn tell(&self, voter: usize, mut to: OwnedWriteHalf, mut channel: Channel) -> io::Result<()> {
         let claimed = (self.spec.flaw == Some(Flaw::ClaimsAVote)).then_some(1);
-        let hello = Word::Hello {
-            format: FORMAT,
+        let hello = LinkMessage::Hello {
+            format: PROTOCOL_VERSION,
             name: self.spec.name.clone(),
             process: self.process,
             voter: claimed,
@@ -315,10 +315,10 @@
             if words.len() >= WAITING {
                 words.pop_front();
             }
-            words.push_back(Word::Ask { number, acting, index, list });
+            words.push_back(LinkMessage::LeaseRequest { number, rules: acting, index, list });
             if self.spec.flaw == Some(Flaw::Proposes) {
                 let by = self.spec.name.clone();
-                words.push_back(Word::Propose(Command::Propose {
+                words.push_back(LinkMessage::Propose(Command::Propose {
                     token: number,
                     by,
                     base: 0,
--- a/crates/lab/src/trial.rs
+++ b/crates/lab/src/trial.rs
@@ -6,9 +6,9 @@
 use loomlb_consensus::agreement_error::AgreementError;
 use loomlb_consensus::check::{Event as Did, Line, Verdict, judge};
 use loomlb_consensus::disk::{Disk, LogFile};
-use loomlb_consensus::frames::{self, Channel, Word};
 use loomlb_consensus::lease_grants::LeaseGrants;
 use loomlb_consensus::lease_holder::LeaseHolder;
+use loomlb_consensus::link_protocol::{self, Channel, LinkMessage};
 use loomlb_consensus::place::{Fault, Memory};
 use loomlb_consensus::rules::Body;
 use loomlb_consensus::state::{Command, Outcome, State};
@@ -188,7 +188,7 @@
     Tick(usize, u64),
     Renew(usize, u64),
     Act(usize, u64),
-    Word(usize, usize, u64, Box<Word>),
+    Word(usize, usize, u64, Box<LinkMessage>),
     Propose,
     Fault,
     DiskFault,
@@ -309,7 +309,7 @@
 impl Count {
     fn new(nodes: usize) -> Count {
         // Of whatever key: it changes no length.
-        let (channel, _) = frames::channels("counted", &[0; 16], &[0; 16]);
+        let (channel, _) = link_protocol::derive_channels("counted", &[0; 16], &[0; 16]);
         let none = vec![[0; 2]; nodes];
         let (raft, proposals, news, wanted, waited) = (0, 0, 0, 0, 0);
         let made = BTreeSet::new();
@@ -557,7 +557,7 @@
         if leader == n as u64 + 1 {
             self.voter(n, |agreement, _, _| agreement.ready(leader, version));
         } else if leader > 0 {
-            self.send(n, leader as usize - 1, Word::Ready(version));
+            self.send(n, leader as usize - 1, LinkMessage::Ready(version));
         }
     }
 
@@ -574,7 +574,7 @@
             if let Some(vote) = Vote::told_by(&message) {
                 self.breaches.extend(self.votes.record(vote).map(|breach| breach.to_string()));
             }
-            self.send(n, message.to as usize - 1, Word::Raft(agreement::bytes(&message)));
+            self.send(n, message.to as usize - 1, LinkMessage::Raft(agreement::bytes(&message)));
         }
         let Some((agreement, _)) = &self.nodes[n].voter else { return Ok(()) };
         let state = agreement.state();
@@ -646,7 +646,7 @@
         }
     }
 
-    fn send(&mut self, from: usize, to: usize, word: Word) {
+    fn send(&mut self, from: usize, to: usize, word: LinkMessage) {
         if to >= self.nodes.len() {
             return;
         }
@@ -669,7 +669,7 @@
         }
     }
 
-    fn count(&mut self, from: usize, to: usize, word: &Word) {
+    fn count(&mut self, from: usize, to: usize, word: &LinkMessage) {
         let counted = from != to && !self.healed && self.now >= self.load.warm;
         let Some(count) = self.count.as_mut().filter(|_| counted) else { return };
         let bytes = count.channel.seal(word).len() as u64;
@@ -678,9 +678,11 @@
             at[n][1] += 1;
         }
         match word {
-            Word::Raft(_) | Word::Ready(_) => count.raft += bytes,
-            Word::Propose(_) => count.proposals += bytes,
-            Word::Answer { news: Some(_), .. } if to >= self.trial.voters => count.news += 1,
+            LinkMessage::Raft(_) | LinkMessage::Ready(_) => count.raft += bytes,
+            LinkMessage::Propose(_) => count.proposals += bytes,
+            LinkMessage::LeaseResponse { newer_state: Some(_), .. } if to >= self.trial.voters => {
+                count.news += 1
+            }
             _ => {}
         }
     }
@@ -690,7 +692,11 @@
         let (number, acting) = self.nodes[n].holder.start_renewal(now);
         let index = self.nodes[n].holder.state().index;
         for voter in 0..self.trial.voters {
-            self.send(n, voter, Word::Ask { number, acting, index, list: ListReport::default() });
+            self.send(
+                n,
+                voter,
+                LinkMessage::LeaseRequest { number, rules: acting, index, list: ListReport::default() },
+            );
         }
         let waiting = self.nodes[n].proposal.clone();
         if let Some(Command::Propose { token, .. }) = &waiting {
@@ -698,7 +704,7 @@
                 None => {
                     let to = self.rng.usize(0..self.trial.voters);
                     if let Some(command) = waiting {
-                        self.send(n, to, Word::Propose(command));
+                        self.send(n, to, LinkMessage::Propose(command));
                     }
                 }
                 Some(outcome) => {
@@ -735,11 +741,11 @@
         }
     }
 
-    fn hear(&mut self, from: usize, to: usize, from_run: u64, word: Word) -> Result<(), String> {
+    fn hear(&mut self, from: usize, to: usize, from_run: u64, word: LinkMessage) -> Result<(), String> {
         let now = self.clock(to);
         let process = (format!("n{from}"), from_run);
         match word {
-            Word::Ask { number, acting, index, .. } => {
+            LinkMessage::LeaseRequest { number, rules: acting, index, .. } => {
                 let answer = self.voter(to, |agreement, promises, now| {
                     let state = agreement.state();
                     let yes = agreement.settled()
@@ -751,27 +757,36 @@
                 if let Some((yes, news)) = answer
                     && self.nodes[from].run == from_run
                 {
-                    self.send(to, from, Word::Answer { number, yes, news, lists: ListSummary::default() });
+                    self.send(
+                        to,
+                        from,
+                        LinkMessage::LeaseResponse {
+                            number,
+                            granted: yes,
+                            newer_state: news,
+                            lists: ListSummary::default(),
+                        },
+                    );
                 }
             }
-            Word::Answer { number, yes, news, .. } => {
+            LinkMessage::LeaseResponse { number, granted: yes, newer_state: news, .. } => {
                 self.answer(to, from, now, (number, yes, news.map(|n| *n)))
             }
-            Word::Propose(command) => {
+            LinkMessage::Propose(command) => {
                 self.voter(to, |agreement, _, _| agreement.propose(&command));
                 self.turn(to)?;
             }
-            Word::Ready(version) => {
+            LinkMessage::Ready(version) => {
                 self.voter(to, |agreement, _, _| agreement.ready(from as u64 + 1, version));
                 self.turn(to)?;
             }
-            Word::Raft(bytes) => {
+            LinkMessage::Raft(bytes) => {
                 if let Some(message) = agreement::message(&bytes) {
                     self.voter(to, |agreement, _, _| agreement.step(message));
                     self.turn(to)?;
                 }
             }
-            Word::Hello { .. } => {}
+            LinkMessage::Hello { .. } => {}
         }
         Ok(())
     }
--- a/crates/lab/tests/capacity.rs
+++ b/crates/lab/tests/capacity.rs
@@ -3,7 +3,7 @@
 use loomlb_capacity::Source;
 use loomlb_capacity::report::Report;
 use loomlb_consensus::disk::LogFile;
-use loomlb_consensus::frames::Word;
+use loomlb_consensus::link_protocol::LinkMessage;
 use loomlb_consensus::place::Memory;
 use loomlb_consensus::timing::TimingConfig;
 use loomlb_consensus::worker_lists::ListSummary;
@@ -123,8 +123,12 @@
     }
     let state = tier::state(4, 80);
     assert_eq!((state.history.len(), state.outcomes.len(), state.newest_version()), (64, 64, 80));
-    let word =
-        Word::Answer { number: 1, yes: false, news: Some(Box::new(state)), lists: ListSummary::default() };
+    let word = LinkMessage::LeaseResponse {
+        number: 1,
+        granted: false,
+        newer_state: Some(Box::new(state)),
+        lists: ListSummary::default(),
+    };
     let only = |key: &str| {
         let options = Options { quick: true, only: Some(key.into()), ..Options::default() };
         let told = capacity::run(&options).unwrap();
--- a/crates/tier/src/lease.rs
+++ b/crates/tier/src/lease.rs
@@ -5,7 +5,7 @@
 use crate::{Application, LOOK, On, OnLapse, more, random};
 use loomlb_consensus::Nanos;
 use loomlb_consensus::check::Event as Did;
-use loomlb_consensus::frames::Word;
+use loomlb_consensus::link_protocol::LinkMessage;
 use loomlb_consensus::rules;
 use loomlb_consensus::state::State;
 use loomlb_consensus::worker_lists::ListSummary;
@@ -42,10 +42,12 @@
     // A look at every worker: once for all voters.
     let list = around.list();
     for voter in 0..on.boxes.len() {
-        let word = Word::Ask { number, acting, index, list: list.clone() };
+        let word = LinkMessage::LeaseRequest { number, rules: acting, index, list: list.clone() };
         if on.number == Some(voter as u64 + 1) {
             let who = (on.name.clone(), on.process);
-            if let Some(Word::Answer { number, yes, news, lists }) = voter_hears(on, &who, on.number, word) {
+            if let Some(LinkMessage::LeaseResponse { number, granted: yes, newer_state: news, lists }) =
+                voter_hears(on, &who, on.number, word)
+            {
                 answered(on, around, voter, number, yes, news.map(|n| *n));
                 compare(on, around, &lists);
             }
--- a/crates/tier/src/lib.rs
+++ b/crates/tier/src/lib.rs
@@ -25,8 +25,8 @@
 use history::History;
 use link::Outbox;
 use loomlb_consensus::check::{Event as Did, Line};
-use loomlb_consensus::frames::Word;
 use loomlb_consensus::lease_holder::LeaseHolder;
+use loomlb_consensus::link_protocol::LinkMessage;
 use loomlb_consensus::state::State;
 use loomlb_consensus::timing::LeaseTiming;
 use loomlb_consensus::worker_lists::{LeavingWorker, ListReport};
@@ -151,7 +151,7 @@
         }
     }
 
-    fn put(&self, voter: usize, word: Word) {
+    fn put(&self, voter: usize, word: LinkMessage) {
         let Some(outbox) = self.boxes.get(voter) else { return };
         let mut words = outbox.words.borrow_mut();
         if words.len() >= link::WAITING {
--- a/crates/tier/src/link.rs
+++ b/crates/tier/src/link.rs
@@ -4,7 +4,7 @@
 use crate::spec::VoterAt;
 use crate::voter::voter_hears;
 use crate::{Application, On, more};
-use loomlb_consensus::frames::{self, Channel, FIRST, FORMAT, Nonce, Word};
+use loomlb_consensus::link_protocol::{self, Channel, GREETING_BYTES, LinkMessage, Nonce, PROTOCOL_VERSION};
 use loomlb_sockets::{AcceptRetry, read_some, write_all};
 use std::cell::RefCell;
 use std::collections::VecDeque;
@@ -28,7 +28,7 @@
 /// Words on their way to a voter.
 #[derive(Debug, Default)]
 pub(crate) struct Outbox {
-    pub(crate) words: RefCell<VecDeque<Word>>,
+    pub(crate) words: RefCell<VecDeque<LinkMessage>>,
     pub(crate) more: Notify,
 }
 
@@ -37,20 +37,20 @@
     stream.set_nodelay(true)?;
     let mut mine = Nonce::default();
     getrandom::fill(&mut mine).map_err(io::Error::other)?;
-    write_all(stream, &frames::greeting(&mine)).await?;
-    let mut first = [0; FIRST];
+    write_all(stream, &link_protocol::greeting(&mine)).await?;
+    let mut first = [0; GREETING_BYTES];
     let mut left = &mut first[..];
     while !left.is_empty() {
         if read_some(stream, &mut left).await? == 0 {
             return Err(io::ErrorKind::UnexpectedEof.into());
         }
     }
-    let theirs = frames::greeted(&first).map_err(|e| io::Error::other(e.to_string()))?;
+    let theirs = link_protocol::parse_greeting(&first).map_err(|e| io::Error::other(e.to_string()))?;
     Ok((mine, theirs))
 }
 
 /// The next word of a link; an error once it is over.
-async fn next(from: &OwnedReadHalf, channel: &mut Channel, bytes: &mut Vec<u8>) -> io::Result<Word> {
+async fn next(from: &OwnedReadHalf, channel: &mut Channel, bytes: &mut Vec<u8>) -> io::Result<LinkMessage> {
     loop {
         if let Some(word) = channel.open(bytes).map_err(|e| io::Error::other(e.to_string()))? {
             return Ok(word);
@@ -70,7 +70,7 @@
         let opened = tokio::time::timeout(SILENT, async {
             let stream = loomlb_sockets::connect(*at, |_| {}).await?;
             let (mine, theirs) = greet(&stream).await?;
-            Ok::<_, io::Error>((stream, frames::channels(&on.spec.key, &mine, &theirs)))
+            Ok::<_, io::Error>((stream, link_protocol::derive_channels(&on.spec.key, &mine, &theirs)))
         });
         if let Ok(Ok((stream, (to, from)))) = opened.await {
             // What waited for the link that broke is asked anew, or too old to be of use.
@@ -99,7 +99,9 @@
 ) -> io::Result<()> {
     let mut bytes = Vec::new();
     loop {
-        if let Word::Answer { number, yes, news, lists } = next(&from, &mut channel, &mut bytes).await? {
+        if let LinkMessage::LeaseResponse { number, granted: yes, newer_state: news, lists } =
+            next(&from, &mut channel, &mut bytes).await?
+        {
             answered(on, around, voter, number, yes, news.map(|n| *n));
             compare(on, around, &lists);
         }
@@ -107,7 +109,12 @@
 }
 
 async fn tell_voter(on: &On, voter: usize, to: OwnedWriteHalf, mut channel: Channel) -> io::Result<()> {
-    let hello = Word::Hello { format: FORMAT, name: on.name.clone(), process: on.process, voter: on.number };
+    let hello = LinkMessage::Hello {
+        format: PROTOCOL_VERSION,
+        name: on.name.clone(),
+        process: on.process,
+        voter: on.number,
+    };
     write_all(to.as_ref(), &channel.seal(&hello)).await?;
     loop {
         let word = on.boxes[voter].words.borrow_mut().pop_front();
@@ -153,13 +160,15 @@
 async fn called(on: &On, stream: TcpStream) -> io::Result<()> {
     let greeted = tokio::time::timeout(SILENT, greet(&stream)).await;
     let (mine, theirs) = greeted.map_err(|_| io::Error::from(io::ErrorKind::TimedOut))??;
-    let (mut from, mut to) = frames::channels(&on.spec.key, &theirs, &mine);
+    let (mut from, mut to) = link_protocol::derive_channels(&on.spec.key, &theirs, &mine);
     let (read, write) = stream.into_split();
     let mut bytes = Vec::new();
     let (name, process, voter) = match next(&read, &mut from, &mut bytes).await? {
-        Word::Hello { format: FORMAT, name, process, voter } => (name, process, voter),
-        Word::Hello { format, name, .. } => {
-            return Err(io::Error::other(format!("{name} speaks format {format}, this build {FORMAT}")));
+        LinkMessage::Hello { format: PROTOCOL_VERSION, name, process, voter } => (name, process, voter),
+        LinkMessage::Hello { format, name, .. } => {
+            return Err(io::Error::other(format!(
+                "{name} speaks format {format}, this build {PROTOCOL_VERSION}"
+            )));
         }
         _ => return Err(io::Error::other("it does not say who it is")),
     };
--- a/crates/tier/src/proposals.rs
+++ b/crates/tier/src/proposals.rs
@@ -2,7 +2,7 @@
 
 use crate::voter::voter_hears;
 use crate::{Application, LOOK, On, Tier, random};
-use loomlb_consensus::frames::Word;
+use loomlb_consensus::link_protocol::LinkMessage;
 use loomlb_consensus::rules::Body;
 use loomlb_consensus::state::{Command, Outcome};
 use loomlb_consensus::{Nanos, Version};
@@ -52,9 +52,9 @@
     let voter = turn % on.boxes.len();
     for command in waiting {
         if on.number == Some(voter as u64 + 1) {
-            voter_hears(on, &(on.name.clone(), on.process), on.number, Word::Propose(command));
+            voter_hears(on, &(on.name.clone(), on.process), on.number, LinkMessage::Propose(command));
         } else {
-            on.put(voter, Word::Propose(command));
+            on.put(voter, LinkMessage::Propose(command));
         }
     }
 }
--- a/crates/tier/src/voter.rs
+++ b/crates/tier/src/voter.rs
@@ -9,8 +9,8 @@
 use loomlb_consensus::agreement::{self, Agreement, TICK};
 use loomlb_consensus::agreement_error::AgreementError;
 use loomlb_consensus::disk::{Disk, LogFile};
-use loomlb_consensus::frames::Word;
 use loomlb_consensus::lease_grants::{LeaseGrants, ProcessId};
+use loomlb_consensus::link_protocol::LinkMessage;
 use loomlb_consensus::state::Command;
 use loomlb_consensus::store_error::StoreError;
 use loomlb_consensus::timing::LeaseTiming;
@@ -126,28 +126,38 @@
 }
 
 /// What this voter makes of a word, and its reply.
-pub(crate) fn voter_hears(on: &On, who: &ProcessId, voter: Option<u64>, word: Word) -> Option<Word> {
+pub(crate) fn voter_hears(
+    on: &On,
+    who: &ProcessId,
+    voter: Option<u64>,
+    word: LinkMessage,
+) -> Option<LinkMessage> {
     let now = on.now();
     let mut held = on.voter.borrow_mut();
     let Voter { agreement, promises, lists, .. } = held.as_mut()?;
     let reply = match word {
-        Word::Ask { number, acting, index, list } => {
+        LinkMessage::LeaseRequest { number, rules: acting, index, list } => {
             lists.record(now, who, &list);
             let state = agreement.state();
             let yes = agreement.settled()
                 && acting.is_some_and(|acting| promises.try_grant(now, who, number, acting, state));
             let news = (state.index > index).then(|| Box::new(state.clone()));
-            return Some(Word::Answer { number, yes, news, lists: lists.summarize(now) });
+            return Some(LinkMessage::LeaseResponse {
+                number,
+                granted: yes,
+                newer_state: news,
+                lists: lists.summarize(now),
+            });
         }
-        Word::Propose(command @ Command::Propose { .. }) => {
+        LinkMessage::Propose(command @ Command::Propose { .. }) => {
             agreement.propose(&command);
             None
         }
-        Word::Ready(version) => {
+        LinkMessage::Ready(version) => {
             voter.into_iter().for_each(|voter| agreement.ready(voter, version));
             None
         }
-        Word::Raft(bytes) => {
+        LinkMessage::Raft(bytes) => {
             let message = agreement::message(&bytes).filter(|m| Some(m.from) == voter);
             message.into_iter().for_each(|message| agreement.step(message));
             None
@@ -164,7 +174,7 @@
     match voter.agreement.turn(&mut voter.log) {
         Ok(messages) => {
             for message in messages {
-                on.put(message.to as usize - 1, Word::Raft(agreement::bytes(&message)));
+                on.put(message.to as usize - 1, LinkMessage::Raft(agreement::bytes(&message)));
             }
         }
         Err(e) => failed(on, voter, e),
@@ -231,7 +241,7 @@
         match agreement.leader() {
             0 => {}
             leader if on.number == Some(leader) => agreement.ready(leader, version),
-            leader => on.put(leader as usize - 1, Word::Ready(version)),
+            leader => on.put(leader as usize - 1, LinkMessage::Ready(version)),
         }
     }
 }
--- a/crates/tier/tests/proposals.rs
+++ b/crates/tier/tests/proposals.rs
@@ -1,6 +1,6 @@
 //! What a scheduler says to the voters, heard by stand-ins that never agree.
 
-use loomlb_consensus::frames::{self, FIRST, Word};
+use loomlb_consensus::link_protocol::{self, GREETING_BYTES, LinkMessage};
 use loomlb_consensus::rules::Body;
 use loomlb_consensus::state::{Command, Document, State};
 use loomlb_consensus::worker_lists::{LeavingWorker, ListReport, ListSummary};
@@ -49,11 +49,11 @@
 /// A voter that promises all, has a document, and agrees on nothing.
 async fn voter(mut stream: TcpStream, heard: Rc<Heard>) -> std::io::Result<()> {
     let mine = [7; 16];
-    stream.write_all(&frames::greeting(&mine)).await?;
-    let mut first = [0; FIRST];
+    stream.write_all(&link_protocol::greeting(&mine)).await?;
+    let mut first = [0; GREETING_BYTES];
     stream.read_exact(&mut first).await?;
-    let theirs = frames::greeted(&first).expect("a greeting");
-    let (mut from, mut to) = frames::channels(KEY, &theirs, &mine);
+    let theirs = link_protocol::parse_greeting(&first).expect("a greeting");
+    let (mut from, mut to) = link_protocol::derive_channels(KEY, &theirs, &mine);
     let body = Body::of(&json!({"tick": 1}), BTreeSet::new());
     let active = Some(Document { version: 1, by: "a".into(), body });
     let state = State { index: 1, active, ..State::default() };
@@ -61,14 +61,19 @@
     loop {
         while let Some(word) = from.open(&mut bytes).expect("a sound word") {
             match word {
-                Word::Ask { number, index, .. } => {
+                LinkMessage::LeaseRequest { number, index, .. } => {
                     heard.questions.set(heard.questions.get() + 1);
                     let news = (index < 1).then(|| Box::new(state.clone()));
-                    let answer = Word::Answer { number, yes: true, news, lists: ListSummary::default() };
+                    let answer = LinkMessage::LeaseResponse {
+                        number,
+                        granted: true,
+                        newer_state: news,
+                        lists: ListSummary::default(),
+                    };
                     stream.write_all(&to.seal(&answer)).await?;
                 }
                 // Not the file that it proposed before it knew of a document.
-                Word::Propose(Command::Propose { body, .. }) if body.settings["tick"] == 2 => {
+                LinkMessage::Propose(Command::Propose { body, .. }) if body.settings["tick"] == 2 => {
                     heard.proposals.set(heard.proposals.get() + 1);
                 }
                 _ => {}
