--- a/crates/consensus/src/agreement.rs
+++ b/crates/consensus/src/raft_node.rs
@@ -2,8 +2,8 @@
 //! written in the order that the library states: entries and votes first, then the messages that tell of them.
 
 use crate::Version;
-use crate::agreement_error::AgreementError;
 use crate::disk::{Disk, Loaded};
+use crate::raft_node_error::RaftNodeError;
 use crate::state::{Command, State};
 use protobuf::Message as _;
 use raft::eraftpb::{ConfState, Entry, EntryType, Snapshot};
@@ -19,7 +19,7 @@
 const ELECTION: usize = 10;
 const HEARTBEAT: usize = 2;
 /// Time between two ticks, in nanoseconds.
-pub const TICK: u64 = 100_000_000;
+pub const TICK_NANOS: u64 = 100_000_000;
 /// Applied entries that are kept for voters that lag; beyond twice as many the log is cut.
 const KEPT: u64 = 128;
 
@@ -75,7 +75,7 @@
 }
 
 /// One voter's part in the agreement.
-pub struct Agreement {
+pub struct RaftNode {
     node: RawNode<Store>,
     store: Store,
     state: State,
@@ -87,15 +87,15 @@
     broken: bool,
 }
 
-impl std::fmt::Debug for Agreement {
+impl std::fmt::Debug for RaftNode {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.debug_struct("Agreement").field("state", &self.state).finish_non_exhaustive()
     }
 }
 
-impl Agreement {
+impl RaftNode {
     /// Voter `id`, from 1 to `voters`, with what its disk held.
-    pub fn new(id: u64, voters: u64, loaded: Loaded) -> Result<Agreement, AgreementError> {
+    pub fn new(id: u64, voters: u64, loaded: Loaded) -> Result<RaftNode, RaftNodeError> {
         let mem = MemStorage::new();
         let mut state = State::default();
         let mut from = 0;
@@ -134,7 +134,7 @@
         let logger = slog::Logger::root(slog::Discard, slog::o!());
         let node = RawNode::new(&config, store.clone(), &logger)?;
         let voters = voters as usize;
-        Ok(Agreement { node, store, state, begun_at: last, ready: BTreeMap::new(), voters, broken: false })
+        Ok(RaftNode { node, store, state, begun_at: last, ready: BTreeMap::new(), voters, broken: false })
     }
 
     /// What this voter knows to be agreed.
@@ -144,24 +144,24 @@
 
     /// Whether this voter has seen agreed, or replaced, all that stood in its log when it started. Before that it must
     /// promise nothing: it may have let a version come into force that it does not know of again yet.
-    pub fn settled(&self) -> bool {
+    pub fn has_caught_up(&self) -> bool {
         !self.broken && self.store.applied.borrow().0 >= self.begun_at
     }
 
     /// Whether this voter leads.
-    pub fn leads(&self) -> bool {
+    pub fn is_leader(&self) -> bool {
         self.node.raft.state == StateRole::Leader
     }
 
     /// The leader that this voter knows; 0 for none.
-    pub fn leader(&self) -> u64 {
+    pub fn leader_id(&self) -> u64 {
         self.node.raft.leader_id
     }
 
-    /// [`Agreement::turn`] has failed: this voter takes part no more. Where the error was
+    /// [`RaftNode::process_pending`] has failed: this voter takes part no more. Where the error was
     /// [transient](AgreementError::is_transient), another one is built from what its disk
     /// [recovers](Disk::recover), as after a restart.
-    pub fn broken(&self) -> bool {
+    pub fn has_failed(&self) -> bool {
         self.broken
     }
 
@@ -188,8 +188,8 @@
 
     /// A voter, this one included, is ready for a version. The leader has it come into force once a majority is: whoever
     /// may act needs promises of a majority, and every two majorities share a voter.
-    pub fn ready(&mut self, voter: u64, version: Version) {
-        if !self.leads() || self.state.coming.as_ref().is_none_or(|d| d.version != version) {
+    pub fn record_ready(&mut self, voter: u64, version: Version) {
+        if !self.is_leader() || self.state.coming.as_ref().is_none_or(|d| d.version != version) {
             return;
         }
         let ready = self.ready.entry(version).or_default();
@@ -202,7 +202,7 @@
 
     /// Does what the library has to do: writes to the disk, applies what is agreed, and gives back the messages to send.
     /// After an error no message of this call may be sent, and every later call does nothing.
-    pub fn turn(&mut self, disk: &mut dyn Disk) -> Result<Vec<Message>, AgreementError> {
+    pub fn process_pending(&mut self, disk: &mut dyn Disk) -> Result<Vec<Message>, RaftNodeError> {
         if self.broken {
             return Ok(Vec::new());
         }
@@ -211,7 +211,7 @@
         messages
     }
 
-    fn work(&mut self, disk: &mut dyn Disk) -> Result<Vec<Message>, AgreementError> {
+    fn work(&mut self, disk: &mut dyn Disk) -> Result<Vec<Message>, RaftNodeError> {
         let mut out = Vec::new();
         while self.node.has_ready() {
             let mut ready = self.node.ready();
@@ -245,12 +245,12 @@
         Ok(out)
     }
 
-    fn apply(&mut self, entries: Vec<Entry>) -> Result<(), AgreementError> {
+    fn apply(&mut self, entries: Vec<Entry>) -> Result<(), RaftNodeError> {
         for entry in entries {
             if entry.get_entry_type() == EntryType::EntryNormal && !entry.data.is_empty() {
                 // Written by a build that knows more than this one: to go on would be to guess.
                 let command = serde_json::from_slice(&entry.data)
-                    .map_err(|source| AgreementError::Unreadable { index: entry.index, source })?;
+                    .map_err(|source| RaftNodeError::Unreadable { index: entry.index, source })?;
                 self.state.apply(entry.index, command);
             }
             self.store.applied.borrow_mut().0 = entry.index;
@@ -260,7 +260,7 @@
     }
 
     /// Cuts the log where a picture of the document can stand for it.
-    fn cut(&mut self, disk: &mut dyn Disk) -> Result<(), AgreementError> {
+    fn cut(&mut self, disk: &mut dyn Disk) -> Result<(), RaftNodeError> {
         let applied = self.store.applied.borrow().0;
         let first = self.store.first_index()?;
         if applied < first + 2 * KEPT {
@@ -277,12 +277,12 @@
 }
 
 /// A message as bytes.
-pub fn bytes(message: &Message) -> Vec<u8> {
+pub fn encode_message(message: &Message) -> Vec<u8> {
     message.write_to_bytes().unwrap_or_default()
 }
 
 /// A message from bytes; none if they are not one.
-pub fn message(bytes: &[u8]) -> Option<Message> {
+pub fn decode_message(bytes: &[u8]) -> Option<Message> {
     Message::parse_from_bytes(bytes).ok()
 }
 
--- a/crates/consensus/src/agreement_error.rs
+++ b/crates/consensus/src/raft_node_error.rs
@@ -5,7 +5,7 @@
 
 /// Why a voter takes part no more, until it is built anew from its file or started again.
 #[derive(Debug, thiserror::Error)]
-pub enum AgreementError {
+pub enum RaftNodeError {
     /// Its store failed.
     #[error(transparent)]
     Store(#[from] StoreError),
@@ -25,28 +25,28 @@
     Raft(#[from] raft::Error),
 }
 
-impl AgreementError {
+impl RaftNodeError {
     /// Whether the voter may take part again, rebuilt from its file, once the store can be written.
     pub fn is_transient(&self) -> bool {
-        matches!(self, AgreementError::Store(e) if e.is_transient())
+        matches!(self, RaftNodeError::Store(e) if e.is_transient())
     }
 
     /// What an operator can do.
     pub fn advice(&self) -> &'static str {
         match self {
-            AgreementError::Store(e) => e.advice(),
-            AgreementError::Unreadable { .. } | AgreementError::Snapshot(_) => {
+            RaftNodeError::Store(e) => e.advice(),
+            RaftNodeError::Unreadable { .. } | RaftNodeError::Snapshot(_) => {
                 "start the newest build that runs in this tier"
             }
-            AgreementError::Raft(_) => "start the voter again, and keep its file and its log for a report",
+            RaftNodeError::Raft(_) => "start the voter again, and keep its file and its log for a report",
         }
     }
 }
 
-impl From<AgreementError> for io::Error {
-    fn from(e: AgreementError) -> io::Error {
+impl From<RaftNodeError> for io::Error {
+    fn from(e: RaftNodeError) -> io::Error {
         match e {
-            AgreementError::Store(e) => e.into(),
+            RaftNodeError::Store(e) => e.into(),
             other => io::Error::other(format!("{other}; {}", other.advice())),
         }
     }
--- a/crates/consensus/src/votes.rs
+++ b/crates/consensus/src/votes.rs
@@ -1,8 +1,8 @@
 //! Checks that no voter votes for two candidates in one term, whatever happens to its disk. Trials pass it every message
 //! that a voter sends.
 
-use crate::agreement::Message;
 use crate::check::Breach;
+use crate::raft_node::Message;
 use raft::eraftpb::MessageType;
 use std::collections::BTreeMap;
 use std::collections::btree_map::Entry;
--- a/crates/consensus/tests/pins.rs
+++ b/crates/consensus/tests/pins.rs
@@ -5,11 +5,11 @@
 mod golden;
 
 use loomlb_consensus::EffectiveRules;
-use loomlb_consensus::agreement::Agreement;
 use loomlb_consensus::check::{Event, Line};
 use loomlb_consensus::disk::{Disk, LogFile};
 use loomlb_consensus::link_protocol::{LinkMessage, derive_channels, greeting};
 use loomlb_consensus::place::Memory;
+use loomlb_consensus::raft_node::RaftNode;
 use loomlb_consensus::rules::Body;
 use loomlb_consensus::state::{Command, Document, Outcome, Past, State};
 use loomlb_consensus::worker_lists::{LeavingWorker, ListReport, ListSummary};
@@ -192,9 +192,9 @@
         loaded.entries[1..].iter().map(|e| serde_json::from_slice(&e.data).unwrap()).collect();
     assert_eq!(commands, [command(6, 2, "idempotent"), command(8, 2, "at_most_once"), Command::Activate(3)]);
     // The replicated state machine starts from it, at the state that the snapshot holds.
-    let voter = Agreement::new(1, 3, loaded).unwrap();
+    let voter = RaftNode::new(1, 3, loaded).unwrap();
     assert_eq!(voter.state(), &state());
-    assert!(!voter.settled(), "it has entries that it does not know to be committed");
+    assert!(!voter.has_caught_up(), "it has entries that it does not know to be committed");
     // Another voter's log is refused.
     assert_eq!(LogFile::open(&place, "b of a, b, c", false).unwrap_err().code(), "store-foreign");
 }
@@ -202,10 +202,10 @@
 /// The messages among voters are the library's own; one of each kind that carries our bytes is enough.
 #[test]
 fn a_raft_message_keeps_its_bytes() {
-    let mut message = loomlb_consensus::agreement::Message { from: 1, to: 2, term: 3, ..Default::default() };
+    let mut message = loomlb_consensus::raft_node::Message { from: 1, to: 2, term: 3, ..Default::default() };
     message.entries.push(entry(12, 3, &Command::Activate(3)));
-    let bytes = loomlb_consensus::agreement::bytes(&message);
+    let bytes = loomlb_consensus::raft_node::encode_message(&message);
     assert_eq!(bytes, message.write_to_bytes().unwrap());
-    assert_eq!(loomlb_consensus::agreement::message(&bytes), Some(message));
+    assert_eq!(loomlb_consensus::raft_node::decode_message(&bytes), Some(message));
     golden::check("raft-message.txt", (golden::hex(&bytes) + "\n").as_bytes());
 }
--- a/crates/lab/src/capacity/voter.rs
+++ b/crates/lab/src/capacity/voter.rs
@@ -15,11 +15,11 @@
 use crate::trial;
 use loomlb_capacity::{Series, Source};
 use loomlb_consensus::EffectiveRules;
-use loomlb_consensus::agreement::Agreement;
 use loomlb_consensus::disk::LogFile;
 use loomlb_consensus::lease_grants::{LeaseGrants, ProcessId};
 use loomlb_consensus::link_protocol::LinkMessage;
 use loomlb_consensus::place::{Lasting, Place};
+use loomlb_consensus::raft_node::RaftNode;
 use loomlb_consensus::state::{Command, State};
 use loomlb_consensus::timing::TimingConfig;
 use loomlb_consensus::worker_lists::{ListReport, ListReports};
@@ -169,7 +169,7 @@
 
 /// A lone voter, which agrees with itself.
 struct Lone {
-    agreement: Agreement,
+    agreement: RaftNode,
     log: LogFile,
     version: u64,
     tenants: usize,
@@ -178,10 +178,10 @@
 impl Lone {
     fn new(place: &Counted, tenants: usize) -> Result<Lone, String> {
         let (mut log, loaded) = LogFile::open(place, "lone", true).map_err(|e| e.to_string())?;
-        let mut agreement = Agreement::new(1, 1, loaded).map_err(|e| e.to_string())?;
+        let mut agreement = RaftNode::new(1, 1, loaded).map_err(|e| e.to_string())?;
         for _ in 0..30 {
             agreement.tick();
-            agreement.turn(&mut log).map_err(|e| e.to_string())?;
+            agreement.process_pending(&mut log).map_err(|e| e.to_string())?;
         }
         Ok(Lone { agreement, log, version: 0, tenants })
     }
@@ -195,7 +195,7 @@
 
     fn agree(&mut self, command: &Command) -> Result<(), String> {
         self.agreement.propose(command);
-        self.agreement.turn(&mut self.log).map_err(|e| e.to_string())?;
+        self.agreement.process_pending(&mut self.log).map_err(|e| e.to_string())?;
         self.version += 1;
         if self.agreement.state().active.as_ref().map_or(0, |d| d.version) != self.version {
             return Err(format!("version {} did not come into force at a lone voter", self.version));
--- a/crates/lab/src/trial.rs
+++ b/crates/lab/src/trial.rs
@@ -2,14 +2,14 @@
 //! and cuts, with processes that stall, die and come back and clocks that run apart. What comes of it is judged by the
 //! same checker that reads the histories of real processes.
 
-use loomlb_consensus::agreement::{self, Agreement, TICK};
-use loomlb_consensus::agreement_error::AgreementError;
 use loomlb_consensus::check::{Event as Did, Line, Verdict, judge};
 use loomlb_consensus::disk::{Disk, LogFile};
 use loomlb_consensus::lease_grants::LeaseGrants;
 use loomlb_consensus::lease_holder::LeaseHolder;
 use loomlb_consensus::link_protocol::{self, Channel, LinkMessage};
 use loomlb_consensus::place::{Fault, Memory};
+use loomlb_consensus::raft_node::{self, RaftNode, TICK_NANOS};
+use loomlb_consensus::raft_node_error::RaftNodeError;
 use loomlb_consensus::rules::Body;
 use loomlb_consensus::state::{Command, Outcome, State};
 use loomlb_consensus::timing::{LeaseTiming, TimingConfig};
@@ -207,7 +207,7 @@
     held_up: Vec<Due>,
     rate: f64,
     holder: LeaseHolder,
-    voter: Option<(Agreement, LeaseGrants)>,
+    voter: Option<(RaftNode, LeaseGrants)>,
     place: Memory,
     log: Option<LogFile>,
     /// How often the disk has begun to fail.
@@ -425,7 +425,7 @@
             let (log, loaded) =
                 LogFile::open(&node.place, &id.to_string(), true).map_err(|e| e.to_string())?;
             node.log = Some(log);
-            let agreement = Agreement::new(id, all, loaded).map_err(|e| e.to_string())?;
+            let agreement = RaftNode::new(id, all, loaded).map_err(|e| e.to_string())?;
             let since = match self.trial.without {
                 Without::Quiet => None,
                 _ => Some(self.clock(n)),
@@ -467,15 +467,15 @@
                 let leader = self.voter(n, |agreement, promises, now| {
                     agreement.tick();
                     (
-                        agreement.leader(),
-                        promises.ready_version(now, agreement.state()).filter(|_| agreement.settled()),
+                        agreement.leader_id(),
+                        promises.ready_version(now, agreement.state()).filter(|_| agreement.has_caught_up()),
                     )
                 });
                 if let Some((leader, ready)) = leader {
                     self.readiness(n, leader, ready);
                 }
                 self.turn(n)?;
-                self.push(self.after(n, TICK), Due::Tick(n, run));
+                self.push(self.after(n, TICK_NANOS), Due::Tick(n, run));
             }
             Due::Renew(n, run) => {
                 self.renew(n);
@@ -539,7 +539,7 @@
     fn voter<T>(
         &mut self,
         n: usize,
-        word: impl FnOnce(&mut Agreement, &mut LeaseGrants, Nanos) -> T,
+        word: impl FnOnce(&mut RaftNode, &mut LeaseGrants, Nanos) -> T,
     ) -> Option<T> {
         let now = self.clock(n);
         self.nodes[n].voter.as_mut().map(|(agreement, promises)| word(agreement, promises, now))
@@ -549,13 +549,13 @@
         if self.trial.without == Without::Readiness {
             self.voter(n, |agreement, _, _| {
                 if let Some(version) = agreement.state().coming.as_ref().map(|d| d.version) {
-                    (1..=9).for_each(|voter| agreement.ready(voter, version));
+                    (1..=9).for_each(|voter| agreement.record_ready(voter, version));
                 }
             });
         }
         let Some(version) = ready else { return };
         if leader == n as u64 + 1 {
-            self.voter(n, |agreement, _, _| agreement.ready(leader, version));
+            self.voter(n, |agreement, _, _| agreement.record_ready(leader, version));
         } else if leader > 0 {
             self.send(n, leader as usize - 1, LinkMessage::Ready(version));
         }
@@ -564,7 +564,7 @@
     /// Lets a voter do what it has to, and sees what has been agreed.
     fn turn(&mut self, n: usize) -> Result<(), String> {
         let Some(mut log) = self.nodes[n].log.take() else { return Ok(()) };
-        let out = self.voter(n, |agreement, _, _| agreement.turn(&mut log));
+        let out = self.voter(n, |agreement, _, _| agreement.process_pending(&mut log));
         self.nodes[n].log = Some(log);
         let messages = match out.transpose() {
             Ok(messages) => messages.unwrap_or_default(),
@@ -574,7 +574,7 @@
             if let Some(vote) = Vote::told_by(&message) {
                 self.breaches.extend(self.votes.record(vote).map(|breach| breach.to_string()));
             }
-            self.send(n, message.to as usize - 1, LinkMessage::Raft(agreement::bytes(&message)));
+            self.send(n, message.to as usize - 1, LinkMessage::Raft(raft_node::encode_message(&message)));
         }
         let Some((agreement, _)) = &self.nodes[n].voter else { return Ok(()) };
         let state = agreement.state();
@@ -592,7 +592,7 @@
     }
 
     /// A voter takes part no more until its store recovers. Errors that no retry mends end the trial.
-    fn store_failed(&mut self, n: usize, e: &AgreementError) -> Result<(), String> {
+    fn store_failed(&mut self, n: usize, e: &RaftNodeError) -> Result<(), String> {
         if !e.is_transient() {
             return Err(format!("n{n}: {e}"));
         }
@@ -617,7 +617,7 @@
             loaded.hard.vote = 0;
         }
         let (id, all) = (n as u64 + 1, self.trial.voters as u64);
-        let agreement = Agreement::new(id, all, loaded).map_err(|e| e.to_string())?;
+        let agreement = RaftNode::new(id, all, loaded).map_err(|e| e.to_string())?;
         let since = if self.trial.without == Without::Quiet { 0 } else { self.clock(n) };
         self.nodes[n].voter = Some((agreement, LeaseGrants::new(self.timing, since)));
         self.recoveries += 1;
@@ -748,7 +748,7 @@
             LinkMessage::LeaseRequest { number, rules: acting, index, .. } => {
                 let answer = self.voter(to, |agreement, promises, now| {
                     let state = agreement.state();
-                    let yes = agreement.settled()
+                    let yes = agreement.has_caught_up()
                         && acting
                             .is_some_and(|acting| promises.try_grant(now, &process, number, acting, state));
                     (yes, (state.index > index).then(|| Box::new(state.clone())))
@@ -777,11 +777,11 @@
                 self.turn(to)?;
             }
             LinkMessage::Ready(version) => {
-                self.voter(to, |agreement, _, _| agreement.ready(from as u64 + 1, version));
+                self.voter(to, |agreement, _, _| agreement.record_ready(from as u64 + 1, version));
                 self.turn(to)?;
             }
             LinkMessage::Raft(bytes) => {
-                if let Some(message) = agreement::message(&bytes) {
+                if let Some(message) = raft_node::decode_message(&bytes) {
                     self.voter(to, |agreement, _, _| agreement.step(message));
                     self.turn(to)?;
                 }
--- a/crates/tier/src/status.rs
+++ b/crates/tier/src/status.rs
@@ -16,8 +16,8 @@
             .holders(on.now())
             .map(|((name, process), acting)| json!({"name": name, "process": format!("{process:016x}"), "acting": acting}))
             .collect();
-        json!({"leads": v.agreement.leads(), "leader": v.agreement.leader(), "settled": v.agreement.settled(),
-            "broken": v.agreement.broken(), "promises_to": holders})
+        json!({"leads": v.agreement.is_leader(), "leader": v.agreement.leader_id(), "settled": v.agreement.has_caught_up(),
+            "broken": v.agreement.has_failed(), "promises_to": holders})
     });
     json!({
         "yes": true, "name": on.name, "acting": on.applied.get(), "may_act": tier.may_act(),
--- a/crates/tier/src/voter.rs
+++ b/crates/tier/src/voter.rs
@@ -6,11 +6,11 @@
 use crate::spec::Spec;
 use crate::voter_error::VoterError;
 use loomlb_consensus::Nanos;
-use loomlb_consensus::agreement::{self, Agreement, TICK};
-use loomlb_consensus::agreement_error::AgreementError;
 use loomlb_consensus::disk::{Disk, LogFile};
 use loomlb_consensus::lease_grants::{LeaseGrants, ProcessId};
 use loomlb_consensus::link_protocol::LinkMessage;
+use loomlb_consensus::raft_node::{self, RaftNode, TICK_NANOS};
+use loomlb_consensus::raft_node_error::RaftNodeError;
 use loomlb_consensus::state::Command;
 use loomlb_consensus::store_error::StoreError;
 use loomlb_consensus::timing::LeaseTiming;
@@ -28,7 +28,7 @@
 /// What a voter has beside its lease.
 #[derive(Debug)]
 pub(crate) struct Voter {
-    pub(crate) agreement: Agreement,
+    pub(crate) agreement: RaftNode,
     pub(crate) promises: LeaseGrants,
     pub(crate) lists: ListReports,
     pub(crate) log: LogFile,
@@ -41,10 +41,10 @@
 impl Voter {
     /// Reads what its file has acknowledged and starts over from that, as after a kill: what it promised is forgotten,
     /// so it grants nothing new until all of that has ended.
-    fn recover(&mut self, on: &On) -> Result<(), AgreementError> {
+    fn recover(&mut self, on: &On) -> Result<(), RaftNodeError> {
         let loaded = self.log.recover()?;
         let number = on.number.unwrap_or_default();
-        self.agreement = Agreement::new(number, on.spec.voters.len() as u64, loaded)?;
+        self.agreement = RaftNode::new(number, on.spec.voters.len() as u64, loaded)?;
         self.promises = LeaseGrants::new(on.timing, on.now());
         Ok(())
     }
@@ -76,7 +76,7 @@
     let bind = async || TcpListener::bind(at).await;
     let opened = opening.open("listen", at, AddressInUse::Report, bind).await;
     let listener = opened.map_err(|e| VoterError::Listen { at, source: e.into() })?;
-    let agreement = Agreement::new(number, spec.voters.len() as u64, loaded)?;
+    let agreement = RaftNode::new(number, spec.voters.len() as u64, loaded)?;
     let promises = LeaseGrants::new(timing, now);
     let voter =
         Voter { agreement, promises, lists: ListReports::default(), log, accepting: None, stopped: false };
@@ -139,7 +139,7 @@
         LinkMessage::LeaseRequest { number, rules: acting, index, list } => {
             lists.record(now, who, &list);
             let state = agreement.state();
-            let yes = agreement.settled()
+            let yes = agreement.has_caught_up()
                 && acting.is_some_and(|acting| promises.try_grant(now, who, number, acting, state));
             let news = (state.index > index).then(|| Box::new(state.clone()));
             return Some(LinkMessage::LeaseResponse {
@@ -154,11 +154,11 @@
             None
         }
         LinkMessage::Ready(version) => {
-            voter.into_iter().for_each(|voter| agreement.ready(voter, version));
+            voter.into_iter().for_each(|voter| agreement.record_ready(voter, version));
             None
         }
         LinkMessage::Raft(bytes) => {
-            let message = agreement::message(&bytes).filter(|m| Some(m.from) == voter);
+            let message = raft_node::decode_message(&bytes).filter(|m| Some(m.from) == voter);
             message.into_iter().for_each(|message| agreement.step(message));
             None
         }
@@ -171,10 +171,10 @@
 /// Has the voter do what it has to, and sends what it has for others.
 fn turn(on: &On, held: &mut Option<Voter>) {
     let Some(voter) = held else { return };
-    match voter.agreement.turn(&mut voter.log) {
+    match voter.agreement.process_pending(&mut voter.log) {
         Ok(messages) => {
             for message in messages {
-                on.put(message.to as usize - 1, LinkMessage::Raft(agreement::bytes(&message)));
+                on.put(message.to as usize - 1, LinkMessage::Raft(raft_node::encode_message(&message)));
             }
         }
         Err(e) => failed(on, voter, e),
@@ -182,7 +182,7 @@
 }
 
 /// The voter takes part no more: until its file recovers, or for good.
-fn failed(on: &On, voter: &mut Voter, e: AgreementError) {
+fn failed(on: &On, voter: &mut Voter, e: RaftNodeError) {
     voter.stopped = !e.is_transient();
     let e = io::Error::from(e);
     if voter.stopped {
@@ -200,7 +200,7 @@
     }
     match voter.recover(on) {
         Ok(()) => on.store_health.borrow_mut().recovered(on.age()),
-        Err(AgreementError::Store(e @ StoreError::Taken { .. })) => {
+        Err(RaftNodeError::Store(e @ StoreError::Taken { .. })) => {
             tracing::warn!("tier.store: {e}; waiting until it is free");
             return false;
         }
@@ -211,13 +211,13 @@
 
 /// A voter's own time.
 pub(crate) async fn vote(on: Rc<On>) {
-    let mut ticks = tokio::time::interval(Duration::from_nanos(TICK));
+    let mut ticks = tokio::time::interval(Duration::from_nanos(TICK_NANOS));
     ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     loop {
         ticks.tick().await;
         let mut held = on.voter.borrow_mut();
         let Some(voter) = held.as_mut() else { return };
-        if voter.agreement.broken() && !try_to_recover(&on, voter) {
+        if voter.agreement.has_failed() && !try_to_recover(&on, voter) {
             *held = None;
             if let Some(number) = on.number {
                 spawn_local(succeed(Rc::clone(&on), number));
@@ -236,11 +236,11 @@
 fn tick(on: &On, voter: &mut Voter) {
     let Voter { agreement, promises, .. } = voter;
     agreement.tick();
-    let ready = promises.ready_version(on.now(), agreement.state()).filter(|_| agreement.settled());
+    let ready = promises.ready_version(on.now(), agreement.state()).filter(|_| agreement.has_caught_up());
     if let Some(version) = ready {
-        match agreement.leader() {
+        match agreement.leader_id() {
             0 => {}
-            leader if on.number == Some(leader) => agreement.ready(leader, version),
+            leader if on.number == Some(leader) => agreement.record_ready(leader, version),
             leader => on.put(leader as usize - 1, LinkMessage::Ready(version)),
         }
     }
--- a/crates/tier/src/voter_error.rs
+++ b/crates/tier/src/voter_error.rs
@@ -1,6 +1,6 @@
 //! Why a process cannot take its scheduler's seat among the voters, or had to leave it.
 
-use loomlb_consensus::agreement_error::AgreementError;
+use loomlb_consensus::raft_node_error::RaftNodeError;
 use loomlb_consensus::store_error::StoreError;
 use std::io;
 use std::net::SocketAddr;
@@ -26,7 +26,7 @@
     },
     /// Its store or what it holds.
     #[error(transparent)]
-    Agreement(#[from] AgreementError),
+    Agreement(#[from] RaftNodeError),
 }
 
 impl From<StoreError> for VoterError {
@@ -39,7 +39,7 @@
     /// Whether an earlier process of the same scheduler has the file or the address: it votes until it ends.
     pub(crate) fn is_held_elsewhere(&self) -> bool {
         match self {
-            VoterError::Agreement(AgreementError::Store(StoreError::Taken { .. })) => true,
+            VoterError::Agreement(RaftNodeError::Store(StoreError::Taken { .. })) => true,
             VoterError::Listen { source, .. } => source.kind() == io::ErrorKind::AddrInUse,
             _ => false,
         }
