--- a/crates/conformance/src/lib.rs
+++ b/crates/conformance/src/lib.rs
@@ -6,7 +6,7 @@
 pub mod tier_client;
 
 use loomlb_consensus::disk::{Disk, Loaded};
-use loomlb_consensus::place::{Fault, Lasting, Place};
+use loomlb_consensus::storage::{DurableFile, StorageFault, StorageLocation};
 use loomlb_consensus::store_error::StoreError;
 use raft::eraftpb::{Entry, HardState, Snapshot};
 use std::cell::Cell;
@@ -23,7 +23,7 @@
     /// Puts other bytes there while nobody has it open.
     fn set_bytes(&self, bytes: &[u8]);
     /// Has this go wrong next.
-    fn plan(&self, fault: Fault);
+    fn plan(&self, fault: StorageFault);
     /// The disk works again; what was open still is.
     fn mend(&self);
     /// The machine starts again: what is planned is over, and what was open is open no more. What was not synced is lost
@@ -212,7 +212,7 @@
 fn short(s: &dyn Subject) -> Result<(), Seen> {
     founded(s, 2)?;
     let (mut disk, _) = s.open(MINE, false)?;
-    s.plan(Fault::Short(7));
+    s.plan(StorageFault::ShortWrites(7));
     disk.append(&[entry(3, 1)], None)?;
     drop(disk);
     s.restart();
@@ -220,7 +220,7 @@
 }
 
 /// After a fault nothing is acknowledged until it is opened anew, though the cause may be gone.
-fn stopped(s: &dyn Subject, fault: Fault) -> Result<(), Seen> {
+fn stopped(s: &dyn Subject, fault: StorageFault) -> Result<(), Seen> {
     founded(s, 2)?;
     let (mut disk, _) = s.open(MINE, false)?;
     s.plan(fault);
@@ -235,11 +235,11 @@
 }
 
 fn full(s: &dyn Subject) -> Result<(), Seen> {
-    stopped(s, Fault::Full(11))
+    stopped(s, StorageFault::DiskFull(11))
 }
 
 fn sync(s: &dyn Subject) -> Result<(), Seen> {
-    stopped(s, Fault::Sync)
+    stopped(s, StorageFault::SyncFailsOnce)
 }
 
 fn power(s: &dyn Subject) -> Result<(), Seen> {
@@ -248,7 +248,7 @@
     for reached in 0..64 {
         s.set_bytes(&whole);
         let (mut disk, _) = s.open(MINE, false)?;
-        s.plan(Fault::Power(reached));
+        s.plan(StorageFault::PowerLoss(reached));
         same("a write that fails", disk.append(&[entry(3, 1)], None).is_err(), true)?;
         drop(disk);
         s.restart();
@@ -263,7 +263,7 @@
 fn power_in_swap(s: &dyn Subject) -> Result<(), Seen> {
     founded(s, 3)?;
     let (mut disk, _) = s.open(MINE, false)?;
-    s.plan(Fault::Power(20));
+    s.plan(StorageFault::PowerLoss(20));
     let done = disk.replace(&snapshot(3), &[entry(4, 1)], None).is_ok();
     drop(disk);
     s.restart();
@@ -277,8 +277,13 @@
 }
 
 /// Faults that an append or a replacement may meet, and that leave the process running.
-const PASSING: [Fault; 5] =
-    [Fault::Full(0), Fault::Full(11), Fault::Sync, Fault::SyncUnnoticed, Fault::EverySync];
+const PASSING: [StorageFault; 5] = [
+    StorageFault::DiskFull(0),
+    StorageFault::DiskFull(11),
+    StorageFault::SyncFailsOnce,
+    StorageFault::SyncFailsOnceReadable,
+    StorageFault::EverySyncFails,
+];
 
 fn recovers_from_an_append(s: &dyn Subject) -> Result<(), Seen> {
     founded(s, 2)?;
@@ -325,7 +330,7 @@
 fn read_back_lasts(s: &dyn Subject) -> Result<(), Seen> {
     founded(s, 2)?;
     let (mut disk, _) = s.open(MINE, false)?;
-    s.plan(Fault::SyncUnnoticed);
+    s.plan(StorageFault::SyncFailsOnceReadable);
     same("a write that fails", disk.append(&[entry(3, 1)], None).is_err(), true)?;
     drop(disk);
     s.mend();
@@ -342,14 +347,14 @@
     /// The place beneath.
     pub place: P,
     /// What goes wrong next.
-    pub fault: Rc<Cell<Option<Fault>>>,
+    pub fault: Rc<Cell<Option<StorageFault>>>,
 }
 
-impl<P: Place> Place for Faulty<P> {
+impl<P: StorageLocation> StorageLocation for Faulty<P> {
     fn name(&self) -> String {
         self.place.name()
     }
-    fn open(&self, create: bool) -> io::Result<Box<dyn Lasting>> {
+    fn open(&self, create: bool) -> io::Result<Box<dyn DurableFile>> {
         let file = self.place.open(create)?;
         Ok(Box::new(Failing { file, fault: Rc::clone(&self.fault), dead: false }))
     }
@@ -357,8 +362,8 @@
 
 #[derive(Debug)]
 struct Failing {
-    file: Box<dyn Lasting>,
-    fault: Rc<Cell<Option<Fault>>>,
+    file: Box<dyn DurableFile>,
+    fault: Rc<Cell<Option<StorageFault>>>,
     dead: bool,
 }
 
@@ -368,21 +373,21 @@
     }
 }
 
-impl Lasting for Failing {
-    fn read(&mut self) -> io::Result<Vec<u8>> {
+impl DurableFile for Failing {
+    fn read_all(&mut self) -> io::Result<Vec<u8>> {
         self.lives()?;
-        self.file.read()
+        self.file.read_all()
     }
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
         self.lives()?;
         let some = match self.fault.get() {
-            Some(Fault::Full(0)) => return Err(io::ErrorKind::StorageFull.into()),
-            Some(Fault::Full(room)) => {
-                self.fault.set(Some(Fault::Full(room - room.min(bytes.len()))));
+            Some(StorageFault::DiskFull(0)) => return Err(io::ErrorKind::StorageFull.into()),
+            Some(StorageFault::DiskFull(room)) => {
+                self.fault.set(Some(StorageFault::DiskFull(room - room.min(bytes.len()))));
                 room
             }
-            Some(Fault::Short(most)) => most.max(1),
-            Some(Fault::Power(reached)) => {
+            Some(StorageFault::ShortWrites(most)) => most.max(1),
+            Some(StorageFault::PowerLoss(reached)) => {
                 self.dead = true;
                 let mut left = &bytes[..reached.min(bytes.len())];
                 while !left.is_empty() {
@@ -397,29 +402,31 @@
     fn sync(&mut self) -> io::Result<()> {
         self.lives()?;
         match self.fault.get() {
-            Some(Fault::Sync | Fault::SyncUnnoticed) => self.fault.set(None),
-            Some(Fault::EverySync) => {}
+            Some(StorageFault::SyncFailsOnce | StorageFault::SyncFailsOnceReadable) => self.fault.set(None),
+            Some(StorageFault::EverySyncFails) => {}
             _ => return self.file.sync(),
         }
         Err(io::Error::other("a sync failed"))
     }
-    fn swap(&mut self, bytes: &[u8]) -> io::Result<()> {
+    fn replace_contents(&mut self, bytes: &[u8]) -> io::Result<()> {
         self.lives()?;
         match self.fault.get() {
-            Some(Fault::Full(_)) => Err(io::ErrorKind::StorageFull.into()),
-            Some(Fault::Sync | Fault::SyncUnnoticed | Fault::EverySync) => {
-                Err(io::Error::other("a sync failed"))
-            }
-            Some(Fault::SyncDirectory) => {
+            Some(StorageFault::DiskFull(_)) => Err(io::ErrorKind::StorageFull.into()),
+            Some(
+                StorageFault::SyncFailsOnce
+                | StorageFault::SyncFailsOnceReadable
+                | StorageFault::EverySyncFails,
+            ) => Err(io::Error::other("a sync failed")),
+            Some(StorageFault::DirectorySyncFailsOnce) => {
                 self.fault.set(None);
-                self.file.swap(bytes)?;
+                self.file.replace_contents(bytes)?;
                 Err(io::Error::other("a sync of the directory failed"))
             }
-            Some(Fault::Power(_)) => {
+            Some(StorageFault::PowerLoss(_)) => {
                 self.dead = true;
                 Err(io::Error::other("power was lost"))
             }
-            _ => self.file.swap(bytes),
+            _ => self.file.replace_contents(bytes),
         }
     }
 }
--- a/crates/conformance/tests/store.rs
+++ b/crates/conformance/tests/store.rs
@@ -2,7 +2,7 @@
 
 use loomlb_conformance::{Faulty, STORE, Subject, broken};
 use loomlb_consensus::disk::{Disk, Loaded, LogFile};
-use loomlb_consensus::place::{Fault, Lasting, Memory, Place};
+use loomlb_consensus::storage::{DurableFile, MemoryStorage, StorageFault, StorageLocation};
 use loomlb_consensus::store_error::StoreError;
 use raft::eraftpb::{Entry, HardState, Snapshot};
 use std::cell::Cell;
@@ -37,7 +37,7 @@
     fn set_bytes(&self, bytes: &[u8]) {
         std::fs::write(self.path(), bytes).unwrap();
     }
-    fn plan(&self, fault: Fault) {
+    fn plan(&self, fault: StorageFault) {
         self.place.fault.set(Some(fault));
     }
     fn mend(&self) {
@@ -50,7 +50,7 @@
 
 #[test]
 fn a_voters_log_keeps_the_contract_in_memory_and_on_a_file() {
-    let in_memory = broken(&|| Box::new(InMemory(Memory::default(), None)));
+    let in_memory = broken(&|| Box::new(InMemory(MemoryStorage::default(), None)));
     assert!(in_memory.is_empty(), "{in_memory:#?}");
     let on_disk = broken(&|| Box::new(OnDisk::new()));
     assert!(on_disk.is_empty(), "{on_disk:#?}");
@@ -79,13 +79,13 @@
 }
 
 #[derive(Debug)]
-struct BadPlace(Memory, Option<Bad>);
+struct BadPlace(MemoryStorage, Option<Bad>);
 
-impl Place for BadPlace {
+impl StorageLocation for BadPlace {
     fn name(&self) -> String {
         self.0.name()
     }
-    fn open(&self, create: bool) -> io::Result<Box<dyn Lasting>> {
+    fn open(&self, create: bool) -> io::Result<Box<dyn DurableFile>> {
         let file = self.0.open(create)?;
         Ok(Box::new(BadFile { file, place: self.0.clone(), bad: self.1 }))
     }
@@ -93,14 +93,14 @@
 
 #[derive(Debug)]
 struct BadFile {
-    file: Box<dyn Lasting>,
-    place: Memory,
+    file: Box<dyn DurableFile>,
+    place: MemoryStorage,
     bad: Option<Bad>,
 }
 
-impl Lasting for BadFile {
-    fn read(&mut self) -> io::Result<Vec<u8>> {
-        self.file.read()
+impl DurableFile for BadFile {
+    fn read_all(&mut self) -> io::Result<Vec<u8>> {
+        self.file.read_all()
     }
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
         match (self.file.write(bytes), self.bad) {
@@ -117,20 +117,20 @@
             done => done,
         }
     }
-    fn swap(&mut self, bytes: &[u8]) -> io::Result<()> {
-        if self.bad == Some(Bad::ReadBackNotRewritten) && self.file.read()? == bytes {
+    fn replace_contents(&mut self, bytes: &[u8]) -> io::Result<()> {
+        if self.bad == Some(Bad::ReadBackNotRewritten) && self.file.read_all()? == bytes {
             return Ok(());
         }
-        let swapped = self.file.swap(bytes);
+        let swapped = self.file.replace_contents(bytes);
         if swapped.is_err() && self.bad == Some(Bad::SwapInPlace) {
-            self.place.set_bytes(&bytes[..bytes.len() / 2]);
+            self.place.overwrite(&bytes[..bytes.len() / 2]);
         }
         swapped
     }
 }
 
 /// A voter's log on the place in memory, with a planted fault or none.
-struct InMemory(Memory, Option<Bad>);
+struct InMemory(MemoryStorage, Option<Bad>);
 
 struct BadLog(Box<dyn Disk>, Option<Bad>, u64);
 
@@ -172,23 +172,23 @@
 impl Subject for InMemory {
     fn open(&self, owner: &str, found: bool) -> Result<(Box<dyn Disk>, Loaded), StoreError> {
         let InMemory(memory, bad) = self;
-        let before = memory.bytes().len();
+        let before = memory.durable_bytes().len();
         if *bad == Some(Bad::TwoOpeners) {
             // A lock that holds nobody back.
-            memory.power_lost(usize::MAX);
+            memory.lose_power(usize::MAX);
         }
         let whose = if *bad == Some(Bad::AnyOwner) { "a of a, b, c" } else { owner };
         let opened =
             LogFile::open(&BadPlace(memory.clone(), *bad), whose, found || *bad == Some(Bad::FoundsUnasked));
         let opened = match opened {
             Err(StoreError::Damaged { at, .. }) if *bad == Some(Bad::DamageCut) => {
-                memory.set_bytes(&memory.bytes()[..at]);
+                memory.overwrite(&memory.durable_bytes()[..at]);
                 LogFile::open(memory, whose, found)
             }
             opened => opened,
         };
         let (log, mut loaded) = opened?;
-        let at = memory.bytes().len();
+        let at = memory.durable_bytes().len();
         if *bad == Some(Bad::TornRefused) && at < before {
             return Err(StoreError::Damaged { place: memory.name(), at, next: before });
         }
@@ -199,19 +199,19 @@
         Ok((Box::new(BadLog(Box::new(log), *bad, last)), loaded))
     }
     fn bytes(&self) -> Vec<u8> {
-        self.0.bytes()
+        self.0.durable_bytes()
     }
     fn set_bytes(&self, bytes: &[u8]) {
-        self.0.set_bytes(bytes);
+        self.0.overwrite(bytes);
     }
-    fn plan(&self, fault: Fault) {
-        self.0.plan(fault);
+    fn plan(&self, fault: StorageFault) {
+        self.0.inject_fault(fault);
     }
     fn mend(&self) {
-        self.0.mend();
+        self.0.clear_fault();
     }
     fn restart(&self) {
-        self.0.power_lost(0);
+        self.0.lose_power(0);
     }
 }
 
@@ -237,7 +237,7 @@
         Bad::ReadBackNotRewritten,
     ];
     for ((clause, _), bad) in STORE.iter().zip(planted) {
-        let found = broken(&|| Box::new(InMemory(Memory::default(), Some(bad))));
+        let found = broken(&|| Box::new(InMemory(MemoryStorage::default(), Some(bad))));
         assert!(found.iter().any(|b| b.clause == *clause), "{bad:?} is not found by {clause:?}: {found:#?}");
     }
     assert_eq!(STORE.len(), planted.len());
--- a/crates/consensus/src/disk.rs
+++ b/crates/consensus/src/disk.rs
@@ -1,6 +1,6 @@
 //! What a voter must not forget: votes, entries and pictures of the document, in one file of checked records.
 
-use crate::place::{Lasting, Place};
+use crate::storage::{DurableFile, StorageLocation};
 use crate::store_error::StoreError;
 use protobuf::Message;
 use raft::eraftpb::{Entry, HardState, Snapshot};
@@ -48,7 +48,7 @@
 /// The file of a voter.
 #[derive(Debug)]
 pub struct LogFile {
-    file: Box<dyn Lasting>,
+    file: Box<dyn DurableFile>,
     place: String,
     owner: String,
     /// Bytes from the start of the file that a successful call has put on the disk.
@@ -184,10 +184,14 @@
     ///
     /// What is read is written anew before it is returned. The process before may have ended after a sync that failed,
     /// and then the kernel shows records that are not on the disk and that no later sync would write.
-    pub fn open(place: &dyn Place, owner: &str, found: bool) -> Result<(LogFile, Loaded), StoreError> {
+    pub fn open(
+        place: &dyn StorageLocation,
+        owner: &str,
+        found: bool,
+    ) -> Result<(LogFile, Loaded), StoreError> {
         let name = place.name();
         let mut file = place.open(found).map_err(|e| StoreError::of(&name, "open", e))?;
-        let bytes = file.read().map_err(|e| StoreError::of(&name, "read", e))?;
+        let bytes = file.read_all().map_err(|e| StoreError::of(&name, "read", e))?;
         let records = Records::parse(&name, owner, &bytes)?;
         let mut log =
             LogFile { file, place: name, owner: owner.into(), acknowledged: records.length, failed: None };
@@ -205,7 +209,7 @@
     fn guarded(
         &mut self,
         operation: Operation,
-        work: impl FnOnce(&mut dyn Lasting) -> io::Result<()>,
+        work: impl FnOnce(&mut dyn DurableFile) -> io::Result<()>,
     ) -> Result<(), StoreError> {
         if self.failed.is_some() {
             return Err(StoreError::Stopped { place: self.place.clone() });
@@ -226,7 +230,7 @@
     }
 
     fn rewrite(&mut self, bytes: &[u8]) -> Result<(), StoreError> {
-        self.guarded(Operation::Replace { length: bytes.len() }, |file| file.swap(bytes))?;
+        self.guarded(Operation::Replace { length: bytes.len() }, |file| file.replace_contents(bytes))?;
         self.acknowledged = bytes.len();
         Ok(())
     }
@@ -241,7 +245,7 @@
     }
 }
 
-fn write_all(file: &mut dyn Lasting, mut bytes: &[u8]) -> io::Result<()> {
+fn write_all(file: &mut dyn DurableFile, mut bytes: &[u8]) -> io::Result<()> {
     while !bytes.is_empty() {
         match file.write(bytes) {
             Ok(0) => return Err(io::ErrorKind::WriteZero.into()),
@@ -279,7 +283,7 @@
     fn recover(&mut self) -> Result<Loaded, StoreError> {
         let failed = self.failed.unwrap_or(Operation::Append);
         self.failed = Some(failed);
-        let mut bytes = self.file.read().map_err(|e| StoreError::of(&self.place, "read", e))?;
+        let mut bytes = self.file.read_all().map_err(|e| StoreError::of(&self.place, "read", e))?;
         let kept = self.kept_after(failed, bytes.len());
         bytes.truncate(kept);
         let records = Records::parse(&self.place, &self.owner, &bytes)?;
@@ -287,8 +291,8 @@
             let place = self.place.clone();
             return Err(StoreError::Lost { place, acknowledged: kept, left: records.length });
         }
-        // Not appended to: what was read need not be on the disk. See `Lasting`.
-        self.file.swap(&bytes).map_err(|e| StoreError::of(&self.place, "replace", e))?;
+        // Not appended to: what was read need not be on the disk. See `DurableFile`.
+        self.file.replace_contents(&bytes).map_err(|e| StoreError::of(&self.place, "replace", e))?;
         self.acknowledged = kept;
         self.failed = None;
         Ok(records.loaded)
--- a/crates/consensus/src/disk/tests.rs
+++ b/crates/consensus/src/disk/tests.rs
@@ -1,7 +1,7 @@
 //! A voter's log on a real file and on a disk that fails.
 
 use super::*;
-use crate::place::{Fault, Memory};
+use crate::storage::{MemoryStorage, StorageFault};
 
 fn entry(index: u64) -> Entry {
     Entry { index, term: 1, data: vec![7; 40].into(), ..Entry::default() }
@@ -55,8 +55,8 @@
 const OWNER_NAME: &str = "v of t";
 
 /// A log with entries 1 to 3 and a vote, which are acknowledged.
-fn acknowledged() -> (Memory, LogFile) {
-    let place = Memory::default();
+fn acknowledged() -> (MemoryStorage, LogFile) {
+    let place = MemoryStorage::default();
     let (mut log, _) = LogFile::open(&place, OWNER_NAME, true).unwrap();
     for index in 1..=3 {
         log.append(&[entry(index)], Some(&vote(index))).unwrap();
@@ -81,8 +81,8 @@
 }
 
 /// What the log holds once power was lost and it is opened again.
-fn after_power_loss(place: &Memory) -> (u64, Vec<u64>, u64) {
-    place.power_lost(0);
+fn after_power_loss(place: &MemoryStorage) -> (u64, Vec<u64>, u64) {
+    place.lose_power(0);
     contents(&LogFile::open(place, OWNER_NAME, false).unwrap().1)
 }
 
@@ -100,13 +100,13 @@
     records(&mut out, &[entry(4), entry(5)], Some(&vote(9))).unwrap();
     for room in 0..out.len() {
         let (place, mut log) = acknowledged();
-        place.plan(Fault::Full(room));
+        place.inject_fault(StorageFault::DiskFull(room));
         assert_eq!(log.append(&[entry(4), entry(5)], Some(&vote(9))).unwrap_err().code(), "store-full");
         // Still full: nothing is taken, and it may be tried again.
         assert_eq!(log.recover().unwrap_err().code(), "store-full");
         assert_eq!(log.append(&[entry(4)], None).unwrap_err().code(), "store-stopped");
         assert_eq!(log.replace(&snapshot(4), &[], None).unwrap_err().code(), "store-stopped");
-        place.mend();
+        place.clear_fault();
         let loaded = log.recover().unwrap();
         assert!(same_as_acknowledged(&contents(&loaded)), "room for {room} bytes: {loaded:?}");
         assert_eq!(log.acknowledged, before);
@@ -121,14 +121,14 @@
     log.replace(&snapshot(3), &[entry(4)], Some(&vote(7))).unwrap();
     for room in 0..log.acknowledged {
         let (place, mut log) = acknowledged();
-        place.plan(Fault::Full(room));
+        place.inject_fault(StorageFault::DiskFull(room));
         assert!(log.replace(&snapshot(3), &[entry(4)], Some(&vote(7))).is_err());
-        place.mend();
+        place.clear_fault();
         assert!(same_as_acknowledged(&contents(&log.recover().unwrap())), "room for {room} bytes");
         assert!(same_as_acknowledged(&after_power_loss(&place)), "room for {room} bytes");
     }
     let (place, mut log) = acknowledged();
-    place.plan(Fault::SyncDirectory);
+    place.inject_fault(StorageFault::DirectorySyncFailsOnce);
     assert!(log.replace(&snapshot(3), &[entry(4)], Some(&vote(7))).is_err());
     let new = (3, vec![4], 7);
     assert_eq!(contents(&log.recover().unwrap()), new);
@@ -138,21 +138,23 @@
 /// What could be read after a sync that failed is not on the disk, and no later sync writes it.
 #[test]
 fn what_is_read_back_after_a_failed_sync_lasts_before_anything_is_built_on_it() {
-    for fault in [Fault::Sync, Fault::SyncUnnoticed, Fault::EverySync] {
+    for fault in
+        [StorageFault::SyncFailsOnce, StorageFault::SyncFailsOnceReadable, StorageFault::EverySyncFails]
+    {
         let (place, mut log) = acknowledged();
-        place.plan(fault);
+        place.inject_fault(fault);
         assert!(log.append(&[entry(4)], Some(&vote(4))).is_err());
-        place.mend();
+        place.clear_fault();
         let loaded = log.recover().unwrap();
         assert!(same_as_acknowledged(&contents(&loaded)), "{fault:?}: {loaded:?}");
         log.append(&[entry(4)], None).unwrap();
         assert_eq!(after_power_loss(&place), (0, vec![1, 2, 3, 4], 3), "{fault:?}");
         // A process that starts after another's failed sync sees the record, and may answer for it.
         let (place, mut log) = acknowledged();
-        place.plan(fault);
+        place.inject_fault(fault);
         assert!(log.append(&[entry(4)], Some(&vote(4))).is_err());
         drop(log);
-        place.mend();
+        place.clear_fault();
         let (log, loaded) = LogFile::open(&place, OWNER_NAME, false).unwrap();
         let seen = contents(&loaded);
         drop(log);
@@ -162,14 +164,19 @@
 
 #[test]
 fn a_failed_recovery_can_be_made_again_and_power_may_go_between_the_two() {
-    for fault in [Fault::Sync, Fault::EverySync, Fault::SyncDirectory, Fault::Full(0)] {
+    for fault in [
+        StorageFault::SyncFailsOnce,
+        StorageFault::EverySyncFails,
+        StorageFault::DirectorySyncFailsOnce,
+        StorageFault::DiskFull(0),
+    ] {
         let (place, mut log) = acknowledged();
-        place.plan(Fault::Full(5));
+        place.inject_fault(StorageFault::DiskFull(5));
         assert!(log.append(&[entry(4)], None).is_err());
-        place.plan(fault);
+        place.inject_fault(fault);
         assert!(log.recover().unwrap_err().is_transient(), "{fault:?}");
         assert_eq!(log.append(&[entry(4)], None).unwrap_err().code(), "store-stopped");
-        place.mend();
+        place.clear_fault();
         assert!(same_as_acknowledged(&contents(&log.recover().unwrap())), "{fault:?}");
         assert!(same_as_acknowledged(&after_power_loss(&place)), "{fault:?}");
     }
@@ -178,10 +185,10 @@
 #[test]
 fn a_log_that_has_lost_what_was_acknowledged_does_not_come_back() {
     let (place, mut log) = acknowledged();
-    let bytes = place.bytes();
-    place.plan(Fault::Sync);
+    let bytes = place.durable_bytes();
+    place.inject_fault(StorageFault::SyncFailsOnce);
     assert!(log.append(&[entry(4)], None).is_err());
-    place.set_bytes(&bytes[..bytes.len() - 1]);
+    place.overwrite(&bytes[..bytes.len() - 1]);
     let error = log.recover().unwrap_err();
     assert_eq!((error.code(), error.is_transient()), ("store-lost", false));
     assert_eq!(log.append(&[entry(4)], None).unwrap_err().code(), "store-stopped");
@@ -190,14 +197,14 @@
 #[test]
 fn a_log_of_the_build_before_opens_and_its_bytes_stay() {
     let (place, _log) = acknowledged();
-    let bytes = place.bytes();
+    let bytes = place.durable_bytes();
     let mut before = Vec::new();
     record(&mut before, OWNER, OWNER_NAME.as_bytes());
     for index in 1..=3 {
         records(&mut before, &[entry(index)], Some(&vote(index))).unwrap();
     }
     assert_eq!(bytes, before);
-    place.power_lost(0);
+    place.lose_power(0);
     LogFile::open(&place, OWNER_NAME, false).unwrap();
-    assert_eq!(place.bytes(), before);
+    assert_eq!(place.durable_bytes(), before);
 }
--- a/crates/consensus/src/raft_node/tests.rs
+++ b/crates/consensus/src/raft_node/tests.rs
@@ -2,8 +2,8 @@
 
 use super::*;
 use crate::disk::LogFile;
-use crate::place::{Fault, Memory};
 use crate::rules::Body;
+use crate::storage::{MemoryStorage, StorageFault};
 
 fn propose(token: u64, base: Version, tick: u64) -> Command {
     let body = Body { settings: serde_json::json!({ "tick": tick }), out: BTreeSet::new() };
@@ -13,7 +13,7 @@
 /// A lone voter elects itself, agrees with itself, and knows all again after a start, the log cut or not.
 #[test]
 fn a_voter_knows_after_a_start_what_was_agreed_and_is_unsettled_until_then() {
-    let place = Memory::default();
+    let place = MemoryStorage::default();
     let (mut disk, loaded) = LogFile::open(&place, "v", true).unwrap();
     let mut voter = RaftNode::new(1, 1, loaded).unwrap();
     for _ in 0..30 {
@@ -49,13 +49,13 @@
 /// A disk that fails once: nothing is acknowledged any more.
 #[test]
 fn a_voter_whose_disk_failed_takes_part_no_more() {
-    let place = Memory::default();
+    let place = MemoryStorage::default();
     let (mut disk, loaded) = LogFile::open(&place, "v", true).unwrap();
     let mut voter = RaftNode::new(1, 1, loaded).unwrap();
     let mut failed = 0;
     for n in 0..60 {
         if n == 30 {
-            place.plan(Fault::Sync);
+            place.inject_fault(StorageFault::SyncFailsOnce);
         }
         voter.tick();
         voter.propose(&propose(n, voter.state().newest_version(), n));
@@ -69,8 +69,13 @@
 /// it counts as settled: as after a restart.
 #[test]
 fn a_voter_whose_disk_works_again_comes_back_as_after_a_restart() {
-    for fault in [Fault::Sync, Fault::SyncUnnoticed, Fault::Full(0), Fault::Full(17)] {
-        let place = Memory::default();
+    for fault in [
+        StorageFault::SyncFailsOnce,
+        StorageFault::SyncFailsOnceReadable,
+        StorageFault::DiskFull(0),
+        StorageFault::DiskFull(17),
+    ] {
+        let place = MemoryStorage::default();
         let (mut disk, loaded) = LogFile::open(&place, "v", true).unwrap();
         let mut voter = RaftNode::new(1, 1, loaded).unwrap();
         for n in 0..40 {
@@ -80,12 +85,12 @@
         }
         let agreed = voter.state().newest_version();
         assert!(agreed > 5);
-        place.plan(fault);
+        place.inject_fault(fault);
         voter.propose(&propose(99, agreed, 99));
         let error = voter.process_pending(&mut disk).unwrap_err();
         assert!(error.is_transient(), "{error}");
         assert!(voter.process_pending(&mut disk).unwrap().is_empty());
-        place.mend();
+        place.clear_fault();
         let mut again = RaftNode::new(1, 1, disk.recover().unwrap()).unwrap();
         assert!(!again.has_failed() && !again.has_caught_up());
         for n in 100..140 {
--- a/crates/consensus/src/place.rs
+++ b/crates/consensus/src/storage.rs
@@ -10,21 +10,21 @@
 use std::rc::Rc;
 
 /// Where a file may stand. One opener at a time.
-pub trait Place: std::fmt::Debug {
+pub trait StorageLocation: std::fmt::Debug {
     /// Its name, for messages.
     fn name(&self) -> String;
     /// Opens it for this opener alone, or makes it where `create` says so. `NotFound` if it is not there, `WouldBlock`
     /// while another has it.
-    fn open(&self, create: bool) -> io::Result<Box<dyn Lasting>>;
+    fn open(&self, create: bool) -> io::Result<Box<dyn DurableFile>>;
 }
 
-/// An opened file that grows at its end. After an error of [`Lasting::write`] or [`Lasting::sync`] nobody knows which of
+/// An opened file that grows at its end. After an error of [`DurableFile::write`] or [`DurableFile::sync`] nobody knows which of
 /// the bytes written since the last successful sync are on the disk, not even after reading them back: the kernel may
-/// show pages that it failed to write, and take them for written. Only [`Lasting::swap`] is of use then.
-pub trait Lasting: std::fmt::Debug {
+/// show pages that it failed to write, and take them for written. Only [`DurableFile::swap`] is of use then.
+pub trait DurableFile: std::fmt::Debug {
     /// All that it holds, from its first byte on.
-    fn read(&mut self) -> io::Result<Vec<u8>>;
-    /// Writes some of these bytes at the end, at least one; how many. They last once [`Lasting::sync`] returns well.
+    fn read_all(&mut self) -> io::Result<Vec<u8>>;
+    /// Writes some of these bytes at the end, at least one; how many. They last once [`DurableFile::sync`] returns well.
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize>;
     /// What was written lasts.
     fn sync(&mut self) -> io::Result<()>;
@@ -32,15 +32,15 @@
     /// old contents or the new, complete. Once it returns well they last. After an error this handle reads either the
     /// old or the new contents, and another call may be made. The opener keeps the file for itself throughout;
     /// `WouldBlock` if somebody has put another file in its place.
-    fn swap(&mut self, bytes: &[u8]) -> io::Result<()>;
+    fn replace_contents(&mut self, bytes: &[u8]) -> io::Result<()>;
 }
 
-impl Place for PathBuf {
+impl StorageLocation for PathBuf {
     fn name(&self) -> String {
         self.display().to_string()
     }
 
-    fn open(&self, create: bool) -> io::Result<Box<dyn Lasting>> {
+    fn open(&self, create: bool) -> io::Result<Box<dyn DurableFile>> {
         let file = OpenOptions::new().create(create).read(true).append(true).open(self)?;
         lock(&file)?;
         // Between the opening and the lock another process may have replaced the file; its lock is on the new one.
@@ -116,8 +116,8 @@
     directory: PathBuf,
 }
 
-impl Lasting for OnDisk {
-    fn read(&mut self) -> io::Result<Vec<u8>> {
+impl DurableFile for OnDisk {
+    fn read_all(&mut self) -> io::Result<Vec<u8>> {
         let mut bytes = Vec::new();
         self.file.rewind()?;
         self.file.read_to_end(&mut bytes)?;
@@ -129,7 +129,7 @@
     fn sync(&mut self) -> io::Result<()> {
         self.file.sync_data()
     }
-    fn swap(&mut self, bytes: &[u8]) -> io::Result<()> {
+    fn replace_contents(&mut self, bytes: &[u8]) -> io::Result<()> {
         ensure_current(&self.file, &self.path)?;
         let fresh = self.path.with_extension("new");
         let file = write_fresh(&fresh, bytes)?;
@@ -146,23 +146,23 @@
 
 /// What goes wrong at the next operation that it concerns: once, where nothing else is said.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Fault {
+pub enum StorageFault {
     /// No write puts down more than so many bytes at a time, from now on.
-    Short(usize),
+    ShortWrites(usize),
     /// So many bytes find room in the next write, and none after it, until there is room again.
-    Full(usize),
+    DiskFull(usize),
     /// The next sync fails; what it was for is lost.
-    Sync,
+    SyncFailsOnce,
     /// The next sync fails, and what it was for can still be read until power goes: its pages count as written, and no
     /// later sync writes them.
-    SyncUnnoticed,
+    SyncFailsOnceReadable,
     /// Every sync fails, until the disk works again; what it was for is lost.
-    EverySync,
+    EverySyncFails,
     /// The next replacement takes place, but whether its name lasts is not known: an error, and what stands there after
     /// a loss of power may be the old contents or the new.
-    SyncDirectory,
+    DirectorySyncFailsOnce,
     /// Power goes after so many bytes of the next write have reached the disk; nothing works until it is opened anew.
-    Power(usize),
+    PowerLoss(usize),
 }
 
 #[derive(Debug, Default)]
@@ -176,7 +176,7 @@
     since: Vec<u8>,
     /// Contents that replaced all of this, by a name that does not last yet.
     renamed: Option<Vec<u8>>,
-    fault: Option<Fault>,
+    fault: Option<StorageFault>,
     /// Who has it open; 0 for nobody.
     opener: u64,
     openers: u64,
@@ -202,9 +202,9 @@
         let since = std::mem::take(&mut self.since);
         match self.fault {
             // As a kernel does: the pages are dropped, and the next sync says that all is well.
-            Some(Fault::Sync) => self.fault = None,
-            Some(Fault::EverySync) => {}
-            Some(Fault::SyncUnnoticed) => {
+            Some(StorageFault::SyncFailsOnce) => self.fault = None,
+            Some(StorageFault::EverySyncFails) => {}
+            Some(StorageFault::SyncFailsOnceReadable) => {
                 self.fault = None;
                 self.unwritten.extend(since);
             }
@@ -216,20 +216,22 @@
         Err(io::Error::other("a sync failed"))
     }
 
-    fn swap(&mut self, bytes: &[u8]) -> io::Result<()> {
+    fn replace_contents(&mut self, bytes: &[u8]) -> io::Result<()> {
         match self.fault {
-            Some(Fault::Full(room)) if room < bytes.len() => Err(io::ErrorKind::StorageFull.into()),
-            Some(Fault::Power(_)) => {
+            Some(StorageFault::DiskFull(room)) if room < bytes.len() => {
+                Err(io::ErrorKind::StorageFull.into())
+            }
+            Some(StorageFault::PowerLoss(_)) => {
                 self.opener = 0;
                 self.fault = None;
                 Err(io::Error::other("power was lost"))
             }
-            Some(Fault::Sync | Fault::SyncUnnoticed) => {
+            Some(StorageFault::SyncFailsOnce | StorageFault::SyncFailsOnceReadable) => {
                 self.fault = None;
                 Err(io::Error::other("a sync failed"))
             }
-            Some(Fault::EverySync) => Err(io::Error::other("a sync failed")),
-            Some(Fault::SyncDirectory) => {
+            Some(StorageFault::EverySyncFails) => Err(io::Error::other("a sync failed")),
+            Some(StorageFault::DirectorySyncFailsOnce) => {
                 self.fault = None;
                 self.since.clear();
                 self.renamed = Some(bytes.to_vec());
@@ -245,20 +247,20 @@
 
 /// A place in memory.
 #[derive(Clone, Debug, Default)]
-pub struct Memory(Rc<RefCell<Held>>);
+pub struct MemoryStorage(Rc<RefCell<Held>>);
 
-impl Memory {
+impl MemoryStorage {
     /// Has this go wrong next.
-    pub fn plan(&self, fault: Fault) {
+    pub fn inject_fault(&self, fault: StorageFault) {
         self.0.borrow_mut().fault = Some(fault);
     }
     /// The disk works again; whoever has it open still has it.
-    pub fn mend(&self) {
+    pub fn clear_fault(&self) {
         self.0.borrow_mut().fault = None;
     }
     /// Power goes: what was not synced is lost, but for so many bytes of it, and whoever has it open has it no more. A
     /// replacement whose name was not synced is lost as well if no byte is kept.
-    pub fn power_lost(&self, kept: usize) {
+    pub fn lose_power(&self, kept: usize) {
         let mut held = self.0.borrow_mut();
         let since = std::mem::take(&mut held.since);
         held.unwritten.clear();
@@ -270,23 +272,23 @@
         held.fault = None;
     }
     /// What lasts.
-    pub fn bytes(&self) -> Vec<u8> {
+    pub fn durable_bytes(&self) -> Vec<u8> {
         self.0.borrow().lasts.clone()
     }
     /// Puts other bytes there, as damage would.
-    pub fn set_bytes(&self, bytes: &[u8]) {
+    pub fn overwrite(&self, bytes: &[u8]) {
         let mut held = self.0.borrow_mut();
         held.there = true;
         held.replace_all(bytes);
     }
 }
 
-impl Place for Memory {
+impl StorageLocation for MemoryStorage {
     fn name(&self) -> String {
         "a place in memory".into()
     }
 
-    fn open(&self, create: bool) -> io::Result<Box<dyn Lasting>> {
+    fn open(&self, create: bool) -> io::Result<Box<dyn DurableFile>> {
         let mut held = self.0.borrow_mut();
         if !held.there && !create {
             return Err(io::ErrorKind::NotFound.into());
@@ -302,7 +304,7 @@
 
 #[derive(Debug)]
 struct InMemory {
-    place: Memory,
+    place: MemoryStorage,
     opener: u64,
 }
 
@@ -328,28 +330,28 @@
     }
 }
 
-impl Lasting for InMemory {
-    fn read(&mut self) -> io::Result<Vec<u8>> {
+impl DurableFile for InMemory {
+    fn read_all(&mut self) -> io::Result<Vec<u8>> {
         self.with(|held| Ok(held.visible()))
     }
 
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
         self.with(|held| match held.fault {
-            Some(Fault::Full(0)) => Err(io::ErrorKind::StorageFull.into()),
-            Some(Fault::Full(room)) => {
+            Some(StorageFault::DiskFull(0)) => Err(io::ErrorKind::StorageFull.into()),
+            Some(StorageFault::DiskFull(room)) => {
                 let some = room.min(bytes.len());
-                held.fault = Some(Fault::Full(room - some));
+                held.fault = Some(StorageFault::DiskFull(room - some));
                 held.since.extend_from_slice(&bytes[..some]);
                 Ok(some)
             }
-            Some(Fault::Power(reached)) => {
+            Some(StorageFault::PowerLoss(reached)) => {
                 (held.opener, held.fault) = (0, None);
                 let since = std::mem::take(&mut held.since);
                 let all = [&since[..], bytes].concat();
                 held.lasts.extend_from_slice(&all[..(since.len() + reached).min(all.len())]);
                 Err(io::Error::other("power was lost"))
             }
-            Some(Fault::Short(most)) => {
+            Some(StorageFault::ShortWrites(most)) => {
                 let some = most.clamp(1, bytes.len());
                 held.since.extend_from_slice(&bytes[..some]);
                 Ok(some)
@@ -365,8 +367,8 @@
         self.with(Held::sync)
     }
 
-    fn swap(&mut self, bytes: &[u8]) -> io::Result<()> {
-        self.with(|held| held.swap(bytes))
+    fn replace_contents(&mut self, bytes: &[u8]) -> io::Result<()> {
+        self.with(|held| held.replace_contents(bytes))
     }
 }
 
--- a/crates/consensus/src/place/tests.rs
+++ b/crates/consensus/src/storage/tests.rs
@@ -23,9 +23,9 @@
         std::fs::write(&path, OLD).unwrap();
         std::fs::write(path.with_extension("new"), &NEW[..reached]).unwrap();
         let mut file = path.open(false).unwrap();
-        assert_eq!(file.read().unwrap(), OLD, "killed after {reached} bytes");
-        file.swap(NEW).unwrap();
-        assert_eq!(file.read().unwrap(), NEW);
+        assert_eq!(file.read_all().unwrap(), OLD, "killed after {reached} bytes");
+        file.replace_contents(NEW).unwrap();
+        assert_eq!(file.read_all().unwrap(), NEW);
         assert_eq!(std::fs::read(&path).unwrap(), NEW);
         assert_eq!(names(directory.path()), ["voter.log"], "killed after {reached} bytes");
     }
@@ -38,13 +38,13 @@
     let mut file = path.open(false).unwrap();
     // A directory by the name of the fresh file: it cannot be created.
     std::fs::create_dir(path.with_extension("new")).unwrap();
-    assert!(file.swap(NEW).is_err());
-    assert_eq!(file.read().unwrap(), OLD);
+    assert!(file.replace_contents(NEW).is_err());
+    assert_eq!(file.read_all().unwrap(), OLD);
     assert_eq!(path.open(false).unwrap_err().kind(), io::ErrorKind::WouldBlock);
     std::fs::remove_dir(path.with_extension("new")).unwrap();
-    file.swap(NEW).unwrap();
+    file.replace_contents(NEW).unwrap();
     file.write(b"!").unwrap();
-    assert_eq!(file.read().unwrap(), [NEW, b"!"].concat());
+    assert_eq!(file.read_all().unwrap(), [NEW, b"!"].concat());
     assert_eq!(path.open(false).unwrap_err().kind(), io::ErrorKind::WouldBlock);
 }
 
@@ -56,13 +56,13 @@
     std::fs::write(&path, OLD).unwrap();
     let mut holder = path.open(false).unwrap();
     let late = File::open(&path).unwrap();
-    holder.swap(NEW).unwrap();
+    holder.replace_contents(NEW).unwrap();
     lock(&late).unwrap();
     assert_eq!(ensure_current(&late, &path).unwrap_err().kind(), io::ErrorKind::WouldBlock);
     // Likewise for a holder whose file somebody has put another one over.
     std::fs::write(path.with_extension("copy"), OLD).unwrap();
     std::fs::rename(path.with_extension("copy"), &path).unwrap();
-    assert_eq!(holder.swap(NEW).unwrap_err().kind(), io::ErrorKind::WouldBlock);
+    assert_eq!(holder.replace_contents(NEW).unwrap_err().kind(), io::ErrorKind::WouldBlock);
     assert_eq!(std::fs::read(&path).unwrap(), OLD);
 }
 
@@ -74,11 +74,11 @@
     let file = OpenOptions::new().read(true).append(true).open(&path).unwrap();
     lock(&file).unwrap();
     let mut holder = OnDisk { file, path: path.clone(), directory: directory.path().join("missing") };
-    assert_eq!(holder.swap(NEW).unwrap_err().kind(), io::ErrorKind::NotFound);
-    assert_eq!(holder.read().unwrap(), NEW);
+    assert_eq!(holder.replace_contents(NEW).unwrap_err().kind(), io::ErrorKind::NotFound);
+    assert_eq!(holder.read_all().unwrap(), NEW);
     assert_eq!(path.open(false).unwrap_err().kind(), io::ErrorKind::WouldBlock);
     holder.directory = directory.path().into();
-    holder.swap(OLD).unwrap();
+    holder.replace_contents(OLD).unwrap();
     assert_eq!(std::fs::read(&path).unwrap(), OLD);
 }
 
--- a/crates/consensus/tests/pins.rs
+++ b/crates/consensus/tests/pins.rs
@@ -8,10 +8,10 @@
 use loomlb_consensus::check::{Event, Line};
 use loomlb_consensus::disk::{Disk, LogFile};
 use loomlb_consensus::link_protocol::{LinkMessage, derive_channels, greeting};
-use loomlb_consensus::place::Memory;
 use loomlb_consensus::raft_node::RaftNode;
 use loomlb_consensus::rules::Body;
 use loomlb_consensus::state::{Command, Document, Outcome, Past, State};
+use loomlb_consensus::storage::MemoryStorage;
 use loomlb_consensus::worker_lists::{LeavingWorker, ListReport, ListSummary};
 use protobuf::Message as _;
 use raft::eraftpb::{ConfState, Entry, EntryType, HardState, Snapshot};
@@ -167,23 +167,23 @@
 
 #[test]
 fn a_voters_log_keeps_its_bytes() {
-    let place = Memory::default();
+    let place = MemoryStorage::default();
     let (mut log, _) = LogFile::open(&place, OWNER, true).unwrap();
-    assert_eq!(golden::visible(&place.bytes()[12..]), "\\x00a of a, b, c");
+    assert_eq!(golden::visible(&place.durable_bytes()[12..]), "\\x00a of a, b, c");
     write_log(&mut log);
-    golden::check_fixture(FIXTURE, &place.bytes());
+    golden::check_fixture(FIXTURE, &place.durable_bytes());
 }
 
 /// The log as an earlier build wrote it, opened as an upgrade opens it.
 #[test]
 fn a_voters_log_of_an_earlier_build_is_read() {
     let bytes = golden::fixture(FIXTURE);
-    let place = Memory::default();
+    let place = MemoryStorage::default();
     drop(LogFile::open(&place, OWNER, true).unwrap());
-    place.set_bytes(&bytes);
+    place.overwrite(&bytes);
     let (log, loaded) = LogFile::open(&place, OWNER, false).unwrap();
     drop(log);
-    assert_eq!(place.bytes(), bytes, "opening changes nothing");
+    assert_eq!(place.durable_bytes(), bytes, "opening changes nothing");
     let places: Vec<(u64, u64)> = loaded.entries.iter().map(|e| (e.index, e.term)).collect();
     assert_eq!(places, [(10, 2), (11, 2), (12, 3), (13, 3)]);
     assert_eq!(loaded.hard, hard_state(3, 2, 12));
--- a/crates/lab/src/capacity/voter.rs
+++ b/crates/lab/src/capacity/voter.rs
@@ -18,9 +18,9 @@
 use loomlb_consensus::disk::LogFile;
 use loomlb_consensus::lease_grants::{LeaseGrants, ProcessId};
 use loomlb_consensus::link_protocol::LinkMessage;
-use loomlb_consensus::place::{Lasting, Place};
 use loomlb_consensus::raft_node::RaftNode;
 use loomlb_consensus::state::{Command, State};
+use loomlb_consensus::storage::{DurableFile, StorageLocation};
 use loomlb_consensus::timing::TimingConfig;
 use loomlb_consensus::worker_lists::{ListReport, ListReports};
 use serde_json::json;
@@ -46,17 +46,17 @@
     }
 }
 
-impl Place for Counted {
+impl StorageLocation for Counted {
     fn name(&self) -> String {
         "counted".into()
     }
-    fn open(&self, _create: bool) -> io::Result<Box<dyn Lasting>> {
+    fn open(&self, _create: bool) -> io::Result<Box<dyn DurableFile>> {
         Ok(Box::new(self.clone()))
     }
 }
 
-impl Lasting for Counted {
-    fn read(&mut self) -> io::Result<Vec<u8>> {
+impl DurableFile for Counted {
+    fn read_all(&mut self) -> io::Result<Vec<u8>> {
         Ok(Vec::new())
     }
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
@@ -66,7 +66,7 @@
     fn sync(&mut self) -> io::Result<()> {
         Ok(())
     }
-    fn swap(&mut self, bytes: &[u8]) -> io::Result<()> {
+    fn replace_contents(&mut self, bytes: &[u8]) -> io::Result<()> {
         self.write(bytes).map(|_| ())
     }
 }
--- a/crates/lab/src/trial.rs
+++ b/crates/lab/src/trial.rs
@@ -7,11 +7,11 @@
 use loomlb_consensus::lease_grants::LeaseGrants;
 use loomlb_consensus::lease_holder::LeaseHolder;
 use loomlb_consensus::link_protocol::{self, Channel, LinkMessage};
-use loomlb_consensus::place::{Fault, Memory};
 use loomlb_consensus::raft_node::{self, RaftNode, TICK_NANOS};
 use loomlb_consensus::raft_node_error::RaftNodeError;
 use loomlb_consensus::rules::Body;
 use loomlb_consensus::state::{Command, Outcome, State};
+use loomlb_consensus::storage::{MemoryStorage, StorageFault};
 use loomlb_consensus::timing::{LeaseTiming, TimingConfig};
 use loomlb_consensus::votes::{Vote, Votes};
 use loomlb_consensus::worker_lists::{ListReport, ListSummary};
@@ -208,7 +208,7 @@
     rate: f64,
     holder: LeaseHolder,
     voter: Option<(RaftNode, LeaseGrants)>,
-    place: Memory,
+    place: MemoryStorage,
     log: Option<LogFile>,
     /// How often the disk has begun to fail.
     disk_faults: u64,
@@ -367,7 +367,7 @@
                 rate,
                 holder,
                 voter: None,
-                place: Memory::default(),
+                place: MemoryStorage::default(),
                 log: None,
                 disk_faults: 0,
                 may: false,
@@ -403,7 +403,7 @@
         self.healed = true;
         self.cut.clear();
         self.loss = 0.0;
-        self.nodes.iter().for_each(|node| node.place.mend());
+        self.nodes.iter().for_each(|node| node.place.clear_fault());
         for n in 0..self.nodes.len() {
             if self.nodes[n].stopped {
                 self.push(self.now, Due::Continue(n));
@@ -421,7 +421,7 @@
             let (id, all) = (n as u64 + 1, self.trial.voters as u64);
             // What its last process had open is closed; what that was told lasts, does.
             node.log = None;
-            node.place.power_lost(0);
+            node.place.lose_power(0);
             let (log, loaded) =
                 LogFile::open(&node.place, &id.to_string(), true).map_err(|e| e.to_string())?;
             node.log = Some(log);
@@ -513,7 +513,7 @@
             }
             Due::DiskWorks(n, fault) => {
                 if self.nodes[n].disk_faults == fault {
-                    self.nodes[n].place.mend();
+                    self.nodes[n].place.clear_fault();
                 }
             }
             Due::Recover(n, run) => self.recover(n, run)?,
@@ -633,15 +633,15 @@
         for n in (first..first + failing).map(|n| n % voters) {
             let room = self.rng.usize(0..200);
             let faults = [
-                Fault::Full(room),
-                Fault::EverySync,
-                Fault::Sync,
-                Fault::SyncUnnoticed,
-                Fault::SyncDirectory,
+                StorageFault::DiskFull(room),
+                StorageFault::EverySyncFails,
+                StorageFault::SyncFailsOnce,
+                StorageFault::SyncFailsOnceReadable,
+                StorageFault::DirectorySyncFailsOnce,
             ];
             let fault = faults[self.rng.usize(0..faults.len())];
             self.nodes[n].disk_faults += 1;
-            self.nodes[n].place.plan(fault);
+            self.nodes[n].place.inject_fault(fault);
             self.push(self.now + lasts, Due::DiskWorks(n, self.nodes[n].disk_faults));
         }
     }
--- a/crates/lab/tests/capacity.rs
+++ b/crates/lab/tests/capacity.rs
@@ -4,7 +4,7 @@
 use loomlb_capacity::report::Report;
 use loomlb_consensus::disk::LogFile;
 use loomlb_consensus::link_protocol::LinkMessage;
-use loomlb_consensus::place::Memory;
+use loomlb_consensus::storage::MemoryStorage;
 use loomlb_consensus::timing::TimingConfig;
 use loomlb_consensus::worker_lists::ListSummary;
 use loomlb_lab::capacity::voter::Counted;
@@ -161,10 +161,10 @@
     assert_eq!(meter::allocations(|| drop([Box::new(1), Box::new(2), Box::new(3)])), 3.0);
 
     // Both files are told the same: a head of 13 bytes and the owner.
-    let (counted, kept) = (Counted::default(), Memory::default());
+    let (counted, kept) = (Counted::default(), MemoryStorage::default());
     LogFile::open(&counted, "somebody", true).unwrap();
     LogFile::open(&kept, "somebody", true).unwrap();
-    assert_eq!((counted.written(), kept.bytes().len()), (21, 21));
+    assert_eq!((counted.written(), kept.durable_bytes().len()), (21, 21));
 }
 
 /// A trial that is measured is the trial: counting changes nothing of what happens.
--- a/crates/scheduler/src/config.rs
+++ b/crates/scheduler/src/config.rs
@@ -2,7 +2,7 @@
 
 use super::changes;
 use super::epoch::Epoch;
-use loomlb_consensus::place::write_atomically;
+use loomlb_consensus::storage::write_atomically;
 use loomlb_policy::PeerId;
 use loomlb_policy::boot::BootInfo;
 use serde::Deserialize;
