--- a/crates/conformance/src/lib.rs
+++ b/crates/conformance/src/lib.rs
@@ -5,7 +5,7 @@
 
 pub mod tier_client;
 
-use loomlb_consensus::disk::{Disk, Loaded};
+use loomlb_consensus::log_store::{LogStore, StoredLog};
 use loomlb_consensus::storage::{DurableFile, StorageFault, StorageLocation};
 use loomlb_consensus::store_error::StoreError;
 use raft::eraftpb::{Entry, HardState, Snapshot};
@@ -17,7 +17,7 @@
 /// A store as the suite needs it, empty when it is made.
 pub trait Subject {
     /// Opens it for a voter.
-    fn open(&self, owner: &str, found: bool) -> Result<(Box<dyn Disk>, Loaded), StoreError>;
+    fn open(&self, owner: &str, found: bool) -> Result<(Box<dyn LogStore>, StoredLog), StoreError>;
     /// What lasts, byte for byte.
     fn bytes(&self) -> Vec<u8>;
     /// Puts other bytes there while nobody has it open.
@@ -138,7 +138,7 @@
     founded(s, 1)?;
     for term in 1..4 {
         s.open(MINE, false)?.0.append(&[], Some(&hard(term)))?;
-        same("term", s.open(MINE, false)?.1.hard.term, term)?;
+        same("term", s.open(MINE, false)?.1.hard_state.term, term)?;
     }
     Ok(())
 }
@@ -151,7 +151,7 @@
     drop(disk);
     let (_, loaded) = s.open(MINE, false)?;
     same("picture", loaded.snapshot.map(|p| p.get_metadata().index), Some(5))?;
-    same("term", loaded.hard.term, 4)?;
+    same("term", loaded.hard_state.term, 4)?;
     same("entries", loaded.entries.iter().map(|e| e.index).collect(), vec![6, 7])
 }
 
@@ -299,7 +299,7 @@
         let loaded = disk.recover()?;
         let entries = loaded.entries.iter().map(|e| (e.index, e.term)).collect();
         same("recovered entries", entries, all(acknowledged))?;
-        same("the vote that was not acknowledged", loaded.hard.term, 0)?;
+        same("the vote that was not acknowledged", loaded.hard_state.term, 0)?;
         same("for a second opener", s.open(MINE, false).err().map(|e| e.code()), Some("store-taken"))?;
         disk.append(&next, None)?;
         acknowledged += 1;
--- a/crates/conformance/tests/store.rs
+++ b/crates/conformance/tests/store.rs
@@ -1,7 +1,7 @@
 //! Every store passes the same clauses, and a store with one planted fault breaks the clause that the fault is about.
 
 use loomlb_conformance::{Faulty, STORE, Subject, broken};
-use loomlb_consensus::disk::{Disk, Loaded, LogFile};
+use loomlb_consensus::log_store::{LogFile, LogStore, StoredLog};
 use loomlb_consensus::storage::{DurableFile, MemoryStorage, StorageFault, StorageLocation};
 use loomlb_consensus::store_error::StoreError;
 use raft::eraftpb::{Entry, HardState, Snapshot};
@@ -28,8 +28,9 @@
 }
 
 impl Subject for OnDisk {
-    fn open(&self, owner: &str, found: bool) -> Result<(Box<dyn Disk>, Loaded), StoreError> {
-        LogFile::open(&self.place, owner, found).map(|(log, loaded)| (Box::new(log) as Box<dyn Disk>, loaded))
+    fn open(&self, owner: &str, found: bool) -> Result<(Box<dyn LogStore>, StoredLog), StoreError> {
+        LogFile::open(&self.place, owner, found)
+            .map(|(log, loaded)| (Box::new(log) as Box<dyn LogStore>, loaded))
     }
     fn bytes(&self) -> Vec<u8> {
         std::fs::read(self.path()).unwrap()
@@ -132,9 +133,9 @@
 /// A voter's log on the place in memory, with a planted fault or none.
 struct InMemory(MemoryStorage, Option<Bad>);
 
-struct BadLog(Box<dyn Disk>, Option<Bad>, u64);
+struct BadLog(Box<dyn LogStore>, Option<Bad>, u64);
 
-impl Disk for BadLog {
+impl LogStore for BadLog {
     fn append(&mut self, entries: &[Entry], hard: Option<&HardState>) -> Result<(), StoreError> {
         let last = self.2;
         self.2 = entries.last().map_or(last, |e| e.index);
@@ -156,7 +157,7 @@
             _ => self.0.replace(snapshot, entries, hard),
         }
     }
-    fn recover(&mut self) -> Result<Loaded, StoreError> {
+    fn recover(&mut self) -> Result<StoredLog, StoreError> {
         let mut loaded = self.0.recover();
         match (self.1, &mut loaded) {
             (Some(Bad::StaysStopped), _) => Err(StoreError::Stopped { place: "stopped".into() }),
@@ -170,7 +171,7 @@
 }
 
 impl Subject for InMemory {
-    fn open(&self, owner: &str, found: bool) -> Result<(Box<dyn Disk>, Loaded), StoreError> {
+    fn open(&self, owner: &str, found: bool) -> Result<(Box<dyn LogStore>, StoredLog), StoreError> {
         let InMemory(memory, bad) = self;
         let before = memory.durable_bytes().len();
         if *bad == Some(Bad::TwoOpeners) {
--- a/crates/consensus/src/lib.rs
+++ b/crates/consensus/src/lib.rs
@@ -1,6 +1,6 @@
 //! What the schedulers of a tier have agreed on, and for how long each may act on it.
 //!
-//! Pure cores, apart from [`disk`] and the [`storage`] beneath it: no sockets, no clock, time passed in. [`raft_node`] has the voters agree on one
+//! Pure cores, apart from [`log_store`] and the [`storage`] beneath it: no sockets, no clock, time passed in. [`raft_node`] has the voters agree on one
 //! document ([`state`]) by the Raft library; [`lease_grants`] is what a voter has promised to whom, [`lease_holder`] what a
 //! scheduler may act on now, [`timing`] the figures that both go by, with their proof in docs/design/0006-accord.md.
 //! [`rules`] tells which changes contradict each other and what is the strictest of two documents; [`check`] reads the
@@ -9,10 +9,10 @@
 #![forbid(unsafe_code)]
 
 pub mod check;
-pub mod disk;
 pub mod lease_grants;
 pub mod lease_holder;
 pub mod link_protocol;
+pub mod log_store;
 pub mod raft_node;
 pub mod raft_node_error;
 pub mod rules;
--- a/crates/consensus/src/disk.rs
+++ b/crates/consensus/src/log_store.rs
@@ -8,17 +8,17 @@
 
 /// What stood on a disk.
 #[derive(Debug, Default, Clone)]
-pub struct Loaded {
+pub struct StoredLog {
     /// The picture that the entries follow.
     pub snapshot: Option<Snapshot>,
     /// Entries, without a gap.
     pub entries: Vec<Entry>,
     /// Term, vote and commit index.
-    pub hard: HardState,
+    pub hard_state: HardState,
 }
 
 /// Where a voter writes. What is not on the disk when a call returns well must not be told to anyone.
-pub trait Disk {
+pub trait LogStore {
     /// Adds entries, which replace those from their first index on, and the vote.
     fn append(&mut self, entries: &[Entry], hard: Option<&HardState>) -> Result<(), StoreError>;
     /// Writes all anew: a picture, and the entries after it.
@@ -33,7 +33,7 @@
     /// be called again after a [transient](StoreError::is_transient) error. The file stays locked throughout.
     ///
     /// Whoever has built a state on the entries must build it anew from what this returns.
-    fn recover(&mut self) -> Result<Loaded, StoreError>;
+    fn recover(&mut self) -> Result<StoredLog, StoreError>;
 }
 
 const OWNER: u8 = 0;
@@ -80,7 +80,7 @@
 /// The records at the start of a file.
 #[derive(Debug, Default)]
 struct Records {
-    loaded: Loaded,
+    loaded: StoredLog,
     /// Where the first record begins that is not complete.
     length: usize,
     /// Whether the record of the owner is there.
@@ -156,7 +156,7 @@
     }
 }
 
-impl Loaded {
+impl StoredLog {
     /// Takes in the next record of a file; what it is if this build does not know it.
     fn add(&mut self, kind: u8, payload: &[u8]) -> Result<(), String> {
         let unreadable = |e: io::Error| format!("a record of kind {kind} ({e})");
@@ -167,7 +167,7 @@
                 self.entries.retain(|e| e.index < entry.index);
                 self.entries.push(entry);
             }
-            HARD => self.hard = read(payload).map_err(unreadable)?,
+            HARD => self.hard_state = read(payload).map_err(unreadable)?,
             PICTURE => {
                 self.entries.clear();
                 self.snapshot = Some(read(payload).map_err(unreadable)?);
@@ -188,7 +188,7 @@
         place: &dyn StorageLocation,
         owner: &str,
         found: bool,
-    ) -> Result<(LogFile, Loaded), StoreError> {
+    ) -> Result<(LogFile, StoredLog), StoreError> {
         let name = place.name();
         let mut file = place.open(found).map_err(|e| StoreError::of(&name, "open", e))?;
         let bytes = file.read_all().map_err(|e| StoreError::of(&name, "read", e))?;
@@ -205,7 +205,7 @@
         Ok((log, records.loaded))
     }
 
-    /// Does an operation after whose failure nothing more is taken until [`Disk::recover`] succeeds.
+    /// Does an operation after whose failure nothing more is taken until [`LogStore::recover`] succeeds.
     fn guarded(
         &mut self,
         operation: Operation,
@@ -257,7 +257,7 @@
     Ok(())
 }
 
-impl Disk for LogFile {
+impl LogStore for LogFile {
     fn append(&mut self, entries: &[Entry], hard: Option<&HardState>) -> Result<(), StoreError> {
         let mut out = Vec::new();
         records(&mut out, entries, hard).map_err(|e| StoreError::of(&self.place, "encode", e))?;
@@ -280,7 +280,7 @@
         self.rewrite(&out)
     }
 
-    fn recover(&mut self) -> Result<Loaded, StoreError> {
+    fn recover(&mut self) -> Result<StoredLog, StoreError> {
         let failed = self.failed.unwrap_or(Operation::Append);
         self.failed = Some(failed);
         let mut bytes = self.file.read_all().map_err(|e| StoreError::of(&self.place, "read", e))?;
--- a/crates/consensus/src/disk/tests.rs
+++ b/crates/consensus/src/log_store/tests.rs
@@ -47,7 +47,7 @@
     drop(log);
     let (_, loaded) = LogFile::open(&path, "v of t", false).unwrap();
     assert_eq!(
-        (loaded.entries.len(), loaded.hard.vote, loaded.snapshot.unwrap().get_metadata().index),
+        (loaded.entries.len(), loaded.hard_state.vote, loaded.snapshot.unwrap().get_metadata().index),
         (1, 2, 4)
     );
 }
@@ -75,9 +75,9 @@
 }
 
 /// Snapshot, entries and term.
-fn contents(loaded: &Loaded) -> (u64, Vec<u64>, u64) {
+fn contents(loaded: &StoredLog) -> (u64, Vec<u64>, u64) {
     let snapshot = loaded.snapshot.as_ref().map_or(0, |s| s.get_metadata().index);
-    (snapshot, loaded.entries.iter().map(|e| e.index).collect(), loaded.hard.term)
+    (snapshot, loaded.entries.iter().map(|e| e.index).collect(), loaded.hard_state.term)
 }
 
 /// What the log holds once power was lost and it is opened again.
--- a/crates/consensus/src/raft_node.rs
+++ b/crates/consensus/src/raft_node.rs
@@ -2,7 +2,7 @@
 //! written in the order that the library states: entries and votes first, then the messages that tell of them.
 
 use crate::Version;
-use crate::disk::{Disk, Loaded};
+use crate::log_store::{LogStore, StoredLog};
 use crate::raft_node_error::RaftNodeError;
 use crate::state::{Command, State};
 use protobuf::Message as _;
@@ -95,7 +95,7 @@
 
 impl RaftNode {
     /// Voter `id`, from 1 to `voters`, with what its disk held.
-    pub fn new(id: u64, voters: u64, loaded: Loaded) -> Result<RaftNode, RaftNodeError> {
+    pub fn new(id: u64, voters: u64, loaded: StoredLog) -> Result<RaftNode, RaftNodeError> {
         let mem = MemStorage::new();
         let mut state = State::default();
         let mut from = 0;
@@ -111,7 +111,7 @@
         }
         mem.wl().append(&loaded.entries)?;
         let last = mem.last_index()?;
-        let mut hard = loaded.hard;
+        let mut hard = loaded.hard_state;
         // The commit index is written with the next vote or entry, so it may be behind the snapshot.
         hard.commit = hard.commit.clamp(from, last);
         mem.wl().set_hardstate(hard);
@@ -202,7 +202,7 @@
 
     /// Does what the library has to do: writes to the disk, applies what is agreed, and gives back the messages to send.
     /// After an error no message of this call may be sent, and every later call does nothing.
-    pub fn process_pending(&mut self, disk: &mut dyn Disk) -> Result<Vec<Message>, RaftNodeError> {
+    pub fn process_pending(&mut self, disk: &mut dyn LogStore) -> Result<Vec<Message>, RaftNodeError> {
         if self.broken {
             return Ok(Vec::new());
         }
@@ -211,7 +211,7 @@
         messages
     }
 
-    fn work(&mut self, disk: &mut dyn Disk) -> Result<Vec<Message>, RaftNodeError> {
+    fn work(&mut self, disk: &mut dyn LogStore) -> Result<Vec<Message>, RaftNodeError> {
         let mut out = Vec::new();
         while self.node.has_ready() {
             let mut ready = self.node.ready();
@@ -260,7 +260,7 @@
     }
 
     /// Cuts the log where a picture of the document can stand for it.
-    fn cut(&mut self, disk: &mut dyn Disk) -> Result<(), RaftNodeError> {
+    fn cut(&mut self, disk: &mut dyn LogStore) -> Result<(), RaftNodeError> {
         let applied = self.store.applied.borrow().0;
         let first = self.store.first_index()?;
         if applied < first + 2 * KEPT {
--- a/crates/consensus/src/raft_node/tests.rs
+++ b/crates/consensus/src/raft_node/tests.rs
@@ -1,7 +1,7 @@
 //! A lone voter over a store that is closed, opened, failing and recovering.
 
 use super::*;
-use crate::disk::LogFile;
+use crate::log_store::LogFile;
 use crate::rules::Body;
 use crate::storage::{MemoryStorage, StorageFault};
 
--- a/crates/consensus/tests/pins.rs
+++ b/crates/consensus/tests/pins.rs
@@ -6,8 +6,8 @@
 
 use loomlb_consensus::EffectiveRules;
 use loomlb_consensus::check::{Event, Line};
-use loomlb_consensus::disk::{Disk, LogFile};
 use loomlb_consensus::link_protocol::{LinkMessage, derive_channels, greeting};
+use loomlb_consensus::log_store::{LogFile, LogStore};
 use loomlb_consensus::raft_node::RaftNode;
 use loomlb_consensus::rules::Body;
 use loomlb_consensus::state::{Command, Document, Outcome, Past, State};
@@ -186,7 +186,7 @@
     assert_eq!(place.durable_bytes(), bytes, "opening changes nothing");
     let places: Vec<(u64, u64)> = loaded.entries.iter().map(|e| (e.index, e.term)).collect();
     assert_eq!(places, [(10, 2), (11, 2), (12, 3), (13, 3)]);
-    assert_eq!(loaded.hard, hard_state(3, 2, 12));
+    assert_eq!(loaded.hard_state, hard_state(3, 2, 12));
     assert_eq!(loaded.snapshot.clone().unwrap(), snapshot(9));
     let commands: Vec<Command> =
         loaded.entries[1..].iter().map(|e| serde_json::from_slice(&e.data).unwrap()).collect();
--- a/crates/lab/src/trial.rs
+++ b/crates/lab/src/trial.rs
@@ -3,10 +3,10 @@
 //! same checker that reads the histories of real processes.
 
 use loomlb_consensus::check::{Event as Did, Line, Verdict, judge};
-use loomlb_consensus::disk::{Disk, LogFile};
 use loomlb_consensus::lease_grants::LeaseGrants;
 use loomlb_consensus::lease_holder::LeaseHolder;
 use loomlb_consensus::link_protocol::{self, Channel, LinkMessage};
+use loomlb_consensus::log_store::{LogFile, LogStore};
 use loomlb_consensus::raft_node::{self, RaftNode, TICK_NANOS};
 use loomlb_consensus::raft_node_error::RaftNodeError;
 use loomlb_consensus::rules::Body;
@@ -614,7 +614,7 @@
             Err(e) => return Err(format!("n{n}: {e}")),
         };
         if self.trial.without == Without::Vote {
-            loaded.hard.vote = 0;
+            loaded.hard_state.vote = 0;
         }
         let (id, all) = (n as u64 + 1, self.trial.voters as u64);
         let agreement = RaftNode::new(id, all, loaded).map_err(|e| e.to_string())?;
--- a/crates/lab/tests/capacity.rs
+++ b/crates/lab/tests/capacity.rs
@@ -2,8 +2,8 @@
 
 use loomlb_capacity::Source;
 use loomlb_capacity::report::Report;
-use loomlb_consensus::disk::LogFile;
 use loomlb_consensus::link_protocol::LinkMessage;
+use loomlb_consensus::log_store::LogFile;
 use loomlb_consensus::storage::MemoryStorage;
 use loomlb_consensus::timing::TimingConfig;
 use loomlb_consensus::worker_lists::ListSummary;
--- a/tests/tier.rs
+++ b/tests/tier.rs
@@ -2,7 +2,7 @@
 //! that reads what all of them wrote of what they did.
 
 use loomlb_consensus::check::{Verdict, judge};
-use loomlb_consensus::disk::LogFile;
+use loomlb_consensus::log_store::LogFile;
 use loomlb_emulator::rig::{Options, Rig, Way};
 use loomlb_fault_plan::{Call, FaultPlan, WITHOUT_END};
 use serde_json::{Value, json};
