--- a/crates/conformance/tests/store.rs
+++ b/crates/conformance/tests/store.rs
@@ -160,7 +160,7 @@
     fn recover(&mut self) -> Result<StoredLog, StoreError> {
         let mut loaded = self.0.recover();
         match (self.1, &mut loaded) {
-            (Some(Bad::StaysStopped), _) => Err(StoreError::Stopped { place: "stopped".into() }),
+            (Some(Bad::StaysStopped), _) => Err(StoreError::Stopped { location: "stopped".into() }),
             (Some(Bad::RecoversUnreplaced), Ok(kept)) => {
                 kept.snapshot = Some(Snapshot::default());
                 loaded
@@ -182,7 +182,7 @@
         let opened =
             LogFile::open(&BadPlace(memory.clone(), *bad), whose, found || *bad == Some(Bad::FoundsUnasked));
         let opened = match opened {
-            Err(StoreError::Damaged { at, .. }) if *bad == Some(Bad::DamageCut) => {
+            Err(StoreError::Damaged { offset: at, .. }) if *bad == Some(Bad::DamageCut) => {
                 memory.overwrite(&memory.durable_bytes()[..at]);
                 LogFile::open(memory, whose, found)
             }
@@ -191,7 +191,11 @@
         let (log, mut loaded) = opened?;
         let at = memory.durable_bytes().len();
         if *bad == Some(Bad::TornRefused) && at < before {
-            return Err(StoreError::Damaged { place: memory.name(), at, next: before });
+            return Err(StoreError::Damaged {
+                location: memory.name(),
+                offset: at,
+                next_record_offset: before,
+            });
         }
         if *bad == Some(Bad::TornTakenForWhole) && loaded.entries.len() == 2 {
             loaded.entries.push(Entry { index: 3, ..Entry::default() });
--- a/crates/consensus/src/log_store.rs
+++ b/crates/consensus/src/log_store.rs
@@ -135,14 +135,18 @@
         while let Some((kind, payload, length)) = first(&bytes[records.length..]) {
             if !records.owned && (kind != OWNER || payload != owner.as_bytes()) {
                 let whose = String::from_utf8_lossy(payload).into_owned();
-                return Err(StoreError::Foreign { place: place.into(), whose, mine: owner.into() });
+                return Err(StoreError::Foreign {
+                    location: place.into(),
+                    owner: whose,
+                    voter: owner.into(),
+                });
             }
             records.owned = true;
             let at = records.length;
             records.loaded.add(kind, payload).map_err(|what| StoreError::Newer {
-                place: place.into(),
-                at,
-                what,
+                location: place.into(),
+                offset: at,
+                record: what,
             })?;
             records.length += length;
         }
@@ -150,7 +154,9 @@
         // A torn record was never acknowledged; one that is complete further on was, so what lies before it is damaged.
         let is_record = |i: &usize| first(&bytes[*i..]).is_some_and(|(kind, ..)| kind <= PICTURE);
         match (at + 1..bytes.len()).find(is_record) {
-            Some(next) => Err(StoreError::Damaged { place: place.into(), at, next }),
+            Some(next) => {
+                Err(StoreError::Damaged { location: place.into(), offset: at, next_record_offset: next })
+            }
             None => Ok(records),
         }
     }
@@ -212,7 +218,7 @@
         work: impl FnOnce(&mut dyn DurableFile) -> io::Result<()>,
     ) -> Result<(), StoreError> {
         if self.failed.is_some() {
-            return Err(StoreError::Stopped { place: self.place.clone() });
+            return Err(StoreError::Stopped { location: self.place.clone() });
         }
         self.failed = Some(operation);
         work(&mut *self.file).map_err(|e| StoreError::of(&self.place, operation.name(), e))?;
@@ -289,7 +295,7 @@
         let records = Records::parse(&self.place, &self.owner, &bytes)?;
         if records.length < kept {
             let place = self.place.clone();
-            return Err(StoreError::Lost { place, acknowledged: kept, left: records.length });
+            return Err(StoreError::Lost { location: place, acknowledged: kept, readable: records.length });
         }
         // Not appended to: what was read need not be on the disk. See `DurableFile`.
         self.file.replace_contents(&bytes).map_err(|e| StoreError::of(&self.place, "replace", e))?;
--- a/crates/consensus/src/store_error.rs
+++ b/crates/consensus/src/store_error.rs
@@ -6,78 +6,78 @@
 #[derive(Debug, thiserror::Error)]
 pub enum StoreError {
     /// There is no file.
-    #[error("{place}: is not there")]
+    #[error("{location}: is not there")]
     Missing {
         /// Where.
-        place: String,
+        location: String,
     },
     /// Another process has it open.
-    #[error("{place}: another process has it")]
+    #[error("{location}: another process has it")]
     Taken {
         /// Where.
-        place: String,
+        location: String,
     },
     /// It was founded by another voter, or in a tier with other voters.
-    #[error("{place}: belongs to {whose:?}, and this is {mine:?}")]
+    #[error("{location}: belongs to {owner:?}, and this is {voter:?}")]
     Foreign {
         /// Where.
-        place: String,
+        location: String,
         /// Its owner.
-        whose: String,
+        owner: String,
         /// This voter.
-        mine: String,
+        voter: String,
     },
     /// What lies before good records cannot be read.
-    #[error("{place}: byte {at}: damaged, with good records from byte {next} on")]
+    #[error("{location}: byte {offset}: damaged, with good records from byte {next_record_offset} on")]
     Damaged {
         /// Where.
-        place: String,
+        location: String,
         /// First byte that cannot be read.
-        at: usize,
+        offset: usize,
         /// Where the next good record begins.
-        next: usize,
+        next_record_offset: usize,
     },
     /// A record that this build does not know, or whose contents it cannot read.
-    #[error("{place}: byte {at}: {what}, which this build does not know")]
+    #[error("{location}: byte {offset}: {record}, which this build does not know")]
     Newer {
         /// Where.
-        place: String,
+        location: String,
         /// Where the record begins.
-        at: usize,
+        offset: usize,
         /// What it is.
-        what: String,
+        record: String,
     },
     /// What was acknowledged is not there any more, though the file was this process's alone.
-    #[error("{place}: {acknowledged} bytes were acknowledged, and {left} of them can be read")]
+    #[error("{location}: {acknowledged} bytes were acknowledged, and {readable} of them can be read")]
     Lost {
         /// Where.
-        place: String,
+        location: String,
         /// Bytes that were acknowledged.
         acknowledged: usize,
         /// Bytes that are left.
-        left: usize,
+        readable: usize,
     },
     /// The disk has no room.
-    #[error("{place}: the disk is full")]
+    #[error("{location}: the disk is full")]
     Full {
         /// Where.
-        place: String,
+        location: String,
     },
     /// Reading, writing or syncing failed.
-    #[error("{place}: {doing}: {source}")]
+    #[error("{location}: {operation}: {source}")]
     Failed {
         /// Where.
-        place: String,
+        location: String,
         /// What was under way.
-        doing: &'static str,
+        operation: &'static str,
         /// What the system says.
         source: io::Error,
     },
     /// An earlier write or sync failed, and nobody knows what of it is on the disk.
-    #[error("{place}: takes nothing more since a write or a sync failed")]
+    #[error("{location}: takes nothing more since a write or a sync failed")]
     Stopped {
         /// Where.
-        place: String,
+        location: String,
     },
 }
 
@@ -86,15 +86,15 @@
     pub fn samples() -> Vec<StoreError> {
         let place = || "p".to_string();
         vec![
-            StoreError::Missing { place: place() },
-            StoreError::Taken { place: place() },
-            StoreError::Foreign { place: place(), whose: "a".into(), mine: "b".into() },
-            StoreError::Damaged { place: place(), at: 1, next: 2 },
-            StoreError::Newer { place: place(), at: 1, what: "a record of kind 9".into() },
-            StoreError::Lost { place: place(), acknowledged: 2, left: 1 },
-            StoreError::Full { place: place() },
-            StoreError::Failed { place: place(), doing: "sync", source: io::Error::other("x") },
-            StoreError::Stopped { place: place() },
+            StoreError::Missing { location: place() },
+            StoreError::Taken { location: place() },
+            StoreError::Foreign { location: place(), owner: "a".into(), voter: "b".into() },
+            StoreError::Damaged { location: place(), offset: 1, next_record_offset: 2 },
+            StoreError::Newer { location: place(), offset: 1, record: "a record of kind 9".into() },
+            StoreError::Lost { location: place(), acknowledged: 2, readable: 1 },
+            StoreError::Full { location: place() },
+            StoreError::Failed { location: place(), operation: "sync", source: io::Error::other("x") },
+            StoreError::Stopped { location: place() },
         ]
     }
 
@@ -169,10 +169,10 @@
     pub(crate) fn of(place: &str, doing: &'static str, source: io::Error) -> StoreError {
         let place = place.to_string();
         match source.kind() {
-            io::ErrorKind::NotFound => StoreError::Missing { place },
-            io::ErrorKind::WouldBlock => StoreError::Taken { place },
-            io::ErrorKind::StorageFull | io::ErrorKind::QuotaExceeded => StoreError::Full { place },
-            _ => StoreError::Failed { place, doing, source },
+            io::ErrorKind::NotFound => StoreError::Missing { location: place },
+            io::ErrorKind::WouldBlock => StoreError::Taken { location: place },
+            io::ErrorKind::StorageFull | io::ErrorKind::QuotaExceeded => StoreError::Full { location: place },
+            _ => StoreError::Failed { location: place, operation: doing, source },
         }
     }
 }
