--- a/crates/conformance/src/tier_client.rs
+++ b/crates/conformance/src/tier_client.rs
@@ -6,8 +6,8 @@
 
 use crate::Broken;
 use loomlb_consensus::EffectiveRules;
+use loomlb_consensus::document::DocumentBody;
 use loomlb_consensus::link_protocol::{self, Channel, GREETING_BYTES, LinkMessage, Nonce, PROTOCOL_VERSION};
-use loomlb_consensus::rules::Body;
 use loomlb_consensus::state::{Command, Document, Outcome, State};
 use loomlb_consensus::worker_lists::ListSummary;
 use std::collections::{BTreeMap, BTreeSet};
@@ -309,7 +309,7 @@
     let body = |aim: u64| {
         let mut settings = settings.clone();
         settings["classes"][0]["give_up"] = aim.into();
-        Body::of(&settings, BTreeSet::new())
+        DocumentBody::new(&settings, BTreeSet::new())
     };
     let document = |version, aim| Some(Document { version, by: "another".into(), body: body(aim) });
     let (old, new) = (document(1, 3_000_000_000), document(2, 2_000_000_000));
--- a/crates/consensus/src/rules.rs
+++ b/crates/consensus/src/document.rs
@@ -7,34 +7,34 @@
 
 /// What the whole tier acts on.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Body {
+pub struct DocumentBody {
     /// The settings, without what is each scheduler's own.
     #[serde(rename = "settings")]
     pub settings: Value,
     /// Workers that staff have taken out.
     #[serde(default)]
     #[serde(rename = "out")]
-    pub out: BTreeSet<String>,
+    pub workers_out: BTreeSet<String>,
 }
 
 /// Keys of the settings that are each scheduler's own and never agreed on.
-pub const OWN: [&str; 2] = ["rank", "my_zone"];
+pub const LOCAL_KEYS: [&str; 2] = ["rank", "my_zone"];
 
-impl Body {
+impl DocumentBody {
     /// A body of a scheduler's settings.
-    pub fn of(settings: &Value, out: BTreeSet<String>) -> Body {
+    pub fn new(settings: &Value, out: BTreeSet<String>) -> DocumentBody {
         let mut settings = settings.clone();
         if let Value::Object(keys) = &mut settings {
-            OWN.iter().for_each(|own| _ = keys.remove(*own));
+            LOCAL_KEYS.iter().for_each(|own| _ = keys.remove(*own));
         }
-        Body { settings, out }
+        DocumentBody { settings, workers_out: out }
     }
 
     /// The settings of a scheduler that acts on this: its own keys come from `mine`.
     pub fn settings_for(&self, mine: &Value) -> Value {
         let mut settings = self.settings.clone();
         if let Value::Object(keys) = &mut settings {
-            for own in OWN {
+            for own in LOCAL_KEYS {
                 if let Some(value) = mine.get(own) {
                     keys.insert(own.into(), value.clone());
                 }
@@ -46,9 +46,10 @@
 
 /// What two schedulers that differ in a key may do to each other.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub enum Kind {
+pub enum ChangeKind {
     /// Nothing: either value may hold beside the other.
-    Harmless,
+    #[serde(rename = "Harmless")]
+    Compatible,
     /// They contradict each other, and one of the two is the stricter, or a third is.
     Ordered,
     /// They contradict each other and nothing is known to be stricter than both: such a change needs a restart.
@@ -61,7 +62,7 @@
     /// Where, as in the file: `classes.lodge.effect`.
     pub key: String,
     /// What it means.
-    pub kind: Kind,
+    pub kind: ChangeKind,
 }
 
 /// How the values of a key are ordered.
@@ -114,11 +115,11 @@
 }
 
 /// All keys in which two documents differ, with what each means.
-pub fn differences(old: &Body, new: &Body) -> Vec<Difference> {
+pub fn differences(old: &DocumentBody, new: &DocumentBody) -> Vec<Difference> {
     let mut all = Vec::new();
     let mut add = |key: String, kind| all.push(Difference { key, kind });
-    for host in old.out.symmetric_difference(&new.out) {
-        add(format!("out.{host}"), Kind::Ordered);
+    for host in old.workers_out.symmetric_difference(&new.workers_out) {
+        add(format!("out.{host}"), ChangeKind::Ordered);
     }
     let (a, b) = (object(Some(&old.settings)), object(Some(&new.settings)));
     for key in keys(&a, &b) {
@@ -135,9 +136,9 @@
                         (Some(x), Some(y)) => within(&format!("{key}.{name}"), path, x, y, &mut add),
                         // A class that comes is unknown to some for a while, which harms nobody; one that goes must
                         // not be taken here and there. A tenant without an entry has no share.
-                        (None, Some(_)) => add(format!("{key}.{name}"), Kind::Harmless),
-                        _ if path == "class" => add(format!("{key}.{name}"), Kind::Ordered),
-                        _ => add(format!("{key}.{name}"), Kind::Harmless),
+                        (None, Some(_)) => add(format!("{key}.{name}"), ChangeKind::Compatible),
+                        _ if path == "class" => add(format!("{key}.{name}"), ChangeKind::Ordered),
+                        _ => add(format!("{key}.{name}"), ChangeKind::Compatible),
                     }
                 }
             }
@@ -154,7 +155,7 @@
     a.keys().chain(b.keys()).cloned().collect()
 }
 
-fn within(at: &str, path: &str, old: &Value, new: &Value, add: &mut impl FnMut(String, Kind)) {
+fn within(at: &str, path: &str, old: &Value, new: &Value, add: &mut impl FnMut(String, ChangeKind)) {
     let (a, b) = (object(Some(old)), object(Some(new)));
     for key in keys(&a, &b) {
         let (x, y) = (a.get(&key), b.get(&key));
@@ -164,23 +165,23 @@
     }
 }
 
-fn kind(order: Order, x: Option<&Value>, y: Option<&Value>) -> Kind {
+fn kind(order: Order, x: Option<&Value>, y: Option<&Value>) -> ChangeKind {
     let comparable = |v: Option<&Value>| v.is_some_and(|v| v.is_number() || v.is_boolean());
     match order {
-        Order::Free => Kind::Harmless,
-        Order::Effect => Kind::Ordered,
-        Order::Lower | Order::Higher if comparable(x) && comparable(y) => Kind::Ordered,
-        Order::Lower | Order::Higher | Order::Unknown => Kind::Unordered,
+        Order::Free => ChangeKind::Compatible,
+        Order::Effect => ChangeKind::Ordered,
+        Order::Lower | Order::Higher if comparable(x) && comparable(y) => ChangeKind::Ordered,
+        Order::Lower | Order::Higher | Order::Unknown => ChangeKind::Unordered,
     }
 }
 
 /// Whether two documents contradict each other in any key.
-pub fn contradict(a: &Body, b: &Body) -> bool {
-    differences(a, b).iter().any(|d| d.kind != Kind::Harmless)
+pub fn conflict(a: &DocumentBody, b: &DocumentBody) -> bool {
+    differences(a, b).iter().any(|d| d.kind != ChangeKind::Compatible)
 }
 
 /// The strictest of two documents: whatever it allows, both allow. Where a key is harmless the second's value holds.
-pub fn meet(a: &Body, b: &Body) -> Body {
+pub fn strictest_of(a: &DocumentBody, b: &DocumentBody) -> DocumentBody {
     let mut settings = object(Some(&b.settings));
     let old = object(Some(&a.settings));
     for (key, value) in &mut settings {
@@ -204,7 +205,10 @@
             _ => {}
         }
     }
-    Body { settings: Value::Object(settings), out: a.out.union(&b.out).cloned().collect() }
+    DocumentBody {
+        settings: Value::Object(settings),
+        workers_out: a.workers_out.union(&b.workers_out).cloned().collect(),
+    }
 }
 
 fn stricter(path: &str, old: &Value, new: &Value) -> Value {
@@ -229,7 +233,7 @@
 
 /// The strictest that a scheduler can act on which no longer knows what is in force: every job runs once at most, with
 /// one attempt and no second copy. Which workers may be out it cannot know.
-pub fn careful(body: &Body) -> Body {
+pub fn restrict_without_lease(body: &DocumentBody) -> DocumentBody {
     let mut settings = body.settings.clone();
     for class in settings["classes"].as_array_mut().into_iter().flatten() {
         class["effect"] = ONCE.into();
@@ -242,7 +246,7 @@
             }
         }
     }
-    Body { settings, out: body.out.clone() }
+    DocumentBody { settings, workers_out: body.workers_out.clone() }
 }
 
 #[cfg(test)]
@@ -256,7 +260,7 @@
         json!({"name": name, "aim": 9, "give_up": 5 + window, "effect": effect, "group": "all", "repeat_window": window})
     }
 
-    fn body() -> impl Strategy<Value = Body> {
+    fn body() -> impl Strategy<Value = DocumentBody> {
         let classes = prop::collection::btree_map("[a-c]", (0u8..3, 0u64..3), 1..3);
         let out = prop::collection::btree_set("[x-z]", 0..3);
         (classes, out, 1u64..4, any::<bool>(), 0u64..3, 0u64..2).prop_map(
@@ -264,13 +268,13 @@
                 let classes: Vec<Value> = classes.iter().map(|(n, (e, w))| class(n, *e, *w)).collect();
                 let settings = json!({"tick": tick, "classes": classes,
                 "ceilings": {"max_attempts": most, "second_copies": copies}, "obligations": {"cold": cold}});
-                Body { settings, out }
+                DocumentBody { settings, workers_out: out }
             },
         )
     }
 
     /// Whether everything that `strict` allows is allowed by `loose`; written apart from the code above.
-    fn allows(loose: &Body, strict: &Body) -> bool {
+    fn allows(loose: &DocumentBody, strict: &DocumentBody) -> bool {
         let rank =
             |v: &Value| ["idempotent", "deduplicated", ONCE].iter().position(|e| v["effect"] == **e).unwrap();
         let classes = strict.settings["classes"].as_array().unwrap().iter().all(|s| {
@@ -280,22 +284,22 @@
                 && s["give_up"].as_u64() <= l["give_up"].as_u64()
                 && (rank(s) == 2 || s["repeat_window"].as_u64() <= l["repeat_window"].as_u64())
         });
-        let at = |b: &Body, path: &str| b.settings.pointer(path).unwrap().clone();
+        let at = |b: &DocumentBody, path: &str| b.settings.pointer(path).unwrap().clone();
         let least = |path| at(strict, path).as_u64() <= at(loose, path).as_u64();
         classes
-            && loose.out.is_subset(&strict.out)
+            && loose.workers_out.is_subset(&strict.workers_out)
             && least("/ceilings/max_attempts")
             && (at(loose, "/ceilings/second_copies") == true
                 || at(strict, "/ceilings/second_copies") == false)
             && at(strict, "/obligations/cold").as_u64() >= at(loose, "/obligations/cold").as_u64()
     }
 
-    fn classes(body: &Body) -> BTreeSet<String> {
+    fn classes(body: &DocumentBody) -> BTreeSet<String> {
         named(body.settings.get("classes")).into_keys().collect()
     }
 
     /// A document without the classes that the other lacks.
-    fn shared(body: &Body, other: &Body) -> Body {
+    fn shared(body: &DocumentBody, other: &DocumentBody) -> DocumentBody {
         let (mut body, known) = (body.clone(), classes(other));
         let all = body.settings["classes"].as_array_mut().unwrap();
         all.retain(|c| known.contains(c["name"].as_str().unwrap()));
@@ -307,18 +311,18 @@
         /// contradict; and documents without a contradiction allow the same jobs to be repeated.
         #[test]
         fn the_strictest_of_two_is_within_both(a in body(), b in body()) {
-            let both = meet(&a, &b);
+            let both = strictest_of(&a, &b);
             prop_assert!(allows(&a, &both) && allows(&b, &both), "{both:?}");
-            prop_assert!(!contradict(&both, &meet(&b, &a)));
-            prop_assert!(!contradict(&a, &meet(&a, &a)));
-            prop_assert!(differences(&a, &b).iter().all(|d| d.kind != Kind::Unordered));
-            prop_assert_eq!(contradict(&a, &b), differences(&a, &b).iter().any(|d| d.kind == Kind::Ordered));
+            prop_assert!(!conflict(&both, &strictest_of(&b, &a)));
+            prop_assert!(!conflict(&a, &strictest_of(&a, &a)));
+            prop_assert!(differences(&a, &b).iter().all(|d| d.kind != ChangeKind::Unordered));
+            prop_assert_eq!(conflict(&a, &b), differences(&a, &b).iter().any(|d| d.kind == ChangeKind::Ordered));
             // In what both know a contradiction is the same from either side; beyond that a class that goes is one, and a
             // class that comes is none.
             let (mine, theirs) = (shared(&a, &b), shared(&b, &a));
-            prop_assert_eq!(contradict(&mine, &theirs), contradict(&theirs, &mine));
-            prop_assert_eq!(contradict(&a, &b), contradict(&mine, &theirs) || classes(&mine) != classes(&a));
-            let lone = careful(&a);
+            prop_assert_eq!(conflict(&mine, &theirs), conflict(&theirs, &mine));
+            prop_assert_eq!(conflict(&a, &b), conflict(&mine, &theirs) || classes(&mine) != classes(&a));
+            let lone = restrict_without_lease(&a);
             prop_assert!(allows(&a, &lone));
         }
     }
@@ -334,7 +338,8 @@
         next["classes"] = json!([class("view", 1, 1), class("new", 0, 0)]);
         next["tenants"] = json!([{"name": "t", "quota_rps": 2.0}, {"name": "u", "quota_rps": 2.0}]);
         next["ceilings"] = json!({"max_attempts": null});
-        let (old, new) = (Body::of(&base, BTreeSet::new()), Body::of(&next, ["w".to_string()].into()));
+        let (old, new) =
+            (DocumentBody::new(&base, BTreeSet::new()), DocumentBody::new(&next, ["w".to_string()].into()));
         let said: Vec<String> =
             differences(&old, &new).iter().map(|d| format!("{} {:?}", d.key, d.kind)).collect();
         assert_eq!(
@@ -343,11 +348,11 @@
                 "out.w Ordered",
                 "ceilings.max_attempts Unordered",
                 "classes.lodge Ordered",
-                "classes.new Harmless",
+                "classes.new Compatible",
                 "classes.view.effect Ordered",
                 "tenants.t.quota_rps Ordered",
-                "tenants.u Harmless",
-                "tick Harmless",
+                "tenants.u Compatible",
+                "tick Compatible",
                 "zones Unordered",
             ]
         );
--- a/crates/consensus/src/lease_holder.rs
+++ b/crates/consensus/src/lease_holder.rs
@@ -1,6 +1,6 @@
 //! What one scheduler may act on: its lease, from the promises of a majority of the voters.
 
-use crate::rules::{self, Body};
+use crate::document::{self, DocumentBody};
 use crate::state::State;
 use crate::timing::LeaseTiming;
 use crate::{EffectiveRules, Nanos};
@@ -115,10 +115,10 @@
     }
 
     /// What to act on: the document in force, or the strictest of it and the one that is coming.
-    pub fn effective_body(&self) -> Option<Body> {
+    pub fn effective_body(&self) -> Option<DocumentBody> {
         let active = self.seen.active.as_ref()?;
         Some(match &self.seen.coming {
-            Some(coming) => rules::meet(&active.body, &coming.body),
+            Some(coming) => document::strictest_of(&active.body, &coming.body),
             None => active.body.clone(),
         })
     }
--- a/crates/consensus/src/raft_node/tests.rs
+++ b/crates/consensus/src/raft_node/tests.rs
@@ -1,12 +1,12 @@
 //! A lone voter over a store that is closed, opened, failing and recovering.
 
 use super::*;
+use crate::document::DocumentBody;
 use crate::log_store::LogFile;
-use crate::rules::Body;
 use crate::storage::{MemoryStorage, StorageFault};
 
 fn propose(token: u64, base: Version, tick: u64) -> Command {
-    let body = Body { settings: serde_json::json!({ "tick": tick }), out: BTreeSet::new() };
+    let body = DocumentBody { settings: serde_json::json!({ "tick": tick }), workers_out: BTreeSet::new() };
     Command::Propose { token, by: "a".into(), base, body }
 }
 
--- a/crates/consensus/src/state.rs
+++ b/crates/consensus/src/state.rs
@@ -1,7 +1,7 @@
 //! The document of the tier, as the agreed commands make it: the same at every voter.
 
 use crate::Version;
-use crate::rules::{self, Body, Kind};
+use crate::document::{self, ChangeKind, DocumentBody};
 use serde::{Deserialize, Serialize};
 use std::collections::VecDeque;
 
@@ -25,7 +25,7 @@
         base: Version,
         /// The document.
         #[serde(rename = "body")]
-        body: Body,
+        body: DocumentBody,
     },
     /// The version that was coming is in force: nobody acts on rules that it contradicts.
     #[serde(rename = "Activate")]
@@ -43,7 +43,7 @@
     pub by: String,
     /// What it says.
     #[serde(rename = "body")]
-    pub body: Body,
+    pub body: DocumentBody,
 }
 
 /// What has become of a proposal.
@@ -135,7 +135,7 @@
         }
     }
 
-    fn propose(&mut self, by: String, base: Version, body: Body) -> Outcome {
+    fn propose(&mut self, by: String, base: Version, body: DocumentBody) -> Outcome {
         if base != self.newest_version() {
             return Outcome::Missed(self.newest_version());
         }
@@ -145,27 +145,27 @@
         if self.coming.is_some() {
             return Outcome::Missed(self.newest_version());
         }
-        let changes = rules::differences(&active.body, &body);
-        let keys = |kind: Option<Kind>| {
+        let changes = document::differences(&active.body, &body);
+        let keys = |kind: Option<ChangeKind>| {
             changes
                 .iter()
                 .filter(|d| kind.is_none_or(|k| d.kind == k))
                 .map(|d| d.key.clone())
                 .collect::<Vec<_>>()
         };
-        let unordered = keys(Some(Kind::Unordered));
+        let unordered = keys(Some(ChangeKind::Unordered));
         if !unordered.is_empty() {
             return Outcome::Unordered(unordered);
         }
         if changes.is_empty() {
             return Outcome::Same(active.version);
         }
-        let contradicts = changes.iter().any(|d| d.kind == Kind::Ordered);
+        let contradicts = changes.iter().any(|d| d.kind == ChangeKind::Ordered);
         let all = keys(None);
         self.take(by, body, all, contradicts)
     }
 
-    fn take(&mut self, by: String, body: Body, keys: Vec<String>, contradicts: bool) -> Outcome {
+    fn take(&mut self, by: String, body: DocumentBody, keys: Vec<String>, contradicts: bool) -> Outcome {
         let version = self.newest_version() + 1;
         self.history.push_back(Past { version, by: by.clone(), keys, contradicts });
         self.history.keep_latest(HISTORY);
--- a/crates/consensus/tests/model.rs
+++ b/crates/consensus/tests/model.rs
@@ -1,9 +1,9 @@
 //! A model check of leases and promises: the real cores, over every interleaving of asking, answering, losing, delaying,
 //! agreeing, crashing and time, in a small tier. That the voters agree is taken from the library; each sees it late.
 
+use loomlb_consensus::document::DocumentBody;
 use loomlb_consensus::lease_grants::LeaseGrants;
 use loomlb_consensus::lease_holder::LeaseHolder;
-use loomlb_consensus::rules::Body;
 use loomlb_consensus::state::{Command, State};
 use loomlb_consensus::timing::LeaseTiming;
 use loomlb_consensus::{EffectiveRules, Nanos};
@@ -71,9 +71,9 @@
 }
 
 fn build(commands: usize) -> State {
-    let body = |effect: &str| Body {
+    let body = |effect: &str| DocumentBody {
         settings: json!({"classes": [{"name": "c", "effect": effect}]}),
-        out: BTreeSet::new(),
+        workers_out: BTreeSet::new(),
     };
     let propose = |token, base, effect| Command::Propose { token, by: "p".into(), base, body: body(effect) };
     let all = [propose(1, 0, "idempotent"), propose(2, 1, "at_most_once"), Command::Activate(2)];
--- a/crates/consensus/tests/pins.rs
+++ b/crates/consensus/tests/pins.rs
@@ -6,10 +6,10 @@
 
 use loomlb_consensus::EffectiveRules;
 use loomlb_consensus::check::{Event, Line};
+use loomlb_consensus::document::DocumentBody;
 use loomlb_consensus::link_protocol::{LinkMessage, derive_channels, greeting};
 use loomlb_consensus::log_store::{LogFile, LogStore};
 use loomlb_consensus::raft_node::RaftNode;
-use loomlb_consensus::rules::Body;
 use loomlb_consensus::state::{Command, Document, Outcome, Past, State};
 use loomlb_consensus::storage::MemoryStorage;
 use loomlb_consensus::worker_lists::{LeavingWorker, ListReport, ListSummary};
@@ -21,9 +21,9 @@
 const OWNER: &str = "a of a, b, c";
 const FIXTURE: &str = "voter-log.bin";
 
-fn body(effect: &str) -> Body {
+fn body(effect: &str) -> DocumentBody {
     let settings = json!({"classes": [{"name": "lodge", "effect": effect}], "tick": 2_000_000});
-    Body { settings, out: ["s-00000002".to_string()].into() }
+    DocumentBody { settings, workers_out: ["s-00000002".to_string()].into() }
 }
 
 fn command(token: u64, base: u64, effect: &str) -> Command {
@@ -131,7 +131,7 @@
         assert_eq!(serde_json::from_str::<Line>(lines.last().unwrap()).unwrap(), line);
     }
     // A document of a build that did not know of workers that are out.
-    assert_eq!(serde_json::from_str::<Body>(r#"{"settings":{}}"#).unwrap().out.len(), 0);
+    assert_eq!(serde_json::from_str::<DocumentBody>(r#"{"settings":{}}"#).unwrap().workers_out.len(), 0);
     golden::check("documents.txt", (lines.join("\n") + "\n").as_bytes());
 }
 
--- a/crates/lab/src/scale/hollow.rs
+++ b/crates/lab/src/scale/hollow.rs
@@ -2,9 +2,9 @@
 //! jobs behind them. What `loomlb-scheduler` does around the same core is told here once more, in little.
 
 use super::host::{Counted, machine};
+use loomlb_consensus::document::DocumentBody;
 use loomlb_consensus::lease_holder::LeaseHolder;
 use loomlb_consensus::link_protocol::{self, Channel, GREETING_BYTES, LinkMessage, Nonce, PROTOCOL_VERSION};
-use loomlb_consensus::rules::Body;
 use loomlb_consensus::state::{Command, State};
 use loomlb_consensus::timing::LeaseTiming;
 use loomlb_consensus::worker_lists::ListReport;
@@ -322,7 +322,7 @@
                     token: number,
                     by,
                     base: 0,
-                    body: Body::default(),
+                    body: DocumentBody::default(),
                 }));
             }
             outbox.more.notify_one();
--- a/crates/lab/src/trial.rs
+++ b/crates/lab/src/trial.rs
@@ -3,13 +3,13 @@
 //! same checker that reads the histories of real processes.
 
 use loomlb_consensus::check::{Event as Did, Line, Verdict, judge};
+use loomlb_consensus::document::DocumentBody;
 use loomlb_consensus::lease_grants::LeaseGrants;
 use loomlb_consensus::lease_holder::LeaseHolder;
 use loomlb_consensus::link_protocol::{self, Channel, LinkMessage};
 use loomlb_consensus::log_store::{LogFile, LogStore};
 use loomlb_consensus::raft_node::{self, RaftNode, TICK_NANOS};
 use loomlb_consensus::raft_node_error::RaftNodeError;
-use loomlb_consensus::rules::Body;
 use loomlb_consensus::state::{Command, Outcome, State};
 use loomlb_consensus::storage::{MemoryStorage, StorageFault};
 use loomlb_consensus::timing::{LeaseTiming, TimingConfig};
@@ -293,7 +293,7 @@
     json!({"name": format!("tenant-{number:06}"), "quota_rps": 12.5, "share": 0.25})
 }
 
-fn with_tenants(mut body: Body, tenants: &[Value]) -> Body {
+fn with_tenants(mut body: DocumentBody, tenants: &[Value]) -> DocumentBody {
     if !tenants.is_empty() {
         body.settings["tenants"] = Value::Array(tenants.to_vec());
     }
@@ -301,7 +301,7 @@
 }
 
 /// The document of a number, from 0 to 59, with so many tenants.
-pub fn document(number: u64, tenants: usize) -> Body {
+pub fn document(number: u64, tenants: usize) -> DocumentBody {
     let tenants: Vec<Value> = (0..tenants).map(tenant).collect();
     with_tenants(body(number), &tenants)
 }
@@ -318,7 +318,7 @@
 }
 
 /// A document whose class and workers follow from a number.
-fn body(number: u64) -> Body {
+fn body(number: u64) -> DocumentBody {
     let effect = ["idempotent", "deduplicated", "at_most_once"][(number % 3) as usize];
     let settings = json!({"classes": [{"name": "lodge", "effect": effect, "give_up": 5, "group": "all"}], "tick": number / 5});
     let out = if number.is_multiple_of(4) {
@@ -326,7 +326,7 @@
     } else {
         BTreeSet::new()
     };
-    Body { settings, out }
+    DocumentBody { settings, workers_out: out }
 }
 
 impl Host {
--- a/crates/tier/src/lease.rs
+++ b/crates/tier/src/lease.rs
@@ -5,8 +5,8 @@
 use crate::{Application, LOOK, On, OnLapse, more, random};
 use loomlb_consensus::Nanos;
 use loomlb_consensus::check::Event as Did;
+use loomlb_consensus::document;
 use loomlb_consensus::link_protocol::LinkMessage;
-use loomlb_consensus::rules;
 use loomlb_consensus::state::State;
 use loomlb_consensus::worker_lists::ListSummary;
 use std::rc::Rc;
@@ -126,7 +126,7 @@
 
 fn enforce(on: &On, around: &dyn Application, agreed: bool) {
     let Some(body) = on.holder.borrow().effective_body() else { return };
-    let body = if agreed { body } else { rules::careful(&body) };
+    let body = if agreed { body } else { document::restrict_without_lease(&body) };
     match around.put_in_force(body.settings_for(&around.settings())) {
         Ok(()) => {
             on.careful.set(!agreed);
@@ -137,8 +137,8 @@
             *on.fault.borrow_mut() = Some(e);
         }
     }
-    let before = on.out.replace(body.out.clone());
-    for host in before.symmetric_difference(&body.out) {
-        around.order(host, body.out.contains(host));
+    let before = on.out.replace(body.workers_out.clone());
+    for host in before.symmetric_difference(&body.workers_out) {
+        around.order(host, body.workers_out.contains(host));
     }
 }
--- a/crates/tier/src/proposals.rs
+++ b/crates/tier/src/proposals.rs
@@ -2,8 +2,8 @@
 
 use crate::voter::voter_hears;
 use crate::{Application, LOOK, On, Tier, random};
+use loomlb_consensus::document::DocumentBody;
 use loomlb_consensus::link_protocol::LinkMessage;
-use loomlb_consensus::rules::Body;
 use loomlb_consensus::state::{Command, Outcome};
 use loomlb_consensus::{Nanos, Version};
 use serde_json::{Value, json};
@@ -39,7 +39,7 @@
 pub(crate) fn settle(on: &On, around: &dyn Application, turn: usize) {
     let empty = on.holder.borrow().state().newest_version() == 0;
     if empty && on.proposals.borrow().is_empty() {
-        let body = Body::of(&around.settings(), BTreeSet::new());
+        let body = DocumentBody::new(&around.settings(), BTreeSet::new());
         propose(on, 0, body);
     }
     let seen = on.holder.borrow();
@@ -60,7 +60,7 @@
 }
 
 /// Proposes a document; its token.
-fn propose(on: &On, base: Version, body: Body) -> Option<u64> {
+fn propose(on: &On, base: Version, body: DocumentBody) -> Option<u64> {
     let token = random().ok()?;
     let mut proposals = on.proposals.borrow_mut();
     if proposals.len() >= PROPOSALS {
@@ -133,14 +133,15 @@
         Err(e) => return (400, json!({"yes": false, "why": format!("settings: {e}")})),
     };
     // A file is turned down whole before anybody hears of it.
-    let whole = Body::of(&settings, BTreeSet::new()).settings_for(&around.settings());
+    let whole = DocumentBody::new(&settings, BTreeSet::new()).settings_for(&around.settings());
     if let Err(e) = around.check(whole) {
         return (400, json!({"yes": false, "why": e}));
     }
-    let (out, newest) = on
-        .seen(|seen| (seen.latest().map(|d| d.body.out.clone()).unwrap_or_default(), seen.newest_version()));
+    let (out, newest) = on.seen(|seen| {
+        (seen.latest().map(|d| d.body.workers_out.clone()).unwrap_or_default(), seen.newest_version())
+    });
     let base = base.unwrap_or(newest);
-    match propose(on, base, Body::of(&settings, out)) {
+    match propose(on, base, DocumentBody::new(&settings, out)) {
         Some(token) => reply(outcome(on, token).await),
         None => (503, json!({"yes": false, "why": "too many proposals wait"})),
     }
@@ -159,7 +160,11 @@
         let latest = on.seen(|seen| seen.latest().cloned());
         let Some(mut latest) = latest else { return reply(None) };
         let base = latest.version;
-        let changes = if out { latest.body.out.insert(host.into()) } else { latest.body.out.remove(host) };
+        let changes = if out {
+            latest.body.workers_out.insert(host.into())
+        } else {
+            latest.body.workers_out.remove(host)
+        };
         let found = match changes.then(|| propose(on, base, latest.body)) {
             None => Some((Outcome::Same(base), true)),
             Some(None) => None,
--- a/crates/tier/tests/proposals.rs
+++ b/crates/tier/tests/proposals.rs
@@ -1,7 +1,7 @@
 //! What a scheduler says to the voters, heard by stand-ins that never agree.
 
+use loomlb_consensus::document::DocumentBody;
 use loomlb_consensus::link_protocol::{self, GREETING_BYTES, LinkMessage};
-use loomlb_consensus::rules::Body;
 use loomlb_consensus::state::{Command, Document, State};
 use loomlb_consensus::worker_lists::{LeavingWorker, ListReport, ListSummary};
 use loomlb_tier::{Application, Spec};
@@ -54,7 +54,7 @@
     stream.read_exact(&mut first).await?;
     let theirs = link_protocol::parse_greeting(&first).expect("a greeting");
     let (mut from, mut to) = link_protocol::derive_channels(KEY, &theirs, &mine);
-    let body = Body::of(&json!({"tick": 1}), BTreeSet::new());
+    let body = DocumentBody::new(&json!({"tick": 1}), BTreeSet::new());
     let active = Some(Document { version: 1, by: "a".into(), body });
     let state = State { index: 1, active, ..State::default() };
     let mut bytes = Vec::new();
