--- a/crates/conformance/src/tier_client.rs
+++ b/crates/conformance/src/tier_client.rs
@@ -8,7 +8,7 @@
 use loomlb_consensus::EffectiveRules;
 use loomlb_consensus::document::DocumentBody;
 use loomlb_consensus::link_protocol::{self, Channel, GREETING_BYTES, LinkMessage, Nonce, PROTOCOL_VERSION};
-use loomlb_consensus::state::{Command, Document, Outcome, State};
+use loomlb_consensus::state::{Command, Document, ProposalOutcome, ReplicatedState};
 use loomlb_consensus::worker_lists::ListSummary;
 use std::collections::{BTreeMap, BTreeSet};
 use std::io::{self, Read, Write};
@@ -74,7 +74,7 @@
 /// What the voters tell.
 #[derive(Debug, Default)]
 struct Tell {
-    state: State,
+    state: ReplicatedState,
     /// The next answer of this voter has a false code; its link, once it was sent.
     falsely: Option<usize>,
     /// The link that was told a false word, and when.
@@ -247,7 +247,7 @@
         LinkMessage::Propose(Command::Propose { token, .. }) => {
             // Its outcome is known once there is a document.
             if tell.state.outcome(token).is_none() {
-                let outcome = Outcome::Missed(tell.state.newest_version());
+                let outcome = ProposalOutcome::StaleBase(tell.state.newest_version());
                 tell.state.outcomes.push_back((token, outcome));
             }
             Ok(())
@@ -257,7 +257,7 @@
 }
 
 /// The state that a false word tells: nobody must ever act on it.
-fn lie(state: &State) -> State {
+fn lie(state: &ReplicatedState) -> ReplicatedState {
     let mut lie = state.clone();
     lie.index += 1000;
     if let Some(active) = &mut lie.active {
@@ -311,7 +311,7 @@
         settings["classes"][0]["give_up"] = aim.into();
         DocumentBody::new(&settings, BTreeSet::new())
     };
-    let document = |version, aim| Some(Document { version, by: "another".into(), body: body(aim) });
+    let document = |version, aim| Some(Document { version, proposer: "another".into(), body: body(aim) });
     let (old, new) = (document(1, 3_000_000_000), document(2, 2_000_000_000));
     let steps = [
         (10, old.clone(), None, EffectiveRules::On(1)),
@@ -323,7 +323,7 @@
         given = Instant::now();
         {
             let mut tell = voters.shared.tell();
-            (tell.state.index, tell.state.active, tell.state.coming) = (index, active, coming);
+            (tell.state.index, tell.state.active, tell.state.pending) = (index, active, coming);
         }
         let knows = |q: &Question| q.0 > given && q.5 >= index;
         if !voters.until(|h| (0..VOTERS).all(|v| questions(h).iter().any(|q| q.2 == v && knows(q)))) {
--- a/crates/consensus/src/lease_grants.rs
+++ b/crates/consensus/src/lease_grants.rs
@@ -1,6 +1,6 @@
 //! What a voter has promised to schedulers: that no version which contradicts what they act on comes into force.
 
-use crate::state::State;
+use crate::state::ReplicatedState;
 use crate::timing::LeaseTiming;
 use crate::{EffectiveRules, Nanos, Version};
 use std::collections::BTreeMap;
@@ -45,7 +45,7 @@
         who: &ProcessId,
         asked: u64,
         acting: EffectiveRules,
-        seen: &State,
+        seen: &ReplicatedState,
     ) -> bool {
         // What comes after a later word of the same process was held up on the way.
         if acting.newest_version() < seen.newest_version()
@@ -67,8 +67,8 @@
 
     /// Whether the version that is coming may come into force as far as this voter knows: it has given no promise on
     /// older rules that still holds, and gives none any more.
-    pub fn ready_version(&self, now: Nanos, seen: &State) -> Option<Version> {
-        let version = seen.coming.as_ref()?.version;
+    pub fn ready_version(&self, now: Nanos, seen: &ReplicatedState) -> Option<Version> {
+        let version = seen.pending.as_ref()?.version;
         let quiet = now >= self.since + self.timing.grant_duration;
         (quiet && self.given.values().all(|p| now >= p.until || p.acting.newest_version() >= version))
             .then_some(version)
--- a/crates/consensus/src/lease_holder.rs
+++ b/crates/consensus/src/lease_holder.rs
@@ -1,7 +1,7 @@
 //! What one scheduler may act on: its lease, from the promises of a majority of the voters.
 
 use crate::document::{self, DocumentBody};
-use crate::state::State;
+use crate::state::ReplicatedState;
 use crate::timing::LeaseTiming;
 use crate::{EffectiveRules, Nanos};
 use std::collections::{BTreeSet, VecDeque};
@@ -22,7 +22,7 @@
 pub struct LeaseHolder {
     timing: LeaseTiming,
     voters: usize,
-    seen: State,
+    seen: ReplicatedState,
     acting: Option<EffectiveRules>,
     number: u64,
     asked: VecDeque<Asked>,
@@ -35,7 +35,7 @@
         LeaseHolder {
             timing,
             voters,
-            seen: State::default(),
+            seen: ReplicatedState::default(),
             acting: None,
             number: 0,
             asked: VecDeque::new(),
@@ -44,7 +44,7 @@
     }
 
     /// What this scheduler knows to be agreed.
-    pub fn state(&self) -> &State {
+    pub fn state(&self) -> &ReplicatedState {
         &self.seen
     }
 
@@ -83,7 +83,7 @@
         voter: usize,
         number: u64,
         yes: bool,
-        news: Option<State>,
+        news: Option<ReplicatedState>,
     ) -> bool {
         let need = self.voters / 2 + 1;
         if let Some(asked) = self.asked.iter_mut().find(|a| a.number == number).filter(|_| yes) {
@@ -102,10 +102,10 @@
         }
     }
 
-    fn learn(&mut self, news: State) -> bool {
+    fn learn(&mut self, news: ReplicatedState) -> bool {
         self.seen = news;
         let Some(active) = &self.seen.active else { return false };
-        let to = match &self.seen.coming {
+        let to = match &self.seen.pending {
             Some(_) => EffectiveRules::Between(active.version),
             None => EffectiveRules::On(active.version),
         };
@@ -117,7 +117,7 @@
     /// What to act on: the document in force, or the strictest of it and the one that is coming.
     pub fn effective_body(&self) -> Option<DocumentBody> {
         let active = self.seen.active.as_ref()?;
-        Some(match &self.seen.coming {
+        Some(match &self.seen.pending {
             Some(coming) => document::strictest_of(&active.body, &coming.body),
             None => active.body.clone(),
         })
--- a/crates/consensus/src/link_protocol.rs
+++ b/crates/consensus/src/link_protocol.rs
@@ -4,7 +4,7 @@
 //! is counted, so that none can be changed, left out, said again or carried over to another connection.
 
 use crate::EffectiveRules;
-use crate::state::{Command, State};
+use crate::state::{Command, ReplicatedState};
 use crate::worker_lists::{ListReport, ListSummary};
 use serde::{Deserialize, Serialize};
 
@@ -66,7 +66,7 @@
         granted: bool,
         /// The state, if it is newer than the asker's.
         #[serde(rename = "news")]
-        newer_state: Option<Box<State>>,
+        newer_state: Option<Box<ReplicatedState>>,
         /// The lists of all.
         #[serde(rename = "lists")]
         lists: ListSummary,
--- a/crates/consensus/src/raft_node.rs
+++ b/crates/consensus/src/raft_node.rs
@@ -4,7 +4,7 @@
 use crate::Version;
 use crate::log_store::{LogStore, StoredLog};
 use crate::raft_node_error::RaftNodeError;
-use crate::state::{Command, State};
+use crate::state::{Command, ReplicatedState};
 use protobuf::Message as _;
 use raft::eraftpb::{ConfState, Entry, EntryType, Snapshot};
 use raft::storage::MemStorage;
@@ -78,7 +78,7 @@
 pub struct RaftNode {
     node: RawNode<Store>,
     store: Store,
-    state: State,
+    state: ReplicatedState,
     /// The last entry that stood in the log at the start. What it says may have been acted upon by this voter.
     begun_at: u64,
     ready: BTreeMap<Version, BTreeSet<u64>>,
@@ -97,7 +97,7 @@
     /// Voter `id`, from 1 to `voters`, with what its disk held.
     pub fn new(id: u64, voters: u64, loaded: StoredLog) -> Result<RaftNode, RaftNodeError> {
         let mem = MemStorage::new();
-        let mut state = State::default();
+        let mut state = ReplicatedState::default();
         let mut from = 0;
         match loaded.snapshot {
             Some(snapshot) => {
@@ -138,7 +138,7 @@
     }
 
     /// What this voter knows to be agreed.
-    pub fn state(&self) -> &State {
+    pub fn state(&self) -> &ReplicatedState {
         &self.state
     }
 
@@ -189,7 +189,7 @@
     /// A voter, this one included, is ready for a version. The leader has it come into force once a majority is: whoever
     /// may act needs promises of a majority, and every two majorities share a voter.
     pub fn record_ready(&mut self, voter: u64, version: Version) {
-        if !self.is_leader() || self.state.coming.as_ref().is_none_or(|d| d.version != version) {
+        if !self.is_leader() || self.state.pending.as_ref().is_none_or(|d| d.version != version) {
             return;
         }
         let ready = self.ready.entry(version).or_default();
--- a/crates/consensus/src/raft_node/tests.rs
+++ b/crates/consensus/src/raft_node/tests.rs
@@ -7,7 +7,7 @@
 
 fn propose(token: u64, base: Version, tick: u64) -> Command {
     let body = DocumentBody { settings: serde_json::json!({ "tick": tick }), workers_out: BTreeSet::new() };
-    Command::Propose { token, by: "a".into(), base, body }
+    Command::Propose { token, proposer: "a".into(), base_version: base, body }
 }
 
 /// A lone voter elects itself, agrees with itself, and knows all again after a start, the log cut or not.
@@ -42,7 +42,7 @@
         again.propose(&propose(token, base, 7000 + token));
     }
     again.process_pending(&mut disk).unwrap();
-    assert_eq!(again.state().outcome(1002), Some(&crate::state::Outcome::Missed(601)));
+    assert_eq!(again.state().outcome(1002), Some(&crate::state::ProposalOutcome::StaleBase(601)));
     assert_eq!(again.state().newest_version(), 601);
 }
 
@@ -99,8 +99,9 @@
             again.process_pending(&mut disk).unwrap();
         }
         assert!(again.has_caught_up() && again.state().newest_version() > agreed, "{fault:?}");
-        let kept =
-            |state: &crate::state::State| state.history.iter().find(|past| past.version == agreed).cloned();
+        let kept = |state: &crate::state::ReplicatedState| {
+            state.history.iter().find(|past| past.version == agreed).cloned()
+        };
         assert_eq!(kept(again.state()), kept(voter.state()), "{fault:?}");
     }
 }
--- a/crates/consensus/src/state.rs
+++ b/crates/consensus/src/state.rs
@@ -6,7 +6,7 @@
 use std::collections::VecDeque;
 
 /// Versions and outcomes that are remembered.
-const HISTORY: usize = 64;
+const HISTORY_LIMIT: usize = 64;
 
 /// What voters agree on.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
@@ -19,10 +19,10 @@
         token: u64,
         /// Who proposed it.
         #[serde(rename = "by")]
-        by: String,
+        proposer: String,
         /// The version that the proposer knew.
         #[serde(rename = "base")]
-        base: Version,
+        base_version: Version,
         /// The document.
         #[serde(rename = "body")]
         body: DocumentBody,
@@ -40,7 +40,7 @@
     pub version: Version,
     /// Who proposed it.
     #[serde(rename = "by")]
-    pub by: String,
+    pub proposer: String,
     /// What it says.
     #[serde(rename = "body")]
     pub body: DocumentBody,
@@ -48,24 +48,24 @@
 
 /// What has become of a proposal.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub enum Outcome {
+pub enum ProposalOutcome {
     /// It is this version.
     #[serde(rename = "Agreed")]
-    Agreed(Version),
+    Committed(Version),
     /// It says what this version says already.
     #[serde(rename = "Same")]
-    Same(Version),
+    Unchanged(Version),
     /// Another came before it: the version that it missed.
     #[serde(rename = "Missed")]
-    Missed(Version),
+    StaleBase(Version),
     /// It cannot be brought into force while the tier runs, because of these keys.
     #[serde(rename = "Unordered")]
-    Unordered(Vec<String>),
+    RequiresRestart(Vec<String>),
 }
 
 /// What is in force and what is coming, as told to schedulers.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct State {
+pub struct ReplicatedState {
     /// The number of the last command that is in here; a later state has a higher one.
     #[serde(rename = "index")]
     pub index: u64,
@@ -74,45 +74,45 @@
     pub active: Option<Document>,
     /// Agreed, and not yet in force everywhere.
     #[serde(rename = "coming")]
-    pub coming: Option<Document>,
+    pub pending: Option<Document>,
     /// What became of the latest proposals, by their tokens.
     #[serde(rename = "outcomes")]
-    pub outcomes: VecDeque<(u64, Outcome)>,
+    pub outcomes: VecDeque<(u64, ProposalOutcome)>,
     /// The latest versions: number, proposer, what changed, and whether that can contradict.
     #[serde(rename = "history")]
-    pub history: VecDeque<Past>,
+    pub history: VecDeque<VersionRecord>,
 }
 
 /// An earlier version.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Past {
+pub struct VersionRecord {
     /// Its number.
     #[serde(rename = "version")]
     pub version: Version,
     /// Who proposed it.
     #[serde(rename = "by")]
-    pub by: String,
+    pub proposer: String,
     /// The keys that it changed.
     #[serde(rename = "keys")]
-    pub keys: Vec<String>,
+    pub changed_keys: Vec<String>,
     /// It contradicts the version before it.
     #[serde(rename = "contradicts")]
-    pub contradicts: bool,
+    pub conflicts_with_previous: bool,
 }
 
-impl State {
+impl ReplicatedState {
     /// The newest version, in force or coming.
     pub fn newest_version(&self) -> Version {
-        self.coming.as_ref().or(self.active.as_ref()).map_or(0, |d| d.version)
+        self.pending.as_ref().or(self.active.as_ref()).map_or(0, |d| d.version)
     }
 
     /// The newest document.
-    pub fn latest(&self) -> Option<&Document> {
-        self.coming.as_ref().or(self.active.as_ref())
+    pub fn newest_document(&self) -> Option<&Document> {
+        self.pending.as_ref().or(self.active.as_ref())
     }
 
     /// What became of a proposal, if that is known.
-    pub fn outcome(&self, token: u64) -> Option<&Outcome> {
+    pub fn outcome(&self, token: u64) -> Option<&ProposalOutcome> {
         self.outcomes.iter().find(|o| o.0 == token).map(|o| &o.1)
     }
 
@@ -121,29 +121,29 @@
         self.index = index;
         match command {
             Command::Activate(version) => {
-                if self.coming.as_ref().is_some_and(|d| d.version == version) {
-                    self.active = self.coming.take();
+                if self.pending.as_ref().is_some_and(|d| d.version == version) {
+                    self.active = self.pending.take();
                 }
             }
-            Command::Propose { token, by, base, body } => {
+            Command::Propose { token, proposer: by, base_version: base, body } => {
                 if self.outcome(token).is_none() {
                     let outcome = self.propose(by, base, body);
                     self.outcomes.push_back((token, outcome));
-                    self.outcomes.keep_latest(HISTORY);
+                    self.outcomes.keep_latest(HISTORY_LIMIT);
                 }
             }
         }
     }
 
-    fn propose(&mut self, by: String, base: Version, body: DocumentBody) -> Outcome {
+    fn propose(&mut self, by: String, base: Version, body: DocumentBody) -> ProposalOutcome {
         if base != self.newest_version() {
-            return Outcome::Missed(self.newest_version());
+            return ProposalOutcome::StaleBase(self.newest_version());
         }
         let Some(active) = &self.active else {
             return self.take(by, body, Vec::new(), false);
         };
-        if self.coming.is_some() {
-            return Outcome::Missed(self.newest_version());
+        if self.pending.is_some() {
+            return ProposalOutcome::StaleBase(self.newest_version());
         }
         let changes = document::differences(&active.body, &body);
         let keys = |kind: Option<ChangeKind>| {
@@ -155,27 +155,38 @@
         };
         let unordered = keys(Some(ChangeKind::Unordered));
         if !unordered.is_empty() {
-            return Outcome::Unordered(unordered);
+            return ProposalOutcome::RequiresRestart(unordered);
         }
         if changes.is_empty() {
-            return Outcome::Same(active.version);
+            return ProposalOutcome::Unchanged(active.version);
         }
         let contradicts = changes.iter().any(|d| d.kind == ChangeKind::Ordered);
         let all = keys(None);
         self.take(by, body, all, contradicts)
     }
 
-    fn take(&mut self, by: String, body: DocumentBody, keys: Vec<String>, contradicts: bool) -> Outcome {
+    fn take(
+        &mut self,
+        by: String,
+        body: DocumentBody,
+        keys: Vec<String>,
+        contradicts: bool,
+    ) -> ProposalOutcome {
         let version = self.newest_version() + 1;
-        self.history.push_back(Past { version, by: by.clone(), keys, contradicts });
-        self.history.keep_latest(HISTORY);
-        let document = Some(Document { version, by, body });
+        self.history.push_back(VersionRecord {
+            version,
+            proposer: by.clone(),
+            changed_keys: keys,
+            conflicts_with_previous: contradicts,
+        });
+        self.history.keep_latest(HISTORY_LIMIT);
+        let document = Some(Document { version, proposer: by, body });
         if contradicts {
-            self.coming = document;
+            self.pending = document;
         } else {
             self.active = document;
         }
-        Outcome::Agreed(version)
+        ProposalOutcome::Committed(version)
     }
 }
 
--- a/crates/consensus/tests/model.rs
+++ b/crates/consensus/tests/model.rs
@@ -4,7 +4,7 @@
 use loomlb_consensus::document::DocumentBody;
 use loomlb_consensus::lease_grants::LeaseGrants;
 use loomlb_consensus::lease_holder::LeaseHolder;
-use loomlb_consensus::state::{Command, State};
+use loomlb_consensus::state::{Command, ReplicatedState};
 use loomlb_consensus::timing::LeaseTiming;
 use loomlb_consensus::{EffectiveRules, Nanos};
 use serde_json::json;
@@ -65,19 +65,24 @@
 }
 
 /// What has been agreed after so many commands.
-fn state(commands: usize) -> &'static State {
-    static STATES: LazyLock<Vec<State>> = LazyLock::new(|| (0..4).map(build).collect());
+fn state(commands: usize) -> &'static ReplicatedState {
+    static STATES: LazyLock<Vec<ReplicatedState>> = LazyLock::new(|| (0..4).map(build).collect());
     &STATES[commands]
 }
 
-fn build(commands: usize) -> State {
+fn build(commands: usize) -> ReplicatedState {
     let body = |effect: &str| DocumentBody {
         settings: json!({"classes": [{"name": "c", "effect": effect}]}),
         workers_out: BTreeSet::new(),
     };
-    let propose = |token, base, effect| Command::Propose { token, by: "p".into(), base, body: body(effect) };
+    let propose = |token, base, effect| Command::Propose {
+        token,
+        proposer: "p".into(),
+        base_version: base,
+        body: body(effect),
+    };
     let all = [propose(1, 0, "idempotent"), propose(2, 1, "at_most_once"), Command::Activate(2)];
-    let mut state = State::default();
+    let mut state = ReplicatedState::default();
     for (i, command) in all.into_iter().take(commands).enumerate() {
         state.apply(i as u64 + 1, command);
     }
--- a/crates/consensus/tests/pins.rs
+++ b/crates/consensus/tests/pins.rs
@@ -10,7 +10,7 @@
 use loomlb_consensus::link_protocol::{LinkMessage, derive_channels, greeting};
 use loomlb_consensus::log_store::{LogFile, LogStore};
 use loomlb_consensus::raft_node::RaftNode;
-use loomlb_consensus::state::{Command, Document, Outcome, Past, State};
+use loomlb_consensus::state::{Command, Document, ProposalOutcome, ReplicatedState, VersionRecord};
 use loomlb_consensus::storage::MemoryStorage;
 use loomlb_consensus::worker_lists::{LeavingWorker, ListReport, ListSummary};
 use protobuf::Message as _;
@@ -27,34 +27,34 @@
 }
 
 fn command(token: u64, base: u64, effect: &str) -> Command {
-    Command::Propose { token, by: "a".into(), base, body: body(effect) }
+    Command::Propose { token, proposer: "a".into(), base_version: base, body: body(effect) }
 }
 
 fn document(version: u64) -> Document {
-    Document { version, by: "a".into(), body: body("at_most_once") }
+    Document { version, proposer: "a".into(), body: body("at_most_once") }
 }
 
-fn outcomes() -> VecDeque<(u64, Outcome)> {
+fn outcomes() -> VecDeque<(u64, ProposalOutcome)> {
     [
-        (1, Outcome::Agreed(1)),
-        (2, Outcome::Same(1)),
-        (3, Outcome::Missed(2)),
-        (u64::MAX, Outcome::Unordered(vec!["zones".into()])),
+        (1, ProposalOutcome::Committed(1)),
+        (2, ProposalOutcome::Unchanged(1)),
+        (3, ProposalOutcome::StaleBase(2)),
+        (u64::MAX, ProposalOutcome::RequiresRestart(vec!["zones".into()])),
     ]
     .into()
 }
 
-fn state() -> State {
-    let past = |version, contradicts| Past {
+fn state() -> ReplicatedState {
+    let past = |version, contradicts| VersionRecord {
         version,
-        by: "a".into(),
-        keys: vec!["classes.lodge.effect".into()],
-        contradicts,
+        proposer: "a".into(),
+        changed_keys: vec!["classes.lodge.effect".into()],
+        conflicts_with_previous: contradicts,
     };
-    State {
+    ReplicatedState {
         index: 9,
         active: Some(document(1)),
-        coming: Some(document(2)),
+        pending: Some(document(2)),
         outcomes: outcomes(),
         history: [past(1, false), past(2, true)].into(),
     }
@@ -78,7 +78,7 @@
         ask(Some(EffectiveRules::On(1))),
         ask(Some(EffectiveRules::Between(1))),
         answer(true, None),
-        answer(false, Some(Box::new(State::default()))),
+        answer(false, Some(Box::new(ReplicatedState::default()))),
         answer(true, Some(Box::new(state()))),
         LinkMessage::Propose(command(5, 1, "deduplicated")),
         LinkMessage::Propose(Command::Activate(2)),
@@ -113,7 +113,7 @@
 #[test]
 fn documents_and_history_lines_keep_their_json() {
     let mut lines = vec![
-        serde_json::to_string(&State::default()).unwrap(),
+        serde_json::to_string(&ReplicatedState::default()).unwrap(),
         serde_json::to_string(&state()).unwrap(),
         serde_json::to_string(&command(5, 1, "idempotent")).unwrap(),
         serde_json::to_string(&Command::Activate(2)).unwrap(),
--- a/crates/lab/src/capacity/tier.rs
+++ b/crates/lab/src/capacity/tier.rs
@@ -26,7 +26,7 @@
 use loomlb_capacity::{Series, Source};
 use loomlb_consensus::lease_holder::LeaseHolder;
 use loomlb_consensus::link_protocol::{Channel, LinkMessage, derive_channels};
-use loomlb_consensus::state::{Command, State};
+use loomlb_consensus::state::{Command, ReplicatedState};
 use loomlb_consensus::timing::TimingConfig;
 use loomlb_consensus::worker_lists::{ListReport, ListSummary};
 use rayon::prelude::*;
@@ -53,12 +53,12 @@
 }
 
 /// The state after so many versions, each of which changes a class's effect.
-pub fn state(tenants: usize, versions: u64) -> State {
-    let mut state = State::default();
+pub fn state(tenants: usize, versions: u64) -> ReplicatedState {
+    let mut state = ReplicatedState::default();
     for version in 0..versions {
         let (token, by) = (u64::MAX - version, format!("s-{:08x}", version % 50));
         let body = trial::document(version % 60, tenants);
-        state.apply(2 * version + 1, Command::Propose { token, by, base: version, body });
+        state.apply(2 * version + 1, Command::Propose { token, proposer: by, base_version: version, body });
         state.apply(2 * version + 2, Command::Activate(version + 1));
     }
     state
@@ -278,7 +278,7 @@
 }
 
 /// A voter's answer to a scheduler that has nothing.
-pub fn answer(state: &State) -> LinkMessage {
+pub fn answer(state: &ReplicatedState) -> LinkMessage {
     LinkMessage::LeaseResponse {
         number: 1,
         granted: false,
--- a/crates/lab/src/capacity/voter.rs
+++ b/crates/lab/src/capacity/voter.rs
@@ -19,7 +19,7 @@
 use loomlb_consensus::link_protocol::LinkMessage;
 use loomlb_consensus::log_store::LogFile;
 use loomlb_consensus::raft_node::RaftNode;
-use loomlb_consensus::state::{Command, State};
+use loomlb_consensus::state::{Command, ReplicatedState};
 use loomlb_consensus::storage::{DurableFile, StorageLocation};
 use loomlb_consensus::timing::TimingConfig;
 use loomlb_consensus::worker_lists::{ListReport, ListReports};
@@ -83,12 +83,12 @@
 struct Asked {
     promises: LeaseGrants,
     lists: ListReports,
-    seen: State,
+    seen: ReplicatedState,
     now: u64,
 }
 
 impl Asked {
-    fn new(seen: &State) -> Result<Asked, String> {
+    fn new(seen: &ReplicatedState) -> Result<Asked, String> {
         let timing = TimingConfig::default().derive().map_err(|(key, why)| format!("{key}: {why}"))?;
         let (promises, lists) = (LeaseGrants::new(timing, 0), ListReports::default());
         Ok(Asked { promises, lists, seen: seen.clone(), now: 0 })
@@ -190,7 +190,12 @@
     fn next(&self) -> Command {
         let mut body = trial::document(1, self.tenants);
         body.settings["tick"] = json!(1_000_000 + self.version);
-        Command::Propose { token: u64::MAX - self.version, by: "s-00000001".into(), base: self.version, body }
+        Command::Propose {
+            token: u64::MAX - self.version,
+            proposer: "s-00000001".into(),
+            base_version: self.version,
+            body,
+        }
     }
 
     fn agree(&mut self, command: &Command) -> Result<(), String> {
--- a/crates/lab/src/scale/hollow.rs
+++ b/crates/lab/src/scale/hollow.rs
@@ -5,7 +5,7 @@
 use loomlb_consensus::document::DocumentBody;
 use loomlb_consensus::lease_holder::LeaseHolder;
 use loomlb_consensus::link_protocol::{self, Channel, GREETING_BYTES, LinkMessage, Nonce, PROTOCOL_VERSION};
-use loomlb_consensus::state::{Command, State};
+use loomlb_consensus::state::{Command, ReplicatedState};
 use loomlb_consensus::timing::LeaseTiming;
 use loomlb_consensus::worker_lists::ListReport;
 use loomlb_consensus::{EffectiveRules, Nanos};
@@ -320,8 +320,8 @@
                 let by = self.spec.name.clone();
                 words.push_back(LinkMessage::Propose(Command::Propose {
                     token: number,
-                    by,
-                    base: 0,
+                    proposer: by,
+                    base_version: 0,
                     body: DocumentBody::default(),
                 }));
             }
@@ -329,7 +329,7 @@
         }
     }
 
-    fn answered(&self, voter: usize, number: u64, yes: bool, news: Option<State>) {
+    fn answered(&self, voter: usize, number: u64, yes: bool, news: Option<ReplicatedState>) {
         let changed = self.holder.borrow_mut().handle_response(self.now(), voter, number, yes, news);
         if changed {
             // Nothing stands between learning of it and acting on it: there are no rules to put in force here.
--- a/crates/lab/src/trial.rs
+++ b/crates/lab/src/trial.rs
@@ -10,7 +10,7 @@
 use loomlb_consensus::log_store::{LogFile, LogStore};
 use loomlb_consensus::raft_node::{self, RaftNode, TICK_NANOS};
 use loomlb_consensus::raft_node_error::RaftNodeError;
-use loomlb_consensus::state::{Command, Outcome, State};
+use loomlb_consensus::state::{Command, ProposalOutcome, ReplicatedState};
 use loomlb_consensus::storage::{MemoryStorage, StorageFault};
 use loomlb_consensus::timing::{LeaseTiming, TimingConfig};
 use loomlb_consensus::votes::{Vote, Votes};
@@ -548,7 +548,7 @@
     fn readiness(&mut self, n: usize, leader: u64, ready: Option<Version>) {
         if self.trial.without == Without::Readiness {
             self.voter(n, |agreement, _, _| {
-                if let Some(version) = agreement.state().coming.as_ref().map(|d| d.version) {
+                if let Some(version) = agreement.state().pending.as_ref().map(|d| d.version) {
                     (1..=9).for_each(|voter| agreement.record_ready(voter, version));
                 }
             });
@@ -581,7 +581,7 @@
         let now = self.now;
         for past in &state.history {
             self.agreed.entry(past.version).or_insert(now);
-            if past.contradicts {
+            if past.conflicts_with_previous {
                 self.contradicts.insert(past.version);
             }
         }
@@ -708,7 +708,7 @@
                     }
                 }
                 Some(outcome) => {
-                    if matches!(outcome, Outcome::Missed(_)) {
+                    if matches!(outcome, ProposalOutcome::StaleBase(_)) {
                         self.missed.insert(*token);
                     }
                     self.nodes[n].proposal = None;
@@ -796,7 +796,7 @@
         n: usize,
         voter: usize,
         now: Nanos,
-        (number, yes, news): (u64, bool, Option<State>),
+        (number, yes, news): (u64, bool, Option<ReplicatedState>),
     ) {
         if self.nodes[n].holder.handle_response(now, voter, number, yes, news)
             && let Some(acting) = self.nodes[n].holder.rules()
@@ -844,7 +844,8 @@
         let may = node.up && !node.stopped && node.proposal.is_none();
         if may {
             let body = with_tenants(body(number), &self.tenants);
-            node.proposal = Some(Command::Propose { token, by: format!("n{n}"), base, body });
+            node.proposal =
+                Some(Command::Propose { token, proposer: format!("n{n}"), base_version: base, body });
         }
         may
     }
@@ -913,7 +914,8 @@
         };
         let voters = self.trial.voters;
         let others = self.nodes.len().saturating_sub(voters).max(1);
-        let newest = self.nodes.iter().filter_map(|n| n.holder.state().latest()).max_by_key(|d| d.version);
+        let newest =
+            self.nodes.iter().filter_map(|n| n.holder.state().newest_document()).max_by_key(|d| d.version);
         Traffic {
             seconds,
             scheduler: flow(&|n| n >= voters),
--- a/crates/tier/src/lease.rs
+++ b/crates/tier/src/lease.rs
@@ -7,7 +7,7 @@
 use loomlb_consensus::check::Event as Did;
 use loomlb_consensus::document;
 use loomlb_consensus::link_protocol::LinkMessage;
-use loomlb_consensus::state::State;
+use loomlb_consensus::state::ReplicatedState;
 use loomlb_consensus::worker_lists::ListSummary;
 use std::rc::Rc;
 use std::time::Duration;
@@ -63,7 +63,7 @@
     voter: usize,
     number: u64,
     yes: bool,
-    news: Option<State>,
+    news: Option<ReplicatedState>,
 ) {
     let changed = on.holder.borrow_mut().handle_response(on.now(), voter, number, yes, news);
     if changed {
--- a/crates/tier/src/lib.rs
+++ b/crates/tier/src/lib.rs
@@ -27,7 +27,7 @@
 use loomlb_consensus::check::{Event as Did, Line};
 use loomlb_consensus::lease_holder::LeaseHolder;
 use loomlb_consensus::link_protocol::LinkMessage;
-use loomlb_consensus::state::State;
+use loomlb_consensus::state::ReplicatedState;
 use loomlb_consensus::timing::LeaseTiming;
 use loomlb_consensus::worker_lists::{LeavingWorker, ListReport};
 use loomlb_consensus::{EffectiveRules, Nanos};
@@ -163,7 +163,7 @@
     }
 
     /// Something of what this scheduler knows to be agreed.
-    fn seen<T>(&self, of: impl FnOnce(&State) -> T) -> T {
+    fn seen<T>(&self, of: impl FnOnce(&ReplicatedState) -> T) -> T {
         of(self.holder.borrow().state())
     }
 
--- a/crates/tier/src/proposals.rs
+++ b/crates/tier/src/proposals.rs
@@ -4,7 +4,7 @@
 use crate::{Application, LOOK, On, Tier, random};
 use loomlb_consensus::document::DocumentBody;
 use loomlb_consensus::link_protocol::LinkMessage;
-use loomlb_consensus::state::{Command, Outcome};
+use loomlb_consensus::state::{Command, ProposalOutcome};
 use loomlb_consensus::{Nanos, Version};
 use serde_json::{Value, json};
 use std::collections::BTreeSet;
@@ -66,22 +66,24 @@
     if proposals.len() >= PROPOSALS {
         return None;
     }
-    let command = Command::Propose { token, by: on.name.clone(), base, body };
+    let command = Command::Propose { token, proposer: on.name.clone(), base_version: base, body };
     proposals.insert(token, Waiting { command, said: None });
     on.hurry.notify_one();
     Some(token)
 }
 
 /// What has become of a proposal, and whether its version is in force here, within a call's time.
-async fn outcome(on: &On, token: u64) -> Option<(Outcome, bool)> {
+async fn outcome(on: &On, token: u64) -> Option<(ProposalOutcome, bool)> {
     let end = tokio::time::Instant::now() + CALL;
     loop {
         let (known, active) =
             on.seen(|seen| (seen.outcome(token).cloned(), seen.active.as_ref().map_or(0, |d| d.version)));
         let over = tokio::time::Instant::now() >= end;
         match known {
-            Some(Outcome::Agreed(version)) if version > active && !over => {}
-            Some(Outcome::Agreed(version)) => return Some((Outcome::Agreed(version), version <= active)),
+            Some(ProposalOutcome::Committed(version)) if version > active && !over => {}
+            Some(ProposalOutcome::Committed(version)) => {
+                return Some((ProposalOutcome::Committed(version), version <= active));
+            }
             Some(other) => return Some((other, true)),
             None if over => {
                 on.proposals.borrow_mut().remove(&token);
@@ -95,22 +97,22 @@
 }
 
 /// The status and the words for what has become of a proposal.
-fn reply(found: Option<(Outcome, bool)>) -> (u16, Value) {
+fn reply(found: Option<(ProposalOutcome, bool)>) -> (u16, Value) {
     match found {
-        Some((Outcome::Agreed(version), true)) => {
+        Some((ProposalOutcome::Committed(version), true)) => {
             (200, json!({"yes": true, "version": version, "in_force": true}))
         }
-        Some((Outcome::Agreed(version), false)) => {
+        Some((ProposalOutcome::Committed(version), false)) => {
             (202, json!({"yes": true, "version": version, "in_force": false}))
         }
-        Some((Outcome::Same(version), _)) => {
+        Some((ProposalOutcome::Unchanged(version), _)) => {
             (200, json!({"yes": true, "version": version, "in_force": true, "why": "it says the same"}))
         }
-        Some((Outcome::Missed(version), _)) => (
+        Some((ProposalOutcome::StaleBase(version), _)) => (
             409,
             json!({"yes": false, "version": version, "why": format!("version {version} came before it, or is coming")}),
         ),
-        Some((Outcome::Unordered(keys), _)) => (
+        Some((ProposalOutcome::RequiresRestart(keys), _)) => (
             422,
             json!({"yes": false, "keys": keys, "why": "these keys cannot change while the tier runs: restart it with them"}),
         ),
@@ -138,7 +140,10 @@
         return (400, json!({"yes": false, "why": e}));
     }
     let (out, newest) = on.seen(|seen| {
-        (seen.latest().map(|d| d.body.workers_out.clone()).unwrap_or_default(), seen.newest_version())
+        (
+            seen.newest_document().map(|d| d.body.workers_out.clone()).unwrap_or_default(),
+            seen.newest_version(),
+        )
     });
     let base = base.unwrap_or(newest);
     match propose(on, base, DocumentBody::new(&settings, out)) {
@@ -157,7 +162,7 @@
     }
     let end = tokio::time::Instant::now() + CALL;
     loop {
-        let latest = on.seen(|seen| seen.latest().cloned());
+        let latest = on.seen(|seen| seen.newest_document().cloned());
         let Some(mut latest) = latest else { return reply(None) };
         let base = latest.version;
         let changes = if out {
@@ -166,12 +171,12 @@
             latest.body.workers_out.remove(host)
         };
         let found = match changes.then(|| propose(on, base, latest.body)) {
-            None => Some((Outcome::Same(base), true)),
+            None => Some((ProposalOutcome::Unchanged(base), true)),
             Some(None) => None,
             Some(Some(token)) => outcome(on, token).await,
         };
         match found {
-            Some((Outcome::Missed(_), _)) if tokio::time::Instant::now() < end => {
+            Some((ProposalOutcome::StaleBase(_), _)) if tokio::time::Instant::now() < end => {
                 tokio::time::sleep(LOOK).await
             }
             found => return reply(found),
--- a/crates/tier/src/status.rs
+++ b/crates/tier/src/status.rs
@@ -22,8 +22,8 @@
     json!({
         "yes": true, "name": on.name, "acting": on.applied.get(), "may_act": tier.may_act(),
         "lease_left_s": left as f64 / 1e9, "fault": *on.fault.borrow(),
-        "version": seen.active.as_ref().map(|d| d.version), "by": seen.active.as_ref().map(|d| &d.by),
-        "coming": seen.coming.as_ref().map(|d| d.version), "workers_out": *on.out.borrow(),
+        "version": seen.active.as_ref().map(|d| d.version), "by": seen.active.as_ref().map(|d| &d.proposer),
+        "coming": seen.pending.as_ref().map(|d| d.version), "workers_out": *on.out.borrow(),
         "settings": seen.active.as_ref().map(|d| &d.body.settings),
         "history": seen.history, "voter": vote,
         "lists": {"mine": around.list().version, "newest": on.lists.get().0, "oldest": on.lists.get().1},
--- a/crates/tier/tests/proposals.rs
+++ b/crates/tier/tests/proposals.rs
@@ -2,7 +2,7 @@
 
 use loomlb_consensus::document::DocumentBody;
 use loomlb_consensus::link_protocol::{self, GREETING_BYTES, LinkMessage};
-use loomlb_consensus::state::{Command, Document, State};
+use loomlb_consensus::state::{Command, Document, ReplicatedState};
 use loomlb_consensus::worker_lists::{LeavingWorker, ListReport, ListSummary};
 use loomlb_tier::{Application, Spec};
 use serde_json::{Value, json};
@@ -55,8 +55,8 @@
     let theirs = link_protocol::parse_greeting(&first).expect("a greeting");
     let (mut from, mut to) = link_protocol::derive_channels(KEY, &theirs, &mine);
     let body = DocumentBody::new(&json!({"tick": 1}), BTreeSet::new());
-    let active = Some(Document { version: 1, by: "a".into(), body });
-    let state = State { index: 1, active, ..State::default() };
+    let active = Some(Document { version: 1, proposer: "a".into(), body });
+    let state = ReplicatedState { index: 1, active, ..ReplicatedState::default() };
     let mut bytes = Vec::new();
     loop {
         while let Some(word) = from.open(&mut bytes).expect("a sound word") {
