--- a/crates/consensus/src/lib.rs
+++ b/crates/consensus/src/lib.rs
@@ -3,13 +3,13 @@
 //! Pure cores, apart from [`log_store`] and the [`storage`] beneath it: no sockets, no clock, time passed in. [`raft_node`] has the voters agree on one
 //! document ([`state`]) by the Raft library; [`lease_grants`] is what a voter has promised to whom, [`lease_holder`] what a
 //! scheduler may act on now, [`timing`] the figures that both go by, with their proof in docs/design/0006-accord.md.
-//! [`document`] tells which changes contradict each other and what is the strictest of two documents; [`check`] reads the
+//! [`document`] tells which changes contradict each other and what is the strictest of two documents; [`history_check`] reads the
 //! histories of all schedulers and says where an invariant broke; [`worker_lists`] tells how far apart their lists of workers are. [`link_protocol`] are the words on the tier link.
 
 #![forbid(unsafe_code)]
 
-pub mod check;
 pub mod document;
+pub mod history_check;
 pub mod lease_grants;
 pub mod lease_holder;
 pub mod link_protocol;
--- a/crates/consensus/src/votes.rs
+++ b/crates/consensus/src/votes.rs
@@ -1,7 +1,7 @@
 //! Checks that no voter votes for two candidates in one term, whatever happens to its disk. Trials pass it every message
 //! that a voter sends.
 
-use crate::check::Breach;
+use crate::history_check::Violation;
 use crate::raft_node::Message;
 use raft::eraftpb::MessageType;
 use std::collections::BTreeMap;
@@ -36,7 +36,7 @@
 
 impl Votes {
     /// Takes in a vote; the breach if the voter has voted for another candidate in this term.
-    pub fn record(&mut self, vote: Vote) -> Option<Breach> {
+    pub fn record(&mut self, vote: Vote) -> Option<Violation> {
         let earlier = match self.0.entry((vote.term, vote.voter)) {
             Entry::Vacant(free) => {
                 free.insert(vote.candidate);
@@ -45,7 +45,8 @@
             Entry::Occupied(earlier) => *earlier.get(),
         };
         let story = format!("{vote:?}, and before that for {earlier}");
-        (earlier != vote.candidate).then_some(Breach { rule: "a voter votes once in a term", story })
+        (earlier != vote.candidate)
+            .then_some(Violation { invariant: "a voter votes once in a term", details: story })
     }
 
     /// How many votes there were.
--- a/crates/consensus/tests/pins.rs
+++ b/crates/consensus/tests/pins.rs
@@ -5,8 +5,8 @@
 mod golden;
 
 use loomlb_consensus::EffectiveRules;
-use loomlb_consensus::check::{Event, Line};
 use loomlb_consensus::document::DocumentBody;
+use loomlb_consensus::history_check::{HistoryEvent, HistoryRecord};
 use loomlb_consensus::link_protocol::{LinkMessage, derive_channels, greeting};
 use loomlb_consensus::log_store::{LogFile, LogStore};
 use loomlb_consensus::raft_node::RaftNode;
@@ -119,16 +119,16 @@
         serde_json::to_string(&Command::Activate(2)).unwrap(),
     ];
     let events = [
-        Event::Takes(EffectiveRules::On(1)),
-        Event::Takes(EffectiveRules::Between(1)),
-        Event::Acts { on: EffectiveRules::On(2), left: 5 },
-        Event::Lapsed,
-        Event::Renewed,
+        HistoryEvent::Adopted(EffectiveRules::On(1)),
+        HistoryEvent::Adopted(EffectiveRules::Between(1)),
+        HistoryEvent::Acted { rules: EffectiveRules::On(2), lease_left: 5 },
+        HistoryEvent::LeaseExpired,
+        HistoryEvent::LeaseAcquired,
     ];
     for event in events {
-        let line = Line { at: 1, who: "a".into(), process: 2, event };
+        let line = HistoryRecord { at: 1, scheduler: "a".into(), process: 2, event };
         lines.push(serde_json::to_string(&line).unwrap());
-        assert_eq!(serde_json::from_str::<Line>(lines.last().unwrap()).unwrap(), line);
+        assert_eq!(serde_json::from_str::<HistoryRecord>(lines.last().unwrap()).unwrap(), line);
     }
     // A document of a build that did not know of workers that are out.
     assert_eq!(serde_json::from_str::<DocumentBody>(r#"{"settings":{}}"#).unwrap().workers_out.len(), 0);
--- a/crates/emulator/src/rig.rs
+++ b/crates/emulator/src/rig.rs
@@ -9,7 +9,7 @@
 use crate::wire::{self, Body, Line as Connection};
 use hyper::body::Incoming;
 use hyper::{Request, Response};
-use loomlb_consensus::check::Line;
+use loomlb_consensus::history_check::HistoryRecord;
 use rustix::process::{Pid, Signal, kill_process};
 use serde_json::{Value, json};
 use std::cell::RefCell;
@@ -427,7 +427,7 @@
     }
 
     /// All that the processes wrote of what they did.
-    pub fn history(&self) -> Vec<Line> {
+    pub fn history(&self) -> Vec<HistoryRecord> {
         let lines =
             (0..self.shared.count).filter_map(|n| std::fs::read_to_string(self.path(n, "history")).ok());
         // The last line of a process that was killed may be cut short.
--- a/crates/lab/src/processes.rs
+++ b/crates/lab/src/processes.rs
@@ -1,7 +1,7 @@
 //! Trials of the tier with real processes: schedules of faults, drawn from a seed or read from a file, played in the fault
 //! rig and judged by the checker. A schedule that fails is made as short as it still fails.
 
-use loomlb_consensus::check::judge;
+use loomlb_consensus::history_check::check_history;
 use loomlb_emulator::rig::{Job, Options, Rig, Way};
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
@@ -201,12 +201,12 @@
     if let Some(job) = jobs.iter().find(|j| j.runs > 2) {
         breaches.push(format!("no more attempts than there may be: {job:?}"));
     }
-    let verdict = judge(&rig.history(), MOMENT_MS * 1_000_000, |_| true);
-    breaches.extend(verdict.breaches.iter().map(ToString::to_string));
+    let verdict = check_history(&rig.history(), MOMENT_MS * 1_000_000, |_| true);
+    breaches.extend(verdict.violations.iter().map(ToString::to_string));
     Ok(Told {
         breaches,
-        acts: verdict.acts,
-        disagreed_ms: verdict.disagreed as f64 / 1e6,
+        acts: verdict.acts_checked,
+        disagreed_ms: verdict.longest_conflict as f64 / 1e6,
         versions: version(&rig),
         jobs: [jobs.len(), jobs.iter().filter(|j| j.status == Some(200)).count(), lost],
         settled_ms,
--- a/crates/lab/src/scale/fleet.rs
+++ b/crates/lab/src/scale/fleet.rs
@@ -260,7 +260,7 @@
     }
 
     /// The lines of a scheduler's history.
-    pub fn history(&self, n: usize) -> Vec<loomlb_consensus::check::Line> {
+    pub fn history(&self, n: usize) -> Vec<loomlb_consensus::history_check::HistoryRecord> {
         let text = std::fs::read_to_string(self.file(n, "history")).unwrap_or_default();
         text.lines().filter_map(|l| serde_json::from_str(l).ok()).collect()
     }
--- a/crates/lab/src/scale/play.rs
+++ b/crates/lab/src/scale/play.rs
@@ -11,7 +11,7 @@
 use super::report::{self, Clients, Hosts, Leases, Part, Process, Report, Spread};
 use super::{Error, Options, Sizes, ZONES, workers};
 use loomlb_capacity::Costs;
-use loomlb_consensus::check::Event;
+use loomlb_consensus::history_check::HistoryEvent;
 use loomlb_consensus::{EffectiveRules, Nanos};
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, VecDeque};
@@ -626,7 +626,7 @@
     let lapsed = |n: usize| {
         let lines = stage.fleet.history(n);
         let within = lines.iter().filter(|l| (from.machine..to.machine).contains(&l.at));
-        within.filter(|l| l.event == Event::Lapsed).count() as u64
+        within.filter(|l| l.event == HistoryEvent::LeaseExpired).count() as u64
     };
     measured.map(|(n, _)| lapsed(n)).sum()
 }
@@ -662,7 +662,7 @@
     for (n, node) in stage.fleet.nodes.iter().enumerate() {
         if matches!(node.role, Role::Serving | Role::Idle) {
             let takes = stage.fleet.history(n).into_iter().filter_map(|l| match l.event {
-                Event::Takes(acting) => Some((l.at, acting.oldest_version())),
+                HistoryEvent::Adopted(acting) => Some((l.at, acting.oldest_version())),
                 _ => None,
             });
             since.insert(usize::MAX - n, takes.collect());
--- a/crates/lab/src/trial.rs
+++ b/crates/lab/src/trial.rs
@@ -2,8 +2,8 @@
 //! and cuts, with processes that stall, die and come back and clocks that run apart. What comes of it is judged by the
 //! same checker that reads the histories of real processes.
 
-use loomlb_consensus::check::{Event as Did, Line, Verdict, judge};
 use loomlb_consensus::document::DocumentBody;
+use loomlb_consensus::history_check::{CheckReport, HistoryEvent as Did, HistoryRecord, check_history};
 use loomlb_consensus::lease_grants::LeaseGrants;
 use loomlb_consensus::lease_holder::LeaseHolder;
 use loomlb_consensus::link_protocol::{self, Channel, LinkMessage};
@@ -227,7 +227,7 @@
     nodes: Vec<Node>,
     cut: BTreeSet<(usize, usize)>,
     loss: f64,
-    lines: Vec<Line>,
+    lines: Vec<HistoryRecord>,
     agreed: BTreeMap<Version, Nanos>,
     force: BTreeMap<Version, Nanos>,
     everywhere: BTreeMap<Version, Nanos>,
@@ -348,7 +348,7 @@
 
     fn log(&mut self, n: usize, event: Did) {
         let (who, process) = (format!("n{n}"), self.nodes[n].run);
-        self.lines.push(Line { at: self.now, who, process, event });
+        self.lines.push(HistoryRecord { at: self.now, scheduler: who, process, event });
     }
 
     fn run(&mut self) -> Result<(), String> {
@@ -725,10 +725,10 @@
         self.could.1 += 1;
         if may != self.nodes[n].may {
             self.nodes[n].may = may;
-            self.log(n, if may { Did::Renewed } else { Did::Lapsed });
+            self.log(n, if may { Did::LeaseAcquired } else { Did::LeaseExpired });
         }
         if let (true, Some(on)) = (may, on) {
-            self.log(n, Did::Acts { on, left: until.unwrap_or(0).saturating_sub(now) });
+            self.log(n, Did::Acted { rules: on, lease_left: until.unwrap_or(0).saturating_sub(now) });
         }
         if let Some(version) = self.force.keys().next_back().copied()
             && !self.everywhere.contains_key(&version)
@@ -801,7 +801,7 @@
         if self.nodes[n].holder.handle_response(now, voter, number, yes, news)
             && let Some(acting) = self.nodes[n].holder.rules()
         {
-            self.log(n, Did::Takes(acting));
+            self.log(n, Did::Adopted(acting));
             self.renew(n);
         }
     }
@@ -932,8 +932,9 @@
     }
 
     fn told(&self) -> Told {
-        let verdict: Verdict = judge(&self.lines, 0, |version| self.contradicts.contains(&version));
-        let mut breaches: Vec<String> = verdict.breaches.iter().map(ToString::to_string).collect();
+        let verdict: CheckReport =
+            check_history(&self.lines, 0, |version| self.contradicts.contains(&version));
+        let mut breaches: Vec<String> = verdict.violations.iter().map(ToString::to_string).collect();
         breaches.extend(self.breaches.iter().cloned());
         let newest = self.force.keys().next_back().copied().unwrap_or(0);
         for (n, node) in self.nodes.iter().enumerate() {
@@ -957,8 +958,8 @@
             versions: newest,
             missed: self.missed.len() as u64,
             breaches,
-            disagreed_ms: verdict.disagreed as f64 / 1e6,
-            acts: verdict.acts,
+            disagreed_ms: verdict.longest_conflict as f64 / 1e6,
+            acts: verdict.acts_checked,
             force_ms: spans(&self.force),
             everywhere_ms: spans(&self.everywhere),
             could_act: self.could.0 as f64 / self.could.1.max(1) as f64,
--- a/crates/tier/src/history.rs
+++ b/crates/tier/src/history.rs
@@ -1,7 +1,7 @@
 //! The file of what this process acted upon, for the checker: a line of JSON each. Processes of the same scheduler may
 //! append to one file at the same time.
 
-use loomlb_consensus::check::Line;
+use loomlb_consensus::history_check::HistoryRecord;
 use std::fs::File;
 use std::io::{self, Write};
 use std::os::unix::fs::FileExt;
@@ -46,7 +46,7 @@
     }
 
     /// Adds a line. After an error a part of it may be in the file; the next line starts behind it on its own.
-    pub(crate) fn write(&mut self, line: &Line) -> Result<(), HistoryError> {
+    pub(crate) fn write(&mut self, line: &HistoryRecord) -> Result<(), HistoryError> {
         if self.file.is_none() {
             self.open_file()?;
         }
--- a/crates/tier/src/history/tests.rs
+++ b/crates/tier/src/history/tests.rs
@@ -1,13 +1,13 @@
 //! Lines that follow one that was not written to its end.
 
 use super::*;
-use loomlb_consensus::check::Event;
+use loomlb_consensus::history_check::HistoryEvent;
 
-fn line(at: u64) -> Line {
-    Line { at, who: "n0".into(), process: 7, event: Event::Renewed }
+fn line(at: u64) -> HistoryRecord {
+    HistoryRecord { at, scheduler: "n0".into(), process: 7, event: HistoryEvent::LeaseAcquired }
 }
 
-fn lines(path: &Path) -> Vec<Line> {
+fn lines(path: &Path) -> Vec<HistoryRecord> {
     let text = std::fs::read_to_string(path).unwrap();
     text.lines().filter_map(|line| serde_json::from_str(line).ok()).collect()
 }
--- a/crates/tier/src/lease.rs
+++ b/crates/tier/src/lease.rs
@@ -4,8 +4,8 @@
 use crate::voter::voter_hears;
 use crate::{Application, LOOK, On, OnLapse, more, random};
 use loomlb_consensus::Nanos;
-use loomlb_consensus::check::Event as Did;
 use loomlb_consensus::document;
+use loomlb_consensus::history_check::HistoryEvent as Did;
 use loomlb_consensus::link_protocol::LinkMessage;
 use loomlb_consensus::state::ReplicatedState;
 use loomlb_consensus::worker_lists::ListSummary;
@@ -99,7 +99,7 @@
     if on.held.replace(holds) == holds {
         return;
     }
-    on.log(if holds { Did::Renewed } else { Did::Lapsed });
+    on.log(if holds { Did::LeaseAcquired } else { Did::LeaseExpired });
     if holds {
         tracing::info!("tier: a lease on {:?}", on.applied.get());
     } else {
@@ -119,7 +119,7 @@
     enforce(on, around, holds || on.spec.on_lapse == OnLapse::Leave);
     on.applied.set(acting);
     if let Some(acting) = acting {
-        on.log(Did::Takes(acting));
+        on.log(Did::Adopted(acting));
         tracing::info!("tier: takes {acting:?}");
     }
 }
--- a/crates/tier/src/lib.rs
+++ b/crates/tier/src/lib.rs
@@ -24,7 +24,7 @@
 
 use history::History;
 use link::Outbox;
-use loomlb_consensus::check::{Event as Did, Line};
+use loomlb_consensus::history_check::{HistoryEvent as Did, HistoryRecord};
 use loomlb_consensus::lease_holder::LeaseHolder;
 use loomlb_consensus::link_protocol::LinkMessage;
 use loomlb_consensus::state::ReplicatedState;
@@ -145,7 +145,8 @@
     fn log(&self, event: Did) {
         let mut history = self.history.borrow_mut();
         let Some(history) = history.as_mut() else { return };
-        let line = Line { at: machine(), who: self.name.clone(), process: self.process, event };
+        let line =
+            HistoryRecord { at: machine(), scheduler: self.name.clone(), process: self.process, event };
         if history.write(&line).is_err() {
             more(&self.counts.unwritten);
         }
@@ -195,7 +196,7 @@
         if on.holds() {
             let left = on.holder.borrow().lease_expiry().unwrap_or(0).saturating_sub(on.now());
             if let Some(acting) = on.applied.get() {
-                on.log(Did::Acts { on: acting, left });
+                on.log(Did::Acted { rules: acting, lease_left: left });
             }
             return true;
         }
--- a/tests/tier.rs
+++ b/tests/tier.rs
@@ -1,7 +1,7 @@
 //! Stories of several processes of the program that agree as a tier, with faults between them. Each ends in the checker
 //! that reads what all of them wrote of what they did.
 
-use loomlb_consensus::check::{Verdict, judge};
+use loomlb_consensus::history_check::{CheckReport, check_history};
 use loomlb_consensus::log_store::LogFile;
 use loomlb_emulator::rig::{Options, Rig, Way};
 use loomlb_fault_plan::{Call, FaultPlan, WITHOUT_END};
@@ -42,10 +42,10 @@
 }
 
 /// Every trial ends here. Only a process that is stopped between its look at the lease and its line could seem late.
-fn verdict(rig: &Rig) -> Verdict {
+fn verdict(rig: &Rig) -> CheckReport {
     let lines = rig.history();
-    let verdict = judge(&lines, Duration::from_millis(250).as_nanos() as u64, |_| true);
-    let stories: Vec<String> = verdict.breaches.iter().map(ToString::to_string).collect();
+    let verdict = check_history(&lines, Duration::from_millis(250).as_nanos() as u64, |_| true);
+    let stories: Vec<String> = verdict.violations.iter().map(ToString::to_string).collect();
     assert!(stories.is_empty(), "{}", stories.join("\n"));
     verdict
 }
@@ -105,7 +105,7 @@
     let lost: Vec<_> =
         rig.jobs().into_iter().filter(|j| (up..sent).contains(&j.sent) && j.status.is_none()).collect();
     assert!(lost.is_empty(), "{lost:?}");
-    assert!(verdict(&rig).acts > 100);
+    assert!(verdict(&rig).acts_checked > 100);
 }
 
 /// A version changes settings and no worker: nobody asks for the whole list for it, which a large fleet's is too long for.
