--- a/crates/consensus/src/lib.rs
+++ b/crates/consensus/src/lib.rs
@@ -20,7 +20,7 @@
 pub mod storage;
 pub mod store_error;
 pub mod timing;
-pub mod votes;
+pub mod vote_check;
 pub mod worker_lists;
 
 /// A point in time or a span, in nanoseconds of whoever's clock is at hand.
--- a/crates/consensus/src/votes.rs
+++ b/crates/consensus/src/vote_check.rs
@@ -20,7 +20,7 @@
 
 impl Vote {
     /// The vote that a message tells of, if any: one who asks for votes has voted for itself.
-    pub fn told_by(message: &Message) -> Option<Vote> {
+    pub fn from_message(message: &Message) -> Option<Vote> {
         let candidate = match message.get_msg_type() {
             MessageType::MsgRequestVote => message.from,
             MessageType::MsgRequestVoteResponse if !message.reject => message.to,
@@ -32,9 +32,9 @@
 
 /// The votes of a trial: the candidate by term and voter. Grows with the terms of the trial.
 #[derive(Clone, Debug, Default)]
-pub struct Votes(BTreeMap<(u64, u64), u64>);
+pub struct RecordedVotes(BTreeMap<(u64, u64), u64>);
 
-impl Votes {
+impl RecordedVotes {
     /// Takes in a vote; the breach if the voter has voted for another candidate in this term.
     pub fn record(&mut self, vote: Vote) -> Option<Violation> {
         let earlier = match self.0.entry((vote.term, vote.voter)) {
--- a/crates/lab/src/trial.rs
+++ b/crates/lab/src/trial.rs
@@ -13,7 +13,7 @@
 use loomlb_consensus::state::{Command, ProposalOutcome, ReplicatedState};
 use loomlb_consensus::storage::{MemoryStorage, StorageFault};
 use loomlb_consensus::timing::{LeaseTiming, TimingConfig};
-use loomlb_consensus::votes::{Vote, Votes};
+use loomlb_consensus::vote_check::{RecordedVotes, Vote};
 use loomlb_consensus::worker_lists::{ListReport, ListSummary};
 use loomlb_consensus::{EffectiveRules, Nanos, Version};
 use serde::Serialize;
@@ -240,7 +240,7 @@
     tenants: Vec<Value>,
     count: Option<Count>,
     recoveries: u64,
-    votes: Votes,
+    votes: RecordedVotes,
     breaches: Vec<String>,
 }
 
@@ -281,7 +281,7 @@
         load,
         count: counted.then(|| Count::new(trial.schedulers)),
         recoveries: 0,
-        votes: Votes::default(),
+        votes: RecordedVotes::default(),
         breaches: Vec::new(),
     };
     host.run()?;
@@ -571,7 +571,7 @@
             Err(e) => return self.store_failed(n, &e),
         };
         for message in messages {
-            if let Some(vote) = Vote::told_by(&message) {
+            if let Some(vote) = Vote::from_message(&message) {
                 self.breaches.extend(self.votes.record(vote).map(|breach| breach.to_string()));
             }
             self.send(n, message.to as usize - 1, LinkMessage::Raft(raft_node::encode_message(&message)));
