--- a/crates/config-file/src/lib.rs
+++ b/crates/config-file/src/lib.rs
@@ -7,7 +7,7 @@
 
 /// A fault in a file.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Fault {
+pub struct ConfigError {
     /// The line, from 1; 0 where none can be named.
     pub line: usize,
     /// The key, with dots; empty where the text itself is at fault.
@@ -16,7 +16,7 @@
     pub reason: String,
 }
 
-impl fmt::Display for Fault {
+impl fmt::Display for ConfigError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         if self.line > 0 {
             write!(f, "line {}: ", self.line)?;
@@ -28,23 +28,23 @@
     }
 }
 
-impl std::error::Error for Fault {}
+impl std::error::Error for ConfigError {}
 
 /// Reads a text into a type; what does not fit is named with its line.
-pub fn read<T: DeserializeOwned>(text: &str) -> Result<T, Fault> {
-    toml::from_str(text).map_err(|e| Fault {
-        line: e.span().map_or(0, |span| line_at(text, span.start)),
+pub fn parse<T: DeserializeOwned>(text: &str) -> Result<T, ConfigError> {
+    toml::from_str(text).map_err(|e| ConfigError {
+        line: e.span().map_or(0, |span| line_at_offset(text, span.start)),
         key: String::new(),
         reason: e.message().to_string(),
     })
 }
 
-fn line_at(text: &str, offset: usize) -> usize {
+fn line_at_offset(text: &str, offset: usize) -> usize {
     text.as_bytes()[..offset.min(text.len())].iter().filter(|b| **b == b'\n').count() + 1
 }
 
 /// The line of a key such as `class[1].work_ms`, or of the nearest part of it that the text has.
-pub fn line_of(text: &str, key: &str) -> usize {
+pub fn line_of_key(text: &str, key: &str) -> usize {
     let Ok(root) = DeTable::parse(text) else { return 0 };
     let mut table = root.get_ref();
     let mut line = 0;
@@ -54,11 +54,11 @@
             None => (part, None),
         };
         let Some((at, value)) = table.iter().find(|(k, _)| k.get_ref() == name) else { break };
-        line = line_at(text, at.span().start);
+        line = line_at_offset(text, at.span().start);
         let mut value = value;
         if let (Some(i), DeValue::Array(items)) = (index, value.get_ref()) {
             let Some(item) = items.get(i) else { break };
-            line = line_at(text, item.span().start);
+            line = line_at_offset(text, item.span().start);
             value = item;
         }
         match value.get_ref() {
--- a/crates/lab/src/capacity/target.rs
+++ b/crates/lab/src/capacity/target.rs
@@ -8,7 +8,7 @@
 pub fn plan(plan: &Path, from: &Path, out: Option<&Path>) -> Result<Planned, String> {
     let read = |file: &Path| std::fs::read_to_string(file).map_err(|e| format!("{}: {e}", file.display()));
     let named = |e: String| format!("{}: {e}", plan.display());
-    let words: Plan = loomlb_config_file::read(&read(plan)?).map_err(|e| named(e.to_string()))?;
+    let words: Plan = loomlb_config_file::parse(&read(plan)?).map_err(|e| named(e.to_string()))?;
     let report = Report::read(&read(from)?).map_err(|e| format!("{}: {e}", from.display()))?;
     let planned = words.over(&report).map_err(|e| named(e.to_string()))?;
     if let Some(file) = out {
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -468,7 +468,7 @@
         Some(file) => {
             let named = |e: String| format!("{}: {e}", file.display());
             let text = std::fs::read_to_string(file).map_err(|e| named(e.to_string()))?;
-            vec![loomlb_config_file::read(&text).map_err(|e| named(e.to_string()))?]
+            vec![loomlb_config_file::parse(&text).map_err(|e| named(e.to_string()))?]
         }
         None => (args.seeds[0]..args.seeds[1])
             .map(|seed| processes::draw(seed, args.schedulers as usize, args.seconds))
--- a/crates/lab/tests/trials.rs
+++ b/crates/lab/tests/trials.rs
@@ -99,7 +99,7 @@
     assert!([What::Stop, What::Kill, What::Cut, What::Reload, What::Propose].into_iter().all(drawn));
     for schedule in &schedules {
         let text = toml::to_string(schedule).unwrap();
-        assert_eq!(&loomlb_config_file::read::<processes::Schedule>(&text).unwrap(), schedule);
+        assert_eq!(&loomlb_config_file::parse::<processes::Schedule>(&text).unwrap(), schedule);
     }
     std::thread::scope(|scope| {
         for schedule in &schedules {
--- a/crates/simulation/src/day.rs
+++ b/crates/simulation/src/day.rs
@@ -3,11 +3,11 @@
 //! All times in a day file say their unit in the key (`_s`, `_ms`). A key that is unknown, of the wrong type or
 //! impossible is refused with its line and a reason; nothing is silently cut to fit.
 
-use loomlb_config_file::line_of;
+use loomlb_config_file::line_of_key;
 use loomlb_quota::Spec;
 use serde::{Deserialize, Serialize};
 
-pub use loomlb_config_file::Fault;
+pub use loomlb_config_file::ConfigError;
 
 /// A day of the platform.
 #[derive(Clone, Debug, Deserialize, Serialize)]
@@ -674,10 +674,10 @@
 
 impl Day {
     /// Reads a day file.
-    pub fn read(text: &str) -> Result<Day, Fault> {
-        let day: Day = loomlb_config_file::read(text)?;
+    pub fn read(text: &str) -> Result<Day, ConfigError> {
+        let day: Day = loomlb_config_file::parse(text)?;
         let checked = day.check();
-        checked.map_err(|(key, reason)| Fault { line: line_of(text, &key), key, reason })?;
+        checked.map_err(|(key, reason)| ConfigError { line: line_of_key(text, &key), key, reason })?;
         Ok(day)
     }
 
--- a/crates/simulation/src/lib.rs
+++ b/crates/simulation/src/lib.rs
@@ -16,7 +16,7 @@
 pub mod worker;
 pub mod world;
 
-pub use day::{Day, Fault, TroubleKind};
+pub use day::{ConfigError, Day, TroubleKind};
 pub use figures::Figures;
 pub use referee::{Breach, Referee, Rule};
 pub use world::World;
--- a/src/operator.rs
+++ b/src/operator.rs
@@ -1,6 +1,6 @@
 //! The operator file: what our own installations switch on beyond the platform's terms. Off where it says nothing.
 
-use loomlb_config_file::{Fault, line_of};
+use loomlb_config_file::{ConfigError, line_of_key};
 use loomlb_quota::Spec;
 use loomlb_tier::Spec as Tier;
 use serde::Deserialize;
@@ -55,9 +55,9 @@
         Operator::read(&text).map_err(|e| format!("{}: {e}", file.display()))
     }
 
-    fn read(text: &str) -> Result<Operator, Fault> {
-        let operator: Operator = loomlb_config_file::read(text)?;
-        let fault = |key: String, reason: String| Fault { line: line_of(text, &key), key, reason };
+    fn read(text: &str) -> Result<Operator, ConfigError> {
+        let operator: Operator = loomlb_config_file::parse(text)?;
+        let fault = |key: String, reason: String| ConfigError { line: line_of_key(text, &key), key, reason };
         // A bare word that is no level would be taken for the name of a target, and nothing would be logged.
         let known = |part: &str| {
             let level = part.rsplit('=').next().unwrap_or(part);
