--- a/crates/listen-fd/src/lib.rs
+++ b/crates/listen-fd/src/lib.rs
@@ -10,7 +10,7 @@
 /// The listening socket behind an inherited descriptor, as a duplicate: the inherited one stays open for as long as the
 /// process runs, so that nothing closes under those who share it. An error if the descriptor is not open, or is no
 /// socket that listens for TCP over IP.
-pub fn listener(fd: RawFd) -> io::Result<TcpListener> {
+pub fn adopt_listener(fd: RawFd) -> io::Result<TcpListener> {
     if fd < 0 {
         return Err(io::Error::new(io::ErrorKind::InvalidInput, "no descriptor has a number below 0"));
     }
@@ -37,14 +37,14 @@
     fn only_an_open_socket_that_listens_is_adopted_and_it_stays_open() {
         let first = TcpListener::bind("127.0.0.1:0").unwrap();
         let at = first.local_addr().unwrap();
-        let adopted = listener(first.as_raw_fd()).unwrap();
+        let adopted = adopt_listener(first.as_raw_fd()).unwrap();
         assert_eq!(adopted.local_addr().unwrap(), at);
         drop(adopted);
         TcpStream::connect(at).unwrap();
         let udp = UdpSocket::bind("127.0.0.1:0").unwrap();
         let file = std::fs::File::open("/dev/null").unwrap();
         for wrong in [-1, 9_999, udp.as_raw_fd(), file.as_raw_fd()] {
-            assert!(listener(wrong).is_err(), "{wrong}");
+            assert!(adopt_listener(wrong).is_err(), "{wrong}");
         }
     }
 }
--- a/crates/scheduler/src/lib.rs
+++ b/crates/scheduler/src/lib.rs
@@ -101,7 +101,7 @@
     let opening = OpenRetry::start();
     let listener = match config.inherited {
         Some(number) => {
-            let inherited = loomlb_listen_fd::listener(number).and_then(TcpListener::from_std);
+            let inherited = loomlb_listen_fd::adopt_listener(number).and_then(TcpListener::from_std);
             inherited.map_err(|e| named(&format!("LB_FD: descriptor {number}"), e))?
         }
         None => listen(&opening, "listen", config.listen).await?,
