--- a/crates/consensus/src/lib.rs
+++ b/crates/consensus/src/lib.rs
@@ -1,10 +1,15 @@
-//! What the schedulers of a tier have agreed on, and for how long each may act on it.
+//! Consensus on the settings of a tier of schedulers, and the leases under which each scheduler applies them.
 //!
-//! Pure cores, apart from [`log_store`] and the [`storage`] beneath it: no sockets, no clock, time passed in. [`raft_node`] has the voters agree on one
-//! document ([`state`]) by the Raft library; [`lease_grants`] is what a voter has promised to whom, [`lease_holder`] what a
-//! scheduler may act on now, [`timing`] the figures that both go by, with their proof in docs/design/0006-accord.md.
-//! [`document`] tells which changes contradict each other and what is the strictest of two documents; [`history_check`] reads the
-//! histories of all schedulers and says where an invariant broke; [`worker_lists`] tells how far apart their lists of workers are. [`link_protocol`] are the words on the tier link.
+//! The modules do no network input or output and read no clock; the current time is passed in. Only
+//! [`storage`] and, on top of it, [`log_store`] access the disk.
+//!
+//! - [`raft_node`] replicates the settings document ([`state`]) among the voters with the Raft library.
+//! - [`lease_grants`] holds the leases that a voter has granted, [`lease_holder`] the lease of one scheduler.
+//! - [`timing`] derives the durations of leases; the safety argument is in docs/design/0006-accord.md.
+//! - [`document`] compares documents and combines two of them into the strictest.
+//! - [`history_check`] and [`vote_check`] verify the invariants on recorded histories and votes.
+//! - [`worker_lists`] tracks which version of the list of workers each scheduler has.
+//! - [`link_protocol`] defines the messages on the links to the voters.
 
 #![forbid(unsafe_code)]
 
@@ -23,24 +28,25 @@
 pub mod vote_check;
 pub mod worker_lists;
 
-/// A point in time or a span, in nanoseconds of whoever's clock is at hand.
+/// A point in time or a duration, in nanoseconds of the clock of the process at hand.
 pub type Nanos = u64;
-/// A version of the document; 0 before there is one.
+/// A version of the document; 0 while there is none.
 pub type Version = u64;
 
-/// What a scheduler acts on: the rules of one version, or the strictest of two neighbours while the later is coming.
+/// The rules that a scheduler applies: one version of the document, or the strictest combination of two
+/// consecutive ones while the later is pending.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, serde::Serialize, serde::Deserialize)]
 pub enum EffectiveRules {
-    /// One version's rules.
+    /// The rules of this version.
     #[serde(rename = "On")]
     On(Version),
-    /// What both this version and the next one allow.
+    /// Only what both this version and the next one allow.
     #[serde(rename = "Between")]
     Between(Version),
 }
 
 impl EffectiveRules {
-    /// The newest version whose rules are kept.
+    /// Returns the newest version whose rules are respected.
     pub fn newest_version(self) -> Version {
         match self {
             EffectiveRules::On(v) => v,
@@ -48,7 +54,7 @@
         }
     }
 
-    /// The oldest version whose rules are kept.
+    /// Returns the oldest version whose rules are respected.
     pub fn oldest_version(self) -> Version {
         match self {
             EffectiveRules::On(v) | EffectiveRules::Between(v) => v,
