--- a/crates/consensus/src/timing.rs
+++ b/crates/consensus/src/timing.rs
@@ -1,17 +1,19 @@
-//! The figures of leases, derived from the bound that operators configure.
+//! Durations of leases, derived from the bound that the operator configures.
 
 use crate::Nanos;
 
-/// What operators say of the tier's time.
+/// The timing of a tier as the operator configures it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct TimingConfig {
-    /// From a version's agreement until it is in force everywhere, or whoever has not heard of it has stopped acting.
+    /// The longest time from the commit of a version until every scheduler either applies it or has lost its
+    /// lease.
     pub bound: Nanos,
-    /// How far a clock's rate may be off, as a part: 0.01 is 1 %.
+    /// The largest deviation of a clock's rate, as a fraction: 0.01 is 1 %.
     pub clock_drift: f64,
-    /// Time allowed for what passes among voters: an agreement, and a word that a voter is ready.
+    /// The time allowed for an exchange among the voters: a commit, or a report that a voter is ready for a
+    /// version.
     pub voter_delay: Nanos,
-    /// Time between two renewals of a scheduler's lease.
+    /// The time between two renewals of a scheduler's lease.
     pub renewal_interval: Nanos,
 }
 
@@ -26,44 +28,50 @@
     }
 }
 
-/// What follows from the terms.
+/// The durations that follow from a [`TimingConfig`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct LeaseTiming {
-    /// How long a voter keeps a promise, by its own clock, from the moment it gave it.
+    /// How long a grant is valid at the voter, by the voter's clock, from the moment of the grant.
     pub grant_duration: Nanos,
-    /// How long a scheduler counts on a lease, by its own clock, from before it asked.
+    /// How long a lease is valid at the scheduler, by the scheduler's clock, from the moment of the request.
     pub lease_duration: Nanos,
-    /// Time between two renewals.
+    /// The time between two renewals.
     pub renewal_interval: Nanos,
 }
 
 impl TimingConfig {
-    /// The least bound that these terms allow: four renewals have to fit into a lease, so that three lost ones are borne.
+    /// Returns the smallest permitted bound: a lease lasts four renewal intervals, so it survives three lost
+    /// renewals.
     pub fn min_bound(&self) -> Nanos {
-        let slow = 1.0 - self.clock_drift;
+        let slowest_rate = 1.0 - self.clock_drift;
         (2.0 * self.voter_delay as f64
-            + 4.0 * self.renewal_interval as f64 * (1.0 + self.clock_drift) / (slow * slow))
+            + 4.0 * self.renewal_interval as f64 * (1.0 + self.clock_drift) / (slowest_rate * slowest_rate))
             .ceil() as Nanos
     }
 
-    /// The figures; a bound that cannot be kept, or clocks that nobody has, are refused with the key and the way out.
+    /// Derives the durations of leases.
+    ///
+    /// # Errors
+    /// The key of the operator file whose value is out of range, with the reason.
     pub fn derive(&self) -> Result<LeaseTiming, (&'static str, String)> {
         if !(0.0..=0.2).contains(&self.clock_drift) {
-            return Err(("drift", format!("{}: a clock is off by a part from 0 to 0.2", self.clock_drift)));
+            return Err(("drift", format!("{}: must be from 0 to 0.2", self.clock_drift)));
         }
         if self.renewal_interval < 20_000_000 {
-            return Err(("renew_s", "renewals are 0.02 s apart at the least".into()));
+            return Err(("renew_s", "must be at least 0.02 s".into()));
         }
         if self.bound < self.min_bound() {
-            let (said, least) = (self.bound as f64 / 1e9, self.min_bound() as f64 / 1e9);
-            let reason = format!("{said} s cannot be kept with these figures; {least:.3} s is the least");
+            let (bound_s, min_bound_s) = (self.bound as f64 / 1e9, self.min_bound() as f64 / 1e9);
+            let reason = format!(
+                "{bound_s} s is too short for these values of delay_s, renew_s and drift: must be at least {min_bound_s:.3} s"
+            );
             return Err(("bound_s", reason));
         }
-        let slow = 1.0 - self.clock_drift;
-        let promise = (self.bound - 2 * self.voter_delay) as f64 * slow;
+        let slowest_rate = 1.0 - self.clock_drift;
+        let grant_duration = (self.bound - 2 * self.voter_delay) as f64 * slowest_rate;
         Ok(LeaseTiming {
-            grant_duration: promise as Nanos,
-            lease_duration: (promise * slow / (1.0 + self.clock_drift)) as Nanos,
+            grant_duration: grant_duration as Nanos,
+            lease_duration: (grant_duration * slowest_rate / (1.0 + self.clock_drift)) as Nanos,
             renewal_interval: self.renewal_interval,
         })
     }
@@ -74,24 +82,24 @@
     use super::*;
 
     #[test]
-    fn a_lease_ends_before_its_promise_on_the_worst_pair_of_clocks_and_a_bound_too_small_is_refused() {
-        for drift in [0.0, 0.001, 0.01, 0.1, 0.2] {
-            let terms = TimingConfig { clock_drift: drift, ..TimingConfig::default() };
-            let least = TimingConfig { bound: terms.min_bound(), ..terms };
+    fn lease_expires_before_its_grants_under_maximum_clock_drift_and_too_small_a_bound_is_rejected() {
+        for clock_drift in [0.0, 0.001, 0.01, 0.1, 0.2] {
+            let config = TimingConfig { clock_drift, ..TimingConfig::default() };
+            let with_min_bound = TimingConfig { bound: config.min_bound(), ..config };
             assert!(
-                TimingConfig { bound: terms.min_bound() - 1_000_000, ..terms }.derive().unwrap_err().0
+                TimingConfig { bound: config.min_bound() - 1_000_000, ..config }.derive().unwrap_err().0
                     == "bound_s"
             );
-            for terms in [terms, least] {
-                let Ok(timing) = terms.derive() else { continue };
-                let (holder, voter) = (
-                    timing.lease_duration as f64 / (1.0 - drift),
-                    timing.grant_duration as f64 / (1.0 + drift),
+            for config in [config, with_min_bound] {
+                let Ok(timing) = config.derive() else { continue };
+                let (longest_lease, shortest_grant) = (
+                    timing.lease_duration as f64 / (1.0 - clock_drift),
+                    timing.grant_duration as f64 / (1.0 + clock_drift),
                 );
-                assert!(holder <= voter + 1.0, "{holder} {voter}");
+                assert!(longest_lease <= shortest_grant + 1.0, "{longest_lease} {shortest_grant}");
                 assert!(
-                    timing.grant_duration as f64 / (1.0 - drift)
-                        <= (terms.bound - 2 * terms.voter_delay) as f64 + 1.0
+                    timing.grant_duration as f64 / (1.0 - clock_drift)
+                        <= (config.bound - 2 * config.voter_delay) as f64 + 1.0
                 );
                 assert!(timing.lease_duration + 2 >= 4 * timing.renewal_interval);
             }
