--- a/crates/consensus/src/state.rs
+++ b/crates/consensus/src/state.rs
@@ -1,33 +1,34 @@
-//! The document of the tier, as the agreed commands make it: the same at every voter.
+//! The replicated state: the result of applying the committed commands in order. It is the same at every
+//! voter.
 
 use crate::Version;
 use crate::document::{self, ChangeKind, DocumentBody};
 use serde::{Deserialize, Serialize};
 use std::collections::VecDeque;
 
-/// Versions and outcomes that are remembered.
+/// Versions, and outcomes of proposals, that are kept.
 const HISTORY_LIMIT: usize = 64;
 
-/// What voters agree on.
+/// An entry of the replicated log.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Command {
-    /// A new document in place of version `base`.
+    /// Proposes a document that replaces version `base_version`.
     #[serde(rename = "Propose")]
     Propose {
-        /// Names the proposal, so that one sent twice counts once.
+        /// Identifies the proposal: a duplicate of it has no effect.
         #[serde(rename = "token")]
         token: u64,
-        /// Who proposed it.
+        /// The scheduler that made the proposal.
         #[serde(rename = "by")]
         proposer: String,
-        /// The version that the proposer knew.
+        /// The newest version that the proposer knew.
         #[serde(rename = "base")]
         base_version: Version,
-        /// The document.
+        /// The proposed document.
         #[serde(rename = "body")]
         body: DocumentBody,
     },
-    /// The version that was coming is in force: nobody acts on rules that it contradicts.
+    /// Activates the pending version: no scheduler applies rules that conflict with it any more.
     #[serde(rename = "Activate")]
     Activate(Version),
 }
@@ -35,88 +36,89 @@
 /// A version of the document.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Document {
-    /// Its number.
+    /// The number of the version.
     #[serde(rename = "version")]
     pub version: Version,
-    /// Who proposed it.
+    /// The scheduler that proposed it.
     #[serde(rename = "by")]
     pub proposer: String,
-    /// What it says.
+    /// The contents.
     #[serde(rename = "body")]
     pub body: DocumentBody,
 }
 
-/// What has become of a proposal.
+/// The result of a proposal.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum ProposalOutcome {
-    /// It is this version.
+    /// The proposal was committed as this version.
     #[serde(rename = "Agreed")]
     Committed(Version),
-    /// It says what this version says already.
+    /// The document is the same as this active version.
     #[serde(rename = "Same")]
     Unchanged(Version),
-    /// Another came before it: the version that it missed.
+    /// The base version was not the newest one, or that one is still pending. Holds the newest version.
     #[serde(rename = "Missed")]
     StaleBase(Version),
-    /// It cannot be brought into force while the tier runs, because of these keys.
+    /// These keys cannot change while the tier runs.
     #[serde(rename = "Unordered")]
     RequiresRestart(Vec<String>),
 }
 
-/// What is in force and what is coming, as told to schedulers.
+/// The active and the pending document, with the outcomes of recent proposals.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct ReplicatedState {
-    /// The number of the last command that is in here; a later state has a higher one.
+    /// The log index of the last command that was applied.
     #[serde(rename = "index")]
     pub index: u64,
-    /// In force.
+    /// The document in force.
     #[serde(rename = "active")]
     pub active: Option<Document>,
-    /// Agreed, and not yet in force everywhere.
+    /// The document that is committed, but not yet in force.
     #[serde(rename = "coming")]
     pub pending: Option<Document>,
-    /// What became of the latest proposals, by their tokens.
+    /// The outcomes of the latest proposals, by token.
     #[serde(rename = "outcomes")]
     pub outcomes: VecDeque<(u64, ProposalOutcome)>,
-    /// The latest versions: number, proposer, what changed, and whether that can contradict.
+    /// The latest versions, oldest first.
     #[serde(rename = "history")]
     pub history: VecDeque<VersionRecord>,
 }
 
-/// An earlier version.
+/// A version in the history.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct VersionRecord {
-    /// Its number.
+    /// The number of the version.
     #[serde(rename = "version")]
     pub version: Version,
-    /// Who proposed it.
+    /// The scheduler that proposed it.
     #[serde(rename = "by")]
     pub proposer: String,
     /// The keys that it changed.
     #[serde(rename = "keys")]
     pub changed_keys: Vec<String>,
-    /// It contradicts the version before it.
+    /// Whether it conflicts with the version before it.
     #[serde(rename = "contradicts")]
     pub conflicts_with_previous: bool,
 }
 
 impl ReplicatedState {
-    /// The newest version, in force or coming.
+    /// Returns the newest version, pending or active; 0 if there is none.
     pub fn newest_version(&self) -> Version {
         self.pending.as_ref().or(self.active.as_ref()).map_or(0, |d| d.version)
     }
 
-    /// The newest document.
+    /// Returns the newest document, pending or active.
     pub fn newest_document(&self) -> Option<&Document> {
         self.pending.as_ref().or(self.active.as_ref())
     }
 
-    /// What became of a proposal, if that is known.
+    /// Returns the outcome of a proposal; none while it is unknown, and again once it is no longer kept.
     pub fn outcome(&self, token: u64) -> Option<&ProposalOutcome> {
         self.outcomes.iter().find(|o| o.0 == token).map(|o| &o.1)
     }
 
-    /// Takes in the agreed command of this index. The same command at the same place has the same effect everywhere.
+    /// Applies the committed command at this log index. The result depends only on the state, the index and
+    /// the command.
     pub fn apply(&mut self, index: u64, command: Command) {
         self.index = index;
         match command {
@@ -125,63 +127,63 @@
                     self.active = self.pending.take();
                 }
             }
-            Command::Propose { token, proposer: by, base_version: base, body } => {
+            Command::Propose { token, proposer, base_version, body } => {
                 if self.outcome(token).is_none() {
-                    let outcome = self.propose(by, base, body);
+                    let outcome = self.propose(proposer, base_version, body);
                     self.outcomes.push_back((token, outcome));
-                    self.outcomes.keep_latest(HISTORY_LIMIT);
+                    self.outcomes.keep_newest(HISTORY_LIMIT);
                 }
             }
         }
     }
 
-    fn propose(&mut self, by: String, base: Version, body: DocumentBody) -> ProposalOutcome {
-        if base != self.newest_version() {
+    fn propose(&mut self, proposer: String, base_version: Version, body: DocumentBody) -> ProposalOutcome {
+        if base_version != self.newest_version() {
             return ProposalOutcome::StaleBase(self.newest_version());
         }
         let Some(active) = &self.active else {
-            return self.take(by, body, Vec::new(), false);
+            return self.add_version(proposer, body, Vec::new(), false);
         };
         if self.pending.is_some() {
             return ProposalOutcome::StaleBase(self.newest_version());
         }
-        let changes = document::differences(&active.body, &body);
-        let keys = |kind: Option<ChangeKind>| {
-            changes
+        let differences = document::differences(&active.body, &body);
+        let keys_of_kind = |kind: Option<ChangeKind>| {
+            differences
                 .iter()
                 .filter(|d| kind.is_none_or(|k| d.kind == k))
                 .map(|d| d.key.clone())
                 .collect::<Vec<_>>()
         };
-        let unordered = keys(Some(ChangeKind::Unordered));
+        let unordered = keys_of_kind(Some(ChangeKind::Unordered));
         if !unordered.is_empty() {
             return ProposalOutcome::RequiresRestart(unordered);
         }
-        if changes.is_empty() {
+        if differences.is_empty() {
             return ProposalOutcome::Unchanged(active.version);
         }
-        let contradicts = changes.iter().any(|d| d.kind == ChangeKind::Ordered);
-        let all = keys(None);
-        self.take(by, body, all, contradicts)
+        let conflicts = differences.iter().any(|d| d.kind == ChangeKind::Ordered);
+        let changed_keys = keys_of_kind(None);
+        self.add_version(proposer, body, changed_keys, conflicts)
     }
 
-    fn take(
+    fn add_version(
         &mut self,
-        by: String,
+        proposer: String,
         body: DocumentBody,
-        keys: Vec<String>,
-        contradicts: bool,
+        changed_keys: Vec<String>,
+        conflicts_with_previous: bool,
     ) -> ProposalOutcome {
         let version = self.newest_version() + 1;
         self.history.push_back(VersionRecord {
             version,
-            proposer: by.clone(),
-            changed_keys: keys,
-            conflicts_with_previous: contradicts,
+            proposer: proposer.clone(),
+            changed_keys,
+            conflicts_with_previous,
         });
-        self.history.keep_latest(HISTORY_LIMIT);
-        let document = Some(Document { version, proposer: by, body });
-        if contradicts {
+        self.history.keep_newest(HISTORY_LIMIT);
+        let document = Some(Document { version, proposer, body });
+        if conflicts_with_previous {
             self.pending = document;
         } else {
             self.active = document;
@@ -190,14 +192,14 @@
     }
 }
 
-/// Keeps the latest.
-trait KeepLatest {
-    fn keep_latest(&mut self, most: usize);
+trait KeepNewest {
+    /// Drops the oldest items until at most `limit` are left.
+    fn keep_newest(&mut self, limit: usize);
 }
 
-impl<T> KeepLatest for VecDeque<T> {
-    fn keep_latest(&mut self, most: usize) {
-        while self.len() > most {
+impl<T> KeepNewest for VecDeque<T> {
+    fn keep_newest(&mut self, limit: usize) {
+        while self.len() > limit {
             self.pop_front();
         }
     }
