--- a/crates/consensus/src/document.rs
+++ b/crates/consensus/src/document.rs
@@ -1,42 +1,42 @@
-//! Which changes of a document contradict each other, and what is the strictest of two documents. Total: every pair of
-//! documents has an answer.
+//! The contents of the tier's document, the differences between two documents, and the strictest combination
+//! of two.
 
 use serde::{Deserialize, Serialize};
 use serde_json::{Map, Value};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What the whole tier acts on.
+/// The settings that all schedulers of the tier apply.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct DocumentBody {
-    /// The settings, without what is each scheduler's own.
+    /// The settings, without [`LOCAL_KEYS`].
     #[serde(rename = "settings")]
     pub settings: Value,
-    /// Workers that staff have taken out.
+    /// Workers that an operator has taken offline.
     #[serde(default)]
     #[serde(rename = "out")]
     pub workers_out: BTreeSet<String>,
 }
 
-/// Keys of the settings that are each scheduler's own and never agreed on.
+/// Settings that differ from scheduler to scheduler and are not replicated.
 pub const LOCAL_KEYS: [&str; 2] = ["rank", "my_zone"];
 
 impl DocumentBody {
-    /// A body of a scheduler's settings.
-    pub fn new(settings: &Value, out: BTreeSet<String>) -> DocumentBody {
+    /// Creates a body from a scheduler's settings, without its local keys.
+    pub fn new(settings: &Value, workers_out: BTreeSet<String>) -> DocumentBody {
         let mut settings = settings.clone();
         if let Value::Object(keys) = &mut settings {
-            LOCAL_KEYS.iter().for_each(|own| _ = keys.remove(*own));
+            LOCAL_KEYS.iter().for_each(|key| _ = keys.remove(*key));
         }
-        DocumentBody { settings, workers_out: out }
+        DocumentBody { settings, workers_out }
     }
 
-    /// The settings of a scheduler that acts on this: its own keys come from `mine`.
-    pub fn settings_for(&self, mine: &Value) -> Value {
+    /// Returns the settings of one scheduler: these, with the local keys of its own settings `local`.
+    pub fn settings_for(&self, local: &Value) -> Value {
         let mut settings = self.settings.clone();
         if let Value::Object(keys) = &mut settings {
-            for own in LOCAL_KEYS {
-                if let Some(value) = mine.get(own) {
-                    keys.insert(own.into(), value.clone());
+            for key in LOCAL_KEYS {
+                if let Some(value) = local.get(key) {
+                    keys.insert(key.into(), value.clone());
                 }
             }
         }
@@ -44,164 +44,182 @@
     }
 }
 
-/// What two schedulers that differ in a key may do to each other.
+/// The effect of two schedulers applying different values of a key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum ChangeKind {
-    /// Nothing: either value may hold beside the other.
+    /// None: both values may be in use at the same time.
     #[serde(rename = "Harmless")]
     Compatible,
-    /// They contradict each other, and one of the two is the stricter, or a third is.
+    /// A conflict that is avoided while both apply the stricter of the two values, or a third one that is
+    /// stricter than both.
     Ordered,
-    /// They contradict each other and nothing is known to be stricter than both: such a change needs a restart.
+    /// A conflict, and no value is known to be stricter than both: changing the key requires a restart of the
+    /// tier.
     Unordered,
 }
 
-/// One key that differs.
+/// A key whose values differ.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Difference {
-    /// Where, as in the file: `classes.lodge.effect`.
+    /// The path of the key, such as `classes.lodge.effect`.
     pub key: String,
-    /// What it means.
+    /// The effect of the difference.
     pub kind: ChangeKind,
 }
 
-/// How the values of a key are ordered.
+/// Which of two values of a key is the stricter one.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Order {
-    /// Either may hold beside the other.
-    Free,
-    /// The lower number, `false` before `true`, is the stricter.
+enum StricterValue {
+    /// Both values may be in use at the same time.
+    Either,
+    /// The lower number; `false` is lower than `true`.
     Lower,
-    /// The strictest is the job that runs once at most.
-    Effect,
-    /// The higher number is the stricter.
+    /// Neither value; the class's effect [`AT_MOST_ONCE`] is stricter than both.
+    AtMostOnce,
+    /// The higher number.
     Higher,
+    /// Not known.
     Unknown,
 }
 
-/// The effect that is stricter than all.
-const ONCE: &str = "at_most_once";
+/// The strictest effect of a class: a job runs at most once.
+const AT_MOST_ONCE: &str = "at_most_once";
 
-/// Keys of a class, of the ceilings and so on, by their last name. What is not named here is not known to have an order.
-fn order(path: &str, key: &str) -> Order {
-    match (path, key) {
-        ("class", "effect") => Order::Effect,
-        ("class", "give_up" | "repeat_window") => Order::Lower,
-        // A key that all know at another place: only the strictest effect is right in both.
-        ("class", "group") => Order::Effect,
-        ("class", "aim" | "aim_stretch" | "worth" | "late_worth") => Order::Free,
-        ("tenant", "quota_rps") => Order::Lower,
+/// Returns which value of a key in a section of the settings is the stricter one; the section is empty for
+/// top-level keys.
+fn stricter_value(section: &str, key: &str) -> StricterValue {
+    match (section, key) {
+        ("class", "effect") => StricterValue::AtMostOnce,
+        ("class", "give_up" | "repeat_window") => StricterValue::Lower,
+        // The group says which workers share idempotency keys: between two groups only the strictest effect
+        // is safe.
+        ("class", "group") => StricterValue::AtMostOnce,
+        ("class", "aim" | "aim_stretch" | "worth" | "late_worth") => StricterValue::Either,
+        ("tenant", "quota_rps") => StricterValue::Lower,
         ("ceilings", "max_attempts" | "max_open" | "max_retry_after" | "keepalive" | "dial_timeout") => {
-            Order::Lower
+            StricterValue::Lower
         }
-        ("ceilings", "may_tell" | "probing" | "retry_after" | "second_copies") => Order::Lower,
-        ("ceilings", "cancel") => Order::Free,
-        ("obligations", "drain_grace" | "overload_factor" | "cold_from" | "must_ask_in") => Order::Lower,
-        ("obligations", "cold" | "overload_for") => Order::Higher,
-        ("", "over_share_worth" | "worth_by" | "tick" | "balancers") => Order::Free,
-        ("penalties", _) => Order::Free,
-        ("extra", "progress" | "class_stretch" | "tells_start") => Order::Free,
-        _ => Order::Unknown,
+        ("ceilings", "may_tell" | "probing" | "retry_after" | "second_copies") => StricterValue::Lower,
+        ("ceilings", "cancel") => StricterValue::Either,
+        ("obligations", "drain_grace" | "overload_factor" | "cold_from" | "must_ask_in") => {
+            StricterValue::Lower
+        }
+        ("obligations", "cold" | "overload_for") => StricterValue::Higher,
+        ("", "over_share_worth" | "worth_by" | "tick" | "balancers") => StricterValue::Either,
+        ("penalties", _) => StricterValue::Either,
+        ("extra", "progress" | "class_stretch" | "tells_start") => StricterValue::Either,
+        _ => StricterValue::Unknown,
     }
 }
 
-fn named(list: Option<&Value>) -> BTreeMap<String, &Value> {
+fn entries_by_name(list: Option<&Value>) -> BTreeMap<String, &Value> {
     let entries = list.and_then(Value::as_array).into_iter().flatten();
     entries.filter_map(|e| Some((e.get("name")?.as_str()?.to_string(), e))).collect()
 }
 
-fn object(value: Option<&Value>) -> Map<String, Value> {
+fn object_or_empty(value: Option<&Value>) -> Map<String, Value> {
     value.and_then(Value::as_object).cloned().unwrap_or_default()
 }
 
-/// All keys in which two documents differ, with what each means.
+/// Returns all keys in which two documents differ.
 pub fn differences(old: &DocumentBody, new: &DocumentBody) -> Vec<Difference> {
-    let mut all = Vec::new();
-    let mut add = |key: String, kind| all.push(Difference { key, kind });
+    let mut found = Vec::new();
+    let mut add = |key: String, kind| found.push(Difference { key, kind });
     for host in old.workers_out.symmetric_difference(&new.workers_out) {
         add(format!("out.{host}"), ChangeKind::Ordered);
     }
-    let (a, b) = (object(Some(&old.settings)), object(Some(&new.settings)));
-    for key in keys(&a, &b) {
+    let (a, b) = (object_or_empty(Some(&old.settings)), object_or_empty(Some(&new.settings)));
+    for key in all_keys(&a, &b) {
         let (x, y) = (a.get(&key), b.get(&key));
         if x == y {
             continue;
         }
         match &*key {
             "classes" | "tenants" => {
-                let path = if key == "classes" { "class" } else { "tenant" };
-                let (x, y) = (named(x), named(y));
+                let section = if key == "classes" { "class" } else { "tenant" };
+                let (x, y) = (entries_by_name(x), entries_by_name(y));
                 for name in x.keys().chain(y.keys()).collect::<BTreeSet<_>>() {
                     match (x.get(name), y.get(name)) {
-                        (Some(x), Some(y)) => within(&format!("{key}.{name}"), path, x, y, &mut add),
-                        // A class that comes is unknown to some for a while, which harms nobody; one that goes must
-                        // not be taken here and there. A tenant without an entry has no share.
+                        (Some(x), Some(y)) => {
+                            compare_sections(&format!("{key}.{name}"), section, x, y, &mut add)
+                        }
+                        // A new class may be unknown to some schedulers for a while. A removed class must not
+                        // be accepted by only some of them. A tenant without an entry has no share.
                         (None, Some(_)) => add(format!("{key}.{name}"), ChangeKind::Compatible),
-                        _ if path == "class" => add(format!("{key}.{name}"), ChangeKind::Ordered),
+                        _ if section == "class" => add(format!("{key}.{name}"), ChangeKind::Ordered),
                         _ => add(format!("{key}.{name}"), ChangeKind::Compatible),
                     }
                 }
             }
             "ceilings" | "obligations" | "penalties" | "extra" => {
-                within(&key, &key, x.unwrap_or(&Value::Null), y.unwrap_or(&Value::Null), &mut add);
+                compare_sections(&key, &key, x.unwrap_or(&Value::Null), y.unwrap_or(&Value::Null), &mut add);
             }
-            _ => add(key.clone(), kind(order("", &key), x, y)),
+            _ => add(key.clone(), change_kind(stricter_value("", &key), x, y)),
         }
     }
-    all
+    found
 }
 
-fn keys(a: &Map<String, Value>, b: &Map<String, Value>) -> BTreeSet<String> {
+fn all_keys(a: &Map<String, Value>, b: &Map<String, Value>) -> BTreeSet<String> {
     a.keys().chain(b.keys()).cloned().collect()
 }
 
-fn within(at: &str, path: &str, old: &Value, new: &Value, add: &mut impl FnMut(String, ChangeKind)) {
-    let (a, b) = (object(Some(old)), object(Some(new)));
-    for key in keys(&a, &b) {
+fn compare_sections(
+    prefix: &str,
+    section: &str,
+    old: &Value,
+    new: &Value,
+    add: &mut impl FnMut(String, ChangeKind),
+) {
+    let (a, b) = (object_or_empty(Some(old)), object_or_empty(Some(new)));
+    for key in all_keys(&a, &b) {
         let (x, y) = (a.get(&key), b.get(&key));
         if x != y && key != "name" {
-            add(format!("{at}.{key}"), kind(order(path, &key), x, y));
+            add(format!("{prefix}.{key}"), change_kind(stricter_value(section, &key), x, y));
         }
     }
 }
 
-fn kind(order: Order, x: Option<&Value>, y: Option<&Value>) -> ChangeKind {
+fn change_kind(stricter: StricterValue, x: Option<&Value>, y: Option<&Value>) -> ChangeKind {
     let comparable = |v: Option<&Value>| v.is_some_and(|v| v.is_number() || v.is_boolean());
-    match order {
-        Order::Free => ChangeKind::Compatible,
-        Order::Effect => ChangeKind::Ordered,
-        Order::Lower | Order::Higher if comparable(x) && comparable(y) => ChangeKind::Ordered,
-        Order::Lower | Order::Higher | Order::Unknown => ChangeKind::Unordered,
+    match stricter {
+        StricterValue::Either => ChangeKind::Compatible,
+        StricterValue::AtMostOnce => ChangeKind::Ordered,
+        StricterValue::Lower | StricterValue::Higher if comparable(x) && comparable(y) => ChangeKind::Ordered,
+        StricterValue::Lower | StricterValue::Higher | StricterValue::Unknown => ChangeKind::Unordered,
     }
 }
 
-/// Whether two documents contradict each other in any key.
+/// Whether two documents conflict in any key.
 pub fn conflict(a: &DocumentBody, b: &DocumentBody) -> bool {
     differences(a, b).iter().any(|d| d.kind != ChangeKind::Compatible)
 }
 
-/// The strictest of two documents: whatever it allows, both allow. Where a key is harmless the second's value holds.
+/// Returns the strictest combination of two documents: whatever it allows, both allow. Compatible keys have
+/// the value of `b`.
 pub fn strictest_of(a: &DocumentBody, b: &DocumentBody) -> DocumentBody {
-    let mut settings = object(Some(&b.settings));
-    let old = object(Some(&a.settings));
+    let mut settings = object_or_empty(Some(&b.settings));
+    let a_settings = object_or_empty(Some(&a.settings));
     for (key, value) in &mut settings {
-        let Some(before) = old.get(key) else { continue };
+        let Some(a_value) = a_settings.get(key) else { continue };
         match &**key {
             "classes" | "tenants" => {
-                let path = if key == "classes" { "class" } else { "tenant" };
-                let before = named(Some(before));
+                let section = if key == "classes" { "class" } else { "tenant" };
+                let a_entries = entries_by_name(Some(a_value));
                 let Some(entries) = value.as_array_mut() else { continue };
-                if path == "class" {
-                    entries.retain(|e| e["name"].as_str().is_some_and(|name| before.contains_key(name)));
+                if section == "class" {
+                    entries.retain(|e| e["name"].as_str().is_some_and(|name| a_entries.contains_key(name)));
                 }
                 for entry in entries {
                     let name = entry["name"].as_str().unwrap_or_default().to_string();
-                    if let Some(x) = before.get(&name) {
-                        *entry = stricter(path, x, entry);
+                    if let Some(a_entry) = a_entries.get(&name) {
+                        *entry = stricter_section(section, a_entry, entry);
                     }
                 }
             }
-            "ceilings" | "obligations" | "penalties" | "extra" => *value = stricter(key, before, value),
+            "ceilings" | "obligations" | "penalties" | "extra" => {
+                *value = stricter_section(key, a_value, value)
+            }
             _ => {}
         }
     }
@@ -211,38 +229,39 @@
     }
 }
 
-fn stricter(path: &str, old: &Value, new: &Value) -> Value {
-    let (a, mut b) = (object(Some(old)), object(Some(new)));
-    let mut once = false;
+fn stricter_section(section: &str, old: &Value, new: &Value) -> Value {
+    let (a, mut b) = (object_or_empty(Some(old)), object_or_empty(Some(new)));
+    let mut needs_at_most_once = false;
     for (key, value) in &mut b {
-        let Some(before) = a.get(key).filter(|x| *x != value) else { continue };
-        let size = |v: &Value| v.as_f64().or(v.as_bool().map(f64::from));
-        let lower = matches!((size(before), size(value)), (Some(x), Some(y)) if x < y);
-        match order(path, key) {
-            Order::Lower if lower => *value = before.clone(),
-            Order::Higher if !lower => *value = before.clone(),
-            Order::Effect => once = true,
+        let Some(old_value) = a.get(key).filter(|x| *x != value) else { continue };
+        let number = |v: &Value| v.as_f64().or(v.as_bool().map(f64::from));
+        let old_is_lower = matches!((number(old_value), number(value)), (Some(x), Some(y)) if x < y);
+        match stricter_value(section, key) {
+            StricterValue::Lower if old_is_lower => *value = old_value.clone(),
+            StricterValue::Higher if !old_is_lower => *value = old_value.clone(),
+            StricterValue::AtMostOnce => needs_at_most_once = true,
             _ => {}
         }
     }
-    if once {
-        b.insert("effect".into(), ONCE.into());
+    if needs_at_most_once {
+        b.insert("effect".into(), AT_MOST_ONCE.into());
     }
     Value::Object(b)
 }
 
-/// The strictest that a scheduler can act on which no longer knows what is in force: every job runs once at most, with
-/// one attempt and no second copy. Which workers may be out it cannot know.
+/// Returns the strictest rules, for a scheduler without a lease, which does not know the version in force:
+/// every job runs at most once, with one attempt and no second copy. Workers that were taken offline since
+/// are not known here.
 pub fn restrict_without_lease(body: &DocumentBody) -> DocumentBody {
     let mut settings = body.settings.clone();
     for class in settings["classes"].as_array_mut().into_iter().flatten() {
-        class["effect"] = ONCE.into();
+        class["effect"] = AT_MOST_ONCE.into();
     }
     if let Some(ceilings) = settings["ceilings"].as_object_mut() {
-        // What is not said is as strict already.
-        for (key, strict) in [("max_attempts", Value::from(1)), ("second_copies", false.into())] {
+        // A missing key has the strictest value by default.
+        for (key, strictest) in [("max_attempts", Value::from(1)), ("second_copies", false.into())] {
             if let Some(value) = ceilings.get_mut(key) {
-                *value = strict;
+                *value = strictest;
             }
         }
     }
@@ -256,79 +275,82 @@
     use serde_json::json;
 
     fn class(name: &str, effect: u8, window: u64) -> Value {
-        let effect = ["idempotent", "deduplicated", ONCE][effect as usize];
+        let effect = ["idempotent", "deduplicated", AT_MOST_ONCE][effect as usize];
         json!({"name": name, "aim": 9, "give_up": 5 + window, "effect": effect, "group": "all", "repeat_window": window})
     }
 
     fn body() -> impl Strategy<Value = DocumentBody> {
         let classes = prop::collection::btree_map("[a-c]", (0u8..3, 0u64..3), 1..3);
-        let out = prop::collection::btree_set("[x-z]", 0..3);
-        (classes, out, 1u64..4, any::<bool>(), 0u64..3, 0u64..2).prop_map(
-            |(classes, out, most, copies, cold, tick)| {
+        let workers_out = prop::collection::btree_set("[x-z]", 0..3);
+        (classes, workers_out, 1u64..4, any::<bool>(), 0u64..3, 0u64..2).prop_map(
+            |(classes, workers_out, max_attempts, second_copies, cold, tick)| {
                 let classes: Vec<Value> = classes.iter().map(|(n, (e, w))| class(n, *e, *w)).collect();
                 let settings = json!({"tick": tick, "classes": classes,
-                "ceilings": {"max_attempts": most, "second_copies": copies}, "obligations": {"cold": cold}});
-                DocumentBody { settings, workers_out: out }
+                "ceilings": {"max_attempts": max_attempts, "second_copies": second_copies}, "obligations": {"cold": cold}});
+                DocumentBody { settings, workers_out }
             },
         )
     }
 
-    /// Whether everything that `strict` allows is allowed by `loose`; written apart from the code above.
+    /// Whether `loose` allows everything that `strict` allows. Does not use the code under test.
     fn allows(loose: &DocumentBody, strict: &DocumentBody) -> bool {
-        let rank =
-            |v: &Value| ["idempotent", "deduplicated", ONCE].iter().position(|e| v["effect"] == **e).unwrap();
-        let classes = strict.settings["classes"].as_array().unwrap().iter().all(|s| {
-            let all = loose.settings["classes"].as_array().unwrap();
-            let Some(l) = all.iter().find(|l| l["name"] == s["name"]) else { return false };
-            rank(s) >= rank(l)
+        let effect_rank = |v: &Value| {
+            ["idempotent", "deduplicated", AT_MOST_ONCE].iter().position(|e| v["effect"] == **e).unwrap()
+        };
+        let classes_allowed = strict.settings["classes"].as_array().unwrap().iter().all(|s| {
+            let loose_classes = loose.settings["classes"].as_array().unwrap();
+            let Some(l) = loose_classes.iter().find(|l| l["name"] == s["name"]) else { return false };
+            effect_rank(s) >= effect_rank(l)
                 && s["give_up"].as_u64() <= l["give_up"].as_u64()
-                && (rank(s) == 2 || s["repeat_window"].as_u64() <= l["repeat_window"].as_u64())
+                && (effect_rank(s) == 2 || s["repeat_window"].as_u64() <= l["repeat_window"].as_u64())
         });
-        let at = |b: &DocumentBody, path: &str| b.settings.pointer(path).unwrap().clone();
-        let least = |path| at(strict, path).as_u64() <= at(loose, path).as_u64();
-        classes
+        let value = |b: &DocumentBody, path: &str| b.settings.pointer(path).unwrap().clone();
+        let at_most = |path| value(strict, path).as_u64() <= value(loose, path).as_u64();
+        classes_allowed
             && loose.workers_out.is_subset(&strict.workers_out)
-            && least("/ceilings/max_attempts")
-            && (at(loose, "/ceilings/second_copies") == true
-                || at(strict, "/ceilings/second_copies") == false)
-            && at(strict, "/obligations/cold").as_u64() >= at(loose, "/obligations/cold").as_u64()
+            && at_most("/ceilings/max_attempts")
+            && (value(loose, "/ceilings/second_copies") == true
+                || value(strict, "/ceilings/second_copies") == false)
+            && value(strict, "/obligations/cold").as_u64() >= value(loose, "/obligations/cold").as_u64()
     }
 
-    fn classes(body: &DocumentBody) -> BTreeSet<String> {
-        named(body.settings.get("classes")).into_keys().collect()
+    fn class_names(body: &DocumentBody) -> BTreeSet<String> {
+        entries_by_name(body.settings.get("classes")).into_keys().collect()
     }
 
-    /// A document without the classes that the other lacks.
-    fn shared(body: &DocumentBody, other: &DocumentBody) -> DocumentBody {
-        let (mut body, known) = (body.clone(), classes(other));
-        let all = body.settings["classes"].as_array_mut().unwrap();
-        all.retain(|c| known.contains(c["name"].as_str().unwrap()));
+    /// The document without the classes that the other one lacks.
+    fn with_common_classes(body: &DocumentBody, other: &DocumentBody) -> DocumentBody {
+        let (mut body, other_classes) = (body.clone(), class_names(other));
+        let classes = body.settings["classes"].as_array_mut().unwrap();
+        classes.retain(|c| other_classes.contains(c["name"].as_str().unwrap()));
         body
     }
 
     proptest! {
-        /// Whatever the strictest of two allows, both allow; it is the same from either side in all that can
-        /// contradict; and documents without a contradiction allow the same jobs to be repeated.
+        /// In keys that can conflict, the combination is also independent of the order of the two documents.
         #[test]
-        fn the_strictest_of_two_is_within_both(a in body(), b in body()) {
-            let both = strictest_of(&a, &b);
-            prop_assert!(allows(&a, &both) && allows(&b, &both), "{both:?}");
-            prop_assert!(!conflict(&both, &strictest_of(&b, &a)));
+        fn strictest_combination_allows_only_what_both_documents_allow(a in body(), b in body()) {
+            let combined = strictest_of(&a, &b);
+            prop_assert!(allows(&a, &combined) && allows(&b, &combined), "{combined:?}");
+            prop_assert!(!conflict(&combined, &strictest_of(&b, &a)));
             prop_assert!(!conflict(&a, &strictest_of(&a, &a)));
             prop_assert!(differences(&a, &b).iter().all(|d| d.kind != ChangeKind::Unordered));
             prop_assert_eq!(conflict(&a, &b), differences(&a, &b).iter().any(|d| d.kind == ChangeKind::Ordered));
-            // In what both know a contradiction is the same from either side; beyond that a class that goes is one, and a
-            // class that comes is none.
-            let (mine, theirs) = (shared(&a, &b), shared(&b, &a));
-            prop_assert_eq!(conflict(&mine, &theirs), conflict(&theirs, &mine));
-            prop_assert_eq!(conflict(&a, &b), conflict(&mine, &theirs) || classes(&mine) != classes(&a));
-            let lone = restrict_without_lease(&a);
-            prop_assert!(allows(&a, &lone));
+            // Conflicts in common classes are symmetric. Otherwise removing a class conflicts, and adding one
+            // does not.
+            let (common_a, common_b) = (with_common_classes(&a, &b), with_common_classes(&b, &a));
+            prop_assert_eq!(conflict(&common_a, &common_b), conflict(&common_b, &common_a));
+            prop_assert_eq!(
+                conflict(&a, &b),
+                conflict(&common_a, &common_b) || class_names(&common_a) != class_names(&a)
+            );
+            let restricted = restrict_without_lease(&a);
+            prop_assert!(allows(&a, &restricted));
         }
     }
 
     #[test]
-    fn changes_are_named_by_their_keys_and_what_has_no_order_says_so() {
+    fn differences_report_the_path_of_each_key_and_whether_the_change_conflicts() {
         let base = json!({"rank": 1, "zones": ["a"], "tick": 1, "classes": [class("view", 0, 1), class("lodge", 2, 0)],
             "tenants": [{"name": "t", "quota_rps": 3.0}], "ceilings": {"max_attempts": 3}});
         let mut next = base.clone();
@@ -340,10 +362,10 @@
         next["ceilings"] = json!({"max_attempts": null});
         let (old, new) =
             (DocumentBody::new(&base, BTreeSet::new()), DocumentBody::new(&next, ["w".to_string()].into()));
-        let said: Vec<String> =
+        let reported: Vec<String> =
             differences(&old, &new).iter().map(|d| format!("{} {:?}", d.key, d.kind)).collect();
         assert_eq!(
-            said,
+            reported,
             [
                 "out.w Ordered",
                 "ceilings.max_attempts Unordered",
