--- a/crates/consensus/src/history_check.rs
+++ b/crates/consensus/src/history_check.rs
@@ -1,57 +1,57 @@
-//! Checkers of histories: what the processes of a tier wrote of what they did, judged afterwards.
+//! Checks the invariants of a tier on the recorded histories of its processes.
 
 use crate::{EffectiveRules, Nanos};
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// A line of a process's history.
+/// A record of a process's history.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct HistoryRecord {
-    /// When, in nanoseconds of the machine's monotonic clock.
+    /// The time of the event, in nanoseconds of the machine's monotonic clock.
     #[serde(rename = "at")]
     pub at: Nanos,
-    /// Which scheduler.
+    /// The name of the scheduler.
     #[serde(rename = "who")]
     pub scheduler: String,
-    /// Which of its processes.
+    /// The number of the scheduler's process.
     #[serde(rename = "process")]
     pub process: u64,
-    /// What it did.
+    /// The event.
     #[serde(rename = "event")]
     pub event: HistoryEvent,
 }
 
-/// What a process did.
+/// An event of a process.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum HistoryEvent {
-    /// It put these rules in force for itself.
+    /// The process put these rules in force.
     #[serde(rename = "takes")]
     Adopted(EffectiveRules),
-    /// It sent a job on under these rules.
+    /// The process forwarded a job under these rules.
     #[serde(rename = "acts")]
     Acted {
-        /// The rules.
+        /// The rules in force.
         #[serde(rename = "on")]
         rules: EffectiveRules,
-        /// By its own clock it might have acted for so much longer.
+        /// The time until its lease expired, by its own clock.
         #[serde(rename = "left")]
         lease_left: Nanos,
     },
-    /// It found that it may act no more.
+    /// The lease of the process expired.
     #[serde(rename = "lapsed")]
     LeaseExpired,
-    /// It may act again.
+    /// The process obtained a lease, its first one or after an expiry.
     #[serde(rename = "renewed")]
     LeaseAcquired,
 }
 
-/// What a checker found.
+/// A violation of an invariant.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Violation {
-    /// Which invariant.
+    /// The invariant.
     pub invariant: &'static str,
-    /// Where, with the lines.
+    /// The records that violate it.
     pub details: String,
 }
 
@@ -61,138 +61,153 @@
     }
 }
 
-/// What the histories of a tier come to.
+/// The result of a check.
 #[derive(Clone, Debug, Default)]
 pub struct CheckReport {
-    /// What broke.
+    /// The violations found, at most `MAX_VIOLATIONS` of them.
     pub violations: Vec<Violation>,
-    /// The longest time for which two schedulers acted on versions that contradict each other.
+    /// The longest time for which two schedulers acted on conflicting versions.
     pub longest_conflict: Nanos,
-    /// Acts that were looked at.
+    /// The number of [`HistoryEvent::Acted`] records checked.
     pub acts_checked: usize,
-    /// From the first to act on a version to the last that acted on nothing newer than the one before, at the most.
+    /// The longest time from the first act on a version to an act on older rules.
     pub longest_lag: Nanos,
 }
 
-/// Breaches that are told; more are counted by the caller's length alone.
+/// Violations in a report; further ones are dropped.
 const MAX_VIOLATIONS: usize = 20;
 
-/// Judges the lines of all processes, in any order. `bound`: for how long two may act on contradicting rules; versions
-/// that contradict the one before are those that `contradicts` says.
+/// Checks the records of all processes, in any order. Two schedulers may act on conflicting versions for at
+/// most `bound`. `conflicts` tells whether a version conflicts with the one before it.
 pub fn check_history(
-    lines: &[HistoryRecord],
+    records: &[HistoryRecord],
     bound: Nanos,
-    contradicts: impl Fn(u64) -> bool,
+    conflicts: impl Fn(u64) -> bool,
 ) -> CheckReport {
-    let mut sorted: Vec<&HistoryRecord> = lines.iter().collect();
-    sorted.sort_by_key(|l| l.at);
-    let mut verdict = CheckReport::default();
-    let breach = |verdict: &mut CheckReport, rule, story: String| {
-        if verdict.violations.len() < MAX_VIOLATIONS {
-            verdict.violations.push(Violation { invariant: rule, details: story });
+    let mut sorted: Vec<&HistoryRecord> = records.iter().collect();
+    sorted.sort_by_key(|r| r.at);
+    let mut report = CheckReport::default();
+    let add_violation = |report: &mut CheckReport, invariant, details: String| {
+        if report.violations.len() < MAX_VIOLATIONS {
+            report.violations.push(Violation { invariant, details });
         }
     };
-    // Per process: what it took last, and whether it may act.
-    let mut taken: std::collections::HashMap<(&str, u64), (EffectiveRules, bool)> = Default::default();
-    // The first act on a version's own rules, which the ones before do not allow.
-    let mut first: std::collections::BTreeMap<u64, &HistoryRecord> = Default::default();
-    for line in sorted {
-        let key = (&*line.scheduler, line.process);
-        match &line.event {
-            HistoryEvent::Adopted(acting) => {
-                if let Some((before, _)) = taken.get(&key)
-                    && acting.newest_version() < before.newest_version()
+    // For each process: the rules that it adopted last, and whether it has a lease.
+    let mut adopted: std::collections::HashMap<(&str, u64), (EffectiveRules, bool)> = Default::default();
+    // For each version: the first act on its own rules, which earlier versions do not allow.
+    let mut first_acts: std::collections::BTreeMap<u64, &HistoryRecord> = Default::default();
+    for record in sorted {
+        let process = (&*record.scheduler, record.process);
+        match &record.event {
+            HistoryEvent::Adopted(rules) => {
+                if let Some((previous, _)) = adopted.get(&process)
+                    && rules.newest_version() < previous.newest_version()
                 {
-                    breach(&mut verdict, "versions only grow", format!("{line:?} after {before:?}"));
+                    add_violation(
+                        &mut report,
+                        "versions never decrease",
+                        format!("{record:?} after {previous:?}"),
+                    );
                 }
-                let may = taken.get(&key).is_some_and(|t| t.1);
-                taken.insert(key, (*acting, may));
+                let has_lease = adopted.get(&process).is_some_and(|a| a.1);
+                adopted.insert(process, (*rules, has_lease));
             }
             HistoryEvent::LeaseExpired | HistoryEvent::LeaseAcquired => {
-                if let Some(t) = taken.get_mut(&key) {
-                    t.1 = line.event == HistoryEvent::LeaseAcquired;
+                if let Some(a) = adopted.get_mut(&process) {
+                    a.1 = record.event == HistoryEvent::LeaseAcquired;
                 }
             }
-            HistoryEvent::Acted { rules: on, lease_left: left } => {
-                verdict.acts_checked += 1;
-                if taken.get(&key).is_none_or(|t| t.0 != *on) {
-                    breach(&mut verdict, "acts on what it took", format!("{line:?}"));
+            HistoryEvent::Acted { rules, lease_left } => {
+                report.acts_checked += 1;
+                if adopted.get(&process).is_none_or(|a| a.0 != *rules) {
+                    add_violation(&mut report, "acts on the adopted rules", format!("{record:?}"));
                 }
-                if *left == 0 {
-                    breach(&mut verdict, "acts within its lease", format!("{line:?}"));
+                if *lease_left == 0 {
+                    add_violation(&mut report, "acts with a valid lease", format!("{record:?}"));
                 }
-                if let EffectiveRules::On(version) = on {
-                    first.entry(*version).or_insert(line);
+                if let EffectiveRules::On(version) = rules {
+                    first_acts.entry(*version).or_insert(record);
                 }
-                // Someone acted on a later version's rules before: since then nobody may act on rules that it, or one
-                // between, contradicts.
-                let later = first
-                    .range(on.newest_version() + 1..)
-                    .find(|(v, _)| (on.newest_version() + 1..=**v).any(&contradicts));
-                if let Some((version, other)) = later {
-                    let behind = line.at - other.at;
-                    verdict.longest_conflict = verdict.longest_conflict.max(behind);
-                    if behind > bound {
-                        let story = format!(
-                            "{line:?}, {} ms after version {version} was acted on: {other:?}",
-                            behind / 1_000_000
+                // Once a scheduler has acted on a version, none may act on rules that conflict with this
+                // version or with one in between.
+                let conflicting = first_acts
+                    .range(rules.newest_version() + 1..)
+                    .find(|(v, _)| (rules.newest_version() + 1..=**v).any(&conflicts));
+                if let Some((version, first_act)) = conflicting {
+                    let elapsed = record.at - first_act.at;
+                    report.longest_conflict = report.longest_conflict.max(elapsed);
+                    if elapsed > bound {
+                        let details = format!(
+                            "{record:?}, {} ms after the first act on version {version}: {first_act:?}",
+                            elapsed / 1_000_000
                         );
-                        breach(&mut verdict, "no two act on contradicting versions", story);
+                        add_violation(&mut report, "no two schedulers act on conflicting versions", details);
                     }
                 }
-                if let Some((_, other)) = first.range(on.newest_version() + 1..).next() {
-                    verdict.longest_lag = verdict.longest_lag.max(line.at - other.at);
+                if let Some((_, first_act)) = first_acts.range(rules.newest_version() + 1..).next() {
+                    report.longest_lag = report.longest_lag.max(record.at - first_act.at);
                 }
             }
         }
     }
-    verdict
+    report
 }
 
 #[cfg(test)]
 mod tests {
     use super::*;
 
-    /// Histories with one fault each, and a good one: a checker that finds nothing is worth nothing.
     #[test]
-    fn each_planted_fault_is_found_and_a_good_history_passes() {
-        let line = |at: u64, who: &str, event| HistoryRecord { at, scheduler: who.into(), process: 1, event };
-        let acts = |on| HistoryEvent::Acted { rules: on, lease_left: 5 };
+    fn each_injected_violation_is_found_and_a_correct_history_passes() {
+        let record = |at: u64, scheduler: &str, event| HistoryRecord {
+            at,
+            scheduler: scheduler.into(),
+            process: 1,
+            event,
+        };
+        let acted = |rules| HistoryEvent::Acted { rules, lease_left: 5 };
         let (one, both, two) = (EffectiveRules::On(1), EffectiveRules::Between(1), EffectiveRules::On(2));
-        let good = vec![
-            line(1, "a", HistoryEvent::Adopted(one)),
-            line(2, "b", HistoryEvent::Adopted(one)),
-            line(3, "a", acts(one)),
-            line(4, "a", HistoryEvent::Adopted(both)),
-            line(5, "b", acts(one)),
-            line(6, "a", acts(both)),
-            line(7, "b", HistoryEvent::Adopted(both)),
-            line(8, "a", HistoryEvent::Adopted(two)),
-            line(9, "a", acts(two)),
-            line(10, "b", acts(both)),
-            line(11, "b", HistoryEvent::Adopted(two)),
+        let correct = vec![
+            record(1, "a", HistoryEvent::Adopted(one)),
+            record(2, "b", HistoryEvent::Adopted(one)),
+            record(3, "a", acted(one)),
+            record(4, "a", HistoryEvent::Adopted(both)),
+            record(5, "b", acted(one)),
+            record(6, "a", acted(both)),
+            record(7, "b", HistoryEvent::Adopted(both)),
+            record(8, "a", HistoryEvent::Adopted(two)),
+            record(9, "a", acted(two)),
+            record(10, "b", acted(both)),
+            record(11, "b", HistoryEvent::Adopted(two)),
         ];
-        let rules = |lines: &[HistoryRecord], bound, contradicts: bool| -> Vec<&str> {
-            check_history(lines, bound, |_| contradicts).violations.iter().map(|b| b.invariant).collect()
+        let violated = |records: &[HistoryRecord], bound, conflicts: bool| -> Vec<&str> {
+            check_history(records, bound, |_| conflicts).violations.iter().map(|v| v.invariant).collect()
         };
-        assert!(rules(&good, 0, true).is_empty());
-        let with = |at: usize, other: HistoryRecord| {
-            let mut lines = good.clone();
-            lines[at] = other;
-            lines
+        assert!(violated(&correct, 0, true).is_empty());
+        let with_replaced = |position: usize, replacement: HistoryRecord| {
+            let mut records = correct.clone();
+            records[position] = replacement;
+            records
         };
-        let old = with(9, line(10, "c", acts(one)));
-        let old: Vec<HistoryRecord> = [vec![line(0, "c", HistoryEvent::Adopted(one))], old].concat();
-        assert_eq!(rules(&old, 0, true), ["no two act on contradicting versions"]);
-        assert_eq!(check_history(&old, 1, |_| true).longest_conflict, 1);
-        assert!(rules(&old, 1, true).is_empty(), "within the bound");
-        assert!(rules(&old, 0, false).is_empty(), "nothing to contradict");
+        let outdated = with_replaced(9, record(10, "c", acted(one)));
+        let outdated: Vec<HistoryRecord> =
+            [vec![record(0, "c", HistoryEvent::Adopted(one))], outdated].concat();
+        assert_eq!(violated(&outdated, 0, true), ["no two schedulers act on conflicting versions"]);
+        assert_eq!(check_history(&outdated, 1, |_| true).longest_conflict, 1);
+        assert!(violated(&outdated, 1, true).is_empty(), "within the bound");
+        assert!(violated(&outdated, 0, false).is_empty(), "no conflicting versions");
+        assert_eq!(
+            violated(&with_replaced(10, record(11, "b", HistoryEvent::Adopted(one))), 0, true),
+            ["versions never decrease"]
+        );
+        assert_eq!(
+            violated(&with_replaced(5, record(6, "a", acted(two))), 0, true)[0],
+            "acts on the adopted rules"
+        );
+        let without_lease = HistoryEvent::Acted { rules: one, lease_left: 0 };
         assert_eq!(
-            rules(&with(10, line(11, "b", HistoryEvent::Adopted(one))), 0, true),
-            ["versions only grow"]
+            violated(&with_replaced(2, record(3, "a", without_lease)), 0, true),
+            ["acts with a valid lease"]
         );
-        assert_eq!(rules(&with(5, line(6, "a", acts(two))), 0, true)[0], "acts on what it took");
-        let late = HistoryEvent::Acted { rules: one, lease_left: 0 };
-        assert_eq!(rules(&with(2, line(3, "a", late)), 0, true), ["acts within its lease"]);
     }
 }
--- a/crates/consensus/src/vote_check.rs
+++ b/crates/consensus/src/vote_check.rs
@@ -1,5 +1,4 @@
-//! Checks that no voter votes for two candidates in one term, whatever happens to its disk. Trials pass it every message
-//! that a voter sends.
+//! Checks that no voter votes for two candidates in one term. Tests pass it every message that a voter sends.
 
 use crate::history_check::Violation;
 use crate::raft_node::Message;
@@ -7,19 +6,20 @@
 use std::collections::BTreeMap;
 use std::collections::btree_map::Entry;
 
-/// A vote that a voter has told somebody of.
+/// A vote that a voter has sent to another.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Vote {
-    /// The term that it counts for.
+    /// The term of the election.
     pub term: u64,
-    /// The voter that cast it.
+    /// The voter that cast the vote.
     pub voter: u64,
     /// The voter that it was cast for.
     pub candidate: u64,
 }
 
 impl Vote {
-    /// The vote that a message tells of, if any: one who asks for votes has voted for itself.
+    /// Returns the vote that a message carries, if any. A request for votes implies a vote for the sender
+    /// itself.
     pub fn from_message(message: &Message) -> Option<Vote> {
         let candidate = match message.get_msg_type() {
             MessageType::MsgRequestVote => message.from,
@@ -30,31 +30,31 @@
     }
 }
 
-/// The votes of a trial: the candidate by term and voter. Grows with the terms of the trial.
+/// All votes recorded in a test: the candidate by term and voter. Grows with the number of terms.
 #[derive(Clone, Debug, Default)]
 pub struct RecordedVotes(BTreeMap<(u64, u64), u64>);
 
 impl RecordedVotes {
-    /// Takes in a vote; the breach if the voter has voted for another candidate in this term.
+    /// Records a vote. Returns a violation if the voter has voted for another candidate in the same term.
     pub fn record(&mut self, vote: Vote) -> Option<Violation> {
-        let earlier = match self.0.entry((vote.term, vote.voter)) {
-            Entry::Vacant(free) => {
-                free.insert(vote.candidate);
+        let earlier_candidate = match self.0.entry((vote.term, vote.voter)) {
+            Entry::Vacant(vacant) => {
+                vacant.insert(vote.candidate);
                 return None;
             }
-            Entry::Occupied(earlier) => *earlier.get(),
+            Entry::Occupied(occupied) => *occupied.get(),
         };
-        let story = format!("{vote:?}, and before that for {earlier}");
-        (earlier != vote.candidate)
-            .then_some(Violation { invariant: "a voter votes once in a term", details: story })
+        let details = format!("{vote:?}, and earlier for candidate {earlier_candidate}");
+        (earlier_candidate != vote.candidate)
+            .then_some(Violation { invariant: "a voter votes once in a term", details })
     }
 
-    /// How many votes there were.
+    /// Returns the number of votes.
     pub fn len(&self) -> usize {
         self.0.len()
     }
 
-    /// Whether there was none.
+    /// Whether no vote was recorded.
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
--- a/crates/lab/tests/trials.rs
+++ b/crates/lab/tests/trials.rs
@@ -73,7 +73,7 @@
     let terms = TimingConfig { bound: 8_000_000_000, ..TimingConfig::default() };
     for without in [Without::Quiet, Without::Readiness, Without::Drift] {
         let mut told = (0..400).map(|seed| (seed, play(&Trial { terms, ..trial(without) }, seed).unwrap()));
-        let rule = "no two act on contradicting versions";
+        let rule = "no two schedulers act on conflicting versions";
         let found = told.find(|(_, t)| t.breaches.iter().any(|b| b.starts_with(rule)));
         println!("{without:?}: {found:?}");
         assert!(found.is_some(), "{without:?}");
