--- a/crates/consensus/src/lease_grants.rs
+++ b/crates/consensus/src/lease_grants.rs
@@ -1,81 +1,93 @@
-//! What a voter has promised to schedulers: that no version which contradicts what they act on comes into force.
+//! The leases that one voter has granted. While a grant is valid, the voter does not let a version come into
+//! force that conflicts with the rules of its holder.
 
 use crate::state::ReplicatedState;
 use crate::timing::LeaseTiming;
 use crate::{EffectiveRules, Nanos, Version};
 use std::collections::BTreeMap;
 
-/// Promises kept at most; a scheduler that would need one more is turned down, and counted.
+/// Grants that are kept; a request that would need one more is rejected.
 const MAX_GRANTS: usize = 10_000;
 
-/// A process of a scheduler: its name, and a number that no other of its processes has.
+/// A process of a scheduler: the scheduler's name, and a number that is unique among its processes.
 pub type ProcessId = (String, u64);
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-struct Promise {
-    asked: u64,
-    acting: EffectiveRules,
-    until: Nanos,
+struct Grant {
+    request_number: u64,
+    rules: EffectiveRules,
+    expiry: Nanos,
 }
 
-/// The promises of one voter. They live in memory alone: a voter that starts keeps quiet until all that it may have
-/// forgotten has ended.
+/// The grants of one voter. They are not persisted: after a start the voter reports no version as ready until
+/// every grant of its previous process has expired.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct LeaseGrants {
     timing: LeaseTiming,
-    given: BTreeMap<ProcessId, Promise>,
-    since: Nanos,
-    /// Turned down for want of room.
+    grants: BTreeMap<ProcessId, Grant>,
+    started_at: Nanos,
+    /// Requests rejected because `MAX_GRANTS` were valid.
     pub rejected_at_capacity: u64,
-    /// Given so far.
+    /// Requests granted so far, renewals included.
     pub granted_total: u64,
 }
 
 impl LeaseGrants {
-    /// None yet, at a voter that starts now.
+    /// Creates the state of a voter that starts at `now`, without grants.
     pub fn new(timing: LeaseTiming, now: Nanos) -> LeaseGrants {
-        LeaseGrants { timing, given: BTreeMap::new(), since: now, rejected_at_capacity: 0, granted_total: 0 }
+        LeaseGrants {
+            timing,
+            grants: BTreeMap::new(),
+            started_at: now,
+            rejected_at_capacity: 0,
+            granted_total: 0,
+        }
     }
 
-    /// A process asks to act on something until a promise's time from now is over. Yes if this voter, with what it has
-    /// seen agreed, has not begun to wait for a later version.
+    /// Grants or renews the lease of a process that applies `rules`, for the grant duration from `now`.
+    /// Returns false if the rules are older than the newest version in `state`, the request is out of order,
+    /// or too many grants are valid.
     pub fn try_grant(
         &mut self,
         now: Nanos,
-        who: &ProcessId,
-        asked: u64,
-        acting: EffectiveRules,
-        seen: &ReplicatedState,
+        process: &ProcessId,
+        request_number: u64,
+        rules: EffectiveRules,
+        state: &ReplicatedState,
     ) -> bool {
-        // What comes after a later word of the same process was held up on the way.
-        if acting.newest_version() < seen.newest_version()
-            || self.given.get(who).is_some_and(|p| p.asked > asked)
+        // A request that arrives after a later one of the same process was delayed on its way.
+        if rules.newest_version() < state.newest_version()
+            || self.grants.get(process).is_some_and(|g| g.request_number > request_number)
         {
             return false;
         }
-        if self.given.len() >= MAX_GRANTS && !self.given.contains_key(who) {
-            self.given.retain(|_, p| now < p.until);
-            if self.given.len() >= MAX_GRANTS {
+        if self.grants.len() >= MAX_GRANTS && !self.grants.contains_key(process) {
+            self.grants.retain(|_, g| now < g.expiry);
+            if self.grants.len() >= MAX_GRANTS {
                 self.rejected_at_capacity += 1;
                 return false;
             }
         }
         self.granted_total += 1;
-        self.given.insert(who.clone(), Promise { asked, acting, until: now + self.timing.grant_duration });
+        self.grants.insert(
+            process.clone(),
+            Grant { request_number, rules, expiry: now + self.timing.grant_duration },
+        );
         true
     }
 
-    /// Whether the version that is coming may come into force as far as this voter knows: it has given no promise on
-    /// older rules that still holds, and gives none any more.
-    pub fn ready_version(&self, now: Nanos, seen: &ReplicatedState) -> Option<Version> {
-        let version = seen.pending.as_ref()?.version;
-        let quiet = now >= self.since + self.timing.grant_duration;
-        (quiet && self.given.values().all(|p| now >= p.until || p.acting.newest_version() >= version))
-            .then_some(version)
+    /// Returns the pending version once this voter is ready for it: all grants on older rules have expired,
+    /// those of its previous process included, and [`LeaseGrants::try_grant`] gives no new ones.
+    pub fn ready_version(&self, now: Nanos, state: &ReplicatedState) -> Option<Version> {
+        let version = state.pending.as_ref()?.version;
+        let earlier_grants_expired = now >= self.started_at + self.timing.grant_duration;
+        (earlier_grants_expired
+            && self.grants.values().all(|g| now >= g.expiry || g.rules.newest_version() >= version))
+        .then_some(version)
     }
 
-    /// Processes that hold a promise now, with what they act on.
+    /// Returns the processes whose grants are valid, with the rules that they apply.
     pub fn holders(&self, now: Nanos) -> impl Iterator<Item = (&ProcessId, EffectiveRules)> {
-        self.given.iter().filter(move |(_, p)| now < p.until).map(|(who, p)| (who, p.acting))
+        self.grants.iter().filter(move |(_, g)| now < g.expiry).map(|(process, g)| (process, g.rules))
     }
 }
--- a/crates/consensus/src/lease_holder.rs
+++ b/crates/consensus/src/lease_holder.rs
@@ -1,4 +1,4 @@
-//! What one scheduler may act on: its lease, from the promises of a majority of the voters.
+//! The lease of one scheduler, which is valid while a majority of the voters has granted it.
 
 use crate::document::{self, DocumentBody};
 use crate::state::ReplicatedState;
@@ -6,119 +6,125 @@
 use crate::{EffectiveRules, Nanos};
 use std::collections::{BTreeSet, VecDeque};
 
-/// Questions whose answers are still awaited, at most: a lease's worth.
-const ASKED: usize = 64;
+/// Requests that wait for responses: more than a scheduler sends within a lease.
+const MAX_PENDING_REQUESTS: usize = 64;
 
-/// A question to all voters.
+/// A lease request to all voters.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct Asked {
+struct PendingRequest {
     number: u64,
-    at: Nanos,
-    yes: BTreeSet<usize>,
+    sent_at: Nanos,
+    granted_by: BTreeSet<usize>,
 }
 
-/// The machine of one scheduler's lease.
+/// The lease of one scheduler and the replicated state that it has received.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct LeaseHolder {
     timing: LeaseTiming,
     voters: usize,
-    seen: ReplicatedState,
-    acting: Option<EffectiveRules>,
-    number: u64,
-    asked: VecDeque<Asked>,
-    until: Option<Nanos>,
+    state: ReplicatedState,
+    rules: Option<EffectiveRules>,
+    last_number: u64,
+    pending: VecDeque<PendingRequest>,
+    expiry: Option<Nanos>,
 }
 
 impl LeaseHolder {
-    /// Knows nothing yet, in a tier of so many voters.
+    /// Creates a holder without a lease and without a document, in a tier with this number of voters.
     pub fn new(timing: LeaseTiming, voters: usize) -> LeaseHolder {
         LeaseHolder {
             timing,
             voters,
-            seen: ReplicatedState::default(),
-            acting: None,
-            number: 0,
-            asked: VecDeque::new(),
-            until: None,
+            state: ReplicatedState::default(),
+            rules: None,
+            last_number: 0,
+            pending: VecDeque::new(),
+            expiry: None,
         }
     }
 
-    /// What this scheduler knows to be agreed.
+    /// Returns the newest replicated state that this scheduler has received.
     pub fn state(&self) -> &ReplicatedState {
-        &self.seen
+        &self.state
     }
 
-    /// What it acts on, if it may act.
+    /// Returns the rules that this scheduler applies while its lease is valid; none before there is a
+    /// document.
     pub fn rules(&self) -> Option<EffectiveRules> {
-        self.acting
+        self.rules
     }
 
-    /// Whether it may act now. To be looked at immediately before each act.
+    /// Whether the lease is valid. Must be checked immediately before each use of the rules.
     pub fn has_valid_lease(&self, now: Nanos) -> bool {
-        self.until.is_some_and(|until| now < until)
+        self.expiry.is_some_and(|expiry| now < expiry)
     }
 
-    /// Until when it may act, by its own clock.
+    /// Returns the expiry of the lease by this scheduler's clock; none before the first lease.
     pub fn lease_expiry(&self) -> Option<Nanos> {
-        self.until
+        self.expiry
     }
 
-    /// The next question to all voters: its number, and what this scheduler acts on.
+    /// Starts a renewal. Returns the number and the rules of the request to send to all voters.
     pub fn start_renewal(&mut self, now: Nanos) -> (u64, Option<EffectiveRules>) {
-        self.number += 1;
-        if self.acting.is_some() {
-            if self.asked.len() >= ASKED {
-                self.asked.pop_front();
+        self.last_number += 1;
+        if self.rules.is_some() {
+            if self.pending.len() >= MAX_PENDING_REQUESTS {
+                self.pending.pop_front();
             }
-            self.asked.push_back(Asked { number: self.number, at: now, yes: BTreeSet::new() });
+            self.pending.push_back(PendingRequest {
+                number: self.last_number,
+                sent_at: now,
+                granted_by: BTreeSet::new(),
+            });
         }
-        (self.number, self.acting)
+        (self.last_number, self.rules)
     }
 
-    /// A voter's answer: to which question, whether it promised, and what it knows to be agreed if that is news. True if
-    /// what this scheduler acts on has changed: it must be in force here before the next question is asked.
+    /// Handles a voter's response to the request `number`. Returns whether the rules of this scheduler
+    /// changed; the new rules must be in force before the next renewal starts.
     pub fn handle_response(
         &mut self,
         now: Nanos,
         voter: usize,
         number: u64,
-        yes: bool,
-        news: Option<ReplicatedState>,
+        granted: bool,
+        newer_state: Option<ReplicatedState>,
     ) -> bool {
-        let need = self.voters / 2 + 1;
-        if let Some(asked) = self.asked.iter_mut().find(|a| a.number == number).filter(|_| yes) {
-            asked.yes.insert(voter);
-            // A promise on what was acted on then covers what is acted on now: every move leads to what the voters
-            // that promised hold back just as well (docs/design/0006-accord.md).
-            if asked.yes.len() >= need {
-                let until = asked.at + self.timing.lease_duration;
-                self.until = Some(self.until.map_or(until, |u| u.max(until)));
+        let majority = self.voters / 2 + 1;
+        if let Some(request) = self.pending.iter_mut().find(|r| r.number == number).filter(|_| granted) {
+            request.granted_by.insert(voter);
+            // A grant on earlier rules covers the present rules as well: each change of rules leads to rules
+            // that the granting voters protect too (docs/design/0006-accord.md).
+            if request.granted_by.len() >= majority {
+                let expiry = request.sent_at + self.timing.lease_duration;
+                self.expiry = Some(self.expiry.map_or(expiry, |e| e.max(expiry)));
             }
         }
-        self.asked.retain(|a| a.at + self.timing.lease_duration > now);
-        match news.filter(|n| n.index > self.seen.index) {
-            Some(news) => self.learn(news),
+        self.pending.retain(|r| r.sent_at + self.timing.lease_duration > now);
+        match newer_state.filter(|s| s.index > self.state.index) {
+            Some(newer_state) => self.adopt_state(newer_state),
             None => false,
         }
     }
 
-    fn learn(&mut self, news: ReplicatedState) -> bool {
-        self.seen = news;
-        let Some(active) = &self.seen.active else { return false };
-        let to = match &self.seen.pending {
+    /// Replaces the state. Returns whether the rules changed.
+    fn adopt_state(&mut self, newer_state: ReplicatedState) -> bool {
+        self.state = newer_state;
+        let Some(active) = &self.state.active else { return false };
+        let rules = match &self.state.pending {
             Some(_) => EffectiveRules::Between(active.version),
             None => EffectiveRules::On(active.version),
         };
-        let changed = self.acting != Some(to);
-        self.acting = Some(to);
+        let changed = self.rules != Some(rules);
+        self.rules = Some(rules);
         changed
     }
 
-    /// What to act on: the document in force, or the strictest of it and the one that is coming.
+    /// Returns the document to apply: the active one, or its strictest combination with the pending one.
     pub fn effective_body(&self) -> Option<DocumentBody> {
-        let active = self.seen.active.as_ref()?;
-        Some(match &self.seen.pending {
-            Some(coming) => document::strictest_of(&active.body, &coming.body),
+        let active = self.state.active.as_ref()?;
+        Some(match &self.state.pending {
+            Some(pending) => document::strictest_of(&active.body, &pending.body),
             None => active.body.clone(),
         })
     }
