--- a/crates/consensus/src/raft_node_error.rs
+++ b/crates/consensus/src/raft_node_error.rs
@@ -1,44 +1,46 @@
-//! What can go wrong in a voter's part of the agreement.
+//! Errors of a voter's Raft node.
 
 use crate::store_error::StoreError;
 use std::io;
 
-/// Why a voter takes part no more, until it is built anew from its file or started again.
+/// An error that stops a voter's Raft node. It takes part again once it is recreated from its file, or
+/// restarted.
 #[derive(Debug, thiserror::Error)]
 pub enum RaftNodeError {
-    /// Its store failed.
+    /// The log store failed.
     #[error(transparent)]
     Store(#[from] StoreError),
-    /// An entry of the log was written by a build that knows more than this one. To go on would be to guess.
-    #[error("entry {index}: {source}; this build cannot read it")]
-    Unreadable {
+    /// An entry of the log cannot be decoded: a newer build wrote it. Skipping it would let the state
+    /// diverge.
+    #[error("log entry {index} cannot be read by this build: {source}")]
+    UnreadableEntry {
         /// The entry's index in the log.
         index: u64,
-        /// What was not understood.
+        /// The error of the decoder.
         source: serde_json::Error,
     },
-    /// A snapshot of the document cannot be read or written.
-    #[error("a snapshot of the document: {0}")]
+    /// A snapshot of the replicated state cannot be decoded or encoded.
+    #[error("snapshot of the replicated state: {0}")]
     Snapshot(#[from] serde_json::Error),
-    /// The Raft library refuses what it was given.
+    /// The Raft library returned an error.
     #[error("raft: {0}")]
     Raft(#[from] raft::Error),
 }
 
 impl RaftNodeError {
-    /// Whether the voter may take part again, rebuilt from its file, once the store can be written.
+    /// Whether a node that is recreated from its file can take part again once the store can be written.
     pub fn is_transient(&self) -> bool {
         matches!(self, RaftNodeError::Store(e) if e.is_transient())
     }
 
-    /// What an operator can do.
+    /// Returns what an operator can do.
     pub fn advice(&self) -> &'static str {
         match self {
             RaftNodeError::Store(e) => e.advice(),
-            RaftNodeError::Unreadable { .. } | RaftNodeError::Snapshot(_) => {
+            RaftNodeError::UnreadableEntry { .. } | RaftNodeError::Snapshot(_) => {
                 "start the newest build that runs in this tier"
             }
-            RaftNodeError::Raft(_) => "start the voter again, and keep its file and its log for a report",
+            RaftNodeError::Raft(_) => "restart the voter, and keep its file and its log for a bug report",
         }
     }
 }
