--- a/crates/consensus/src/log_store.rs
+++ b/crates/consensus/src/log_store.rs
@@ -1,4 +1,5 @@
-//! What a voter must not forget: votes, entries and pictures of the document, in one file of checked records.
+//! Persistence of a voter's Raft state: entries, hard state and snapshots, in one file of records with
+//! checksums.
 
 use crate::storage::{DurableFile, StorageLocation};
 use crate::store_error::StoreError;
@@ -6,69 +7,71 @@
 use raft::eraftpb::{Entry, HardState, Snapshot};
 use std::io;
 
-/// What stood on a disk.
+/// The Raft state that a store holds.
 #[derive(Debug, Default, Clone)]
 pub struct StoredLog {
-    /// The picture that the entries follow.
+    /// The latest snapshot; the entries follow it.
     pub snapshot: Option<Snapshot>,
-    /// Entries, without a gap.
+    /// The entries, without gaps.
     pub entries: Vec<Entry>,
     /// Term, vote and commit index.
     pub hard_state: HardState,
 }
 
-/// Where a voter writes. What is not on the disk when a call returns well must not be told to anyone.
+/// Durable storage of a voter's Raft state. A message that depends on a write must not be sent before the
+/// write succeeded.
 pub trait LogStore {
-    /// Adds entries, which replace those from their first index on, and the vote.
-    fn append(&mut self, entries: &[Entry], hard: Option<&HardState>) -> Result<(), StoreError>;
-    /// Writes all anew: a picture, and the entries after it.
+    /// Appends entries, which replace stored ones from the first new index on, and the hard state.
+    fn append(&mut self, entries: &[Entry], hard_state: Option<&HardState>) -> Result<(), StoreError>;
+    /// Replaces the whole contents by a snapshot and the entries after it.
     fn replace(
         &mut self,
         snapshot: &Snapshot,
         entries: &[Entry],
-        hard: Option<&HardState>,
+        hard_state: Option<&HardState>,
     ) -> Result<(), StoreError>;
-    /// After an error: reads what was acknowledged, and writes it anew so that it lasts. What was not acknowledged is
-    /// dropped, or there completely. Until this succeeds every other call is answered by [`StoreError::Stopped`]; it may
-    /// be called again after a [transient](StoreError::is_transient) error. The file stays locked throughout.
+    /// Recovers after a failed operation: reads the acknowledged records and writes them again, so that they
+    /// are durable. A write that failed is then either dropped or complete.
     ///
-    /// Whoever has built a state on the entries must build it anew from what this returns.
+    /// Until this succeeds, every other operation fails with [`StoreError::Stopped`]. It may be repeated
+    /// after a [transient](StoreError::is_transient) error. The file stays locked throughout. State that was
+    /// built from the store must be rebuilt from the result.
     fn recover(&mut self) -> Result<StoredLog, StoreError>;
 }
 
-const OWNER: u8 = 0;
-const ENTRY: u8 = 1;
-const HARD: u8 = 2;
-const PICTURE: u8 = 3;
-/// Length, checksum and kind before each record.
-const HEAD: usize = 4 + 8 + 1;
-/// A longer record is none.
-const LONGEST: usize = 64 << 20;
+// Kinds of records.
+const OWNER_RECORD: u8 = 0;
+const ENTRY_RECORD: u8 = 1;
+const HARD_STATE_RECORD: u8 = 2;
+const SNAPSHOT_RECORD: u8 = 3;
+/// Length, checksum and kind, in front of each payload.
+const HEADER_BYTES: usize = 4 + 8 + 1;
+/// The longest payload of a valid record.
+const MAX_PAYLOAD_BYTES: usize = 64 << 20;
 
-/// The file of a voter.
+/// A voter's log in a file.
 #[derive(Debug)]
 pub struct LogFile {
     file: Box<dyn DurableFile>,
-    place: String,
+    location: String,
     owner: String,
-    /// Bytes from the start of the file that a successful call has put on the disk.
+    /// Length of the prefix that successful operations have made durable.
     acknowledged: usize,
-    /// The operation that failed, and after which this handle takes nothing more until it has recovered. Another sync
-    /// would say that all is well, and it would not be.
+    /// The operation that failed, until recovery succeeds. A later sync could succeed although data was lost.
     failed: Option<Operation>,
 }
 
 /// An operation on the file.
 #[derive(Clone, Copy, Debug)]
 enum Operation {
-    /// Records are added behind those that are acknowledged.
+    /// Appends records.
     Append,
-    /// All contents are replaced by others of this length.
+    /// Replaces the contents by others of this length.
     Replace { length: usize },
 }
 
 impl Operation {
-    /// What it is called in an error.
+    /// Returns the name of the operation in an error message.
     fn name(self) -> &'static str {
         match self {
             Operation::Append => "write",
@@ -77,29 +80,29 @@
     }
 }
 
-/// The records at the start of a file.
+/// The valid records at the start of a file.
 #[derive(Debug, Default)]
-struct Records {
-    loaded: StoredLog,
-    /// Where the first record begins that is not complete.
+struct ParsedRecords {
+    log: StoredLog,
+    /// Length of the valid records.
     length: usize,
-    /// Whether the record of the owner is there.
-    owned: bool,
+    /// Whether the owner record is present.
+    has_owner: bool,
 }
 
-fn record(out: &mut Vec<u8>, kind: u8, payload: &[u8]) {
+fn encode_record(out: &mut Vec<u8>, kind: u8, payload: &[u8]) {
     out.extend_from_slice(&(payload.len() as u32).to_le_bytes());
     out.extend_from_slice(&checksum(kind, payload));
     out.push(kind);
     out.extend_from_slice(payload);
 }
 
-fn records(out: &mut Vec<u8>, entries: &[Entry], hard: Option<&HardState>) -> io::Result<()> {
+fn encode_records(out: &mut Vec<u8>, entries: &[Entry], hard_state: Option<&HardState>) -> io::Result<()> {
     for entry in entries {
-        record(out, ENTRY, &written(entry)?);
+        encode_record(out, ENTRY_RECORD, &encode(entry)?);
     }
-    if let Some(hard) = hard {
-        record(out, HARD, &written(hard)?);
+    if let Some(hard_state) = hard_state {
+        encode_record(out, HARD_STATE_RECORD, &encode(hard_state)?);
     }
     Ok(())
 }
@@ -107,55 +110,61 @@
 fn checksum(kind: u8, payload: &[u8]) -> [u8; 8] {
     let mut hasher = blake3::Hasher::new();
     hasher.update(&[kind]).update(payload);
-    let mut short = [0; 8];
-    short.copy_from_slice(&hasher.finalize().as_bytes()[..8]);
-    short
+    let mut checksum = [0; 8];
+    checksum.copy_from_slice(&hasher.finalize().as_bytes()[..8]);
+    checksum
 }
 
-/// The record at the start of these bytes, and how long it is; none if it is not whole and right.
-fn first(bytes: &[u8]) -> Option<(u8, &[u8], usize)> {
+/// Decodes the record at the start of `bytes`: kind, payload and total length. None if it is incomplete or
+/// invalid.
+fn decode_record(bytes: &[u8]) -> Option<(u8, &[u8], usize)> {
     let length = u32::from_le_bytes(bytes.get(..4)?.try_into().ok()?) as usize;
-    let payload = bytes.get(HEAD..HEAD.checked_add(length).filter(|_| length <= LONGEST)?)?;
-    (checksum(bytes[12], payload) == bytes[4..12]).then_some((bytes[12], payload, HEAD + length))
+    let payload =
+        bytes.get(HEADER_BYTES..HEADER_BYTES.checked_add(length).filter(|_| length <= MAX_PAYLOAD_BYTES)?)?;
+    (checksum(bytes[12], payload) == bytes[4..12]).then_some((bytes[12], payload, HEADER_BYTES + length))
 }
 
-fn written<M: Message>(message: &M) -> io::Result<Vec<u8>> {
+fn encode<M: Message>(message: &M) -> io::Result<Vec<u8>> {
     message.write_to_bytes().map_err(io::Error::other)
 }
 
-fn read<M: Message>(bytes: &[u8]) -> io::Result<M> {
+fn decode<M: Message>(bytes: &[u8]) -> io::Result<M> {
     M::parse_from_bytes(bytes).map_err(|e| io::Error::new(io::ErrorKind::InvalidData, e))
 }
 
-impl Records {
-    /// Reads the records of a voter's file. One that was not written to its end is left out; damage before others, or
-    /// another voter's file, is refused.
-    fn parse(place: &str, owner: &str, bytes: &[u8]) -> Result<Records, StoreError> {
-        let mut records = Records::default();
-        while let Some((kind, payload, length)) = first(&bytes[records.length..]) {
-            if !records.owned && (kind != OWNER || payload != owner.as_bytes()) {
-                let whose = String::from_utf8_lossy(payload).into_owned();
+impl ParsedRecords {
+    /// Parses a voter's file. A torn record at the end is left out.
+    ///
+    /// # Errors
+    /// Damage in front of valid records, the file of another voter, or a record that this build cannot read.
+    fn parse(location: &str, owner: &str, bytes: &[u8]) -> Result<ParsedRecords, StoreError> {
+        let mut records = ParsedRecords::default();
+        while let Some((kind, payload, length)) = decode_record(&bytes[records.length..]) {
+            if !records.has_owner && (kind != OWNER_RECORD || payload != owner.as_bytes()) {
+                let file_owner = String::from_utf8_lossy(payload).into_owned();
                 return Err(StoreError::Foreign {
-                    location: place.into(),
-                    owner: whose,
+                    location: location.into(),
+                    owner: file_owner,
                     voter: owner.into(),
                 });
             }
-            records.owned = true;
-            let at = records.length;
-            records.loaded.add(kind, payload).map_err(|what| StoreError::Newer {
-                location: place.into(),
-                offset: at,
-                record: what,
+            records.has_owner = true;
+            let offset = records.length;
+            records.log.add(kind, payload).map_err(|record| StoreError::Newer {
+                location: location.into(),
+                offset,
+                record,
             })?;
             records.length += length;
         }
-        let at = records.length;
-        // A torn record was never acknowledged; one that is complete further on was, so what lies before it is damaged.
-        let is_record = |i: &usize| first(&bytes[*i..]).is_some_and(|(kind, ..)| kind <= PICTURE);
-        match (at + 1..bytes.len()).find(is_record) {
-            Some(next) => {
-                Err(StoreError::Damaged { location: place.into(), offset: at, next_record_offset: next })
+        let offset = records.length;
+        // Only the last record can be torn. If a valid record follows, the bytes before it were acknowledged
+        // and are damaged.
+        let is_record =
+            |i: &usize| decode_record(&bytes[*i..]).is_some_and(|(kind, ..)| kind <= SNAPSHOT_RECORD);
+        match (offset + 1..bytes.len()).find(is_record) {
+            Some(next_record_offset) => {
+                Err(StoreError::Damaged { location: location.into(), offset, next_record_offset })
             }
             None => Ok(records),
         }
@@ -163,20 +172,23 @@
 }
 
 impl StoredLog {
-    /// Takes in the next record of a file; what it is if this build does not know it.
+    /// Adds the next record of a file.
+    ///
+    /// # Errors
+    /// A description of the record if this build cannot read it.
     fn add(&mut self, kind: u8, payload: &[u8]) -> Result<(), String> {
         let unreadable = |e: io::Error| format!("a record of kind {kind} ({e})");
         match kind {
-            OWNER => {}
-            ENTRY => {
-                let entry: Entry = read(payload).map_err(unreadable)?;
+            OWNER_RECORD => {}
+            ENTRY_RECORD => {
+                let entry: Entry = decode(payload).map_err(unreadable)?;
                 self.entries.retain(|e| e.index < entry.index);
                 self.entries.push(entry);
             }
-            HARD => self.hard_state = read(payload).map_err(unreadable)?,
-            PICTURE => {
+            HARD_STATE_RECORD => self.hard_state = decode(payload).map_err(unreadable)?,
+            SNAPSHOT_RECORD => {
                 self.entries.clear();
-                self.snapshot = Some(read(payload).map_err(unreadable)?);
+                self.snapshot = Some(decode(payload).map_err(unreadable)?);
             }
             other => return Err(format!("a record of kind {other}")),
         }
@@ -185,49 +197,53 @@
 }
 
 impl LogFile {
-    /// Opens the file of a voter, or founds it where `found` says that there is none yet. A record that was not written
-    /// to its end is cut off; damage before others, or another voter's file, is refused.
+    /// Opens the log of a voter, or creates it if it is missing and `create` is set. A torn record at the end
+    /// is cut off.
+    ///
+    /// The contents are written again before they are returned. If a sync of the previous process failed, the
+    /// kernel may show records that are not on the disk and that a later sync would not write.
     ///
-    /// What is read is written anew before it is returned. The process before may have ended after a sync that failed,
-    /// and then the kernel shows records that are not on the disk and that no later sync would write.
+    /// # Errors
+    /// Damage in front of valid records, the file of another voter, or an error of the disk.
     pub fn open(
-        place: &dyn StorageLocation,
+        location: &dyn StorageLocation,
         owner: &str,
-        found: bool,
+        create: bool,
     ) -> Result<(LogFile, StoredLog), StoreError> {
-        let name = place.name();
-        let mut file = place.open(found).map_err(|e| StoreError::of(&name, "open", e))?;
-        let bytes = file.read_all().map_err(|e| StoreError::of(&name, "read", e))?;
-        let records = Records::parse(&name, owner, &bytes)?;
+        let name = location.name();
+        let mut file = location.open(create).map_err(|e| StoreError::from_io(&name, "open", e))?;
+        let bytes = file.read_all().map_err(|e| StoreError::from_io(&name, "read", e))?;
+        let records = ParsedRecords::parse(&name, owner, &bytes)?;
         let mut log =
-            LogFile { file, place: name, owner: owner.into(), acknowledged: records.length, failed: None };
-        if records.owned {
-            log.rewrite(&bytes[..records.length])?;
+            LogFile { file, location: name, owner: owner.into(), acknowledged: records.length, failed: None };
+        if records.has_owner {
+            log.replace_contents(&bytes[..records.length])?;
         } else {
-            let mut founding = Vec::new();
-            record(&mut founding, OWNER, owner.as_bytes());
-            log.rewrite(&founding)?;
+            let mut initial = Vec::new();
+            encode_record(&mut initial, OWNER_RECORD, owner.as_bytes());
+            log.replace_contents(&initial)?;
         }
-        Ok((log, records.loaded))
+        Ok((log, records.log))
     }
 
-    /// Does an operation after whose failure nothing more is taken until [`LogStore::recover`] succeeds.
-    fn guarded(
+    /// Runs an operation. After a failure all further operations are rejected until [`LogStore::recover`]
+    /// succeeds.
+    fn run(
         &mut self,
         operation: Operation,
         work: impl FnOnce(&mut dyn DurableFile) -> io::Result<()>,
     ) -> Result<(), StoreError> {
         if self.failed.is_some() {
-            return Err(StoreError::Stopped { location: self.place.clone() });
+            return Err(StoreError::Stopped { location: self.location.clone() });
         }
         self.failed = Some(operation);
-        work(&mut *self.file).map_err(|e| StoreError::of(&self.place, operation.name(), e))?;
+        work(&mut *self.file).map_err(|e| StoreError::from_io(&self.location, operation.name(), e))?;
         self.failed = None;
         Ok(())
     }
 
-    fn write(&mut self, bytes: &[u8]) -> Result<(), StoreError> {
-        self.guarded(Operation::Append, |file| {
+    fn append_bytes(&mut self, bytes: &[u8]) -> Result<(), StoreError> {
+        self.run(Operation::Append, |file| {
             write_all(file, bytes)?;
             file.sync()
         })?;
@@ -235,15 +251,15 @@
         Ok(())
     }
 
-    fn rewrite(&mut self, bytes: &[u8]) -> Result<(), StoreError> {
-        self.guarded(Operation::Replace { length: bytes.len() }, |file| file.replace_contents(bytes))?;
+    fn replace_contents(&mut self, bytes: &[u8]) -> Result<(), StoreError> {
+        self.run(Operation::Replace { length: bytes.len() }, |file| file.replace_contents(bytes))?;
         self.acknowledged = bytes.len();
         Ok(())
     }
 
-    /// How much of a file with `length` bytes holds, after this operation failed. A replacement may have taken place
-    /// before the error; a file that has its length is then complete, as is the one from before.
-    fn kept_after(&self, failed: Operation, length: usize) -> usize {
+    /// Returns how many bytes of a file of this length to keep after an operation failed. A replacement may
+    /// have taken place before it failed; a file of the new length is complete then.
+    fn length_to_keep(&self, failed: Operation, length: usize) -> usize {
         match failed {
             Operation::Replace { length: replaced } if replaced == length => length,
             Operation::Replace { .. } | Operation::Append => self.acknowledged,
@@ -255,7 +271,7 @@
     while !bytes.is_empty() {
         match file.write(bytes) {
             Ok(0) => return Err(io::ErrorKind::WriteZero.into()),
-            Ok(some) => bytes = &bytes[some..],
+            Ok(written) => bytes = &bytes[written..],
             Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
             Err(e) => return Err(e),
         }
@@ -264,44 +280,45 @@
 }
 
 impl LogStore for LogFile {
-    fn append(&mut self, entries: &[Entry], hard: Option<&HardState>) -> Result<(), StoreError> {
+    fn append(&mut self, entries: &[Entry], hard_state: Option<&HardState>) -> Result<(), StoreError> {
         let mut out = Vec::new();
-        records(&mut out, entries, hard).map_err(|e| StoreError::of(&self.place, "encode", e))?;
-        self.write(&out)
+        encode_records(&mut out, entries, hard_state)
+            .map_err(|e| StoreError::from_io(&self.location, "encode", e))?;
+        self.append_bytes(&out)
     }
 
     fn replace(
         &mut self,
         snapshot: &Snapshot,
         entries: &[Entry],
-        hard: Option<&HardState>,
+        hard_state: Option<&HardState>,
     ) -> Result<(), StoreError> {
         let mut out = Vec::new();
-        record(&mut out, OWNER, self.owner.as_bytes());
-        let encoded = written(snapshot).and_then(|picture| {
-            record(&mut out, PICTURE, &picture);
-            records(&mut out, entries, hard)
+        encode_record(&mut out, OWNER_RECORD, self.owner.as_bytes());
+        let encoded = encode(snapshot).and_then(|payload| {
+            encode_record(&mut out, SNAPSHOT_RECORD, &payload);
+            encode_records(&mut out, entries, hard_state)
         });
-        encoded.map_err(|e| StoreError::of(&self.place, "encode", e))?;
-        self.rewrite(&out)
+        encoded.map_err(|e| StoreError::from_io(&self.location, "encode", e))?;
+        self.replace_contents(&out)
     }
 
     fn recover(&mut self) -> Result<StoredLog, StoreError> {
         let failed = self.failed.unwrap_or(Operation::Append);
         self.failed = Some(failed);
-        let mut bytes = self.file.read_all().map_err(|e| StoreError::of(&self.place, "read", e))?;
-        let kept = self.kept_after(failed, bytes.len());
+        let mut bytes = self.file.read_all().map_err(|e| StoreError::from_io(&self.location, "read", e))?;
+        let kept = self.length_to_keep(failed, bytes.len());
         bytes.truncate(kept);
-        let records = Records::parse(&self.place, &self.owner, &bytes)?;
+        let records = ParsedRecords::parse(&self.location, &self.owner, &bytes)?;
         if records.length < kept {
-            let place = self.place.clone();
-            return Err(StoreError::Lost { location: place, acknowledged: kept, readable: records.length });
+            let location = self.location.clone();
+            return Err(StoreError::Lost { location, acknowledged: kept, readable: records.length });
         }
-        // Not appended to: what was read need not be on the disk. See `DurableFile`.
-        self.file.replace_contents(&bytes).map_err(|e| StoreError::of(&self.place, "replace", e))?;
+        // Replaced rather than appended to: after a failed sync the bytes just read may not be on the disk.
+        self.file.replace_contents(&bytes).map_err(|e| StoreError::from_io(&self.location, "replace", e))?;
         self.acknowledged = kept;
         self.failed = None;
-        Ok(records.loaded)
+        Ok(records.log)
     }
 }
 
--- a/crates/consensus/src/log_store/tests.rs
+++ b/crates/consensus/src/log_store/tests.rs
@@ -1,4 +1,4 @@
-//! A voter's log on a real file and on a disk that fails.
+//! A voter's log on a real file, and in memory with injected faults.
 
 use super::*;
 use crate::storage::{MemoryStorage, StorageFault};
@@ -8,60 +8,60 @@
 }
 
 #[test]
-fn a_file_cut_at_any_byte_loses_its_last_record_alone_and_damage_in_the_middle_is_refused() {
-    let place = tempfile::tempdir().unwrap();
-    let path = place.path().join("v");
+fn truncation_loses_only_the_last_record_and_damage_in_front_of_valid_records_is_rejected() {
+    let directory = tempfile::tempdir().unwrap();
+    let path = directory.path().join("v");
     assert!(LogFile::open(&path, "v of t", false).unwrap_err().advice().contains("tier.found"));
     let (mut log, _) = LogFile::open(&path, "v of t", true).unwrap();
-    let mut ends = vec![std::fs::metadata(&path).unwrap().len() as usize];
+    let mut record_ends = vec![std::fs::metadata(&path).unwrap().len() as usize];
     for index in 1..=4 {
         log.append(&[entry(index)], None).unwrap();
-        ends.push(std::fs::metadata(&path).unwrap().len() as usize);
+        record_ends.push(std::fs::metadata(&path).unwrap().len() as usize);
     }
     drop(log);
-    let whole = std::fs::read(&path).unwrap();
-    for cut in ends[0]..=whole.len() {
-        std::fs::write(&path, &whole[..cut]).unwrap();
-        let (mut log, loaded) = LogFile::open(&path, "v of t", false).unwrap();
-        let kept = ends.iter().filter(|e| **e <= cut).count() - 1;
-        assert_eq!(loaded.entries.len(), kept, "cut at {cut}");
-        // What comes next is not lost behind the torn one.
+    let complete = std::fs::read(&path).unwrap();
+    for length in record_ends[0]..=complete.len() {
+        std::fs::write(&path, &complete[..length]).unwrap();
+        let (mut log, stored) = LogFile::open(&path, "v of t", false).unwrap();
+        let kept = record_ends.iter().filter(|e| **e <= length).count() - 1;
+        assert_eq!(stored.entries.len(), kept, "truncated to {length} bytes");
+        // A record that is appended after the torn one can be read.
         log.append(&[entry(kept as u64 + 1)], None).unwrap();
         assert_eq!(LogFile::open(&path, "v of t", false).unwrap_err().code(), "store-taken");
         drop(log);
         assert_eq!(LogFile::open(&path, "v of t", false).unwrap().1.entries.len(), kept + 1);
     }
-    let mut damaged = whole.clone();
-    damaged[ends[1] + HEAD + 3] ^= 1;
+    let mut damaged = complete.clone();
+    damaged[record_ends[1] + HEADER_BYTES + 3] ^= 1;
     std::fs::write(&path, &damaged).unwrap();
     assert!(LogFile::open(&path, "v of t", false).unwrap_err().to_string().contains("damaged"));
-    std::fs::write(&path, &whole).unwrap();
+    std::fs::write(&path, &complete).unwrap();
     assert!(LogFile::open(&path, "w of t", false).unwrap_err().to_string().contains("belongs to \"v of t\""));
-    // A vote and a picture, and entries that replace others.
+    // A snapshot and a vote, and an entry that replaces a later one.
     let (mut log, _) = LogFile::open(&path, "v of t", false).unwrap();
-    let mut picture = Snapshot::default();
-    picture.mut_metadata().index = 4;
-    log.replace(&picture, &[entry(5)], Some(&HardState { term: 3, vote: 2, ..HardState::default() }))
+    let mut snapshot = Snapshot::default();
+    snapshot.mut_metadata().index = 4;
+    log.replace(&snapshot, &[entry(5)], Some(&HardState { term: 3, vote: 2, ..HardState::default() }))
         .unwrap();
     log.append(&[entry(6), entry(5)], None).unwrap();
     drop(log);
-    let (_, loaded) = LogFile::open(&path, "v of t", false).unwrap();
+    let (_, stored) = LogFile::open(&path, "v of t", false).unwrap();
     assert_eq!(
-        (loaded.entries.len(), loaded.hard_state.vote, loaded.snapshot.unwrap().get_metadata().index),
+        (stored.entries.len(), stored.hard_state.vote, stored.snapshot.unwrap().get_metadata().index),
         (1, 2, 4)
     );
 }
 
 const OWNER_NAME: &str = "v of t";
 
-/// A log with entries 1 to 3 and a vote, which are acknowledged.
-fn acknowledged() -> (MemoryStorage, LogFile) {
-    let place = MemoryStorage::default();
-    let (mut log, _) = LogFile::open(&place, OWNER_NAME, true).unwrap();
+/// Creates a log with acknowledged entries 1 to 3 and a vote.
+fn acknowledged_log() -> (MemoryStorage, LogFile) {
+    let storage = MemoryStorage::default();
+    let (mut log, _) = LogFile::open(&storage, OWNER_NAME, true).unwrap();
     for index in 1..=3 {
         log.append(&[entry(index)], Some(&vote(index))).unwrap();
     }
-    (place, log)
+    (storage, log)
 }
 
 fn vote(term: u64) -> HardState {
@@ -74,137 +74,138 @@
     snapshot
 }
 
-/// Snapshot, entries and term.
-fn contents(loaded: &StoredLog) -> (u64, Vec<u64>, u64) {
-    let snapshot = loaded.snapshot.as_ref().map_or(0, |s| s.get_metadata().index);
-    (snapshot, loaded.entries.iter().map(|e| e.index).collect(), loaded.hard_state.term)
+/// Returns snapshot index, entry indexes and term.
+fn summary(stored: &StoredLog) -> (u64, Vec<u64>, u64) {
+    let snapshot = stored.snapshot.as_ref().map_or(0, |s| s.get_metadata().index);
+    (snapshot, stored.entries.iter().map(|e| e.index).collect(), stored.hard_state.term)
 }
 
-/// What the log holds once power was lost and it is opened again.
-fn after_power_loss(place: &MemoryStorage) -> (u64, Vec<u64>, u64) {
-    place.lose_power(0);
-    contents(&LogFile::open(place, OWNER_NAME, false).unwrap().1)
+/// Returns the contents of the log after a power loss.
+fn after_power_loss(storage: &MemoryStorage) -> (u64, Vec<u64>, u64) {
+    storage.lose_power(0);
+    summary(&LogFile::open(storage, OWNER_NAME, false).unwrap().1)
 }
 
 const ACKNOWLEDGED: (u64, [u64; 3], u64) = (0, [1, 2, 3], 3);
 
-fn same_as_acknowledged(seen: &(u64, Vec<u64>, u64)) -> bool {
-    *seen == (ACKNOWLEDGED.0, ACKNOWLEDGED.1.to_vec(), ACKNOWLEDGED.2)
+fn is_acknowledged(summary: &(u64, Vec<u64>, u64)) -> bool {
+    *summary == (ACKNOWLEDGED.0, ACKNOWLEDGED.1.to_vec(), ACKNOWLEDGED.2)
 }
 
 #[test]
-fn an_append_that_fails_at_any_byte_is_dropped_and_the_log_recovers_once_it_can_be_written() {
-    let (_, whole) = acknowledged();
-    let before = whole.acknowledged;
-    let mut out = Vec::new();
-    records(&mut out, &[entry(4), entry(5)], Some(&vote(9))).unwrap();
-    for room in 0..out.len() {
-        let (place, mut log) = acknowledged();
-        place.inject_fault(StorageFault::DiskFull(room));
+fn failed_append_is_dropped_and_the_log_recovers_once_it_can_be_written() {
+    let (_, complete) = acknowledged_log();
+    let acknowledged_bytes = complete.acknowledged;
+    let mut appended = Vec::new();
+    encode_records(&mut appended, &[entry(4), entry(5)], Some(&vote(9))).unwrap();
+    for free in 0..appended.len() {
+        let (storage, mut log) = acknowledged_log();
+        storage.inject_fault(StorageFault::DiskFull(free));
         assert_eq!(log.append(&[entry(4), entry(5)], Some(&vote(9))).unwrap_err().code(), "store-full");
-        // Still full: nothing is taken, and it may be tried again.
+        // While the disk is full, writes are rejected and recovery can be repeated.
         assert_eq!(log.recover().unwrap_err().code(), "store-full");
         assert_eq!(log.append(&[entry(4)], None).unwrap_err().code(), "store-stopped");
         assert_eq!(log.replace(&snapshot(4), &[], None).unwrap_err().code(), "store-stopped");
-        place.clear_fault();
-        let loaded = log.recover().unwrap();
-        assert!(same_as_acknowledged(&contents(&loaded)), "room for {room} bytes: {loaded:?}");
-        assert_eq!(log.acknowledged, before);
+        storage.clear_fault();
+        let stored = log.recover().unwrap();
+        assert!(is_acknowledged(&summary(&stored)), "{free} bytes free: {stored:?}");
+        assert_eq!(log.acknowledged, acknowledged_bytes);
         log.append(&[entry(4)], None).unwrap();
-        assert_eq!(after_power_loss(&place), (0, vec![1, 2, 3, 4], 3), "room for {room} bytes");
+        assert_eq!(after_power_loss(&storage), (0, vec![1, 2, 3, 4], 3), "{free} bytes free");
     }
 }
 
 #[test]
-fn a_replacement_that_fails_at_any_byte_leaves_all_of_the_old_log_or_all_of_the_new() {
-    let (_, mut log) = acknowledged();
+fn failed_replacement_leaves_the_complete_old_or_the_complete_new_log() {
+    let (_, mut log) = acknowledged_log();
     log.replace(&snapshot(3), &[entry(4)], Some(&vote(7))).unwrap();
-    for room in 0..log.acknowledged {
-        let (place, mut log) = acknowledged();
-        place.inject_fault(StorageFault::DiskFull(room));
+    for free in 0..log.acknowledged {
+        let (storage, mut log) = acknowledged_log();
+        storage.inject_fault(StorageFault::DiskFull(free));
         assert!(log.replace(&snapshot(3), &[entry(4)], Some(&vote(7))).is_err());
-        place.clear_fault();
-        assert!(same_as_acknowledged(&contents(&log.recover().unwrap())), "room for {room} bytes");
-        assert!(same_as_acknowledged(&after_power_loss(&place)), "room for {room} bytes");
+        storage.clear_fault();
+        assert!(is_acknowledged(&summary(&log.recover().unwrap())), "{free} bytes free");
+        assert!(is_acknowledged(&after_power_loss(&storage)), "{free} bytes free");
     }
-    let (place, mut log) = acknowledged();
-    place.inject_fault(StorageFault::DirectorySyncFailsOnce);
+    let (storage, mut log) = acknowledged_log();
+    storage.inject_fault(StorageFault::DirectorySyncFailsOnce);
     assert!(log.replace(&snapshot(3), &[entry(4)], Some(&vote(7))).is_err());
-    let new = (3, vec![4], 7);
-    assert_eq!(contents(&log.recover().unwrap()), new);
-    assert_eq!(after_power_loss(&place), new);
+    let replaced = (3, vec![4], 7);
+    assert_eq!(summary(&log.recover().unwrap()), replaced);
+    assert_eq!(after_power_loss(&storage), replaced);
 }
 
-/// What could be read after a sync that failed is not on the disk, and no later sync writes it.
+/// Guards against records that can be read after a failed sync, but are not on the disk and are never written
+/// by a later sync.
 #[test]
-fn what_is_read_back_after_a_failed_sync_lasts_before_anything_is_built_on_it() {
+fn records_read_after_a_failed_sync_are_made_durable_before_they_are_returned() {
     for fault in
         [StorageFault::SyncFailsOnce, StorageFault::SyncFailsOnceReadable, StorageFault::EverySyncFails]
     {
-        let (place, mut log) = acknowledged();
-        place.inject_fault(fault);
+        let (storage, mut log) = acknowledged_log();
+        storage.inject_fault(fault);
         assert!(log.append(&[entry(4)], Some(&vote(4))).is_err());
-        place.clear_fault();
-        let loaded = log.recover().unwrap();
-        assert!(same_as_acknowledged(&contents(&loaded)), "{fault:?}: {loaded:?}");
+        storage.clear_fault();
+        let stored = log.recover().unwrap();
+        assert!(is_acknowledged(&summary(&stored)), "{fault:?}: {stored:?}");
         log.append(&[entry(4)], None).unwrap();
-        assert_eq!(after_power_loss(&place), (0, vec![1, 2, 3, 4], 3), "{fault:?}");
-        // A process that starts after another's failed sync sees the record, and may answer for it.
-        let (place, mut log) = acknowledged();
-        place.inject_fault(fault);
+        assert_eq!(after_power_loss(&storage), (0, vec![1, 2, 3, 4], 3), "{fault:?}");
+        // A new process reads the record after the failed sync of another one, and may rely on it.
+        let (storage, mut log) = acknowledged_log();
+        storage.inject_fault(fault);
         assert!(log.append(&[entry(4)], Some(&vote(4))).is_err());
         drop(log);
-        place.clear_fault();
-        let (log, loaded) = LogFile::open(&place, OWNER_NAME, false).unwrap();
-        let seen = contents(&loaded);
+        storage.clear_fault();
+        let (log, stored) = LogFile::open(&storage, OWNER_NAME, false).unwrap();
+        let read = summary(&stored);
         drop(log);
-        assert_eq!(after_power_loss(&place), seen, "{fault:?}");
+        assert_eq!(after_power_loss(&storage), read, "{fault:?}");
     }
 }
 
 #[test]
-fn a_failed_recovery_can_be_made_again_and_power_may_go_between_the_two() {
+fn failed_recovery_can_be_repeated_and_survives_a_power_loss() {
     for fault in [
         StorageFault::SyncFailsOnce,
         StorageFault::EverySyncFails,
         StorageFault::DirectorySyncFailsOnce,
         StorageFault::DiskFull(0),
     ] {
-        let (place, mut log) = acknowledged();
-        place.inject_fault(StorageFault::DiskFull(5));
+        let (storage, mut log) = acknowledged_log();
+        storage.inject_fault(StorageFault::DiskFull(5));
         assert!(log.append(&[entry(4)], None).is_err());
-        place.inject_fault(fault);
+        storage.inject_fault(fault);
         assert!(log.recover().unwrap_err().is_transient(), "{fault:?}");
         assert_eq!(log.append(&[entry(4)], None).unwrap_err().code(), "store-stopped");
-        place.clear_fault();
-        assert!(same_as_acknowledged(&contents(&log.recover().unwrap())), "{fault:?}");
-        assert!(same_as_acknowledged(&after_power_loss(&place)), "{fault:?}");
+        storage.clear_fault();
+        assert!(is_acknowledged(&summary(&log.recover().unwrap())), "{fault:?}");
+        assert!(is_acknowledged(&after_power_loss(&storage)), "{fault:?}");
     }
 }
 
 #[test]
-fn a_log_that_has_lost_what_was_acknowledged_does_not_come_back() {
-    let (place, mut log) = acknowledged();
-    let bytes = place.durable_bytes();
-    place.inject_fault(StorageFault::SyncFailsOnce);
+fn log_that_has_lost_acknowledged_records_does_not_recover() {
+    let (storage, mut log) = acknowledged_log();
+    let bytes = storage.durable_bytes();
+    storage.inject_fault(StorageFault::SyncFailsOnce);
     assert!(log.append(&[entry(4)], None).is_err());
-    place.overwrite(&bytes[..bytes.len() - 1]);
+    storage.overwrite(&bytes[..bytes.len() - 1]);
     let error = log.recover().unwrap_err();
     assert_eq!((error.code(), error.is_transient()), ("store-lost", false));
     assert_eq!(log.append(&[entry(4)], None).unwrap_err().code(), "store-stopped");
 }
 
 #[test]
-fn a_log_of_the_build_before_opens_and_its_bytes_stay() {
-    let (place, _log) = acknowledged();
-    let bytes = place.durable_bytes();
-    let mut before = Vec::new();
-    record(&mut before, OWNER, OWNER_NAME.as_bytes());
+fn log_of_the_previous_build_opens_and_keeps_its_bytes() {
+    let (storage, _log) = acknowledged_log();
+    let bytes = storage.durable_bytes();
+    let mut expected = Vec::new();
+    encode_record(&mut expected, OWNER_RECORD, OWNER_NAME.as_bytes());
     for index in 1..=3 {
-        records(&mut before, &[entry(index)], Some(&vote(index))).unwrap();
+        encode_records(&mut expected, &[entry(index)], Some(&vote(index))).unwrap();
     }
-    assert_eq!(bytes, before);
-    place.lose_power(0);
-    LogFile::open(&place, OWNER_NAME, false).unwrap();
-    assert_eq!(place.durable_bytes(), before);
+    assert_eq!(bytes, expected);
+    storage.lose_power(0);
+    LogFile::open(&storage, OWNER_NAME, false).unwrap();
+    assert_eq!(storage.durable_bytes(), expected);
 }
--- a/crates/consensus/src/store_error.rs
+++ b/crates/consensus/src/store_error.rs
@@ -1,104 +1,105 @@
-//! What can go wrong with a voter's store, and what an operator can do about it.
+//! Errors of a voter's log store, with advice for the operator.
 
 use std::io;
 
-/// A fault of a voter's store. [`StoreError::code`] stays the same from build to build; docs/operate/errors.md has them all.
+/// An error of a voter's log store. The [code](StoreError::code) of an error is stable;
+/// docs/operate/errors.md lists all of them.
 #[derive(Debug, thiserror::Error)]
 pub enum StoreError {
-    /// There is no file.
-    #[error("{location}: is not there")]
+    /// The file does not exist.
+    #[error("{location}: file not found")]
     Missing {
-        /// Where.
+        /// The path of the file.
         location: String,
     },
-    /// Another process has it open.
-    #[error("{location}: another process has it")]
+    /// Another process has the file open.
+    #[error("{location}: the file is locked by another process")]
     Taken {
-        /// Where.
+        /// The path of the file.
         location: String,
     },
-    /// It was founded by another voter, or in a tier with other voters.
-    #[error("{location}: belongs to {owner:?}, and this is {voter:?}")]
+    /// The file was created by another voter, or in a tier with other voters.
+    #[error("{location}: belongs to {owner:?}, but this voter is {voter:?}")]
     Foreign {
-        /// Where.
+        /// The path of the file.
         location: String,
-        /// Its owner.
+        /// The voter that created the file, with the voters of its tier.
         owner: String,
-        /// This voter.
+        /// This voter, with the voters of its tier.
         voter: String,
     },
-    /// What lies before good records cannot be read.
-    #[error("{location}: byte {offset}: damaged, with good records from byte {next_record_offset} on")]
+    /// Bytes in front of valid records cannot be read.
+    #[error("{location}: damaged at byte {offset}, with valid records from byte {next_record_offset} on")]
     Damaged {
-        /// Where.
+        /// The path of the file.
         location: String,
-        /// First byte that cannot be read.
+        /// The offset of the first byte that cannot be read.
         offset: usize,
-        /// Where the next good record begins.
+        /// The offset of the next valid record.
         next_record_offset: usize,
     },
-    /// A record that this build does not know, or whose contents it cannot read.
-    #[error("{location}: byte {offset}: {record}, which this build does not know")]
+    /// A record is of a kind, or has contents, that this build cannot read.
+    #[error("{location}: byte {offset}: {record} that this build does not support")]
     Newer {
-        /// Where.
+        /// The path of the file.
         location: String,
-        /// Where the record begins.
+        /// The offset of the record.
         offset: usize,
-        /// What it is.
+        /// A description of the record.
         record: String,
     },
-    /// What was acknowledged is not there any more, though the file was this process's alone.
-    #[error("{location}: {acknowledged} bytes were acknowledged, and {readable} of them can be read")]
+    /// Acknowledged records are missing, although the file was locked by this process.
+    #[error("{location}: of {acknowledged} bytes that were written and synced, only {readable} can be read")]
     Lost {
-        /// Where.
+        /// The path of the file.
         location: String,
         /// Bytes that were acknowledged.
         acknowledged: usize,
-        /// Bytes that are left.
+        /// Bytes of them that can be read.
         readable: usize,
     },
-    /// The disk has no room.
+    /// The disk is full.
     #[error("{location}: the disk is full")]
     Full {
-        /// Where.
+        /// The path of the file.
         location: String,
     },
-    /// Reading, writing or syncing failed.
-    #[error("{location}: {operation}: {source}")]
+    /// An operation of the system failed.
+    #[error("{location}: {operation} failed: {source}")]
     Failed {
-        /// Where.
+        /// The path of the file.
         location: String,
-        /// What was under way.
+        /// The operation.
         operation: &'static str,
-        /// What the system says.
+        /// The error of the system.
         source: io::Error,
     },
-    /// An earlier write or sync failed, and nobody knows what of it is on the disk.
-    #[error("{location}: takes nothing more since a write or a sync failed")]
+    /// An earlier write or sync failed, and it is unknown which of its data is on the disk.
+    #[error("{location}: closed for writing, because an earlier write or sync failed")]
     Stopped {
-        /// Where.
+        /// The path of the file.
         location: String,
     },
 }
 
 impl StoreError {
-    /// One of each, for tests of pages and advice.
+    /// Returns one error of each kind, for tests of the documentation.
     pub fn samples() -> Vec<StoreError> {
-        let place = || "p".to_string();
+        let location = || "p".to_string();
         vec![
-            StoreError::Missing { location: place() },
-            StoreError::Taken { location: place() },
-            StoreError::Foreign { location: place(), owner: "a".into(), voter: "b".into() },
-            StoreError::Damaged { location: place(), offset: 1, next_record_offset: 2 },
-            StoreError::Newer { location: place(), offset: 1, record: "a record of kind 9".into() },
-            StoreError::Lost { location: place(), acknowledged: 2, readable: 1 },
-            StoreError::Full { location: place() },
-            StoreError::Failed { location: place(), operation: "sync", source: io::Error::other("x") },
-            StoreError::Stopped { location: place() },
+            StoreError::Missing { location: location() },
+            StoreError::Taken { location: location() },
+            StoreError::Foreign { location: location(), owner: "a".into(), voter: "b".into() },
+            StoreError::Damaged { location: location(), offset: 1, next_record_offset: 2 },
+            StoreError::Newer { location: location(), offset: 1, record: "a record of kind 9".into() },
+            StoreError::Lost { location: location(), acknowledged: 2, readable: 1 },
+            StoreError::Full { location: location() },
+            StoreError::Failed { location: location(), operation: "sync", source: io::Error::other("x") },
+            StoreError::Stopped { location: location() },
         ]
     }
 
-    /// A stable name.
+    /// Returns the stable code of the error.
     pub fn code(&self) -> &'static str {
         match self {
             StoreError::Missing { .. } => "store-missing",
@@ -113,46 +114,48 @@
         }
     }
 
-    /// What an operator can do.
+    /// Returns what an operator can do.
     pub fn advice(&self) -> &'static str {
         match self {
             StoreError::Missing { .. } => {
-                "a voter that has lost its file must not vote as if it had never voted: set tier.found for the very \
-                 first start of the tier, else restore the file"
+                "restore the file: a voter that has lost it could vote twice in one term. Set tier.found only for the \
+                 very first start of the tier"
             }
             StoreError::Taken { .. } => {
-                "end the other process, or give this one a tier.store of its own; after an upgrade wait until the old \
-                 process has ended"
+                "stop the other process, or give this one a tier.store of its own; after an upgrade wait until the old \
+                 process has exited"
             }
             StoreError::Foreign { .. } => {
-                "name this voter's own file in tier.store; to change the voters, restart the whole tier with new files"
+                "set tier.store to the file of this voter; to change the voters, restart the whole tier with new files"
             }
             StoreError::Damaged { .. } => {
-                "do not cut the file: what follows the damage was acknowledged. Restore a copy of this very file, or \
-                 leave the voter out until the tier is founded anew"
+                "do not truncate the file: the records after the damage were acknowledged. Restore a copy of this \
+                 file, or leave the voter stopped until the tier is started with new files"
             }
             StoreError::Newer { .. } => "start the build that wrote the file, or a newer one",
             StoreError::Lost { .. } => {
-                "somebody has written to the file, or the disk has lost what it had taken: restore a copy of this very \
-                 file from after the loss, or leave the voter out until the tier is founded anew"
+                "another program has written to the file, or the disk has lost data that it had confirmed: restore a \
+                 copy of this file that is newer than the loss, or leave the voter stopped until the tier is started \
+                 with new files"
             }
             StoreError::Full { .. } => {
-                "make room on the disk: the voter comes back by itself, and the others go on meanwhile"
+                "free space on the disk: the voter recovers on its own, and the other voters continue meanwhile"
             }
             StoreError::Failed { .. } if !self.is_transient() => {
-                "mend the path or the rights on the file and its directory, and start the voter again"
+                "correct the path, or the permissions of the file and its directory, and restart the voter"
             }
             StoreError::Failed { .. } => {
-                "look at the disk: the voter comes back by itself once it can be written, and the others go on meanwhile"
+                "check the disk: the voter recovers on its own once it can write, and the other voters continue meanwhile"
             }
             StoreError::Stopped { .. } => {
-                "look for the first error in the log and mend its cause: the voter comes back by itself"
+                "find the first error in the log and remove its cause: the voter recovers on its own"
             }
         }
     }
 
-    /// Whether the same call may succeed later without anybody at work on the file: the disk is full or fails, or
-    /// another process has it open. Any other error lasts until an operator mends its cause and starts the voter again.
+    /// Whether the same operation may succeed later without any action on the file: the disk is full or
+    /// fails, or another process has the file open. After any other error an operator must remove the cause
+    /// and restart the voter.
     pub fn is_transient(&self) -> bool {
         match self {
             StoreError::Taken { .. } | StoreError::Full { .. } | StoreError::Stopped { .. } => true,
@@ -165,14 +168,14 @@
         }
     }
 
-    /// What a failed operation at a place comes to.
-    pub(crate) fn of(place: &str, doing: &'static str, source: io::Error) -> StoreError {
-        let place = place.to_string();
+    /// Converts the error of an operation on a file.
+    pub(crate) fn from_io(location: &str, operation: &'static str, source: io::Error) -> StoreError {
+        let location = location.to_string();
         match source.kind() {
-            io::ErrorKind::NotFound => StoreError::Missing { location: place },
-            io::ErrorKind::WouldBlock => StoreError::Taken { location: place },
-            io::ErrorKind::StorageFull | io::ErrorKind::QuotaExceeded => StoreError::Full { location: place },
-            _ => StoreError::Failed { location: place, operation: doing, source },
+            io::ErrorKind::NotFound => StoreError::Missing { location },
+            io::ErrorKind::WouldBlock => StoreError::Taken { location },
+            io::ErrorKind::StorageFull | io::ErrorKind::QuotaExceeded => StoreError::Full { location },
+            _ => StoreError::Failed { location, operation, source },
         }
     }
 }
@@ -189,7 +192,7 @@
     }
 }
 
-/// Whether an error of the system comes of the path or its rights rather than of the disk.
+/// Whether an error is caused by the path or its permissions rather than by the disk.
 fn is_misconfigured(kind: io::ErrorKind) -> bool {
     matches!(
         kind,
