--- a/crates/consensus/src/storage.rs
+++ b/crates/consensus/src/storage.rs
@@ -1,6 +1,5 @@
-//! Storage for what must survive a crash: the file operations under a voter's log, as a trait, so that a failing disk can
-//! be put beneath it. The real file is here, and one in memory that tears, shortens, fills up, fails to sync and loses
-//! power.
+//! The file operations under a voter's log, as traits, so that tests can inject disk failures. Implemented
+//! for real files and for a file in memory with short writes, a full disk, failed syncs and power loss.
 
 use std::cell::RefCell;
 use std::fs::{File, OpenOptions};
@@ -9,29 +8,36 @@
 use std::path::{Path, PathBuf};
 use std::rc::Rc;
 
-/// Where a file may stand. One opener at a time.
+/// The location of a file that one process at a time can open.
 pub trait StorageLocation: std::fmt::Debug {
-    /// Its name, for messages.
+    /// Returns the name of the location, for messages.
     fn name(&self) -> String;
-    /// Opens it for this opener alone, or makes it where `create` says so. `NotFound` if it is not there, `WouldBlock`
-    /// while another has it.
+    /// Opens and locks the file, or creates it if it is missing and `create` is set.
+    ///
+    /// # Errors
+    /// `NotFound` if the file is missing, `WouldBlock` if another process has it open.
     fn open(&self, create: bool) -> io::Result<Box<dyn DurableFile>>;
 }
 
-/// An opened file that grows at its end. After an error of [`DurableFile::write`] or [`DurableFile::sync`] nobody knows which of
-/// the bytes written since the last successful sync are on the disk, not even after reading them back: the kernel may
-/// show pages that it failed to write, and take them for written. Only [`DurableFile::swap`] is of use then.
+/// An open file that is appended to or replaced as a whole.
+///
+/// After an error of [`DurableFile::write`] or [`DurableFile::sync`] it is unknown which bytes written since
+/// the last successful sync are on the disk. Reading them back does not tell: the kernel may show pages that
+/// it failed to write and treats as clean. Only [`DurableFile::replace_contents`] restores a known state.
 pub trait DurableFile: std::fmt::Debug {
-    /// All that it holds, from its first byte on.
+    /// Reads the whole file.
     fn read_all(&mut self) -> io::Result<Vec<u8>>;
-    /// Writes some of these bytes at the end, at least one; how many. They last once [`DurableFile::sync`] returns well.
+    /// Appends some of these bytes, at least one, and returns how many. They are durable once
+    /// [`DurableFile::sync`] succeeds.
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize>;
-    /// What was written lasts.
+    /// Makes all written bytes durable.
     fn sync(&mut self) -> io::Result<()>;
-    /// Replaces all contents by these bytes, on fresh pages of the disk: whoever opens the file after a crash finds the
-    /// old contents or the new, complete. Once it returns well they last. After an error this handle reads either the
-    /// old or the new contents, and another call may be made. The opener keeps the file for itself throughout;
-    /// `WouldBlock` if somebody has put another file in its place.
+    /// Replaces the whole contents atomically and durably, in newly allocated blocks: after a crash the file
+    /// holds either the old or the new contents. After an error the same is true of this handle, and the call
+    /// may be repeated. The file stays locked throughout.
+    ///
+    /// # Errors
+    /// `WouldBlock` if another file has been put in its place.
     fn replace_contents(&mut self, bytes: &[u8]) -> io::Result<()>;
 }
 
@@ -43,36 +49,36 @@
     fn open(&self, create: bool) -> io::Result<Box<dyn DurableFile>> {
         let file = OpenOptions::new().create(create).read(true).append(true).open(self)?;
         lock(&file)?;
-        // Between the opening and the lock another process may have replaced the file; its lock is on the new one.
+        // Another process may have replaced the file between open and lock, and hold the lock on the new one.
         ensure_current(&file, self)?;
-        Ok(Box::new(OnDisk { file, path: self.clone(), directory: directory_of(self) }))
+        Ok(Box::new(DiskFile { file, path: self.clone(), directory: directory_of(self) }))
     }
 }
 
-/// Takes a file for this process alone; `WouldBlock` while another has it.
+/// Locks a file for this process; `WouldBlock` if another process has locked it.
 fn lock(file: &File) -> io::Result<()> {
     Ok(rustix::fs::flock(file, rustix::fs::FlockOperation::NonBlockingLockExclusive)?)
 }
 
-/// `WouldBlock` if the path names another file than this one by now, `NotFound` if it names none.
+/// Checks that the path still refers to this file: `WouldBlock` if it refers to another one, `NotFound` if to
+/// none.
 fn ensure_current(file: &File, path: &Path) -> io::Result<()> {
     let opened = file.metadata()?;
-    let named = path.metadata()?;
-    if (opened.dev(), opened.ino()) == (named.dev(), named.ino()) {
+    let current = path.metadata()?;
+    if (opened.dev(), opened.ino()) == (current.dev(), current.ino()) {
         Ok(())
     } else {
         Err(io::ErrorKind::WouldBlock.into())
     }
 }
 
-/// Creates a file with these bytes on the disk, in place of one that a killed process left there; none is left after an
-/// error.
-fn write_fresh(fresh: &Path, bytes: &[u8]) -> io::Result<File> {
-    let created = OpenOptions::new().read(true).write(true).create(true).truncate(true).open(fresh)?;
+/// Writes and syncs a file, overwriting one that a killed process left there. Removes it after an error.
+fn write_temporary(temporary: &Path, bytes: &[u8]) -> io::Result<File> {
+    let created = OpenOptions::new().read(true).write(true).create(true).truncate(true).open(temporary)?;
     let written = write_synced(created, bytes);
     if written.is_err() {
-        // On a full disk the half-written file would take the room that the next attempt needs.
-        let _ = std::fs::remove_file(fresh);
+        // On a full disk a partial file would take the space that the next attempt needs.
+        let _ = std::fs::remove_file(temporary);
     }
     written
 }
@@ -80,7 +86,7 @@
 fn write_synced(mut file: File, bytes: &[u8]) -> io::Result<File> {
     file.write_all(bytes)?;
     match file.sync_all() {
-        // Not a file of a disk, but a pipe or a device: nothing of it can be synced, or lasts.
+        // A pipe or a device cannot be synced.
         Err(e) if e.kind() == io::ErrorKind::InvalidInput => Ok(file),
         synced => synced.map(|()| file),
     }
@@ -90,33 +96,33 @@
     path.parent().filter(|p| !p.as_os_str().is_empty()).unwrap_or(Path::new(".")).into()
 }
 
-/// Has the names in a directory last.
+/// Makes the entries of a directory durable.
 fn sync_directory(directory: &Path) -> io::Result<()> {
     File::open(directory)?.sync_all()
 }
 
-/// Replaces a file by these bytes through `fresh`, a name beside it that nobody else uses: a crash at any point leaves
-/// the old contents or the new, complete. After an error nothing has been left behind at `fresh`.
-pub fn write_atomically(path: &Path, fresh: &Path, bytes: &[u8]) -> io::Result<()> {
-    let written = File::create(fresh)
+/// Replaces a file atomically and durably. `temporary` is a path in the same directory that nothing else
+/// uses. A crash leaves either the old or the new contents; an error leaves no file at `temporary`.
+pub fn write_atomically(path: &Path, temporary: &Path, bytes: &[u8]) -> io::Result<()> {
+    let written = File::create(temporary)
         .and_then(|file| write_synced(file, bytes))
-        .and_then(|_| std::fs::rename(fresh, path));
+        .and_then(|_| std::fs::rename(temporary, path));
     if let Err(e) = written {
-        let _ = std::fs::remove_file(fresh);
+        let _ = std::fs::remove_file(temporary);
         return Err(e);
     }
     sync_directory(&directory_of(path))
 }
 
 #[derive(Debug)]
-struct OnDisk {
+struct DiskFile {
     file: File,
     path: PathBuf,
-    /// Where its name is.
+    /// The directory of `path`.
     directory: PathBuf,
 }
 
-impl DurableFile for OnDisk {
+impl DurableFile for DiskFile {
     fn read_all(&mut self) -> io::Result<Vec<u8>> {
         let mut bytes = Vec::new();
         self.file.rewind()?;
@@ -131,85 +137,86 @@
     }
     fn replace_contents(&mut self, bytes: &[u8]) -> io::Result<()> {
         ensure_current(&self.file, &self.path)?;
-        let fresh = self.path.with_extension("new");
-        let file = write_fresh(&fresh, bytes)?;
-        if let Err(e) = lock(&file).and_then(|()| std::fs::rename(&fresh, &self.path)) {
-            let _ = std::fs::remove_file(&fresh);
+        let temporary = self.path.with_extension("new");
+        let file = write_temporary(&temporary, bytes)?;
+        if let Err(e) = lock(&file).and_then(|()| std::fs::rename(&temporary, &self.path)) {
+            let _ = std::fs::remove_file(&temporary);
             return Err(e);
         }
-        // From here on the path names the new file. Its lock is the one that counts, whatever fails below; the lock on
-        // the old file goes with its handle.
+        // The path refers to the new file now, so only its lock counts, even if the sync below fails.
+        // Dropping the old handle releases the lock on the old file.
         self.file = file;
         sync_directory(&self.directory)
     }
 }
 
-/// What goes wrong at the next operation that it concerns: once, where nothing else is said.
+/// A failure to inject into a [`MemoryStorage`]. It affects one operation unless stated otherwise.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StorageFault {
-    /// No write puts down more than so many bytes at a time, from now on.
+    /// Every write writes at most this many bytes.
     ShortWrites(usize),
-    /// So many bytes find room in the next write, and none after it, until there is room again.
+    /// This many more bytes can be written, then the disk is full until the fault is cleared.
     DiskFull(usize),
-    /// The next sync fails; what it was for is lost.
+    /// The next sync fails, and the unsynced bytes are lost.
     SyncFailsOnce,
-    /// The next sync fails, and what it was for can still be read until power goes: its pages count as written, and no
-    /// later sync writes them.
+    /// The next sync fails. The unsynced bytes can be read until power is lost, but no later sync writes
+    /// them.
     SyncFailsOnceReadable,
-    /// Every sync fails, until the disk works again; what it was for is lost.
+    /// Every sync fails until the fault is cleared, and the unsynced bytes are lost.
     EverySyncFails,
-    /// The next replacement takes place, but whether its name lasts is not known: an error, and what stands there after
-    /// a loss of power may be the old contents or the new.
+    /// The next replacement takes place and reports an error; after a power loss the file holds the old or
+    /// the new contents.
     DirectorySyncFailsOnce,
-    /// Power goes after so many bytes of the next write have reached the disk; nothing works until it is opened anew.
+    /// Power is lost after this many bytes of the next write; every operation fails until the file is opened
+    /// again.
     PowerLoss(usize),
 }
 
 #[derive(Debug, Default)]
-struct Held {
-    there: bool,
-    /// What lasts.
-    lasts: Vec<u8>,
-    /// Pages that can be read and that no sync will write any more.
-    unwritten: Vec<u8>,
-    /// What was written since the last sync.
-    since: Vec<u8>,
-    /// Contents that replaced all of this, by a name that does not last yet.
-    renamed: Option<Vec<u8>>,
+struct MemoryFileState {
+    exists: bool,
+    /// Bytes that survive a power loss.
+    durable: Vec<u8>,
+    /// Bytes that can be read but that no sync will write.
+    lost_pages: Vec<u8>,
+    /// Bytes written since the last sync.
+    unsynced: Vec<u8>,
+    /// Contents that replaced all of the above, under a name that is not durable yet.
+    replacement: Option<Vec<u8>>,
     fault: Option<StorageFault>,
-    /// Who has it open; 0 for nobody.
-    opener: u64,
-    openers: u64,
+    /// The number of the open handle; 0 if there is none.
+    open_handle: u64,
+    handles_opened: u64,
 }
 
-impl Held {
-    /// What can be read, though it may not last.
+impl MemoryFileState {
+    /// Returns the bytes that can be read, durable or not.
     fn visible(&self) -> Vec<u8> {
-        match &self.renamed {
-            Some(contents) => [&contents[..], &self.since].concat(),
-            None => [&self.lasts[..], &self.unwritten, &self.since].concat(),
+        match &self.replacement {
+            Some(contents) => [&contents[..], &self.unsynced].concat(),
+            None => [&self.durable[..], &self.lost_pages, &self.unsynced].concat(),
         }
     }
 
-    fn replace_all(&mut self, bytes: &[u8]) {
-        self.since.clear();
-        self.unwritten.clear();
-        self.renamed = None;
-        self.lasts = bytes.to_vec();
+    fn set_contents(&mut self, bytes: &[u8]) {
+        self.unsynced.clear();
+        self.lost_pages.clear();
+        self.replacement = None;
+        self.durable = bytes.to_vec();
     }
 
     fn sync(&mut self) -> io::Result<()> {
-        let since = std::mem::take(&mut self.since);
+        let unsynced = std::mem::take(&mut self.unsynced);
         match self.fault {
-            // As a kernel does: the pages are dropped, and the next sync says that all is well.
+            // The kernel drops the pages after a failed sync, and the next sync succeeds.
             Some(StorageFault::SyncFailsOnce) => self.fault = None,
             Some(StorageFault::EverySyncFails) => {}
             Some(StorageFault::SyncFailsOnceReadable) => {
                 self.fault = None;
-                self.unwritten.extend(since);
+                self.lost_pages.extend(unsynced);
             }
             _ => {
-                self.lasts.extend(since);
+                self.durable.extend(unsynced);
                 return Ok(());
             }
         }
@@ -218,11 +225,11 @@
 
     fn replace_contents(&mut self, bytes: &[u8]) -> io::Result<()> {
         match self.fault {
-            Some(StorageFault::DiskFull(room)) if room < bytes.len() => {
+            Some(StorageFault::DiskFull(free)) if free < bytes.len() => {
                 Err(io::ErrorKind::StorageFull.into())
             }
             Some(StorageFault::PowerLoss(_)) => {
-                self.opener = 0;
+                self.open_handle = 0;
                 self.fault = None;
                 Err(io::Error::other("power was lost"))
             }
@@ -233,142 +240,143 @@
             Some(StorageFault::EverySyncFails) => Err(io::Error::other("a sync failed")),
             Some(StorageFault::DirectorySyncFailsOnce) => {
                 self.fault = None;
-                self.since.clear();
-                self.renamed = Some(bytes.to_vec());
+                self.unsynced.clear();
+                self.replacement = Some(bytes.to_vec());
                 Err(io::Error::other("a sync of the directory failed"))
             }
             _ => {
-                self.replace_all(bytes);
+                self.set_contents(bytes);
                 Ok(())
             }
         }
     }
 }
 
-/// A place in memory.
+/// A file in memory with injected faults.
 #[derive(Clone, Debug, Default)]
-pub struct MemoryStorage(Rc<RefCell<Held>>);
+pub struct MemoryStorage(Rc<RefCell<MemoryFileState>>);
 
 impl MemoryStorage {
-    /// Has this go wrong next.
+    /// Sets the fault that the following operations meet.
     pub fn inject_fault(&self, fault: StorageFault) {
         self.0.borrow_mut().fault = Some(fault);
     }
-    /// The disk works again; whoever has it open still has it.
+    /// Removes the fault. A handle that is open stays open.
     pub fn clear_fault(&self) {
         self.0.borrow_mut().fault = None;
     }
-    /// Power goes: what was not synced is lost, but for so many bytes of it, and whoever has it open has it no more. A
-    /// replacement whose name was not synced is lost as well if no byte is kept.
+    /// Simulates a power loss: unsynced bytes are lost except the first `kept`, and an open handle becomes
+    /// invalid. A replacement whose name is not durable is lost too if `kept` is 0.
     pub fn lose_power(&self, kept: usize) {
-        let mut held = self.0.borrow_mut();
-        let since = std::mem::take(&mut held.since);
-        held.unwritten.clear();
-        if let Some(contents) = held.renamed.take().filter(|_| kept > 0) {
-            held.lasts = contents;
+        let mut state = self.0.borrow_mut();
+        let unsynced = std::mem::take(&mut state.unsynced);
+        state.lost_pages.clear();
+        if let Some(contents) = state.replacement.take().filter(|_| kept > 0) {
+            state.durable = contents;
         }
-        held.lasts.extend_from_slice(&since[..kept.min(since.len())]);
-        held.opener = 0;
-        held.fault = None;
+        state.durable.extend_from_slice(&unsynced[..kept.min(unsynced.len())]);
+        state.open_handle = 0;
+        state.fault = None;
     }
-    /// What lasts.
+    /// Returns the bytes that survive a power loss.
     pub fn durable_bytes(&self) -> Vec<u8> {
-        self.0.borrow().lasts.clone()
+        self.0.borrow().durable.clone()
     }
-    /// Puts other bytes there, as damage would.
+    /// Overwrites the contents, to simulate damage.
     pub fn overwrite(&self, bytes: &[u8]) {
-        let mut held = self.0.borrow_mut();
-        held.there = true;
-        held.replace_all(bytes);
+        let mut state = self.0.borrow_mut();
+        state.exists = true;
+        state.set_contents(bytes);
     }
 }
 
 impl StorageLocation for MemoryStorage {
     fn name(&self) -> String {
-        "a place in memory".into()
+        "a file in memory".into()
     }
 
     fn open(&self, create: bool) -> io::Result<Box<dyn DurableFile>> {
-        let mut held = self.0.borrow_mut();
-        if !held.there && !create {
+        let mut state = self.0.borrow_mut();
+        if !state.exists && !create {
             return Err(io::ErrorKind::NotFound.into());
         }
-        if held.opener != 0 {
+        if state.open_handle != 0 {
             return Err(io::ErrorKind::WouldBlock.into());
         }
-        held.openers += 1;
-        (held.there, held.opener) = (true, held.openers);
-        Ok(Box::new(InMemory { place: self.clone(), opener: held.openers }))
+        state.handles_opened += 1;
+        (state.exists, state.open_handle) = (true, state.handles_opened);
+        Ok(Box::new(MemoryFile { storage: self.clone(), handle: state.handles_opened }))
     }
 }
 
 #[derive(Debug)]
-struct InMemory {
-    place: MemoryStorage,
-    opener: u64,
+struct MemoryFile {
+    storage: MemoryStorage,
+    handle: u64,
 }
 
-impl InMemory {
-    fn with<T>(&self, work: impl FnOnce(&mut Held) -> io::Result<T>) -> io::Result<T> {
-        let mut held = self.place.0.borrow_mut();
-        if held.opener != self.opener {
+impl MemoryFile {
+    /// Runs an operation on the file if this handle is still valid.
+    fn with_state<T>(&self, operation: impl FnOnce(&mut MemoryFileState) -> io::Result<T>) -> io::Result<T> {
+        let mut state = self.storage.0.borrow_mut();
+        if state.open_handle != self.handle {
             return Err(io::Error::other("power was lost"));
         }
-        work(&mut held)
+        operation(&mut state)
     }
 }
 
-impl Drop for InMemory {
+impl Drop for MemoryFile {
     fn drop(&mut self) {
-        let mut held = self.place.0.borrow_mut();
-        if held.opener == self.opener {
-            held.opener = 0;
-            // The machine is still up: what it was given will reach the disk.
-            let since = std::mem::take(&mut held.since);
-            held.lasts.extend(since);
+        let mut state = self.storage.0.borrow_mut();
+        if state.open_handle == self.handle {
+            state.open_handle = 0;
+            // Without a power loss the kernel writes unsynced bytes to the disk in the end.
+            let unsynced = std::mem::take(&mut state.unsynced);
+            state.durable.extend(unsynced);
         }
     }
 }
 
-impl DurableFile for InMemory {
+impl DurableFile for MemoryFile {
     fn read_all(&mut self) -> io::Result<Vec<u8>> {
-        self.with(|held| Ok(held.visible()))
+        self.with_state(|state| Ok(state.visible()))
     }
 
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
-        self.with(|held| match held.fault {
+        self.with_state(|state| match state.fault {
             Some(StorageFault::DiskFull(0)) => Err(io::ErrorKind::StorageFull.into()),
-            Some(StorageFault::DiskFull(room)) => {
-                let some = room.min(bytes.len());
-                held.fault = Some(StorageFault::DiskFull(room - some));
-                held.since.extend_from_slice(&bytes[..some]);
-                Ok(some)
+            Some(StorageFault::DiskFull(free)) => {
+                let written = free.min(bytes.len());
+                state.fault = Some(StorageFault::DiskFull(free - written));
+                state.unsynced.extend_from_slice(&bytes[..written]);
+                Ok(written)
             }
             Some(StorageFault::PowerLoss(reached)) => {
-                (held.opener, held.fault) = (0, None);
-                let since = std::mem::take(&mut held.since);
-                let all = [&since[..], bytes].concat();
-                held.lasts.extend_from_slice(&all[..(since.len() + reached).min(all.len())]);
+                (state.open_handle, state.fault) = (0, None);
+                let unsynced = std::mem::take(&mut state.unsynced);
+                let all = [&unsynced[..], bytes].concat();
+                state.durable.extend_from_slice(&all[..(unsynced.len() + reached).min(all.len())]);
                 Err(io::Error::other("power was lost"))
             }
-            Some(StorageFault::ShortWrites(most)) => {
-                let some = most.clamp(1, bytes.len());
-                held.since.extend_from_slice(&bytes[..some]);
-                Ok(some)
+            Some(StorageFault::ShortWrites(limit)) => {
+                let written = limit.clamp(1, bytes.len());
+                state.unsynced.extend_from_slice(&bytes[..written]);
+                Ok(written)
             }
             _ => {
-                held.since.extend_from_slice(bytes);
+                state.unsynced.extend_from_slice(bytes);
                 Ok(bytes.len())
             }
         })
     }
 
     fn sync(&mut self) -> io::Result<()> {
-        self.with(Held::sync)
+        self.with_state(MemoryFileState::sync)
     }
 
     fn replace_contents(&mut self, bytes: &[u8]) -> io::Result<()> {
-        self.with(|held| held.replace_contents(bytes))
+        self.with_state(|state| state.replace_contents(bytes))
     }
 }
 
