--- a/crates/leases/src/fence.rs
+++ b/crates/leases/src/fence.rs
@@ -1,72 +1,74 @@
-//! What the receiver of an act looks at: an act under an older token than one that it has met is refused.
+//! The check of fencing tokens at the receiver of an operation: one with an older token than an earlier
+//! operation is rejected.
 
-use crate::{Duty, Token};
+use crate::{FencingToken, Role};
 use std::collections::BTreeMap;
 
-/// Duties whose tokens are remembered; further ones are refused, as what is forgotten could not be compared.
-const MOST: usize = 256;
+/// Roles whose tokens are kept. Operations of further roles are rejected, as their tokens could not be
+/// compared.
+const MAX_ROLES: usize = 256;
 
-/// Why an act is refused.
+/// Why an operation is rejected.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum Refused {
-    /// Another has held the duty since.
+pub enum FenceError {
+    /// Another process has held the role since.
     #[error(
-        "{duty}: token {token} is stale, {met} was met: whoever sent it holds the duty no more; it must ask anew"
+        "{role}: token {token} is stale, token {highest} was seen: the sender no longer holds the role and must acquire it again"
     )]
     Stale {
-        /// Which duty.
-        duty: Duty,
-        /// The act's token.
-        token: Token,
-        /// The highest one met here.
-        met: Token,
+        /// The role.
+        role: Role,
+        /// The token of the operation.
+        token: FencingToken,
+        /// The highest token seen here.
+        highest: FencingToken,
     },
-    /// No holder ever has this token.
-    #[error("{duty}: an act without a token; update the sender, as it does not know of duties")]
-    Without {
-        /// Which duty.
-        duty: Duty,
+    /// The token is 0, which no holder has.
+    #[error("{role}: the operation has no token; update the sender to a build that supports roles")]
+    MissingToken {
+        /// The role.
+        role: Role,
     },
-    /// Too many duties.
-    #[error("{duty}: {MOST} duties are known here already; use fewer names")]
-    TooMany {
-        /// Which duty.
-        duty: Duty,
+    /// The tokens of too many roles are kept.
+    #[error("{role}: the tokens of {MAX_ROLES} other roles are kept already; use fewer roles")]
+    TooManyRoles {
+        /// The role.
+        role: Role,
     },
 }
 
-/// The highest token met for each duty. Where it must outlive the receiver, [`Fence::met`] is what to keep.
+/// The highest token seen for each role. A receiver that restarts must persist [`Fence::highest_tokens`].
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Fence {
-    met: BTreeMap<Duty, Token>,
+    highest_tokens: BTreeMap<Role, FencingToken>,
 }
 
 impl Fence {
-    /// A fence that starts from what it had met.
-    pub fn new(met: BTreeMap<Duty, Token>) -> Fence {
-        Fence { met }
+    /// Creates a fence with the tokens that an earlier one has seen.
+    pub fn new(highest_tokens: BTreeMap<Role, FencingToken>) -> Fence {
+        Fence { highest_tokens }
     }
 
-    /// Lets an act pass, or says why not.
-    pub fn pass(&mut self, duty: &str, token: Token) -> Result<(), Refused> {
-        let met = self.met.get(duty).copied().unwrap_or(0);
+    /// Checks the token of an operation and records it.
+    pub fn check(&mut self, role: &str, token: FencingToken) -> Result<(), FenceError> {
+        let highest = self.highest_tokens.get(role).copied().unwrap_or(0);
         if token == 0 {
-            return Err(Refused::Without { duty: duty.into() });
+            return Err(FenceError::MissingToken { role: role.into() });
         }
-        if token < met {
-            return Err(Refused::Stale { duty: duty.into(), token, met });
+        if token < highest {
+            return Err(FenceError::Stale { role: role.into(), token, highest });
         }
-        if met == 0 && self.met.len() >= MOST {
-            return Err(Refused::TooMany { duty: duty.into() });
+        if highest == 0 && self.highest_tokens.len() >= MAX_ROLES {
+            return Err(FenceError::TooManyRoles { role: role.into() });
         }
-        if token > met {
-            self.met.insert(duty.into(), token);
+        if token > highest {
+            self.highest_tokens.insert(role.into(), token);
         }
         Ok(())
     }
 
-    /// The highest token met for each duty.
-    pub fn met(&self) -> &BTreeMap<Duty, Token> {
-        &self.met
+    /// Returns the highest token seen for each role.
+    pub fn highest_tokens(&self) -> &BTreeMap<Role, FencingToken> {
+        &self.highest_tokens
     }
 }
--- a/crates/leases/src/lib.rs
+++ b/crates/leases/src/lib.rs
@@ -1,19 +1,21 @@
-//! Duties that one scheduler of a tier holds at a time: a lease with a fencing token that only grows.
+//! Leases with fencing tokens on roles that one scheduler of a tier holds at a time.
 //!
-//! Pure: no sockets, no clock, time passed in. [`table`] is what the voters agree on, [`voter`] what one voter has promised
-//! to holders, [`holder`] what one process may do now, [`fence`] what a receiver of an act looks at. The proof and the
-//! times without a holder are in docs/design/0007-duty.md. Nothing that serves a job may depend on a holder.
+//! The modules do no input or output and read no clock; the current time is passed in. [`lease_table`] is the
+//! replicated state, [`voter_grants`] holds the leases that a voter has granted, [`lease_holder`] the roles
+//! that one process may perform now, and [`fence`] checks the token of an operation at its receiver.
+//! docs/design/0007-duty.md has the safety argument and the times for which a role may have no holder.
+//! Serving jobs must not depend on a holder.
 
 #![forbid(unsafe_code)]
 
 pub mod fence;
-pub mod holder;
-pub mod table;
-pub mod voter;
+pub mod lease_holder;
+pub mod lease_table;
+pub mod voter_grants;
 
-/// A duty by its name.
-pub type Duty = String;
-/// Grows by one with every holder of a duty; 0 before the first.
-pub type Token = u64;
-/// A process of a scheduler, as no other is called: its name and a number.
-pub type Process = loomlb_consensus::lease_grants::ProcessId;
+/// The name of a role.
+pub type Role = String;
+/// A fencing token: increases by one with each holder of a role; 0 before the first.
+pub type FencingToken = u64;
+/// A process of a scheduler: the scheduler's name, and a number that is unique among its processes.
+pub type ProcessId = loomlb_consensus::lease_grants::ProcessId;
