--- a/crates/config-file/src/lib.rs
+++ b/crates/config-file/src/lib.rs
@@ -1,18 +1,18 @@
-//! TOML files whose faults are named by line and key.
+//! Parsing of TOML files, with errors that name the line and the key.
 #![forbid(unsafe_code)]
 
 use serde::de::DeserializeOwned;
 use std::fmt;
 use toml::de::{DeTable, DeValue};
 
-/// A fault in a file.
+/// An error in a file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ConfigError {
-    /// The line, from 1; 0 where none can be named.
+    /// The line, counted from 1; 0 if unknown.
     pub line: usize,
-    /// The key, with dots; empty where the text itself is at fault.
+    /// The dotted path of the key; empty if the text cannot be parsed.
     pub key: String,
-    /// What is wrong with it, and what would do.
+    /// What is wrong, and which values are valid.
     pub reason: String,
 }
 
@@ -30,7 +30,7 @@
 
 impl std::error::Error for ConfigError {}
 
-/// Reads a text into a type; what does not fit is named with its line.
+/// Parses a text. An error names the line.
 pub fn parse<T: DeserializeOwned>(text: &str) -> Result<T, ConfigError> {
     toml::from_str(text).map_err(|e| ConfigError {
         line: e.span().map_or(0, |span| line_at_offset(text, span.start)),
@@ -43,7 +43,8 @@
     text.as_bytes()[..offset.min(text.len())].iter().filter(|b| **b == b'\n').count() + 1
 }
 
-/// The line of a key such as `class[1].work_ms`, or of the nearest part of it that the text has.
+/// Returns the line of a key such as `class[1].work_ms`, or of its longest prefix that the text contains; 0
+/// if the text contains none or cannot be parsed.
 pub fn line_of_key(text: &str, key: &str) -> usize {
     let Ok(root) = DeTable::parse(text) else { return 0 };
     let mut table = root.get_ref();
@@ -53,8 +54,8 @@
             Some((name, rest)) => (name, rest.trim_end_matches(']').parse::<usize>().ok()),
             None => (part, None),
         };
-        let Some((at, value)) = table.iter().find(|(k, _)| k.get_ref() == name) else { break };
-        line = line_at_offset(text, at.span().start);
+        let Some((found_key, value)) = table.iter().find(|(k, _)| k.get_ref() == name) else { break };
+        line = line_at_offset(text, found_key.span().start);
         let mut value = value;
         if let (Some(i), DeValue::Array(items)) = (index, value.get_ref()) {
             let Some(item) = items.get(i) else { break };
