--- a/crates/lab/src/scale/hollow.rs
+++ b/crates/lab/src/scale/hollow.rs
@@ -2,13 +2,13 @@
 //! jobs behind them. What `loomlb-scheduler` does around the same core is told here once more, in little.
 
 use super::host::{Counted, machine};
-use loomlb_consensus::frames::{self, Channel, FIRST, FORMAT, Nonce, Word};
-use loomlb_consensus::holder::Holder;
-use loomlb_consensus::lists::Mine;
-use loomlb_consensus::rules::Body;
-use loomlb_consensus::state::{Command, State};
-use loomlb_consensus::timing::Timing;
-use loomlb_consensus::{Acting, Nanos};
+use loomlb_consensus::document::DocumentBody;
+use loomlb_consensus::lease_holder::LeaseHolder;
+use loomlb_consensus::link_protocol::{self, Channel, GREETING_BYTES, LinkMessage, Nonce, PROTOCOL_VERSION};
+use loomlb_consensus::state::{Command, ReplicatedState};
+use loomlb_consensus::timing::LeaseTiming;
+use loomlb_consensus::worker_lists::ListReport;
+use loomlb_consensus::{EffectiveRules, Nanos};
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
 use std::io;
@@ -38,7 +38,7 @@
     /// Where the voters listen.
     pub voters: Vec<SocketAddr>,
     /// The figures of its lease.
-    pub timing: Timing,
+    pub timing: LeaseTiming,
     /// The version of the list that it says it has.
     pub list: u64,
     /// What it does wrong, for tests of what should notice.
@@ -78,7 +78,7 @@
 #[derive(Debug, Default)]
 pub struct Marks {
     /// When it began to act on what, by the machine's monotonic clock.
-    pub takes: RefCell<Vec<(Nanos, Acting)>>,
+    pub takes: RefCell<Vec<(Nanos, EffectiveRules)>>,
     /// Leases that ended without a renewal.
     pub lapses: Cell<u64>,
     /// Those of them at which its own timer was late.
@@ -93,7 +93,7 @@
     spec: Spec,
     process: u64,
     started: Instant,
-    holder: RefCell<Holder>,
+    holder: RefCell<LeaseHolder>,
     boxes: Vec<Outbox>,
     hurry: Notify,
     held: Cell<bool>,
@@ -109,7 +109,7 @@
 
 #[derive(Debug, Default)]
 struct Outbox {
-    words: RefCell<VecDeque<Word>>,
+    words: RefCell<VecDeque<LinkMessage>>,
     more: Notify,
 }
 
@@ -132,7 +132,7 @@
         Ok(Rc::new(Life {
             process: u64::from_le_bytes(process),
             started: Instant::now(),
-            holder: RefCell::new(Holder::new(spec.timing, spec.voters.len())),
+            holder: RefCell::new(LeaseHolder::new(spec.timing, spec.voters.len())),
             boxes: spec.voters.iter().map(|_| Outbox::default()).collect(),
             hurry: Notify::new(),
             held: Cell::new(false),
@@ -152,7 +152,7 @@
 
     /// Whether it may act now; none before its first lease.
     pub fn may_act(&self) -> Option<bool> {
-        let holds = self.holder.borrow().may_act(self.now());
+        let holds = self.holder.borrow().has_valid_lease(self.now());
         (self.had.get() || holds).then_some(holds)
     }
 
@@ -214,21 +214,21 @@
             _ => random()?,
         };
         *last = Some(mine);
-        stream.write_all(&frames::greeting(&mine)).await?;
-        let mut first = [0; FIRST];
+        stream.write_all(&link_protocol::greeting(&mine)).await?;
+        let mut first = [0; GREETING_BYTES];
         stream.read_exact(&mut first).await?;
-        self.bytes.said(voter, FIRST);
-        self.bytes.heard(voter, FIRST);
-        let theirs = frames::greeted(&first).map_err(|e| io::Error::other(e.to_string()))?;
+        self.bytes.said(voter, GREETING_BYTES);
+        self.bytes.heard(voter, GREETING_BYTES);
+        let theirs = link_protocol::parse_greeting(&first).map_err(|e| io::Error::other(e.to_string()))?;
         let key = if self.spec.flaw == Some(Flaw::OtherKey) { "another key" } else { &self.spec.key };
-        Ok((stream, frames::channels(key, &mine, &theirs)))
+        Ok((stream, link_protocol::derive_channels(key, &mine, &theirs)))
     }
 
     async fn hear(&self, voter: usize, mut from: OwnedReadHalf, mut channel: Channel) -> io::Result<()> {
         let mut bytes = Vec::new();
         loop {
             match channel.open(&mut bytes) {
-                Ok(Some(Word::Answer { number, yes, news, .. })) => {
+                Ok(Some(LinkMessage::LeaseResponse { number, granted: yes, newer_state: news, .. })) => {
                     self.answered(voter, number, yes, news.map(|n| *n));
                     continue;
                 }
@@ -247,8 +247,8 @@
 
     async fn tell(&self, voter: usize, mut to: OwnedWriteHalf, mut channel: Channel) -> io::Result<()> {
         let claimed = (self.spec.flaw == Some(Flaw::ClaimsAVote)).then_some(1);
-        let hello = Word::Hello {
-            format: FORMAT,
+        let hello = LinkMessage::Hello {
+            format: PROTOCOL_VERSION,
             name: self.spec.name.clone(),
             process: self.process,
             voter: claimed,
@@ -269,7 +269,7 @@
     }
 
     async fn renew(self: Rc<Self>) {
-        let pause = Duration::from_nanos(self.spec.timing.renew);
+        let pause = Duration::from_nanos(self.spec.timing.renewal_interval);
         let pause = if self.spec.flaw == Some(Flaw::Hurries) { pause / 10 } else { pause };
         let part = random().map_or(0, |r| r[0]);
         tokio::time::sleep(pause.mul_f64(f64::from(part) / 256.0)).await;
@@ -294,44 +294,46 @@
         let now = self.now();
         self.stall(now);
         self.asked.set(now);
-        let before = self.holder.borrow().acting();
-        let (mut number, mut acting) = self.holder.borrow_mut().ask(now);
-        let mut index = self.holder.borrow().seen().index;
+        let before = self.holder.borrow().rules();
+        let (mut number, mut acting) = self.holder.borrow_mut().start_renewal(now);
+        let mut index = self.holder.borrow().state().index;
         match self.spec.flaw {
             Some(Flaw::RepeatsNumbers) => number = number.min(3),
             Some(Flaw::SilentOnState) => index = 0,
             Some(Flaw::ClaimsAState) => index = index.max(1),
-            Some(Flaw::AsksBeforeInForce) => acting = before.map(|a| Acting::On(a.oldest().max(1) - 1)),
+            Some(Flaw::AsksBeforeInForce) => {
+                acting = before.map(|a| EffectiveRules::On(a.oldest_version().max(1) - 1))
+            }
             _ => {}
         }
         for (voter, outbox) in self.boxes.iter().enumerate() {
             if voter > 0 && self.spec.flaw == Some(Flaw::AsksOne) {
                 continue;
             }
-            let list = Mine { version: self.spec.list, leaving: Vec::new() };
+            let list = ListReport { version: self.spec.list, leaving: Vec::new() };
             let mut words = outbox.words.borrow_mut();
             if words.len() >= WAITING {
                 words.pop_front();
             }
-            words.push_back(Word::Ask { number, acting, index, list });
+            words.push_back(LinkMessage::LeaseRequest { number, rules: acting, index, list });
             if self.spec.flaw == Some(Flaw::Proposes) {
                 let by = self.spec.name.clone();
-                words.push_back(Word::Propose(Command::Propose {
+                words.push_back(LinkMessage::Propose(Command::Propose {
                     token: number,
-                    by,
-                    base: 0,
-                    body: Body::default(),
+                    proposer: by,
+                    base_version: 0,
+                    body: DocumentBody::default(),
                 }));
             }
             outbox.more.notify_one();
         }
     }
 
-    fn answered(&self, voter: usize, number: u64, yes: bool, news: Option<State>) {
-        let changed = self.holder.borrow_mut().answer(self.now(), voter, number, yes, news);
+    fn answered(&self, voter: usize, number: u64, yes: bool, news: Option<ReplicatedState>) {
+        let changed = self.holder.borrow_mut().handle_response(self.now(), voter, number, yes, news);
         if changed {
             // Nothing stands between learning of it and acting on it: there are no rules to put in force here.
-            if let Some(acting) = self.holder.borrow().acting() {
+            if let Some(acting) = self.holder.borrow().rules() {
                 self.marks.takes.borrow_mut().push((machine(), acting));
             }
             self.hurry.notify_one();
@@ -341,14 +343,14 @@
 
     /// A lease bears three lost renewals: only a longer silence of its own can have ended one.
     fn stall(&self, now: Nanos) {
-        if now > self.asked.get() + 4 * self.spec.timing.renew && self.asked.get() > 0 {
+        if now > self.asked.get() + 4 * self.spec.timing.renewal_interval && self.asked.get() > 0 {
             self.stalled.set(Some(now));
         }
     }
 
     fn look(&self) {
         let now = self.now();
-        let holds = self.holder.borrow().may_act(now);
+        let holds = self.holder.borrow().has_valid_lease(now);
         if self.held.replace(holds) == holds {
             return;
         }
@@ -357,7 +359,7 @@
         }
         self.marks.lapses.set(self.marks.lapses.get() + 1);
         self.stall(now);
-        if self.stalled.get().is_some_and(|at| now <= at + self.spec.timing.lease) {
+        if self.stalled.get().is_some_and(|at| now <= at + self.spec.timing.lease_duration) {
             self.marks.late_lapses.set(self.marks.late_lapses.get() + 1);
         }
     }
--- a/crates/lab/tests/capacity.rs
+++ b/crates/lab/tests/capacity.rs
@@ -2,11 +2,11 @@
 
 use loomlb_capacity::Source;
 use loomlb_capacity::report::Report;
-use loomlb_consensus::disk::LogFile;
-use loomlb_consensus::frames::Word;
-use loomlb_consensus::lists::Theirs;
-use loomlb_consensus::place::Memory;
-use loomlb_consensus::timing::Terms;
+use loomlb_consensus::link_protocol::LinkMessage;
+use loomlb_consensus::log_store::LogFile;
+use loomlb_consensus::storage::MemoryStorage;
+use loomlb_consensus::timing::TimingConfig;
+use loomlb_consensus::worker_lists::ListSummary;
 use loomlb_lab::capacity::voter::Counted;
 use loomlb_lab::capacity::{self, Options, meter, probe, tier};
 use loomlb_lab::trial::{self, Load, Trial, Without};
@@ -97,7 +97,7 @@
         schedulers: 5,
         voters: 3,
         seconds: 18,
-        terms: Terms::default(),
+        terms: TimingConfig::default(),
         faults: false,
         disks: false,
         every: 2_000_000_000,
@@ -122,8 +122,13 @@
         assert_eq!(tier::bytes(tenants), json.len() as f64);
     }
     let state = tier::state(4, 80);
-    assert_eq!((state.history.len(), state.outcomes.len(), state.newest()), (64, 64, 80));
-    let word = Word::Answer { number: 1, yes: false, news: Some(Box::new(state)), lists: Theirs::default() };
+    assert_eq!((state.history.len(), state.outcomes.len(), state.newest_version()), (64, 64, 80));
+    let word = LinkMessage::LeaseResponse {
+        number: 1,
+        granted: false,
+        newer_state: Some(Box::new(state)),
+        lists: ListSummary::default(),
+    };
     let only = |key: &str| {
         let options = Options { quick: true, only: Some(key.into()), ..Options::default() };
         let told = capacity::run(&options).unwrap();
@@ -156,16 +161,16 @@
     assert_eq!(meter::allocations(|| drop([Box::new(1), Box::new(2), Box::new(3)])), 3.0);
 
     // Both files are told the same: a head of 13 bytes and the owner.
-    let (counted, kept) = (Counted::default(), Memory::default());
+    let (counted, kept) = (Counted::default(), MemoryStorage::default());
     LogFile::open(&counted, "somebody", true).unwrap();
     LogFile::open(&kept, "somebody", true).unwrap();
-    assert_eq!((counted.written(), kept.bytes().len()), (21, 21));
+    assert_eq!((counted.written(), kept.durable_bytes().len()), (21, 21));
 }
 
 /// A trial that is measured is the trial: counting changes nothing of what happens.
 #[test]
 fn counting_changes_nothing_of_a_trial() {
-    let terms = Terms { bound: 2_500_000_000, ..Terms::default() };
+    let terms = TimingConfig { bound: 2_500_000_000, ..TimingConfig::default() };
     let trial = Trial {
         schedulers: 6,
         voters: 3,
--- a/crates/tier/tests/proposals.rs
+++ b/crates/tier/tests/proposals.rs
@@ -1,9 +1,9 @@
 //! What a scheduler says to the voters, heard by stand-ins that never agree.
 
-use loomlb_consensus::frames::{self, FIRST, Word};
-use loomlb_consensus::lists::{Leaving, Mine, Theirs};
-use loomlb_consensus::rules::Body;
-use loomlb_consensus::state::{Command, Document, State};
+use loomlb_consensus::document::DocumentBody;
+use loomlb_consensus::link_protocol::{self, GREETING_BYTES, LinkMessage};
+use loomlb_consensus::state::{Command, Document, ReplicatedState};
+use loomlb_consensus::worker_lists::{LeavingWorker, ListReport, ListSummary};
 use loomlb_tier::{Application, Spec};
 use serde_json::{Value, json};
 use std::cell::Cell;
@@ -19,8 +19,8 @@
 struct Idle;
 
 impl Application for Idle {
-    fn list(&self) -> Mine {
-        Mine::default()
+    fn list(&self) -> ListReport {
+        ListReport::default()
     }
     fn settings(&self) -> Value {
         json!({"tick": 1})
@@ -32,7 +32,7 @@
         Ok(())
     }
     fn order(&self, _: &str, _: bool) {}
-    fn leaving(&self, _: &Leaving) -> bool {
+    fn leaving(&self, _: &LeavingWorker) -> bool {
         false
     }
     fn forget_leaving(&self) {}
@@ -49,26 +49,31 @@
 /// A voter that promises all, has a document, and agrees on nothing.
 async fn voter(mut stream: TcpStream, heard: Rc<Heard>) -> std::io::Result<()> {
     let mine = [7; 16];
-    stream.write_all(&frames::greeting(&mine)).await?;
-    let mut first = [0; FIRST];
+    stream.write_all(&link_protocol::greeting(&mine)).await?;
+    let mut first = [0; GREETING_BYTES];
     stream.read_exact(&mut first).await?;
-    let theirs = frames::greeted(&first).expect("a greeting");
-    let (mut from, mut to) = frames::channels(KEY, &theirs, &mine);
-    let body = Body::of(&json!({"tick": 1}), BTreeSet::new());
-    let active = Some(Document { version: 1, by: "a".into(), body });
-    let state = State { index: 1, active, ..State::default() };
+    let theirs = link_protocol::parse_greeting(&first).expect("a greeting");
+    let (mut from, mut to) = link_protocol::derive_channels(KEY, &theirs, &mine);
+    let body = DocumentBody::new(&json!({"tick": 1}), BTreeSet::new());
+    let active = Some(Document { version: 1, proposer: "a".into(), body });
+    let state = ReplicatedState { index: 1, active, ..ReplicatedState::default() };
     let mut bytes = Vec::new();
     loop {
         while let Some(word) = from.open(&mut bytes).expect("a sound word") {
             match word {
-                Word::Ask { number, index, .. } => {
+                LinkMessage::LeaseRequest { number, index, .. } => {
                     heard.questions.set(heard.questions.get() + 1);
                     let news = (index < 1).then(|| Box::new(state.clone()));
-                    let answer = Word::Answer { number, yes: true, news, lists: Theirs::default() };
+                    let answer = LinkMessage::LeaseResponse {
+                        number,
+                        granted: true,
+                        newer_state: news,
+                        lists: ListSummary::default(),
+                    };
                     stream.write_all(&to.seal(&answer)).await?;
                 }
                 // Not the file that it proposed before it knew of a document.
-                Word::Propose(Command::Propose { body, .. }) if body.settings["tick"] == 2 => {
+                LinkMessage::Propose(Command::Propose { body, .. }) if body.settings["tick"] == 2 => {
                     heard.proposals.set(heard.proposals.get() + 1);
                 }
                 _ => {}
