--- a/crates/conformance/tests/store.rs
+++ b/crates/conformance/tests/store.rs
@@ -1,8 +1,8 @@
 //! Every store passes the same clauses, and a store with one planted fault breaks the clause that the fault is about.
 
 use loomlb_conformance::{Faulty, STORE, Subject, broken};
-use loomlb_consensus::disk::{Disk, Loaded, LogFile};
-use loomlb_consensus::place::{Fault, Lasting, Memory, Place};
+use loomlb_consensus::log_store::{LogFile, LogStore, StoredLog};
+use loomlb_consensus::storage::{DurableFile, MemoryStorage, StorageFault, StorageLocation};
 use loomlb_consensus::store_error::StoreError;
 use raft::eraftpb::{Entry, HardState, Snapshot};
 use std::cell::Cell;
@@ -28,8 +28,9 @@
 }
 
 impl Subject for OnDisk {
-    fn open(&self, owner: &str, found: bool) -> Result<(Box<dyn Disk>, Loaded), StoreError> {
-        LogFile::open(&self.place, owner, found).map(|(log, loaded)| (Box::new(log) as Box<dyn Disk>, loaded))
+    fn open(&self, owner: &str, found: bool) -> Result<(Box<dyn LogStore>, StoredLog), StoreError> {
+        LogFile::open(&self.place, owner, found)
+            .map(|(log, loaded)| (Box::new(log) as Box<dyn LogStore>, loaded))
     }
     fn bytes(&self) -> Vec<u8> {
         std::fs::read(self.path()).unwrap()
@@ -37,7 +38,7 @@
     fn set_bytes(&self, bytes: &[u8]) {
         std::fs::write(self.path(), bytes).unwrap();
     }
-    fn plan(&self, fault: Fault) {
+    fn plan(&self, fault: StorageFault) {
         self.place.fault.set(Some(fault));
     }
     fn mend(&self) {
@@ -50,7 +51,7 @@
 
 #[test]
 fn a_voters_log_keeps_the_contract_in_memory_and_on_a_file() {
-    let in_memory = broken(&|| Box::new(InMemory(Memory::default(), None)));
+    let in_memory = broken(&|| Box::new(InMemory(MemoryStorage::default(), None)));
     assert!(in_memory.is_empty(), "{in_memory:#?}");
     let on_disk = broken(&|| Box::new(OnDisk::new()));
     assert!(on_disk.is_empty(), "{on_disk:#?}");
@@ -79,13 +80,13 @@
 }
 
 #[derive(Debug)]
-struct BadPlace(Memory, Option<Bad>);
+struct BadPlace(MemoryStorage, Option<Bad>);
 
-impl Place for BadPlace {
+impl StorageLocation for BadPlace {
     fn name(&self) -> String {
         self.0.name()
     }
-    fn open(&self, create: bool) -> io::Result<Box<dyn Lasting>> {
+    fn open(&self, create: bool) -> io::Result<Box<dyn DurableFile>> {
         let file = self.0.open(create)?;
         Ok(Box::new(BadFile { file, place: self.0.clone(), bad: self.1 }))
     }
@@ -93,14 +94,14 @@
 
 #[derive(Debug)]
 struct BadFile {
-    file: Box<dyn Lasting>,
-    place: Memory,
+    file: Box<dyn DurableFile>,
+    place: MemoryStorage,
     bad: Option<Bad>,
 }
 
-impl Lasting for BadFile {
-    fn read(&mut self) -> io::Result<Vec<u8>> {
-        self.file.read()
+impl DurableFile for BadFile {
+    fn read_all(&mut self) -> io::Result<Vec<u8>> {
+        self.file.read_all()
     }
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
         match (self.file.write(bytes), self.bad) {
@@ -117,24 +118,24 @@
             done => done,
         }
     }
-    fn swap(&mut self, bytes: &[u8]) -> io::Result<()> {
-        if self.bad == Some(Bad::ReadBackNotRewritten) && self.file.read()? == bytes {
+    fn replace_contents(&mut self, bytes: &[u8]) -> io::Result<()> {
+        if self.bad == Some(Bad::ReadBackNotRewritten) && self.file.read_all()? == bytes {
             return Ok(());
         }
-        let swapped = self.file.swap(bytes);
+        let swapped = self.file.replace_contents(bytes);
         if swapped.is_err() && self.bad == Some(Bad::SwapInPlace) {
-            self.place.set_bytes(&bytes[..bytes.len() / 2]);
+            self.place.overwrite(&bytes[..bytes.len() / 2]);
         }
         swapped
     }
 }
 
 /// A voter's log on the place in memory, with a planted fault or none.
-struct InMemory(Memory, Option<Bad>);
+struct InMemory(MemoryStorage, Option<Bad>);
 
-struct BadLog(Box<dyn Disk>, Option<Bad>, u64);
+struct BadLog(Box<dyn LogStore>, Option<Bad>, u64);
 
-impl Disk for BadLog {
+impl LogStore for BadLog {
     fn append(&mut self, entries: &[Entry], hard: Option<&HardState>) -> Result<(), StoreError> {
         let last = self.2;
         self.2 = entries.last().map_or(last, |e| e.index);
@@ -156,10 +157,10 @@
             _ => self.0.replace(snapshot, entries, hard),
         }
     }
-    fn recover(&mut self) -> Result<Loaded, StoreError> {
+    fn recover(&mut self) -> Result<StoredLog, StoreError> {
         let mut loaded = self.0.recover();
         match (self.1, &mut loaded) {
-            (Some(Bad::StaysStopped), _) => Err(StoreError::Stopped { place: "stopped".into() }),
+            (Some(Bad::StaysStopped), _) => Err(StoreError::Stopped { location: "stopped".into() }),
             (Some(Bad::RecoversUnreplaced), Ok(kept)) => {
                 kept.snapshot = Some(Snapshot::default());
                 loaded
@@ -170,27 +171,31 @@
 }
 
 impl Subject for InMemory {
-    fn open(&self, owner: &str, found: bool) -> Result<(Box<dyn Disk>, Loaded), StoreError> {
+    fn open(&self, owner: &str, found: bool) -> Result<(Box<dyn LogStore>, StoredLog), StoreError> {
         let InMemory(memory, bad) = self;
-        let before = memory.bytes().len();
+        let before = memory.durable_bytes().len();
         if *bad == Some(Bad::TwoOpeners) {
             // A lock that holds nobody back.
-            memory.power_lost(usize::MAX);
+            memory.lose_power(usize::MAX);
         }
         let whose = if *bad == Some(Bad::AnyOwner) { "a of a, b, c" } else { owner };
         let opened =
             LogFile::open(&BadPlace(memory.clone(), *bad), whose, found || *bad == Some(Bad::FoundsUnasked));
         let opened = match opened {
-            Err(StoreError::Damaged { at, .. }) if *bad == Some(Bad::DamageCut) => {
-                memory.set_bytes(&memory.bytes()[..at]);
+            Err(StoreError::Damaged { offset: at, .. }) if *bad == Some(Bad::DamageCut) => {
+                memory.overwrite(&memory.durable_bytes()[..at]);
                 LogFile::open(memory, whose, found)
             }
             opened => opened,
         };
         let (log, mut loaded) = opened?;
-        let at = memory.bytes().len();
+        let at = memory.durable_bytes().len();
         if *bad == Some(Bad::TornRefused) && at < before {
-            return Err(StoreError::Damaged { place: memory.name(), at, next: before });
+            return Err(StoreError::Damaged {
+                location: memory.name(),
+                offset: at,
+                next_record_offset: before,
+            });
         }
         if *bad == Some(Bad::TornTakenForWhole) && loaded.entries.len() == 2 {
             loaded.entries.push(Entry { index: 3, ..Entry::default() });
@@ -199,19 +204,19 @@
         Ok((Box::new(BadLog(Box::new(log), *bad, last)), loaded))
     }
     fn bytes(&self) -> Vec<u8> {
-        self.0.bytes()
+        self.0.durable_bytes()
     }
     fn set_bytes(&self, bytes: &[u8]) {
-        self.0.set_bytes(bytes);
+        self.0.overwrite(bytes);
     }
-    fn plan(&self, fault: Fault) {
-        self.0.plan(fault);
+    fn plan(&self, fault: StorageFault) {
+        self.0.inject_fault(fault);
     }
     fn mend(&self) {
-        self.0.mend();
+        self.0.clear_fault();
     }
     fn restart(&self) {
-        self.0.power_lost(0);
+        self.0.lose_power(0);
     }
 }
 
@@ -237,7 +242,7 @@
         Bad::ReadBackNotRewritten,
     ];
     for ((clause, _), bad) in STORE.iter().zip(planted) {
-        let found = broken(&|| Box::new(InMemory(Memory::default(), Some(bad))));
+        let found = broken(&|| Box::new(InMemory(MemoryStorage::default(), Some(bad))));
         assert!(found.iter().any(|b| b.clause == *clause), "{bad:?} is not found by {clause:?}: {found:#?}");
     }
     assert_eq!(STORE.len(), planted.len());
--- a/crates/consensus/src/state.rs
+++ b/crates/consensus/src/state.rs
@@ -1,33 +1,34 @@
-//! The document of the tier, as the agreed commands make it: the same at every voter.
+//! The replicated state: the result of applying the committed commands in order. It is the same at every
+//! voter.
 
 use crate::Version;
-use crate::rules::{self, Body, Kind};
+use crate::document::{self, ChangeKind, DocumentBody};
 use serde::{Deserialize, Serialize};
 use std::collections::VecDeque;
 
-/// Versions and outcomes that are remembered.
-const HISTORY: usize = 64;
+/// Versions, and outcomes of proposals, that are kept.
+const HISTORY_LIMIT: usize = 64;
 
-/// What voters agree on.
+/// An entry of the replicated log.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Command {
-    /// A new document in place of version `base`.
+    /// Proposes a document that replaces version `base_version`.
     #[serde(rename = "Propose")]
     Propose {
-        /// Names the proposal, so that one sent twice counts once.
+        /// Identifies the proposal: a duplicate of it has no effect.
         #[serde(rename = "token")]
         token: u64,
-        /// Who proposed it.
+        /// The scheduler that made the proposal.
         #[serde(rename = "by")]
-        by: String,
-        /// The version that the proposer knew.
+        proposer: String,
+        /// The newest version that the proposer knew.
         #[serde(rename = "base")]
-        base: Version,
-        /// The document.
+        base_version: Version,
+        /// The proposed document.
         #[serde(rename = "body")]
-        body: Body,
+        body: DocumentBody,
     },
-    /// The version that was coming is in force: nobody acts on rules that it contradicts.
+    /// Activates the pending version: no scheduler applies rules that conflict with it any more.
     #[serde(rename = "Activate")]
     Activate(Version),
 }
@@ -35,158 +36,170 @@
 /// A version of the document.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Document {
-    /// Its number.
+    /// The number of the version.
     #[serde(rename = "version")]
     pub version: Version,
-    /// Who proposed it.
+    /// The scheduler that proposed it.
     #[serde(rename = "by")]
-    pub by: String,
-    /// What it says.
+    pub proposer: String,
+    /// The contents.
     #[serde(rename = "body")]
-    pub body: Body,
+    pub body: DocumentBody,
 }
 
-/// What has become of a proposal.
+/// The result of a proposal.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub enum Outcome {
-    /// It is this version.
+pub enum ProposalOutcome {
+    /// The proposal was committed as this version.
     #[serde(rename = "Agreed")]
-    Agreed(Version),
-    /// It says what this version says already.
+    Committed(Version),
+    /// The document is the same as this active version.
     #[serde(rename = "Same")]
-    Same(Version),
-    /// Another came before it: the version that it missed.
+    Unchanged(Version),
+    /// The base version was not the newest one, or that one is still pending. Holds the newest version.
     #[serde(rename = "Missed")]
-    Missed(Version),
-    /// It cannot be brought into force while the tier runs, because of these keys.
+    StaleBase(Version),
+    /// These keys cannot change while the tier runs.
     #[serde(rename = "Unordered")]
-    Unordered(Vec<String>),
+    RequiresRestart(Vec<String>),
 }
 
-/// What is in force and what is coming, as told to schedulers.
+/// The active and the pending document, with the outcomes of recent proposals.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct State {
-    /// The number of the last command that is in here; a later state has a higher one.
+pub struct ReplicatedState {
+    /// The log index of the last command that was applied.
     #[serde(rename = "index")]
     pub index: u64,
-    /// In force.
+    /// The document in force.
     #[serde(rename = "active")]
     pub active: Option<Document>,
-    /// Agreed, and not yet in force everywhere.
+    /// The document that is committed, but not yet in force.
     #[serde(rename = "coming")]
-    pub coming: Option<Document>,
-    /// What became of the latest proposals, by their tokens.
+    pub pending: Option<Document>,
+    /// The outcomes of the latest proposals, by token.
     #[serde(rename = "outcomes")]
-    pub outcomes: VecDeque<(u64, Outcome)>,
-    /// The latest versions: number, proposer, what changed, and whether that can contradict.
+    pub outcomes: VecDeque<(u64, ProposalOutcome)>,
+    /// The latest versions, oldest first.
     #[serde(rename = "history")]
-    pub history: VecDeque<Past>,
+    pub history: VecDeque<VersionRecord>,
 }
 
-/// An earlier version.
+/// A version in the history.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Past {
-    /// Its number.
+pub struct VersionRecord {
+    /// The number of the version.
     #[serde(rename = "version")]
     pub version: Version,
-    /// Who proposed it.
+    /// The scheduler that proposed it.
     #[serde(rename = "by")]
-    pub by: String,
+    pub proposer: String,
     /// The keys that it changed.
     #[serde(rename = "keys")]
-    pub keys: Vec<String>,
-    /// It contradicts the version before it.
+    pub changed_keys: Vec<String>,
+    /// Whether it conflicts with the version before it.
     #[serde(rename = "contradicts")]
-    pub contradicts: bool,
+    pub conflicts_with_previous: bool,
 }
 
-impl State {
-    /// The newest version, in force or coming.
-    pub fn newest(&self) -> Version {
-        self.coming.as_ref().or(self.active.as_ref()).map_or(0, |d| d.version)
+impl ReplicatedState {
+    /// Returns the newest version, pending or active; 0 if there is none.
+    pub fn newest_version(&self) -> Version {
+        self.pending.as_ref().or(self.active.as_ref()).map_or(0, |d| d.version)
     }
 
-    /// The newest document.
-    pub fn latest(&self) -> Option<&Document> {
-        self.coming.as_ref().or(self.active.as_ref())
+    /// Returns the newest document, pending or active.
+    pub fn newest_document(&self) -> Option<&Document> {
+        self.pending.as_ref().or(self.active.as_ref())
     }
 
-    /// What became of a proposal, if that is known.
-    pub fn outcome(&self, token: u64) -> Option<&Outcome> {
+    /// Returns the outcome of a proposal; none while it is unknown, and again once it is no longer kept.
+    pub fn outcome(&self, token: u64) -> Option<&ProposalOutcome> {
         self.outcomes.iter().find(|o| o.0 == token).map(|o| &o.1)
     }
 
-    /// Takes in the agreed command of this index. The same command at the same place has the same effect everywhere.
+    /// Applies the committed command at this log index. The result depends only on the state, the index and
+    /// the command.
     pub fn apply(&mut self, index: u64, command: Command) {
         self.index = index;
         match command {
             Command::Activate(version) => {
-                if self.coming.as_ref().is_some_and(|d| d.version == version) {
-                    self.active = self.coming.take();
+                if self.pending.as_ref().is_some_and(|d| d.version == version) {
+                    self.active = self.pending.take();
                 }
             }
-            Command::Propose { token, by, base, body } => {
+            Command::Propose { token, proposer, base_version, body } => {
                 if self.outcome(token).is_none() {
-                    let outcome = self.propose(by, base, body);
+                    let outcome = self.propose(proposer, base_version, body);
                     self.outcomes.push_back((token, outcome));
-                    self.outcomes.keep_latest(HISTORY);
+                    self.outcomes.keep_newest(HISTORY_LIMIT);
                 }
             }
         }
     }
 
-    fn propose(&mut self, by: String, base: Version, body: Body) -> Outcome {
-        if base != self.newest() {
-            return Outcome::Missed(self.newest());
+    fn propose(&mut self, proposer: String, base_version: Version, body: DocumentBody) -> ProposalOutcome {
+        if base_version != self.newest_version() {
+            return ProposalOutcome::StaleBase(self.newest_version());
         }
         let Some(active) = &self.active else {
-            return self.take(by, body, Vec::new(), false);
+            return self.add_version(proposer, body, Vec::new(), false);
         };
-        if self.coming.is_some() {
-            return Outcome::Missed(self.newest());
+        if self.pending.is_some() {
+            return ProposalOutcome::StaleBase(self.newest_version());
         }
-        let changes = rules::differences(&active.body, &body);
-        let keys = |kind: Option<Kind>| {
-            changes
+        let differences = document::differences(&active.body, &body);
+        let keys_of_kind = |kind: Option<ChangeKind>| {
+            differences
                 .iter()
                 .filter(|d| kind.is_none_or(|k| d.kind == k))
                 .map(|d| d.key.clone())
                 .collect::<Vec<_>>()
         };
-        let unordered = keys(Some(Kind::Unordered));
+        let unordered = keys_of_kind(Some(ChangeKind::Unordered));
         if !unordered.is_empty() {
-            return Outcome::Unordered(unordered);
+            return ProposalOutcome::RequiresRestart(unordered);
         }
-        if changes.is_empty() {
-            return Outcome::Same(active.version);
+        if differences.is_empty() {
+            return ProposalOutcome::Unchanged(active.version);
         }
-        let contradicts = changes.iter().any(|d| d.kind == Kind::Ordered);
-        let all = keys(None);
-        self.take(by, body, all, contradicts)
+        let conflicts = differences.iter().any(|d| d.kind == ChangeKind::Ordered);
+        let changed_keys = keys_of_kind(None);
+        self.add_version(proposer, body, changed_keys, conflicts)
     }
 
-    fn take(&mut self, by: String, body: Body, keys: Vec<String>, contradicts: bool) -> Outcome {
-        let version = self.newest() + 1;
-        self.history.push_back(Past { version, by: by.clone(), keys, contradicts });
-        self.history.keep_latest(HISTORY);
-        let document = Some(Document { version, by, body });
-        if contradicts {
-            self.coming = document;
+    fn add_version(
+        &mut self,
+        proposer: String,
+        body: DocumentBody,
+        changed_keys: Vec<String>,
+        conflicts_with_previous: bool,
+    ) -> ProposalOutcome {
+        let version = self.newest_version() + 1;
+        self.history.push_back(VersionRecord {
+            version,
+            proposer: proposer.clone(),
+            changed_keys,
+            conflicts_with_previous,
+        });
+        self.history.keep_newest(HISTORY_LIMIT);
+        let document = Some(Document { version, proposer, body });
+        if conflicts_with_previous {
+            self.pending = document;
         } else {
             self.active = document;
         }
-        Outcome::Agreed(version)
+        ProposalOutcome::Committed(version)
     }
 }
 
-/// Keeps the latest.
-trait KeepLatest {
-    fn keep_latest(&mut self, most: usize);
+trait KeepNewest {
+    /// Drops the oldest items until at most `limit` are left.
+    fn keep_newest(&mut self, limit: usize);
 }
 
-impl<T> KeepLatest for VecDeque<T> {
-    fn keep_latest(&mut self, most: usize) {
-        while self.len() > most {
+impl<T> KeepNewest for VecDeque<T> {
+    fn keep_newest(&mut self, limit: usize) {
+        while self.len() > limit {
             self.pop_front();
         }
     }
--- a/crates/lab/src/capacity/voter.rs
+++ b/crates/lab/src/capacity/voter.rs
@@ -14,15 +14,15 @@
 use super::tier::{DOCUMENTS, answer, bytes, link, state};
 use crate::trial;
 use loomlb_capacity::{Series, Source};
-use loomlb_consensus::Acting;
-use loomlb_consensus::agreement::Agreement;
-use loomlb_consensus::disk::LogFile;
-use loomlb_consensus::frames::Word;
-use loomlb_consensus::lists::{Lists, Mine};
-use loomlb_consensus::place::{Lasting, Place};
-use loomlb_consensus::promises::{Process, Promises};
-use loomlb_consensus::state::{Command, State};
-use loomlb_consensus::timing::Terms;
+use loomlb_consensus::EffectiveRules;
+use loomlb_consensus::lease_grants::{LeaseGrants, ProcessId};
+use loomlb_consensus::link_protocol::LinkMessage;
+use loomlb_consensus::log_store::LogFile;
+use loomlb_consensus::raft_node::RaftNode;
+use loomlb_consensus::state::{Command, ReplicatedState};
+use loomlb_consensus::storage::{DurableFile, StorageLocation};
+use loomlb_consensus::timing::TimingConfig;
+use loomlb_consensus::worker_lists::{ListReport, ListReports};
 use serde_json::json;
 use std::cell::Cell;
 use std::hint::black_box;
@@ -46,17 +46,17 @@
     }
 }
 
-impl Place for Counted {
+impl StorageLocation for Counted {
     fn name(&self) -> String {
         "counted".into()
     }
-    fn open(&self, _create: bool) -> io::Result<Box<dyn Lasting>> {
+    fn open(&self, _create: bool) -> io::Result<Box<dyn DurableFile>> {
         Ok(Box::new(self.clone()))
     }
 }
 
-impl Lasting for Counted {
-    fn read(&mut self) -> io::Result<Vec<u8>> {
+impl DurableFile for Counted {
+    fn read_all(&mut self) -> io::Result<Vec<u8>> {
         Ok(Vec::new())
     }
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
@@ -66,7 +66,7 @@
     fn sync(&mut self) -> io::Result<()> {
         Ok(())
     }
-    fn swap(&mut self, bytes: &[u8]) -> io::Result<()> {
+    fn replace_contents(&mut self, bytes: &[u8]) -> io::Result<()> {
         self.write(bytes).map(|_| ())
     }
 }
@@ -81,23 +81,34 @@
 
 /// What schedulers tell and ask of a voter.
 struct Asked {
-    promises: Promises,
-    lists: Lists,
-    seen: State,
+    promises: LeaseGrants,
+    lists: ListReports,
+    seen: ReplicatedState,
     now: u64,
 }
 
 impl Asked {
-    fn new(seen: &State) -> Result<Asked, String> {
-        let timing = Terms::default().derive().map_err(|(key, why)| format!("{key}: {why}"))?;
-        let (promises, lists) = (Promises::new(timing, 0), Lists::default());
+    fn new(seen: &ReplicatedState) -> Result<Asked, String> {
+        let timing = TimingConfig::default().derive().map_err(|(key, why)| format!("{key}: {why}"))?;
+        let (promises, lists) = (LeaseGrants::new(timing, 0), ListReports::default());
         Ok(Asked { promises, lists, seen: seen.clone(), now: 0 })
     }
 
-    fn ask(&mut self, who: &Process, number: u64, acting: Acting, list: &Mine) -> Word {
-        self.lists.hear(self.now, who, list);
-        let yes = self.promises.ask(self.now, who, number, acting, &self.seen);
-        Word::Answer { number, yes, news: None, lists: self.lists.tell(self.now) }
+    fn ask(
+        &mut self,
+        who: &ProcessId,
+        number: u64,
+        acting: EffectiveRules,
+        list: &ListReport,
+    ) -> LinkMessage {
+        self.lists.record(self.now, who, list);
+        let yes = self.promises.try_grant(self.now, who, number, acting, &self.seen);
+        LinkMessage::LeaseResponse {
+            number,
+            granted: yes,
+            newer_state: None,
+            lists: self.lists.summarize(self.now),
+        }
     }
 }
 
@@ -109,24 +120,30 @@
     let mut time = meter::series(keys[0], "ns", "schedulers", Source::Timed, "a question and its answer");
     let mut memory = meter::series(keys[1], "bytes", "schedulers", Source::Counted, "promises and lists");
     let seen = state(69, 3);
-    let acting = Acting::On(seen.newest());
+    let acting = EffectiveRules::On(seen.newest_version());
     for n in plan.sizes(&[10usize, 30, 100, 300, 1_000, 3_000]) {
-        let all: Vec<Process> = (0..*n as u64).map(|i| (format!("s-{i:08x}"), i)).collect();
+        let all: Vec<ProcessId> = (0..*n as u64).map(|i| (format!("s-{i:08x}"), i)).collect();
         // The state that it knows is not the schedulers'.
         let mut asked = Asked::new(&seen)?;
         let ((), held) = live(|| {
-            all.iter().for_each(|who| _ = asked.ask(who, 0, acting, &Mine { version: 9, leaving: vec![] }));
+            all.iter()
+                .for_each(|who| _ = asked.ask(who, 0, acting, &ListReport { version: 9, leaving: vec![] }));
         });
         point(&mut memory, *n as f64, vec![held]);
         let (from, mut to) = link();
-        let (index, list) = (seen.index, Mine { version: 1_000_000, leaving: Vec::new() });
-        let sealed = from.clone().seal(&Word::Ask { number: 100_000, acting: Some(acting), index, list });
+        let (index, list) = (seen.index, ListReport { version: 1_000_000, leaving: Vec::new() });
+        let sealed = from.clone().seal(&LinkMessage::LeaseRequest {
+            number: 100_000,
+            rules: Some(acting),
+            index,
+            list,
+        });
         let mut number = 0;
         let took = plan.time(|| {
             number += 1;
             asked.now += 250_000_000 / *n as u64;
             let opened = from.clone().open(&mut sealed.clone());
-            if let Ok(Some(Word::Ask { list, .. })) = opened {
+            if let Ok(Some(LinkMessage::LeaseRequest { list, .. })) = opened {
                 let answer = asked.ask(&all[number as usize % n], number, acting, &list);
                 black_box(to.seal(&answer));
             }
@@ -152,7 +169,7 @@
 
 /// A lone voter, which agrees with itself.
 struct Lone {
-    agreement: Agreement,
+    agreement: RaftNode,
     log: LogFile,
     version: u64,
     tenants: usize,
@@ -161,10 +178,10 @@
 impl Lone {
     fn new(place: &Counted, tenants: usize) -> Result<Lone, String> {
         let (mut log, loaded) = LogFile::open(place, "lone", true).map_err(|e| e.to_string())?;
-        let mut agreement = Agreement::new(1, 1, loaded).map_err(|e| e.to_string())?;
+        let mut agreement = RaftNode::new(1, 1, loaded).map_err(|e| e.to_string())?;
         for _ in 0..30 {
             agreement.tick();
-            agreement.turn(&mut log).map_err(|e| e.to_string())?;
+            agreement.process_pending(&mut log).map_err(|e| e.to_string())?;
         }
         Ok(Lone { agreement, log, version: 0, tenants })
     }
@@ -173,12 +190,17 @@
     fn next(&self) -> Command {
         let mut body = trial::document(1, self.tenants);
         body.settings["tick"] = json!(1_000_000 + self.version);
-        Command::Propose { token: u64::MAX - self.version, by: "s-00000001".into(), base: self.version, body }
+        Command::Propose {
+            token: u64::MAX - self.version,
+            proposer: "s-00000001".into(),
+            base_version: self.version,
+            body,
+        }
     }
 
     fn agree(&mut self, command: &Command) -> Result<(), String> {
         self.agreement.propose(command);
-        self.agreement.turn(&mut self.log).map_err(|e| e.to_string())?;
+        self.agreement.process_pending(&mut self.log).map_err(|e| e.to_string())?;
         self.version += 1;
         if self.agreement.state().active.as_ref().map_or(0, |d| d.version) != self.version {
             return Err(format!("version {} did not come into force at a lone voter", self.version));
--- a/crates/lab/src/trial.rs
+++ b/crates/lab/src/trial.rs
@@ -2,20 +2,20 @@
 //! and cuts, with processes that stall, die and come back and clocks that run apart. What comes of it is judged by the
 //! same checker that reads the histories of real processes.
 
-use loomlb_consensus::agreement::{self, Agreement, TICK};
-use loomlb_consensus::agreement_error::AgreementError;
-use loomlb_consensus::check::{Event as Did, Line, Verdict, judge};
-use loomlb_consensus::disk::{Disk, LogFile};
-use loomlb_consensus::frames::{self, Channel, Word};
-use loomlb_consensus::holder::Holder;
-use loomlb_consensus::lists::{Mine, Theirs};
-use loomlb_consensus::place::{Fault, Memory};
-use loomlb_consensus::promises::Promises;
-use loomlb_consensus::rules::Body;
-use loomlb_consensus::state::{Command, Outcome, State};
-use loomlb_consensus::timing::{Terms, Timing};
-use loomlb_consensus::votes::{Vote, Votes};
-use loomlb_consensus::{Acting, Nanos, Version};
+use loomlb_consensus::document::DocumentBody;
+use loomlb_consensus::history_check::{CheckReport, HistoryEvent as Did, HistoryRecord, check_history};
+use loomlb_consensus::lease_grants::LeaseGrants;
+use loomlb_consensus::lease_holder::LeaseHolder;
+use loomlb_consensus::link_protocol::{self, Channel, LinkMessage};
+use loomlb_consensus::log_store::{LogFile, LogStore};
+use loomlb_consensus::raft_node::{self, RaftNode, TICK_NANOS};
+use loomlb_consensus::raft_node_error::RaftNodeError;
+use loomlb_consensus::state::{Command, ProposalOutcome, ReplicatedState};
+use loomlb_consensus::storage::{MemoryStorage, StorageFault};
+use loomlb_consensus::timing::{LeaseTiming, TimingConfig};
+use loomlb_consensus::vote_check::{RecordedVotes, Vote};
+use loomlb_consensus::worker_lists::{ListReport, ListSummary};
+use loomlb_consensus::{EffectiveRules, Nanos, Version};
 use serde::Serialize;
 use serde_json::{Value, json};
 use std::cmp::Reverse;
@@ -58,7 +58,7 @@
     /// Length of the part with faults, in seconds.
     pub seconds: u64,
     /// The figures of the leases.
-    pub terms: Terms,
+    pub terms: TimingConfig,
     /// Whether anything goes wrong.
     pub faults: bool,
     /// Whether voters' disks fail for a while as well, beside the other faults or alone.
@@ -188,7 +188,7 @@
     Tick(usize, u64),
     Renew(usize, u64),
     Act(usize, u64),
-    Word(usize, usize, u64, Box<Word>),
+    Word(usize, usize, u64, Box<LinkMessage>),
     Propose,
     Fault,
     DiskFault,
@@ -206,9 +206,9 @@
     stopped: bool,
     held_up: Vec<Due>,
     rate: f64,
-    holder: Holder,
-    voter: Option<(Agreement, Promises)>,
-    place: Memory,
+    holder: LeaseHolder,
+    voter: Option<(RaftNode, LeaseGrants)>,
+    place: MemoryStorage,
     log: Option<LogFile>,
     /// How often the disk has begun to fail.
     disk_faults: u64,
@@ -218,7 +218,7 @@
 
 struct Host {
     trial: Trial,
-    timing: Timing,
+    timing: LeaseTiming,
     rng: fastrand::Rng,
     now: Nanos,
     pushed: u64,
@@ -227,7 +227,7 @@
     nodes: Vec<Node>,
     cut: BTreeSet<(usize, usize)>,
     loss: f64,
-    lines: Vec<Line>,
+    lines: Vec<HistoryRecord>,
     agreed: BTreeMap<Version, Nanos>,
     force: BTreeMap<Version, Nanos>,
     everywhere: BTreeMap<Version, Nanos>,
@@ -240,7 +240,7 @@
     tenants: Vec<Value>,
     count: Option<Count>,
     recoveries: u64,
-    votes: Votes,
+    votes: RecordedVotes,
     breaches: Vec<String>,
 }
 
@@ -281,7 +281,7 @@
         load,
         count: counted.then(|| Count::new(trial.schedulers)),
         recoveries: 0,
-        votes: Votes::default(),
+        votes: RecordedVotes::default(),
         breaches: Vec::new(),
     };
     host.run()?;
@@ -293,7 +293,7 @@
     json!({"name": format!("tenant-{number:06}"), "quota_rps": 12.5, "share": 0.25})
 }
 
-fn with_tenants(mut body: Body, tenants: &[Value]) -> Body {
+fn with_tenants(mut body: DocumentBody, tenants: &[Value]) -> DocumentBody {
     if !tenants.is_empty() {
         body.settings["tenants"] = Value::Array(tenants.to_vec());
     }
@@ -301,7 +301,7 @@
 }
 
 /// The document of a number, from 0 to 59, with so many tenants.
-pub fn document(number: u64, tenants: usize) -> Body {
+pub fn document(number: u64, tenants: usize) -> DocumentBody {
     let tenants: Vec<Value> = (0..tenants).map(tenant).collect();
     with_tenants(body(number), &tenants)
 }
@@ -309,7 +309,7 @@
 impl Count {
     fn new(nodes: usize) -> Count {
         // Of whatever key: it changes no length.
-        let (channel, _) = frames::channels("counted", &[0; 16], &[0; 16]);
+        let (channel, _) = link_protocol::derive_channels("counted", &[0; 16], &[0; 16]);
         let none = vec![[0; 2]; nodes];
         let (raft, proposals, news, wanted, waited) = (0, 0, 0, 0, 0);
         let made = BTreeSet::new();
@@ -318,7 +318,7 @@
 }
 
 /// A document whose class and workers follow from a number.
-fn body(number: u64) -> Body {
+fn body(number: u64) -> DocumentBody {
     let effect = ["idempotent", "deduplicated", "at_most_once"][(number % 3) as usize];
     let settings = json!({"classes": [{"name": "lodge", "effect": effect, "give_up": 5, "group": "all"}], "tick": number / 5});
     let out = if number.is_multiple_of(4) {
@@ -326,7 +326,7 @@
     } else {
         BTreeSet::new()
     };
-    Body { settings, out }
+    DocumentBody { settings, workers_out: out }
 }
 
 impl Host {
@@ -348,17 +348,17 @@
 
     fn log(&mut self, n: usize, event: Did) {
         let (who, process) = (format!("n{n}"), self.nodes[n].run);
-        self.lines.push(Line { at: self.now, who, process, event });
+        self.lines.push(HistoryRecord { at: self.now, scheduler: who, process, event });
     }
 
     fn run(&mut self) -> Result<(), String> {
         let drift = match self.trial.without {
             Without::Drift => 0.3,
-            _ => self.trial.terms.drift,
+            _ => self.trial.terms.clock_drift,
         };
         for n in 0..self.trial.schedulers {
             let rate = if self.trial.faults { 1.0 + drift * [-1.0, 0.0, 1.0][n % 3] } else { 1.0 };
-            let holder = Holder::new(self.timing, self.trial.voters);
+            let holder = LeaseHolder::new(self.timing, self.trial.voters);
             self.nodes.push(Node {
                 run: 0,
                 up: false,
@@ -367,7 +367,7 @@
                 rate,
                 holder,
                 voter: None,
-                place: Memory::default(),
+                place: MemoryStorage::default(),
                 log: None,
                 disk_faults: 0,
                 may: false,
@@ -403,7 +403,7 @@
         self.healed = true;
         self.cut.clear();
         self.loss = 0.0;
-        self.nodes.iter().for_each(|node| node.place.mend());
+        self.nodes.iter().for_each(|node| node.place.clear_fault());
         for n in 0..self.nodes.len() {
             if self.nodes[n].stopped {
                 self.push(self.now, Due::Continue(n));
@@ -416,27 +416,27 @@
         node.run += 1;
         (node.up, node.stopped, node.may, node.proposal) = (true, false, false, None);
         node.held_up.clear();
-        node.holder = Holder::new(self.timing, self.trial.voters);
+        node.holder = LeaseHolder::new(self.timing, self.trial.voters);
         if n < self.trial.voters {
             let (id, all) = (n as u64 + 1, self.trial.voters as u64);
             // What its last process had open is closed; what that was told lasts, does.
             node.log = None;
-            node.place.power_lost(0);
+            node.place.lose_power(0);
             let (log, loaded) =
                 LogFile::open(&node.place, &id.to_string(), true).map_err(|e| e.to_string())?;
             node.log = Some(log);
-            let agreement = Agreement::new(id, all, loaded).map_err(|e| e.to_string())?;
+            let agreement = RaftNode::new(id, all, loaded).map_err(|e| e.to_string())?;
             let since = match self.trial.without {
                 Without::Quiet => None,
                 _ => Some(self.clock(n)),
             };
-            let promises = Promises::new(self.timing, since.unwrap_or(0));
+            let promises = LeaseGrants::new(self.timing, since.unwrap_or(0));
             self.nodes[n].voter = Some((agreement, promises));
             self.push(self.now, Due::Tick(n, self.nodes[n].run));
         }
         let run = self.nodes[n].run;
         // Schedulers that start at once do not ask at once.
-        let late = self.rng.u64(0..self.timing.renew);
+        let late = self.rng.u64(0..self.timing.renewal_interval);
         self.push(self.now + late, Due::Renew(n, run));
         self.push(self.now + late, Due::Act(n, run));
         Ok(())
@@ -467,19 +467,19 @@
                 let leader = self.voter(n, |agreement, promises, now| {
                     agreement.tick();
                     (
-                        agreement.leader(),
-                        promises.ready(now, agreement.state()).filter(|_| agreement.settled()),
+                        agreement.leader_id(),
+                        promises.ready_version(now, agreement.state()).filter(|_| agreement.has_caught_up()),
                     )
                 });
                 if let Some((leader, ready)) = leader {
                     self.readiness(n, leader, ready);
                 }
                 self.turn(n)?;
-                self.push(self.after(n, TICK), Due::Tick(n, run));
+                self.push(self.after(n, TICK_NANOS), Due::Tick(n, run));
             }
             Due::Renew(n, run) => {
                 self.renew(n);
-                self.push(self.after(n, self.timing.renew), Due::Renew(n, run));
+                self.push(self.after(n, self.timing.renewal_interval), Due::Renew(n, run));
             }
             Due::Act(n, run) => {
                 self.act(n);
@@ -513,7 +513,7 @@
             }
             Due::DiskWorks(n, fault) => {
                 if self.nodes[n].disk_faults == fault {
-                    self.nodes[n].place.mend();
+                    self.nodes[n].place.clear_fault();
                 }
             }
             Due::Recover(n, run) => self.recover(n, run)?,
@@ -539,7 +539,7 @@
     fn voter<T>(
         &mut self,
         n: usize,
-        word: impl FnOnce(&mut Agreement, &mut Promises, Nanos) -> T,
+        word: impl FnOnce(&mut RaftNode, &mut LeaseGrants, Nanos) -> T,
     ) -> Option<T> {
         let now = self.clock(n);
         self.nodes[n].voter.as_mut().map(|(agreement, promises)| word(agreement, promises, now))
@@ -548,40 +548,40 @@
     fn readiness(&mut self, n: usize, leader: u64, ready: Option<Version>) {
         if self.trial.without == Without::Readiness {
             self.voter(n, |agreement, _, _| {
-                if let Some(version) = agreement.state().coming.as_ref().map(|d| d.version) {
-                    (1..=9).for_each(|voter| agreement.ready(voter, version));
+                if let Some(version) = agreement.state().pending.as_ref().map(|d| d.version) {
+                    (1..=9).for_each(|voter| agreement.record_ready(voter, version));
                 }
             });
         }
         let Some(version) = ready else { return };
         if leader == n as u64 + 1 {
-            self.voter(n, |agreement, _, _| agreement.ready(leader, version));
+            self.voter(n, |agreement, _, _| agreement.record_ready(leader, version));
         } else if leader > 0 {
-            self.send(n, leader as usize - 1, Word::Ready(version));
+            self.send(n, leader as usize - 1, LinkMessage::Ready(version));
         }
     }
 
     /// Lets a voter do what it has to, and sees what has been agreed.
     fn turn(&mut self, n: usize) -> Result<(), String> {
         let Some(mut log) = self.nodes[n].log.take() else { return Ok(()) };
-        let out = self.voter(n, |agreement, _, _| agreement.turn(&mut log));
+        let out = self.voter(n, |agreement, _, _| agreement.process_pending(&mut log));
         self.nodes[n].log = Some(log);
         let messages = match out.transpose() {
             Ok(messages) => messages.unwrap_or_default(),
             Err(e) => return self.store_failed(n, &e),
         };
         for message in messages {
-            if let Some(vote) = Vote::told_by(&message) {
+            if let Some(vote) = Vote::from_message(&message) {
                 self.breaches.extend(self.votes.record(vote).map(|breach| breach.to_string()));
             }
-            self.send(n, message.to as usize - 1, Word::Raft(agreement::bytes(&message)));
+            self.send(n, message.to as usize - 1, LinkMessage::Raft(raft_node::encode_message(&message)));
         }
         let Some((agreement, _)) = &self.nodes[n].voter else { return Ok(()) };
         let state = agreement.state();
         let now = self.now;
         for past in &state.history {
             self.agreed.entry(past.version).or_insert(now);
-            if past.contradicts {
+            if past.conflicts_with_previous {
                 self.contradicts.insert(past.version);
             }
         }
@@ -592,7 +592,7 @@
     }
 
     /// A voter takes part no more until its store recovers. Errors that no retry mends end the trial.
-    fn store_failed(&mut self, n: usize, e: &AgreementError) -> Result<(), String> {
+    fn store_failed(&mut self, n: usize, e: &RaftNodeError) -> Result<(), String> {
         if !e.is_transient() {
             return Err(format!("n{n}: {e}"));
         }
@@ -614,12 +614,12 @@
             Err(e) => return Err(format!("n{n}: {e}")),
         };
         if self.trial.without == Without::Vote {
-            loaded.hard.vote = 0;
+            loaded.hard_state.vote = 0;
         }
         let (id, all) = (n as u64 + 1, self.trial.voters as u64);
-        let agreement = Agreement::new(id, all, loaded).map_err(|e| e.to_string())?;
+        let agreement = RaftNode::new(id, all, loaded).map_err(|e| e.to_string())?;
         let since = if self.trial.without == Without::Quiet { 0 } else { self.clock(n) };
-        self.nodes[n].voter = Some((agreement, Promises::new(self.timing, since)));
+        self.nodes[n].voter = Some((agreement, LeaseGrants::new(self.timing, since)));
         self.recoveries += 1;
         Ok(())
     }
@@ -633,20 +633,20 @@
         for n in (first..first + failing).map(|n| n % voters) {
             let room = self.rng.usize(0..200);
             let faults = [
-                Fault::Full(room),
-                Fault::EverySync,
-                Fault::Sync,
-                Fault::SyncUnnoticed,
-                Fault::SyncDirectory,
+                StorageFault::DiskFull(room),
+                StorageFault::EverySyncFails,
+                StorageFault::SyncFailsOnce,
+                StorageFault::SyncFailsOnceReadable,
+                StorageFault::DirectorySyncFailsOnce,
             ];
             let fault = faults[self.rng.usize(0..faults.len())];
             self.nodes[n].disk_faults += 1;
-            self.nodes[n].place.plan(fault);
+            self.nodes[n].place.inject_fault(fault);
             self.push(self.now + lasts, Due::DiskWorks(n, self.nodes[n].disk_faults));
         }
     }
 
-    fn send(&mut self, from: usize, to: usize, word: Word) {
+    fn send(&mut self, from: usize, to: usize, word: LinkMessage) {
         if to >= self.nodes.len() {
             return;
         }
@@ -669,7 +669,7 @@
         }
     }
 
-    fn count(&mut self, from: usize, to: usize, word: &Word) {
+    fn count(&mut self, from: usize, to: usize, word: &LinkMessage) {
         let counted = from != to && !self.healed && self.now >= self.load.warm;
         let Some(count) = self.count.as_mut().filter(|_| counted) else { return };
         let bytes = count.channel.seal(word).len() as u64;
@@ -678,31 +678,37 @@
             at[n][1] += 1;
         }
         match word {
-            Word::Raft(_) | Word::Ready(_) => count.raft += bytes,
-            Word::Propose(_) => count.proposals += bytes,
-            Word::Answer { news: Some(_), .. } if to >= self.trial.voters => count.news += 1,
+            LinkMessage::Raft(_) | LinkMessage::Ready(_) => count.raft += bytes,
+            LinkMessage::Propose(_) => count.proposals += bytes,
+            LinkMessage::LeaseResponse { newer_state: Some(_), .. } if to >= self.trial.voters => {
+                count.news += 1
+            }
             _ => {}
         }
     }
 
     fn renew(&mut self, n: usize) {
         let now = self.clock(n);
-        let (number, acting) = self.nodes[n].holder.ask(now);
-        let index = self.nodes[n].holder.seen().index;
+        let (number, acting) = self.nodes[n].holder.start_renewal(now);
+        let index = self.nodes[n].holder.state().index;
         for voter in 0..self.trial.voters {
-            self.send(n, voter, Word::Ask { number, acting, index, list: Mine::default() });
+            self.send(
+                n,
+                voter,
+                LinkMessage::LeaseRequest { number, rules: acting, index, list: ListReport::default() },
+            );
         }
         let waiting = self.nodes[n].proposal.clone();
         if let Some(Command::Propose { token, .. }) = &waiting {
-            match self.nodes[n].holder.seen().outcome(*token) {
+            match self.nodes[n].holder.state().outcome(*token) {
                 None => {
                     let to = self.rng.usize(0..self.trial.voters);
                     if let Some(command) = waiting {
-                        self.send(n, to, Word::Propose(command));
+                        self.send(n, to, LinkMessage::Propose(command));
                     }
                 }
                 Some(outcome) => {
-                    if matches!(outcome, Outcome::Missed(_)) {
+                    if matches!(outcome, ProposalOutcome::StaleBase(_)) {
                         self.missed.insert(*token);
                     }
                     self.nodes[n].proposal = None;
@@ -714,63 +720,73 @@
     fn act(&mut self, n: usize) {
         let now = self.clock(n);
         let holder = &self.nodes[n].holder;
-        let (may, on, until) = (holder.may_act(now), holder.acting(), holder.until());
+        let (may, on, until) = (holder.has_valid_lease(now), holder.rules(), holder.lease_expiry());
         self.could.0 += u64::from(may);
         self.could.1 += 1;
         if may != self.nodes[n].may {
             self.nodes[n].may = may;
-            self.log(n, if may { Did::Renewed } else { Did::Lapsed });
+            self.log(n, if may { Did::LeaseAcquired } else { Did::LeaseExpired });
         }
         if let (true, Some(on)) = (may, on) {
-            self.log(n, Did::Acts { on, left: until.unwrap_or(0).saturating_sub(now) });
+            self.log(n, Did::Acted { rules: on, lease_left: until.unwrap_or(0).saturating_sub(now) });
         }
         if let Some(version) = self.force.keys().next_back().copied()
             && !self.everywhere.contains_key(&version)
             && self.nodes.iter().enumerate().all(|(i, node)| {
-                let may = node.up && node.holder.may_act(self.clock(i));
-                !may || node.holder.acting() == Some(Acting::On(version))
+                let may = node.up && node.holder.has_valid_lease(self.clock(i));
+                !may || node.holder.rules() == Some(EffectiveRules::On(version))
             })
         {
             self.everywhere.insert(version, self.now);
         }
     }
 
-    fn hear(&mut self, from: usize, to: usize, from_run: u64, word: Word) -> Result<(), String> {
+    fn hear(&mut self, from: usize, to: usize, from_run: u64, word: LinkMessage) -> Result<(), String> {
         let now = self.clock(to);
         let process = (format!("n{from}"), from_run);
         match word {
-            Word::Ask { number, acting, index, .. } => {
+            LinkMessage::LeaseRequest { number, rules: acting, index, .. } => {
                 let answer = self.voter(to, |agreement, promises, now| {
                     let state = agreement.state();
-                    let yes = agreement.settled()
-                        && acting.is_some_and(|acting| promises.ask(now, &process, number, acting, state));
+                    let yes = agreement.has_caught_up()
+                        && acting
+                            .is_some_and(|acting| promises.try_grant(now, &process, number, acting, state));
                     (yes, (state.index > index).then(|| Box::new(state.clone())))
                 });
                 // An answer to an earlier process of this name finds nobody.
                 if let Some((yes, news)) = answer
                     && self.nodes[from].run == from_run
                 {
-                    self.send(to, from, Word::Answer { number, yes, news, lists: Theirs::default() });
+                    self.send(
+                        to,
+                        from,
+                        LinkMessage::LeaseResponse {
+                            number,
+                            granted: yes,
+                            newer_state: news,
+                            lists: ListSummary::default(),
+                        },
+                    );
                 }
             }
-            Word::Answer { number, yes, news, .. } => {
+            LinkMessage::LeaseResponse { number, granted: yes, newer_state: news, .. } => {
                 self.answer(to, from, now, (number, yes, news.map(|n| *n)))
             }
-            Word::Propose(command) => {
+            LinkMessage::Propose(command) => {
                 self.voter(to, |agreement, _, _| agreement.propose(&command));
                 self.turn(to)?;
             }
-            Word::Ready(version) => {
-                self.voter(to, |agreement, _, _| agreement.ready(from as u64 + 1, version));
+            LinkMessage::Ready(version) => {
+                self.voter(to, |agreement, _, _| agreement.record_ready(from as u64 + 1, version));
                 self.turn(to)?;
             }
-            Word::Raft(bytes) => {
-                if let Some(message) = agreement::message(&bytes) {
+            LinkMessage::Raft(bytes) => {
+                if let Some(message) = raft_node::decode_message(&bytes) {
                     self.voter(to, |agreement, _, _| agreement.step(message));
                     self.turn(to)?;
                 }
             }
-            Word::Hello { .. } => {}
+            LinkMessage::Hello { .. } => {}
         }
         Ok(())
     }
@@ -780,12 +796,12 @@
         n: usize,
         voter: usize,
         now: Nanos,
-        (number, yes, news): (u64, bool, Option<State>),
+        (number, yes, news): (u64, bool, Option<ReplicatedState>),
     ) {
-        if self.nodes[n].holder.answer(now, voter, number, yes, news)
-            && let Some(acting) = self.nodes[n].holder.acting()
+        if self.nodes[n].holder.handle_response(now, voter, number, yes, news)
+            && let Some(acting) = self.nodes[n].holder.rules()
         {
-            self.log(n, Did::Takes(acting));
+            self.log(n, Did::Adopted(acting));
             self.renew(n);
         }
     }
@@ -824,11 +840,12 @@
 
     fn propose_at(&mut self, n: usize, token: u64, number: u64) -> bool {
         let node = &mut self.nodes[n];
-        let base = node.holder.seen().newest();
+        let base = node.holder.state().newest_version();
         let may = node.up && !node.stopped && node.proposal.is_none();
         if may {
             let body = with_tenants(body(number), &self.tenants);
-            node.proposal = Some(Command::Propose { token, by: format!("n{n}"), base, body });
+            node.proposal =
+                Some(Command::Propose { token, proposer: format!("n{n}"), base_version: base, body });
         }
         may
     }
@@ -897,7 +914,8 @@
         };
         let voters = self.trial.voters;
         let others = self.nodes.len().saturating_sub(voters).max(1);
-        let newest = self.nodes.iter().filter_map(|n| n.holder.seen().latest()).max_by_key(|d| d.version);
+        let newest =
+            self.nodes.iter().filter_map(|n| n.holder.state().newest_document()).max_by_key(|d| d.version);
         Traffic {
             seconds,
             scheduler: flow(&|n| n >= voters),
@@ -914,13 +932,16 @@
     }
 
     fn told(&self) -> Told {
-        let verdict: Verdict = judge(&self.lines, 0, |version| self.contradicts.contains(&version));
-        let mut breaches: Vec<String> = verdict.breaches.iter().map(ToString::to_string).collect();
+        let verdict: CheckReport =
+            check_history(&self.lines, 0, |version| self.contradicts.contains(&version));
+        let mut breaches: Vec<String> = verdict.violations.iter().map(ToString::to_string).collect();
         breaches.extend(self.breaches.iter().cloned());
         let newest = self.force.keys().next_back().copied().unwrap_or(0);
         for (n, node) in self.nodes.iter().enumerate() {
-            if !node.holder.may_act(self.clock(n)) || node.holder.acting() != Some(Acting::On(newest)) {
-                let (acting, may) = (node.holder.acting(), node.holder.may_act(self.clock(n)));
+            if !node.holder.has_valid_lease(self.clock(n))
+                || node.holder.rules() != Some(EffectiveRules::On(newest))
+            {
+                let (acting, may) = (node.holder.rules(), node.holder.has_valid_lease(self.clock(n)));
                 breaches.push(format!(
                     "all agree in the end: n{n} acts on {acting:?} of {newest}, may act: {may}"
                 ));
@@ -937,8 +958,8 @@
             versions: newest,
             missed: self.missed.len() as u64,
             breaches,
-            disagreed_ms: verdict.disagreed as f64 / 1e6,
-            acts: verdict.acts,
+            disagreed_ms: verdict.longest_conflict as f64 / 1e6,
+            acts: verdict.acts_checked,
             force_ms: spans(&self.force),
             everywhere_ms: spans(&self.everywhere),
             could_act: self.could.0 as f64 / self.could.1.max(1) as f64,
--- a/crates/scheduler/src/admit.rs
+++ b/crates/scheduler/src/admit.rs
@@ -5,8 +5,8 @@
 use super::quotas::QuotaDecision;
 use super::timers::TimerEvent;
 use super::{Scheduler, route};
-use loomlb_policy::boot::key;
-use loomlb_policy::{ClassId, Effect, Event, Nanos, Request, RequestId, TenantId};
+use loomlb_policy::raw_settings::affinity_key;
+use loomlb_policy::{ClassId, Event, Idempotency, Nanos, Request, RequestId, TenantId};
 use std::rc::Rc;
 use tokio::sync::oneshot;
 
@@ -65,7 +65,7 @@
 /// Admits an offer as a flow and passes it to the decision module, or rejects it.
 pub fn admit(scheduler: &Rc<Scheduler>, offer: Offer) -> Result<Admitted, Rejection> {
     let epoch = scheduler.epoch();
-    let class = epoch.names.class(&offer.class);
+    let class = epoch.names.class_index(&offer.class);
     let Some(settings) = epoch.settings.classes.get(class) else {
         return Err(Rejection::Invalid("unknown class"));
     };
@@ -100,7 +100,7 @@
             return Err(Rejection::Unavailable(retry_after.min(max_retry_after)));
         }
     };
-    let time_left = offer.time_left.unwrap_or(settings.deadline);
+    let time_left = offer.time_left.unwrap_or(settings.client_timeout);
     // A process that shuts down must answer sooner. The decision module gets this limit as a value of its own: a short
     // time left would mean that the client has already waited.
     let within = scheduler.shutdown.service().answer_by().map(|by| by.saturating_sub(now));
@@ -117,7 +117,8 @@
         slots,
         class,
         max_forwards,
-        repeat_window: matches!(settings.effect, Effect::Keyed(_)).then_some(settings.window),
+        repeat_window: matches!(settings.idempotency, Idempotency::Deduplicated(_))
+            .then_some(settings.dedup_window),
         run_seconds: 0.0,
     });
     drop(book);
@@ -140,14 +141,14 @@
         id,
         class: ClassId(class),
         tenant: tenant.map(TenantId),
-        key: offer.subject.as_deref().map(key),
+        affinity_key: offer.subject.as_deref().map(affinity_key),
         slots,
         memory: offer.memory.unwrap_or(0.0),
         remaining: time_left,
-        within,
-        retry: offer.retry,
+        answer_within: within,
+        is_retry: offer.retry,
         in_share,
-        expected: offer.expected_work,
+        expected_work: offer.expected_work,
     };
     route::handle_event(scheduler, Event::Request(request));
     Ok(Admitted { id, answer })
--- a/crates/scheduler/src/config.rs
+++ b/crates/scheduler/src/config.rs
@@ -2,9 +2,9 @@
 
 use super::changes;
 use super::epoch::Epoch;
-use loomlb_consensus::place::write_atomically;
+use loomlb_consensus::storage::write_atomically;
 use loomlb_policy::PeerId;
-use loomlb_policy::boot::BootInfo;
+use loomlb_policy::raw_settings::RawSettings;
 use serde::Deserialize;
 use std::cell::{Cell, RefCell};
 use std::fmt;
@@ -101,7 +101,7 @@
     peers: Vec<String>,
     peers_all: Option<String>,
     known: serde_json::Value,
-    settings: Option<BootInfo>,
+    settings: Option<RawSettings>,
 }
 
 #[derive(Deserialize)]
@@ -259,7 +259,7 @@
 
     fn check(self, file: PathBuf, keys: Keys) -> Result<Config, String> {
         let boot = needed("settings", self.settings)?;
-        let (settings, names) = boot.read();
+        let (settings, names) = boot.to_settings();
         if settings.classes.is_empty() {
             return Err("settings.classes: names no class".into());
         }
@@ -300,7 +300,7 @@
             peers: peers?,
             peers_all: optional("peers_all", self.peers_all)?,
             known: self.known,
-            epoch: Rc::new(Epoch { terms: boot.terms(), settings, names }),
+            epoch: Rc::new(Epoch { terms: boot.network_settings(), settings, names }),
             passed_over: None,
             file,
             keys: RefCell::new(keys),
@@ -315,8 +315,8 @@
         writeln!(f, "listen: {}", self.listen)?;
         writeln!(f, "discovery: {}", self.discovery)?;
         let Epoch { settings, names, .. } = &*self.epoch;
-        let PeerId(me) = settings.me;
-        writeln!(f, "scheduler {me} of {}, {} peers", settings.dispatchers, self.peers.len())?;
+        let PeerId(me) = settings.own_id;
+        writeln!(f, "scheduler {me} of {}, {} peers", settings.dispatcher_count, self.peers.len())?;
         writeln!(f, "classes: {}", names.classes.join(", "))?;
         writeln!(f, "tenants: {}", names.tenants.join(", "))?;
         if let Some(control) = self.control {
--- a/crates/scheduler/src/discovery.rs
+++ b/crates/scheduler/src/discovery.rs
@@ -3,9 +3,9 @@
 use super::http::{Connection, Message, MessageKind};
 use super::worker_starts::{Incarnation, WorkerStarts};
 use super::{Scheduler, route};
-use loomlb_consensus::lists::{LEAVING, Leaving, Mine};
+use loomlb_consensus::worker_lists::{LeavingWorker, ListReport, MAX_LEAVING_WORKERS};
 use loomlb_control::orders::{Effect, Orders};
-use loomlb_policy::boot::Names;
+use loomlb_policy::raw_settings::SettingNames;
 use loomlb_policy::{CellId, Event, ListKind, Nanos, Worker, WorkerId, WorkerState};
 use serde::{Deserialize, Serialize};
 use std::cell::{Cell, RefCell};
@@ -68,7 +68,7 @@
 
     /// Its process, and when that started.
     pub fn incarnation(&self) -> Incarnation {
-        Incarnation { born_ms: self.said.born_ms, started: self.word.started }
+        Incarnation { born_ms: self.said.born_ms, started: self.word.started_at }
     }
 }
 
@@ -150,7 +150,7 @@
         let health = |state| match state {
             WorkerState::Ready => "active",
             WorkerState::Draining => "leaving",
-            WorkerState::Gone => "left",
+            WorkerState::Removed => "left",
         };
         let targets = self.targets.borrow();
         let hosts =
@@ -171,11 +171,14 @@
     }
 
     /// What this scheduler tells others of its list: the version, and what is leaving by discovery's own word.
-    pub fn mine(&self, now: Nanos) -> Mine {
+    pub fn mine(&self, now: Nanos) -> ListReport {
         let targets = self.targets.borrow();
         let lately = targets.values().filter(|t| t.leaving.is_some_and(|at| now < at + TOLD));
-        let leaving = lately.map(|t| Leaving { host: t.host.to_string(), born_ms: t.said.born_ms });
-        Mine { version: self.seq.get().unwrap_or(0), leaving: leaving.take(LEAVING).collect() }
+        let leaving = lately.map(|t| LeavingWorker { host: t.host.to_string(), born_ms: t.said.born_ms });
+        ListReport {
+            version: self.seq.get().unwrap_or(0),
+            leaving: leaving.take(MAX_LEAVING_WORKERS).collect(),
+        }
     }
 
     /// Others have a newer list: the whole of it is asked for at once.
@@ -196,11 +199,11 @@
     if target.hearsay.is_some() && word.state == WorkerState::Ready {
         word.state = WorkerState::Draining;
     }
-    match orders.effect(&target.host, word.started) {
+    match orders.effect(&target.host, word.started_at) {
         Effect::AsListed => word,
-        Effect::Out if word.state == WorkerState::Gone => word,
+        Effect::Out if word.state == WorkerState::Removed => word,
         Effect::Out => Worker { state: WorkerState::Draining, ..word },
-        Effect::Started(started) => Worker { started, ..word },
+        Effect::Started(started) => Worker { started_at: started, ..word },
     }
 }
 
@@ -211,7 +214,7 @@
     let Some(target) = s.target_group.target(id).filter(|t| &*t.host == host) else { return };
     s.pool.close_idle(id);
     let entry = effective(&s.orders.borrow(), &target);
-    route::handle_event(s, Event::Workers { kind: ListKind::Partial, entries: vec![entry] });
+    route::handle_event(s, Event::WorkerList { kind: ListKind::Partial, entries: vec![entry] });
 }
 
 /// Another scheduler's list says that a target is leaving in the life that we know: it counts as draining until our own
@@ -237,7 +240,7 @@
     let entry = effective(&s.orders.borrow(), target);
     drop(targets);
     s.pool.close_idle(id);
-    route::handle_event(s, Event::Workers { kind: ListKind::Partial, entries: vec![entry] });
+    route::handle_event(s, Event::WorkerList { kind: ListKind::Partial, entries: vec![entry] });
     true
 }
 
@@ -254,7 +257,7 @@
         .collect();
     drop(targets);
     if !entries.is_empty() {
-        route::handle_event(s, Event::Workers { kind: ListKind::Partial, entries });
+        route::handle_event(s, Event::WorkerList { kind: ListKind::Partial, entries });
     }
 }
 
@@ -262,18 +265,19 @@
 pub fn renamed(s: &Rc<Scheduler>) {
     let epoch = s.epoch();
     let mut targets = s.target_group.targets.borrow_mut();
-    let listed = targets.values_mut().filter(|t| t.word.state != WorkerState::Gone);
+    let listed = targets.values_mut().filter(|t| t.word.state != WorkerState::Removed);
     let entries = listed.map(|target| {
-        target.word = epoch.names.worker(&target.said.site, &target.said.class, target.word.clone());
+        target.word =
+            epoch.names.with_zone_and_kind(&target.said.site, &target.said.class, target.word.clone());
         effective(&s.orders.borrow(), target)
     });
     let entries = entries.collect();
     drop(targets);
-    route::handle_event(s, Event::Workers { kind: ListKind::Partial, entries });
+    route::handle_event(s, Event::WorkerList { kind: ListKind::Partial, entries });
 }
 
 /// What the settings do not know of a target's entry. The target itself can be used.
-fn strange(names: &Names, host: &Host) -> Vec<String> {
+fn strange(names: &SettingNames, host: &Host) -> Vec<String> {
     let parts = [("site", &host.site, &names.zones), ("class", &host.class, &names.kinds)];
     let unknown = parts.into_iter().filter(|(_, said, known)| !known.contains(said));
     unknown.map(|(key, said, _)| format!("{key} {said:?} is not in the settings")).collect()
@@ -287,7 +291,7 @@
         let named: HashSet<WorkerId> = list.hosts.iter().map(|h| number(&h.host)).collect();
         for (id, target) in targets.iter_mut().filter(|t| !named.contains(t.0)) {
             target.leaving.get_or_insert(now);
-            target.word.state = WorkerState::Gone;
+            target.word.state = WorkerState::Removed;
             s.pool.close_idle(*id);
         }
     }
@@ -324,20 +328,25 @@
             // Connections to a process that has ended or is about to: the next use would only find that out.
             s.pool.close_idle(id);
         }
-        let worker =
-            Worker { cell: CellId(host.block), state, weight: host.share, started, ..Worker::new(id) };
-        let word = epoch.names.worker(&host.site, &host.class, worker);
+        let worker = Worker {
+            cell: CellId(host.block),
+            state,
+            weight: host.share,
+            started_at: started,
+            ..Worker::new(id)
+        };
+        let word = epoch.names.with_zone_and_kind(&host.site, &host.class, worker);
         let target =
             Target { host: host.host.as_str().into(), dial, leaving, hearsay, word, said: Rc::new(host) };
         entries.push(effective(&s.orders.borrow(), &target));
         targets.insert(id, target);
     }
-    s.orders.borrow_mut().age(now, s.epoch().settings.rules.cold.saturating_add(REMEMBER));
+    s.orders.borrow_mut().age(now, s.epoch().settings.obligations.warm_up_time.saturating_add(REMEMBER));
     let departed = targets.extract_if(|_, target| target.leaving.is_some_and(|at| now >= at + REMEMBER));
     starts.departed(now, departed.map(|(_, target)| (target.host.to_string(), target.incarnation())));
     drop(targets);
     drop(starts);
-    route::handle_event(s, Event::Workers { kind, entries });
+    route::handle_event(s, Event::WorkerList { kind, entries });
 }
 
 /// An entry with the address to dial, its own or the one known so far; none where that is no address, or where another
@@ -359,7 +368,7 @@
 fn listed_state(host: &Host) -> WorkerState {
     match &*host.health {
         "active" => WorkerState::Ready,
-        "left" => WorkerState::Gone,
+        "left" => WorkerState::Removed,
         "leaving" => WorkerState::Draining,
         other => {
             tracing::warn!("discovery: {}: unknown health {other:?}, taken as leaving", host.host);
@@ -372,7 +381,7 @@
 fn known_start(targets: &HashMap<WorkerId, Target>, host: &Host) -> Option<Nanos> {
     let known = targets.get(&number(&host.host))?;
     let same = *known.host == *host.host && known.said.born_ms == host.born_ms;
-    same.then_some(known.word.started)
+    same.then_some(known.word.started_at)
 }
 
 /// Starts from the list that the configuration brought.
@@ -410,7 +419,7 @@
 /// start, the service of the list would fail them all.
 pub async fn follow(s: Rc<Scheduler>) {
     loop {
-        if s.epoch().settings.ask_for_list {
+        if s.epoch().settings.list_needs_watch {
             tokio::select! {
                 () = s.target_group.asked.notified() => {}
                 () = s.target_group.moved.notified() => s.target_group.seq.set(None),
@@ -430,8 +439,8 @@
         };
         s.book.borrow_mut().counters.list_faults += 1;
         tracing::warn!("discovery: {fault}; the last list stays");
-        if s.epoch().settings.ask_for_list {
-            route::handle_event(&s, Event::ListFailed);
+        if s.epoch().settings.list_needs_watch {
+            route::handle_event(&s, Event::ListRequestFailed);
         }
         tokio::time::sleep(RETRY).await;
     }
@@ -454,7 +463,7 @@
 /// whether there are any. Where lists are pushed a call costs nothing, and another goes out beside one that hangs; where
 /// they are asked for there is one.
 async fn first(s: &Rc<Scheduler>) -> Result<(Connection, Message), &'static str> {
-    let most = if s.epoch().settings.ask_for_list { 1 } else { CALLS };
+    let most = if s.epoch().settings.list_needs_watch { 1 } else { CALLS };
     let (mut calls, mut again) = (JoinSet::new(), tokio::time::interval(BESIDE));
     loop {
         tokio::select! {
@@ -490,7 +499,7 @@
 
 /// How long the answer to the first call on a connection may take. An agent that has pushed lists answers at once.
 fn first_patience(s: &Scheduler) -> Duration {
-    let crowded = s.epoch().settings.ask_for_list && s.target_group.unanswered.get();
+    let crowded = s.epoch().settings.list_needs_watch && s.target_group.unanswered.get();
     if crowded { PATIENCE_WHEN_CROWDED } else { PATIENCE }
 }
 
--- a/crates/scheduler/src/epoch.rs
+++ b/crates/scheduler/src/epoch.rs
@@ -1,7 +1,7 @@
 //! Epochs: settings in force, and how the next ones follow from a file that has changed. Pure: nothing is read here.
 
-use loomlb_policy::boot::{Names, Terms};
-use loomlb_policy::{Class, ClassId, KindId, Nanos, Settings, Start, Tenant, ZoneId};
+use loomlb_policy::raw_settings::{NetworkSettings, SettingNames};
+use loomlb_policy::{Class, ClassId, ClassOrigin, KindId, Nanos, Settings, Tenant, ZoneId};
 
 /// Classes that may have a number at once, those kept for open flows included.
 const CLASSES: usize = 256;
@@ -14,20 +14,20 @@
     /// For the module.
     pub settings: Settings,
     /// The names, in the settings' order.
-    pub names: Names,
+    pub names: SettingNames,
     /// For the network code.
-    pub terms: Terms,
+    pub terms: NetworkSettings,
 }
 
 impl Epoch {
     /// The longest time that a client of any class waits.
     pub fn longest(&self) -> Nanos {
-        self.settings.classes.iter().map(|c| c.deadline).max().unwrap_or(0)
+        self.settings.classes.iter().map(|c| c.client_timeout).max().unwrap_or(0)
     }
 
     /// Where each class's answers are wanted by.
     pub fn aims(&self) -> Vec<Nanos> {
-        self.settings.classes.iter().map(|c| c.aim).collect()
+        self.settings.classes.iter().map(|c| c.latency_objective).collect()
     }
 
     /// The epoch after this one, from a file's settings in their own order, with where each class starts. Numbers of
@@ -36,17 +36,19 @@
         &self,
         fresh: Epoch,
         in_use: impl Fn(ClassId) -> bool,
-    ) -> Result<(Epoch, Vec<Start>), String> {
+    ) -> Result<(Epoch, Vec<ClassOrigin>), String> {
         let mut next = fresh.clone();
         (next.names.zones, next.names.kinds) =
             (joined(&self.names.zones, &fresh.names.zones), joined(&self.names.kinds, &fresh.names.kinds));
-        (next.settings.zones, next.settings.kinds) = (next.names.zones.len(), next.names.kinds.len());
-        next.settings.zone = ZoneId(moved(&fresh.names.zones, &next.names.zones, fresh.settings.zone.0));
+        (next.settings.zone_count, next.settings.kind_count) =
+            (next.names.zones.len(), next.names.kinds.len());
+        next.settings.own_zone =
+            ZoneId(moved(&fresh.names.zones, &next.names.zones, fresh.settings.own_zone.0));
         let kind = |k: KindId| KindId(moved(&fresh.names.kinds, &next.names.kinds, k.0));
         let class = |c: &Class| Class { kind: c.kind.map(kind), ..c.clone() };
 
         let (mut names, mut classes) = (self.names.classes.clone(), self.settings.classes.clone());
-        let mut starts = vec![Start::Kept; classes.len()];
+        let mut starts = vec![ClassOrigin::Kept; classes.len()];
         let mut homeless = Vec::new();
         for name in names.iter_mut().filter(|n| !fresh.names.classes.contains(n)) {
             *name = NOBODY.into();
@@ -55,13 +57,13 @@
             match names.iter().position(|n| n == name) {
                 Some(at) if classes[at] == new => {}
                 Some(at) if !in_use(ClassId(at)) => {
-                    (classes[at], starts[at]) = (new, Start::From(ClassId(at)))
+                    (classes[at], starts[at]) = (new, ClassOrigin::LearnedFrom(ClassId(at)))
                 }
                 Some(at) => {
                     names[at] = NOBODY.into();
-                    homeless.push((name, new, Start::From(ClassId(at))));
+                    homeless.push((name, new, ClassOrigin::LearnedFrom(ClassId(at))));
                 }
-                None => homeless.push((name, new, Start::Afresh)),
+                None => homeless.push((name, new, ClassOrigin::New)),
             }
         }
         for (name, new, start) in homeless {
@@ -71,7 +73,7 @@
             if at == names.len() {
                 names.push(String::new());
                 classes.push(Class::default());
-                starts.push(Start::Afresh);
+                starts.push(ClassOrigin::New);
             }
             (names[at], classes[at], starts[at]) = (name.clone(), new, start);
         }
@@ -113,18 +115,21 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use loomlb_policy::Effect;
+    use loomlb_policy::Idempotency;
 
     fn epoch(classes: &[(&str, Nanos)]) -> Epoch {
-        let class = |c: &(&str, Nanos)| Class { deadline: c.1, ..Class::default() };
+        let class = |c: &(&str, Nanos)| Class { client_timeout: c.1, ..Class::default() };
         let settings = Settings { classes: classes.iter().map(class).collect(), ..Settings::default() };
-        let names = Names { classes: classes.iter().map(|c| c.0.to_string()).collect(), ..Names::default() };
+        let names = SettingNames {
+            classes: classes.iter().map(|c| c.0.to_string()).collect(),
+            ..SettingNames::default()
+        };
         Epoch { settings, names, ..Epoch::default() }
     }
 
     fn shown(epoch: &Epoch) -> String {
         let classes = epoch.names.classes.iter().zip(&epoch.settings.classes);
-        classes.map(|(n, c)| format!("{}={} ", n.replace(NOBODY, "-"), c.deadline)).collect()
+        classes.map(|(n, c)| format!("{}={} ", n.replace(NOBODY, "-"), c.client_timeout)).collect()
     }
 
     #[test]
@@ -135,18 +140,18 @@
         };
         // Another order alone changes nothing.
         let (same, starts) = step(&first, &[("lodge", 3), ("view", 1), ("sign", 2)], &[0, 1, 2]);
-        assert_eq!((shown(&same), starts), (shown(&first), vec![Start::Kept; 3]));
+        assert_eq!((shown(&same), starts), (shown(&first), vec![ClassOrigin::Kept; 3]));
         // Changed in use, changed out of use, dropped in use, new.
         let (next, starts) = step(&first, &[("view", 9), ("sign", 8), ("new", 7)], &[0, 2]);
         assert_eq!(shown(&next), "-=1 sign=8 -=3 view=9 new=7 ");
-        let (view, sign) = (Start::From(ClassId(0)), Start::From(ClassId(1)));
-        assert_eq!(starts, [Start::Kept, sign, Start::Kept, view, Start::Afresh]);
+        let (view, sign) = (ClassOrigin::LearnedFrom(ClassId(0)), ClassOrigin::LearnedFrom(ClassId(1)));
+        assert_eq!(starts, [ClassOrigin::Kept, sign, ClassOrigin::Kept, view, ClassOrigin::New]);
         // Numbers are used again once no flow has them, and not before.
         let (after, _) = step(&next, &[("view", 9), ("sign", 8), ("new", 7), ("more", 6)], &[0]);
         assert_eq!(shown(&after), "-=1 sign=8 more=6 view=9 new=7 ");
         // A class that was dropped and comes back is a new one.
         let (back, starts) = step(&after, &[("lodge", 3)], &[0, 1, 2, 3, 4]);
-        assert_eq!((shown(&back), starts[5]), ("-=1 -=8 -=6 -=9 -=7 lodge=3 ".into(), Start::Afresh));
+        assert_eq!((shown(&back), starts[5]), ("-=1 -=8 -=6 -=9 -=7 lodge=3 ".into(), ClassOrigin::New));
     }
 
     #[test]
@@ -154,7 +159,7 @@
         let named = |kinds: &[&str], kind: usize, tenants: &[(&str, f64)]| {
             let mut e = epoch(&[("view", 1)]);
             e.settings.classes[0].kind = Some(KindId(kind));
-            e.settings.classes[0].effect = Effect::Safe;
+            e.settings.classes[0].idempotency = Idempotency::Idempotent;
             e.names.kinds = kinds.iter().map(|k| k.to_string()).collect();
             e.names.zones = vec!["z".into()];
             e.names.tenants = tenants.iter().map(|t| t.0.to_string()).collect();
@@ -163,12 +168,12 @@
         };
         let first = named(&["a", "b"], 1, &[("x", 1.0), ("y", 2.0)]);
         let (next, starts) = first.next(named(&["b", "c"], 0, &[("y", 3.0), ("w", 4.0)]), |_| true).unwrap();
-        assert_eq!(starts, [Start::Kept], "its kind is the same one by another number");
+        assert_eq!(starts, [ClassOrigin::Kept], "its kind is the same one by another number");
         assert_eq!(next.names.kinds, ["a", "b", "c"]);
         assert_eq!(next.names.tenants, [NOBODY, "y", "w"]);
         let quotas: Vec<f64> = next.settings.tenants.iter().map(|t| t.quota_per_s).collect();
         assert_eq!(quotas, [1.0, 3.0, 4.0]);
-        assert_eq!((next.settings.zone, next.settings.kinds), (ZoneId(0), 3));
+        assert_eq!((next.settings.own_zone, next.settings.kind_count), (ZoneId(0), 3));
     }
 
     #[test]
--- a/crates/scheduler/src/lib.rs
+++ b/crates/scheduler/src/lib.rs
@@ -111,7 +111,7 @@
     let open_retry = OpenRetry::start();
     let listener = match config.inherited {
         Some(number) => {
-            let inherited = loomlb_listen_fd::listener(number).and_then(TcpListener::from_std);
+            let inherited = loomlb_listen_fd::adopt_listener(number).and_then(TcpListener::from_std);
             inherited.map_err(|error| with_context(&format!("LB_FD: descriptor {number}"), error))?
         }
         None => listen(&open_retry, "listen", config.listen).await?,
@@ -130,7 +130,7 @@
     // Traffic digests are exchanged only if there are quotas at the start, not if a reload brings the first ones.
     let has_quotas = quota_source.spec.is_some();
     let quotas =
-        quotas::TenantQuotas::new(quota_source, &epoch.aims(), epoch.settings.dispatchers, clock.now());
+        quotas::TenantQuotas::new(quota_source, &epoch.aims(), epoch.settings.dispatcher_count, clock.now());
     let scheduler = Rc::new(Scheduler {
         quotas: quotas.map_err(io::Error::other)?,
         router: route::Router::new(Dispatcher::new(epoch.settings.clone(), config.seed)),
@@ -140,7 +140,7 @@
         book: RefCell::default(),
         target_group: discovery::Group::default(),
         orders: RefCell::default(),
-        shutdown: shutdown::Shutdown::new(epoch.longest(), epoch.settings.dispatchers <= 1),
+        shutdown: shutdown::Shutdown::new(epoch.longest(), epoch.settings.dispatcher_count <= 1),
         upgrade: upgrade::Upgrade::new(&config, predecessor.is_some()),
         epoch: RefCell::new(epoch),
         clock,
@@ -180,7 +180,7 @@
 /// Handles a timer that is due.
 pub fn handle_timer(scheduler: &Rc<Scheduler>, event: TimerEvent) {
     match event {
-        TimerEvent::Dispatcher(token) => route::handle_event(scheduler, Event::Timer(token)),
+        TimerEvent::Dispatcher(token) => route::handle_event(scheduler, Event::TimerFired(token)),
         TimerEvent::ForwardTimeout(id, attempt) => send::time_out(scheduler, id, attempt),
         TimerEvent::FlowDeadline(id) => relay::deadline_reached(scheduler, id),
         TimerEvent::PoolSweep => send::sweep_pool(scheduler),
--- a/crates/scheduler/src/relay.rs
+++ b/crates/scheduler/src/relay.rs
@@ -4,7 +4,7 @@
 use super::quotas::QuotaGrant;
 use super::{Scheduler, route};
 use bytes::Bytes;
-use loomlb_policy::{Ended, Event, Note, Outcome, Report, RequestId};
+use loomlb_policy::{AttemptResult, Event, JobProgress, LoadReport, Outcome, RequestId};
 use serde::Deserialize;
 use std::borrow::Cow;
 use std::rc::Rc;
@@ -44,7 +44,7 @@
         book.counters.gone += 1;
         charge_quota(scheduler, book.remove_if_finished(id));
         drop(book);
-        route::handle_event(scheduler, Event::Gone(id));
+        route::handle_event(scheduler, Event::RequestAbandoned(id));
     }
 }
 
@@ -52,7 +52,7 @@
 pub fn deadline_reached(scheduler: &Rc<Scheduler>, id: RequestId) {
     if answer_flow(scheduler, id, Answer::Failed) {
         scheduler.book.borrow_mut().counters.overdue += 1;
-        route::handle_event(scheduler, Event::Gone(id));
+        route::handle_event(scheduler, Event::RequestAbandoned(id));
     }
 }
 
@@ -62,7 +62,7 @@
     id: RequestId,
     attempt: u32,
     outcome: Outcome,
-    report: Option<Report>,
+    report: Option<LoadReport>,
 ) {
     let mut book = scheduler.book.borrow_mut();
     let Some(forward) = book.forward(id, attempt).filter(|forward| forward.stage != ForwardStage::Ended)
@@ -73,8 +73,11 @@
     let now = scheduler.clock.now();
     let latency = now.saturating_sub(forward.requested_at);
     // The run time counts from the reported start, or from the request where targets do not report starts.
-    let started_at =
-        if scheduler.epoch().settings.tells_start { forward.started_at } else { Some(forward.requested_at) };
+    let started_at = if scheduler.epoch().settings.job_starts_reported {
+        forward.started_at
+    } else {
+        Some(forward.requested_at)
+    };
     let run_seconds =
         started_at.filter(|_| !outcome.never_ran()).map_or(0.0, |at| now.saturating_sub(at) as f64 / 1e9);
     tracing::debug!(flow = id.0, target = &*forward.host, attempt = attempt, outcome = ?outcome, latency_us = latency / 1000, "ended");
@@ -87,7 +90,11 @@
     drop(book);
     route::handle_event(
         scheduler,
-        Event::Ended { id, attempt, ended: Ended { outcome, latency, closed, report } },
+        Event::AttemptEnded {
+            id,
+            attempt,
+            result: AttemptResult { outcome, latency, request_finished: closed, load_report: report },
+        },
     );
 }
 
@@ -148,16 +155,16 @@
     drop(book);
     // An unreadable load report is ignored, so that the flow still gets its result.
     let report = call_back.load.as_ref().and_then(|load| load.as_object()).map(|load| {
-        let mut report = Report::default();
+        let mut report = LoadReport::default();
         let values = load.iter().filter_map(|(name, value)| Some((name, value.as_f64()?)));
-        values.for_each(|(name, value)| scheduler.epoch().terms.report(&mut report, name, value));
+        values.for_each(|(name, value)| scheduler.epoch().terms.record_load_value(&mut report, name, value));
         report
     });
     match &*call_back.state {
-        "started" => route::handle_event(scheduler, Event::Note(id, attempt, Note::Started)),
+        "started" => route::handle_event(scheduler, Event::JobProgress(id, attempt, JobProgress::Started)),
         "running" => route::handle_event(
             scheduler,
-            Event::Note(id, attempt, Note::Progress(call_back.share.unwrap_or(0.0))),
+            Event::JobProgress(id, attempt, JobProgress::Fraction(call_back.share.unwrap_or(0.0))),
         ),
         "done" => {
             answer_flow(scheduler, id, Answer::Served(Bytes::from(call_back.result.unwrap_or_default())));
--- a/crates/scheduler/src/route.rs
+++ b/crates/scheduler/src/route.rs
@@ -3,7 +3,7 @@
 use super::book::Answer;
 use super::timers::TimerEvent;
 use super::{Scheduler, relay, send};
-use loomlb_policy::{Action, Carried, Dispatcher, Event};
+use loomlb_policy::{Action, Dispatcher, Event, LearnedState};
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
 use std::panic::{AssertUnwindSafe, catch_unwind};
@@ -20,12 +20,12 @@
 
 impl Router {
     /// The learned state of the decision module, for a successor process.
-    pub fn learned_state(&self) -> Carried {
-        self.dispatcher.borrow().carried()
+    pub fn learned_state(&self) -> LearnedState {
+        self.dispatcher.borrow().learned_state()
     }
 
     /// Gives the decision module the learned state of a predecessor process.
-    pub fn restore_learned_state(&self, carried: Carried) {
+    pub fn restore_learned_state(&self, carried: LearnedState) {
         self.dispatcher.borrow_mut().restore(carried);
     }
 
@@ -74,14 +74,14 @@
             relay::answer_flow(scheduler, id, Answer::Failed);
         }
         Action::Cancel(id, attempt) => send::cancel(scheduler, id, attempt),
-        Action::Timer { after, token } => {
+        Action::SetTimer { after, token } => {
             scheduler
                 .timers
                 .schedule(scheduler.clock.now().saturating_add(after), TimerEvent::Dispatcher(token));
         }
         Action::Probe(worker) => send::probe(scheduler, worker),
-        Action::Close(worker) => scheduler.pool.close_idle(worker),
-        Action::Watch => scheduler.target_group.ask(),
-        Action::Tell(to, bytes) => scheduler.peers.tell(scheduler, to, &bytes),
+        Action::CloseIdleConnections(worker) => scheduler.pool.close_idle(worker),
+        Action::WatchList => scheduler.target_group.ask(),
+        Action::SendToPeers(to, bytes) => scheduler.peers.tell(scheduler, to, &bytes),
     }
 }
--- a/crates/scheduler/src/send.rs
+++ b/crates/scheduler/src/send.rs
@@ -5,7 +5,7 @@
 use super::http::{Connection, Message, MessageKind, ReadError};
 use super::timers::TimerEvent;
 use super::{Scheduler, relay, route};
-use loomlb_policy::{Ended, Event, Nanos, Outcome, Report, Reports, RequestId, WorkerId};
+use loomlb_policy::{AttemptResult, Event, LoadReport, LoadReporting, Nanos, Outcome, RequestId, WorkerId};
 use loomlb_sockets::faults::ConnectFault;
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -311,7 +311,7 @@
     let attempt = flow.forwards.len() as u32;
     let not_allowed = flow.reply.is_none() || attempt >= flow.max_forwards;
     // This forward must not overtake the cancellation of an earlier one.
-    let one_at_a_time = !scheduler.epoch().settings.limits.second_copies;
+    let one_at_a_time = !scheduler.epoch().settings.limits.hedging;
     let earlier = flow.forwards.iter().filter(|forward| one_at_a_time || forward.target == worker);
     let cancellations: Vec<Rc<Notify>> =
         earlier.filter_map(|forward| forward.cancellation_done.clone()).collect();
@@ -556,7 +556,7 @@
 }
 
 /// The outcome of a forward by the target's answer, with its load report; `None` if the target has accepted the job.
-fn classify_answer(scheduler: &Scheduler, answer: &Message) -> Option<(Outcome, Option<Report>)> {
+fn classify_answer(scheduler: &Scheduler, answer: &Message) -> Option<(Outcome, Option<LoadReport>)> {
     let report = answer.header_text("X-Backend-Load").map(|text| parse_report(scheduler, text));
     let unprocessed = answer.header_text("X-Unprocessed") == Some("1");
     match answer.status {
@@ -569,11 +569,11 @@
 }
 
 /// Parses a load report of the form `name=value,name=value`. Invalid values are skipped.
-fn parse_report(scheduler: &Scheduler, text: &str) -> Report {
-    let mut report = Report::default();
+fn parse_report(scheduler: &Scheduler, text: &str) -> LoadReport {
+    let mut report = LoadReport::default();
     for (name, value) in text.split(',').filter_map(|pair| pair.split_once('=')) {
         if let Ok(value) = value.trim().parse() {
-            scheduler.epoch().terms.report(&mut report, name.trim(), value);
+            scheduler.epoch().terms.record_load_value(&mut report, name.trim(), value);
         }
     }
     report
@@ -704,7 +704,11 @@
     scheduler.book.borrow_mut().counters.probes += 1;
     let (scheduler, sent_at) = (Rc::clone(scheduler), scheduler.clock.now());
     tokio::task::spawn_local(async move {
-        let path = if scheduler.epoch().settings.reports == Reports::None { "/healthz" } else { "/load" };
+        let path = if scheduler.epoch().settings.load_reporting == LoadReporting::None {
+            "/healthz"
+        } else {
+            "/load"
+        };
         let (outcome, report) = match call(&scheduler, worker, "GET", path).await {
             Ok(answer) => {
                 let outcome = if answer.status == 200 { Outcome::Served } else { Outcome::Error };
@@ -716,8 +720,8 @@
             Err(_) => (Outcome::NoConnection, None),
         };
         let latency = scheduler.clock.now().saturating_sub(sent_at);
-        let ended = Ended { outcome, latency, closed: false, report };
-        route::handle_event(&scheduler, Event::Probed { worker, ended });
+        let ended = AttemptResult { outcome, latency, request_finished: false, load_report: report };
+        route::handle_event(&scheduler, Event::ProbeEnded { worker, result: ended });
     });
 }
 
--- a/crates/simulation/tests/referee.rs
+++ b/crates/simulation/tests/referee.rs
@@ -1,8 +1,8 @@
 //! Each rule of the referee is able to fail: a scheduler with one fault is caught by the rule it breaks.
 
 use loomlb_policy::{
-    Action, CellId, Effect, Ended, Event, ListKind, Nanos, Outcome, Request, RequestId, Settings, Worker,
-    WorkerId, WorkerState,
+    Action, AttemptResult, CellId, Event, Idempotency, ListKind, Nanos, Outcome, Request, RequestId,
+    Settings, Worker, WorkerId, WorkerState,
 };
 use loomlb_simulation::referee::{Answered, End, Ended as HowEnded, Referee, Rule};
 use loomlb_simulation::simulate::{self, Decider};
@@ -36,9 +36,9 @@
 
 impl Plain {
     fn send(&mut self, id: RequestId, out: &mut Vec<Action>) {
-        let (fault, now, cold) = (self.fault, self.now, self.set.rules.cold);
+        let (fault, now, cold) = (self.fault, self.now, self.set.obligations.warm_up_time);
         let Some((request, sent)) = self.jobs.get_mut(&id) else { return };
-        let is_cold = |w: &Worker| w.started > 0 && now < w.started + cold;
+        let is_cold = |w: &Worker| w.started_at > 0 && now < w.started_at + cold;
         let fresh = self.workers.values().filter(|w| sent.iter().all(|s| s.0 != w.id));
         let usable: Vec<&Worker> = match fault {
             Fault::PoursOnColdWorkers if self.workers.values().any(is_cold) => {
@@ -57,17 +57,17 @@
         out.push(Action::Send { id, worker: to.id, timeout: request.remaining.min(4_000_000_000) });
     }
 
-    fn ended(&mut self, id: RequestId, ended: Ended, out: &mut Vec<Action>) {
+    fn ended(&mut self, id: RequestId, ended: AttemptResult, out: &mut Vec<Action>) {
         let Some((request, sent)) = self.jobs.get(&id) else { return };
-        if ended.closed || ended.outcome == Outcome::Served {
+        if ended.request_finished || ended.outcome == Outcome::Served {
             self.jobs.remove(&id);
             return;
         }
-        let effect = self.set.classes[request.class.0].effect;
+        let effect = self.set.classes[request.class.0].idempotency;
         let again = ended.outcome == Outcome::Full
             || match self.fault {
-                Fault::RepeatsUnsafe => effect == Effect::Unsafe,
-                Fault::RepeatsAcrossCells => matches!(effect, Effect::Keyed(_)),
+                Fault::RepeatsUnsafe => effect == Idempotency::AtMostOnce,
+                Fault::RepeatsAcrossCells => matches!(effect, Idempotency::Deduplicated(_)),
                 _ => false,
             };
         if again && sent.len() < self.set.limits.max_attempts as usize {
@@ -83,7 +83,7 @@
     fn handle(&mut self, now: Nanos, event: Event, out: &mut Vec<Action>) {
         self.now = now;
         match event {
-            Event::Workers { kind, entries } => {
+            Event::WorkerList { kind, entries } => {
                 for e in entries {
                     let known = self.workers.contains_key(&e.id);
                     if e.state == WorkerState::Ready {
@@ -97,7 +97,7 @@
                 let (id, remaining) = (request.id, request.remaining);
                 let forgets = self.fault == Fault::ForgetsRequests && id.0 % 7 == 0;
                 if self.fault == Fault::AnswersLate {
-                    return out.push(Action::Timer { after: remaining + 300_000_000, token: id.0 });
+                    return out.push(Action::SetTimer { after: remaining + 300_000_000, token: id.0 });
                 }
                 if !forgets {
                     self.jobs.insert(id, (request, Vec::new()));
@@ -107,9 +107,9 @@
                     }
                 }
             }
-            Event::Timer(id) => out.push(Action::Fail(RequestId(id))),
-            Event::Ended { id, ended, .. } => self.ended(id, ended, out),
-            Event::Gone(id) => {
+            Event::TimerFired(id) => out.push(Action::Fail(RequestId(id))),
+            Event::AttemptEnded { id, result: ended, .. } => self.ended(id, ended, out),
+            Event::RequestAbandoned(id) => {
                 self.jobs.remove(&id);
             }
             _ => {}
--- a/crates/tier/src/lease.rs
+++ b/crates/tier/src/lease.rs
@@ -4,11 +4,11 @@
 use crate::voter::voter_hears;
 use crate::{Application, LOOK, On, OnLapse, more, random};
 use loomlb_consensus::Nanos;
-use loomlb_consensus::check::Event as Did;
-use loomlb_consensus::frames::Word;
-use loomlb_consensus::lists::Theirs;
-use loomlb_consensus::rules;
-use loomlb_consensus::state::State;
+use loomlb_consensus::document;
+use loomlb_consensus::history_check::HistoryEvent as Did;
+use loomlb_consensus::link_protocol::LinkMessage;
+use loomlb_consensus::state::ReplicatedState;
+use loomlb_consensus::worker_lists::ListSummary;
 use std::rc::Rc;
 use std::time::Duration;
 
@@ -18,7 +18,7 @@
 /// Renews the lease for as long as the program runs, and sees when it has ended.
 pub(crate) async fn renew(on: Rc<On>, around: Rc<dyn Application>) {
     let (on, around) = (&*on, &*around);
-    let pause = Duration::from_nanos(on.timing.renew);
+    let pause = Duration::from_nanos(on.timing.renewal_interval);
     let mut turn = 0;
     // Schedulers that start in the same moment do not ask in the same moments ever after.
     tokio::time::sleep(pause.mul_f64(random().unwrap_or(0) as f64 / u64::MAX as f64)).await;
@@ -37,15 +37,17 @@
 
 /// Asks all voters.
 fn ask(on: &On, around: &dyn Application) {
-    let (number, acting) = on.holder.borrow_mut().ask(on.now());
-    let index = on.holder.borrow().seen().index;
+    let (number, acting) = on.holder.borrow_mut().start_renewal(on.now());
+    let index = on.holder.borrow().state().index;
     // A look at every worker: once for all voters.
     let list = around.list();
     for voter in 0..on.boxes.len() {
-        let word = Word::Ask { number, acting, index, list: list.clone() };
+        let word = LinkMessage::LeaseRequest { number, rules: acting, index, list: list.clone() };
         if on.number == Some(voter as u64 + 1) {
             let who = (on.name.clone(), on.process);
-            if let Some(Word::Answer { number, yes, news, lists }) = voter_hears(on, &who, on.number, word) {
+            if let Some(LinkMessage::LeaseResponse { number, granted: yes, newer_state: news, lists }) =
+                voter_hears(on, &who, on.number, word)
+            {
                 answered(on, around, voter, number, yes, news.map(|n| *n));
                 compare(on, around, &lists);
             }
@@ -61,9 +63,9 @@
     voter: usize,
     number: u64,
     yes: bool,
-    news: Option<State>,
+    news: Option<ReplicatedState>,
 ) {
-    let changed = on.holder.borrow_mut().answer(on.now(), voter, number, yes, news);
+    let changed = on.holder.borrow_mut().handle_response(on.now(), voter, number, yes, news);
     if changed {
         put_in_force(on, around);
         on.hurry.notify_one();
@@ -72,7 +74,7 @@
 }
 
 /// What other schedulers have been told of the workers: whoever is behind asks discovery, and takes their word for a drain.
-pub(crate) fn compare(on: &On, around: &dyn Application, theirs: &Theirs) {
+pub(crate) fn compare(on: &On, around: &dyn Application, theirs: &ListSummary) {
     let (now, mine) = (on.now(), around.list().version);
     on.lists.set((theirs.newest, theirs.oldest));
     for leaving in &theirs.leaving {
@@ -97,7 +99,7 @@
     if on.held.replace(holds) == holds {
         return;
     }
-    on.log(if holds { Did::Renewed } else { Did::Lapsed });
+    on.log(if holds { Did::LeaseAcquired } else { Did::LeaseExpired });
     if holds {
         tracing::info!("tier: a lease on {:?}", on.applied.get());
     } else {
@@ -112,19 +114,19 @@
 /// Puts in force what this scheduler acts on from now on. Another act on what was before is not possible meanwhile, as
 /// all is done on one thread.
 fn put_in_force(on: &On, around: &dyn Application) {
-    let acting = on.holder.borrow().acting();
-    let holds = on.holder.borrow().may_act(on.now());
+    let acting = on.holder.borrow().rules();
+    let holds = on.holder.borrow().has_valid_lease(on.now());
     enforce(on, around, holds || on.spec.on_lapse == OnLapse::Leave);
     on.applied.set(acting);
     if let Some(acting) = acting {
-        on.log(Did::Takes(acting));
+        on.log(Did::Adopted(acting));
         tracing::info!("tier: takes {acting:?}");
     }
 }
 
 fn enforce(on: &On, around: &dyn Application, agreed: bool) {
-    let Some(body) = on.holder.borrow().body() else { return };
-    let body = if agreed { body } else { rules::careful(&body) };
+    let Some(body) = on.holder.borrow().effective_body() else { return };
+    let body = if agreed { body } else { document::restrict_without_lease(&body) };
     match around.put_in_force(body.settings_for(&around.settings())) {
         Ok(()) => {
             on.careful.set(!agreed);
@@ -135,8 +137,8 @@
             *on.fault.borrow_mut() = Some(e);
         }
     }
-    let before = on.out.replace(body.out.clone());
-    for host in before.symmetric_difference(&body.out) {
-        around.order(host, body.out.contains(host));
+    let before = on.out.replace(body.workers_out.clone());
+    for host in before.symmetric_difference(&body.workers_out) {
+        around.order(host, body.workers_out.contains(host));
     }
 }
--- a/crates/tier/src/lib.rs
+++ b/crates/tier/src/lib.rs
@@ -24,13 +24,13 @@
 
 use history::History;
 use link::Outbox;
-use loomlb_consensus::check::{Event as Did, Line};
-use loomlb_consensus::frames::Word;
-use loomlb_consensus::holder::Holder;
-use loomlb_consensus::lists::{Leaving, Mine};
-use loomlb_consensus::state::State;
-use loomlb_consensus::timing::Timing;
-use loomlb_consensus::{Acting, Nanos};
+use loomlb_consensus::history_check::{HistoryEvent as Did, HistoryRecord};
+use loomlb_consensus::lease_holder::LeaseHolder;
+use loomlb_consensus::link_protocol::LinkMessage;
+use loomlb_consensus::state::ReplicatedState;
+use loomlb_consensus::timing::LeaseTiming;
+use loomlb_consensus::worker_lists::{LeavingWorker, ListReport};
+use loomlb_consensus::{EffectiveRules, Nanos};
 use loomlb_sockets::OpenRetry;
 use proposals::Waiting;
 use serde_json::Value;
@@ -52,7 +52,7 @@
 /// What acts by the tier's rules: the process around it. The tier asks no more of it than this.
 pub trait Application {
     /// What it has been told of the workers.
-    fn list(&self) -> Mine;
+    fn list(&self) -> ListReport;
     /// The settings that are in force in it, its own keys included.
     fn settings(&self) -> Value;
     /// Why it could not act on these settings, by their key; it changes nothing.
@@ -62,7 +62,7 @@
     /// Takes a worker out, or puts it back.
     fn order(&self, worker: &str, out: bool);
     /// Another scheduler was told that a worker is leaving; true if that is news here.
-    fn leaving(&self, leaving: &Leaving) -> bool;
+    fn leaving(&self, leaving: &LeavingWorker) -> bool;
     /// Words of others on leaving workers that were not said again for a while are over.
     fn forget_leaving(&self);
     /// Others have a newer list: it is asked for at once.
@@ -77,16 +77,16 @@
 struct On {
     spec: Spec,
     name: String,
-    timing: Timing,
+    timing: LeaseTiming,
     /// This process, as no other is called.
     process: u64,
     started: Instant,
     /// This voter's number, from 1, if it is one.
     number: Option<u64>,
     voter: RefCell<Option<Voter>>,
-    holder: RefCell<Holder>,
+    holder: RefCell<LeaseHolder>,
     /// What is in force in this process, and what of it staff have taken out.
-    applied: Cell<Option<Acting>>,
+    applied: Cell<Option<EffectiveRules>>,
     out: RefCell<BTreeSet<String>>,
     /// What was agreed and cannot be read here.
     fault: RefCell<Option<String>>,
@@ -145,13 +145,14 @@
     fn log(&self, event: Did) {
         let mut history = self.history.borrow_mut();
         let Some(history) = history.as_mut() else { return };
-        let line = Line { at: machine(), who: self.name.clone(), process: self.process, event };
+        let line =
+            HistoryRecord { at: machine(), scheduler: self.name.clone(), process: self.process, event };
         if history.write(&line).is_err() {
             more(&self.counts.unwritten);
         }
     }
 
-    fn put(&self, voter: usize, word: Word) {
+    fn put(&self, voter: usize, word: LinkMessage) {
         let Some(outbox) = self.boxes.get(voter) else { return };
         let mut words = outbox.words.borrow_mut();
         if words.len() >= link::WAITING {
@@ -163,14 +164,16 @@
     }
 
     /// Something of what this scheduler knows to be agreed.
-    fn seen<T>(&self, of: impl FnOnce(&State) -> T) -> T {
-        of(self.holder.borrow().seen())
+    fn seen<T>(&self, of: impl FnOnce(&ReplicatedState) -> T) -> T {
+        of(self.holder.borrow().state())
     }
 
     /// Whether a lease holds now on what is in force here.
     fn holds(&self) -> bool {
         let holder = self.holder.borrow();
-        holder.may_act(self.now()) && holder.acting() == self.applied.get() && self.fault.borrow().is_none()
+        holder.has_valid_lease(self.now())
+            && holder.rules() == self.applied.get()
+            && self.fault.borrow().is_none()
     }
 }
 
@@ -191,9 +194,9 @@
     pub fn acts(&self) -> bool {
         let Some(on) = &self.0 else { return true };
         if on.holds() {
-            let left = on.holder.borrow().until().unwrap_or(0).saturating_sub(on.now());
+            let left = on.holder.borrow().lease_expiry().unwrap_or(0).saturating_sub(on.now());
             if let Some(acting) = on.applied.get() {
-                on.log(Did::Acts { on: acting, left });
+                on.log(Did::Acted { rules: acting, lease_left: left });
             }
             return true;
         }
@@ -228,7 +231,7 @@
             started,
             number,
             voter: RefCell::new(voter),
-            holder: RefCell::new(Holder::new(timing, spec.voters.len())),
+            holder: RefCell::new(LeaseHolder::new(timing, spec.voters.len())),
             applied: Cell::default(),
             out: RefCell::default(),
             fault: RefCell::default(),
--- a/crates/tier/src/status.rs
+++ b/crates/tier/src/status.rs
@@ -8,22 +8,22 @@
     let Some(on) = &tier.0 else { return Value::Null };
     let (holder, voter) = (on.holder.borrow(), on.voter.borrow());
     let health = on.store_health.borrow();
-    let seen = holder.seen();
-    let left = holder.until().unwrap_or(0).saturating_sub(on.now());
+    let seen = holder.state();
+    let left = holder.lease_expiry().unwrap_or(0).saturating_sub(on.now());
     let vote = voter.as_ref().map(|v| {
         let holders: Vec<Value> = v
             .promises
             .holders(on.now())
             .map(|((name, process), acting)| json!({"name": name, "process": format!("{process:016x}"), "acting": acting}))
             .collect();
-        json!({"leads": v.agreement.leads(), "leader": v.agreement.leader(), "settled": v.agreement.settled(),
-            "broken": v.agreement.broken(), "promises_to": holders})
+        json!({"leads": v.agreement.is_leader(), "leader": v.agreement.leader_id(), "settled": v.agreement.has_caught_up(),
+            "broken": v.agreement.has_failed(), "promises_to": holders})
     });
     json!({
         "yes": true, "name": on.name, "acting": on.applied.get(), "may_act": tier.may_act(),
         "lease_left_s": left as f64 / 1e9, "fault": *on.fault.borrow(),
-        "version": seen.active.as_ref().map(|d| d.version), "by": seen.active.as_ref().map(|d| &d.by),
-        "coming": seen.coming.as_ref().map(|d| d.version), "workers_out": *on.out.borrow(),
+        "version": seen.active.as_ref().map(|d| d.version), "by": seen.active.as_ref().map(|d| &d.proposer),
+        "coming": seen.pending.as_ref().map(|d| d.version), "workers_out": *on.out.borrow(),
         "settings": seen.active.as_ref().map(|d| &d.body.settings),
         "history": seen.history, "voter": vote,
         "lists": {"mine": around.list().version, "newest": on.lists.get().0, "oldest": on.lists.get().1},
