--- a/crates/scheduler/src/admit.rs
+++ b/crates/scheduler/src/admit.rs
@@ -64,9 +64,9 @@
 
 /// Admits an offer as a flow and passes it to the decision module, or rejects it.
 pub fn admit(scheduler: &Rc<Scheduler>, offer: Offer) -> Result<Admitted, Rejection> {
-    let epoch = scheduler.epoch();
-    let class = epoch.names.class_index(&offer.class);
-    let Some(settings) = epoch.settings.classes.get(class) else {
+    let active = scheduler.settings();
+    let class = active.names.class_index(&offer.class);
+    let Some(settings) = active.policy.classes.get(class) else {
         return Err(Rejection::Invalid("unknown class"));
     };
     if !is_valid_correlation_id(&offer.job.correlation_id) {
@@ -78,16 +78,16 @@
     if book.find_by_correlation_id(&offer.job.correlation_id).is_some() {
         return Err(Rejection::Invalid("id already in use"));
     }
-    let full = book.len() >= epoch.terms.max_open
+    let full = book.len() >= active.network.max_open
         || book.body_bytes() + offer.job.body.len() > scheduler.config.body_bytes;
     if full || scheduler.shutdown.service().refusing(now) || !scheduler.tier.may_act() {
         book.counters.turned_back += 1;
         return Err(Rejection::Unavailable(
-            UNAVAILABLE_RETRY_AFTER.min(scheduler.epoch().settings.limits.max_retry_after),
+            UNAVAILABLE_RETRY_AFTER.min(scheduler.settings().policy.limits.max_retry_after),
         ));
     }
-    let max_retry_after = epoch.settings.limits.max_retry_after;
-    let max_forwards = epoch.settings.limits.max_attempts.max(1);
+    let max_retry_after = active.policy.limits.max_retry_after;
+    let max_forwards = active.policy.limits.max_attempts.max(1);
     let (slots, spread) = (offer.slots.unwrap_or(1.0), book.counters.flows ^ book.counters.turned_back << 32);
     let tenant = offer.tenant.as_deref().unwrap_or("");
     let (quota_grant, in_share) = match scheduler.quotas.admit(now, tenant, class, slots, offer.retry, spread)
@@ -125,7 +125,7 @@
     // One tick later, so that the decision module can still answer when the last forward times out at the deadline.
     scheduler
         .timers
-        .schedule(deadline.saturating_add(scheduler.epoch().settings.tick), TimerEvent::FlowDeadline(id));
+        .schedule(deadline.saturating_add(scheduler.settings().policy.tick), TimerEvent::FlowDeadline(id));
     let flow = id.0;
     tracing::debug!(
         flow,
@@ -136,7 +136,7 @@
     );
     let tenant = offer
         .tenant
-        .and_then(|name| scheduler.epoch().names.tenants.iter().position(|tenant| *tenant == name));
+        .and_then(|name| scheduler.settings().names.tenants.iter().position(|tenant| *tenant == name));
     let request = Request {
         id,
         class: ClassId(class),
--- a/crates/scheduler/src/config.rs
+++ b/crates/scheduler/src/config.rs
@@ -1,7 +1,7 @@
 //! The configuration: the one place where it is read, checked and given defaults.
 
 use super::changes;
-use super::epoch::Epoch;
+use super::runtime_settings::RuntimeSettings;
 use loomlb_consensus::storage::write_atomically;
 use loomlb_policy::PeerId;
 use loomlb_policy::raw_settings::RawSettings;
@@ -54,7 +54,7 @@
     /// The target group as it was last known, in discovery's form.
     pub known: serde_json::Value,
     /// The settings of the start.
-    pub epoch: Rc<Epoch>,
+    pub settings: Rc<RuntimeSettings>,
     /// What was wrong with the file, where an earlier process's configuration stands in for it.
     pub passed_over: Option<String>,
     /// The file it was read from, and what stood there when it was last found good.
@@ -73,7 +73,7 @@
     /// Where discovery answers now.
     pub discovery: SocketAddr,
     /// The file's settings.
-    pub epoch: Rc<Epoch>,
+    pub settings: Rc<RuntimeSettings>,
     /// What stands in the file.
     keys: Keys,
     /// Keys that have changed as well, and are read at a start only.
@@ -189,7 +189,7 @@
         let all = before.keys().chain(keys.keys().filter(|k| !before.contains_key(*k)));
         let changed = all.filter(|k| read(k) && before.get(*k) != keys.get(*k));
         let postponed = changed.cloned().collect();
-        Ok(Fresh { discovery: fresh.discovery, epoch: fresh.epoch, keys, postponed })
+        Ok(Fresh { discovery: fresh.discovery, settings: fresh.settings, keys, postponed })
     }
 
     /// What a reload brought is in force: the next one is compared with it.
@@ -300,7 +300,7 @@
             peers: peers?,
             peers_all: optional("peers_all", self.peers_all)?,
             known: self.known,
-            epoch: Rc::new(Epoch { terms: boot.network_settings(), settings, names }),
+            settings: Rc::new(RuntimeSettings { network: boot.network_settings(), policy: settings, names }),
             passed_over: None,
             file,
             keys: RefCell::new(keys),
@@ -314,9 +314,9 @@
         writeln!(f, "name: {}", self.name)?;
         writeln!(f, "listen: {}", self.listen)?;
         writeln!(f, "discovery: {}", self.discovery)?;
-        let Epoch { settings, names, .. } = &*self.epoch;
-        let PeerId(me) = settings.own_id;
-        writeln!(f, "scheduler {me} of {}, {} peers", settings.dispatcher_count, self.peers.len())?;
+        let RuntimeSettings { policy, names, .. } = &*self.settings;
+        let PeerId(me) = policy.own_id;
+        writeln!(f, "scheduler {me} of {}, {} peers", policy.dispatcher_count, self.peers.len())?;
         writeln!(f, "classes: {}", names.classes.join(", "))?;
         writeln!(f, "tenants: {}", names.tenants.join(", "))?;
         if let Some(control) = self.control {
--- a/crates/scheduler/src/discovery.rs
+++ b/crates/scheduler/src/discovery.rs
@@ -263,12 +263,12 @@
 
 /// Zones and kinds may have other numbers since the settings have changed: the module is told of all targets anew.
 pub fn renamed(s: &Rc<Scheduler>) {
-    let epoch = s.epoch();
+    let settings = s.settings();
     let mut targets = s.target_group.targets.borrow_mut();
     let listed = targets.values_mut().filter(|t| t.word.state != WorkerState::Removed);
     let entries = listed.map(|target| {
         target.word =
-            epoch.names.with_zone_and_kind(&target.said.site, &target.said.class, target.word.clone());
+            settings.names.with_zone_and_kind(&target.said.site, &target.said.class, target.word.clone());
         effective(&s.orders.borrow(), target)
     });
     let entries = entries.collect();
@@ -311,9 +311,9 @@
         }
         let same_process = known.filter(|t| t.said.born_ms == host.born_ms);
         let hearsay = same_process.and_then(|t| t.hearsay);
-        let epoch = s.epoch();
+        let settings = s.settings();
         if known.is_none_or(|t| (&t.said.site, &t.said.class) != (&host.site, &host.class)) {
-            for fault in strange(&epoch.names, &host) {
+            for fault in strange(&settings.names, &host) {
                 s.book.borrow_mut().counters.list_strange += 1;
                 tracing::warn!("discovery: {}: {fault}, used all the same", host.host);
             }
@@ -335,13 +335,13 @@
             started_at: started,
             ..Worker::new(id)
         };
-        let word = epoch.names.with_zone_and_kind(&host.site, &host.class, worker);
+        let word = settings.names.with_zone_and_kind(&host.site, &host.class, worker);
         let target =
             Target { host: host.host.as_str().into(), dial, leaving, hearsay, word, said: Rc::new(host) };
         entries.push(effective(&s.orders.borrow(), &target));
         targets.insert(id, target);
     }
-    s.orders.borrow_mut().age(now, s.epoch().settings.obligations.warm_up_time.saturating_add(REMEMBER));
+    s.orders.borrow_mut().age(now, s.settings().policy.obligations.warm_up_time.saturating_add(REMEMBER));
     let departed = targets.extract_if(|_, target| target.leaving.is_some_and(|at| now >= at + REMEMBER));
     starts.departed(now, departed.map(|(_, target)| (target.host.to_string(), target.incarnation())));
     drop(targets);
@@ -419,7 +419,7 @@
 /// start, the service of the list would fail them all.
 pub async fn follow(s: Rc<Scheduler>) {
     loop {
-        if s.epoch().settings.list_needs_watch {
+        if s.settings().policy.list_needs_watch {
             tokio::select! {
                 () = s.target_group.asked.notified() => {}
                 () = s.target_group.moved.notified() => s.target_group.seq.set(None),
@@ -439,7 +439,7 @@
         };
         s.book.borrow_mut().counters.list_faults += 1;
         tracing::warn!("discovery: {fault}; the last list stays");
-        if s.epoch().settings.list_needs_watch {
+        if s.settings().policy.list_needs_watch {
             route::handle_event(&s, Event::ListRequestFailed);
         }
         tokio::time::sleep(RETRY).await;
@@ -463,7 +463,7 @@
 /// whether there are any. Where lists are pushed a call costs nothing, and another goes out beside one that hangs; where
 /// they are asked for there is one.
 async fn first(s: &Rc<Scheduler>) -> Result<(Connection, Message), &'static str> {
-    let most = if s.epoch().settings.list_needs_watch { 1 } else { CALLS };
+    let most = if s.settings().policy.list_needs_watch { 1 } else { CALLS };
     let (mut calls, mut again) = (JoinSet::new(), tokio::time::interval(BESIDE));
     loop {
         tokio::select! {
@@ -499,7 +499,7 @@
 
 /// How long the answer to the first call on a connection may take. An agent that has pushed lists answers at once.
 fn first_patience(s: &Scheduler) -> Duration {
-    let crowded = s.epoch().settings.list_needs_watch && s.target_group.unanswered.get();
+    let crowded = s.settings().policy.list_needs_watch && s.target_group.unanswered.get();
     if crowded { PATIENCE_WHEN_CROWDED } else { PATIENCE }
 }
 
--- a/crates/scheduler/src/intake.rs
+++ b/crates/scheduler/src/intake.rs
@@ -514,8 +514,8 @@
 
 /// Parses the offer in a request; a request without a valid one gets the reply in `Err`.
 fn parse_offer(scheduler: &Scheduler, message: &Message, path: &str) -> Result<Offer, Reply> {
-    let epoch = scheduler.epoch();
-    let classes = &epoch.names.classes;
+    let settings = scheduler.settings();
+    let classes = &settings.names.classes;
     let mut segments = path.split('/').filter(|segment| !segment.is_empty());
     let first_segment = segments.next().unwrap_or_default();
     let class = match message.header_text("X-Service-Class") {
--- a/crates/scheduler/src/lib.rs
+++ b/crates/scheduler/src/lib.rs
@@ -17,7 +17,6 @@
 pub mod config;
 pub mod control;
 pub mod discovery;
-pub mod epoch;
 pub mod http;
 pub mod intake;
 pub mod peers;
@@ -25,6 +24,7 @@
 pub mod relay;
 pub mod reload;
 pub mod route;
+pub mod runtime_settings;
 pub mod send;
 pub mod shutdown;
 pub mod timers;
@@ -49,7 +49,7 @@
     /// The configuration that the process started with.
     pub config: Config,
     /// The settings in force.
-    epoch: RefCell<Rc<epoch::Epoch>>,
+    settings: RefCell<Rc<runtime_settings::RuntimeSettings>>,
     /// The clock.
     pub clock: clock::Clock,
     /// Open flows and counters.
@@ -80,8 +80,8 @@
 
 impl Scheduler {
     /// The settings in force.
-    pub fn epoch(&self) -> Rc<epoch::Epoch> {
-        Rc::clone(&self.epoch.borrow())
+    pub fn settings(&self) -> Rc<runtime_settings::RuntimeSettings> {
+        Rc::clone(&self.settings.borrow())
     }
 }
 
@@ -126,23 +126,30 @@
     let peer_socket = predecessor.as_mut().and_then(upgrade::Before::peers);
     let peers = peers::Peers::open(&config, peer_socket, &open_retry).await?;
     let clock = predecessor.as_ref().map(upgrade::Before::clock).unwrap_or_default();
-    let epoch = Rc::clone(&config.epoch);
+    let settings = Rc::clone(&config.settings);
     // Traffic digests are exchanged only if there are quotas at the start, not if a reload brings the first ones.
     let has_quotas = quota_source.spec.is_some();
-    let quotas =
-        quotas::TenantQuotas::new(quota_source, &epoch.aims(), epoch.settings.dispatcher_count, clock.now());
+    let quotas = quotas::TenantQuotas::new(
+        quota_source,
+        &settings.latency_objectives(),
+        settings.policy.dispatcher_count,
+        clock.now(),
+    );
     let scheduler = Rc::new(Scheduler {
         quotas: quotas.map_err(io::Error::other)?,
-        router: route::Router::new(Dispatcher::new(epoch.settings.clone(), config.seed)),
+        router: route::Router::new(Dispatcher::new(settings.policy.clone(), config.seed)),
         timers: timers::TimerWheel::new(clock.now()),
-        pool: send::Pool::new(config.outbound, epoch.terms.keepalive),
+        pool: send::Pool::new(config.outbound, settings.network.keepalive),
         listener: intake::Listener::new(config.inbound, config.ample),
         book: RefCell::default(),
         target_group: discovery::Group::default(),
         orders: RefCell::default(),
-        shutdown: shutdown::Shutdown::new(epoch.longest(), epoch.settings.dispatcher_count <= 1),
+        shutdown: shutdown::Shutdown::new(
+            settings.longest_client_timeout(),
+            settings.policy.dispatcher_count <= 1,
+        ),
         upgrade: upgrade::Upgrade::new(&config, predecessor.is_some()),
-        epoch: RefCell::new(epoch),
+        settings: RefCell::new(settings),
         clock,
         peers,
         tier,
--- a/crates/scheduler/src/peers.rs
+++ b/crates/scheduler/src/peers.rs
@@ -36,7 +36,7 @@
         taken_over: Option<OwnedFd>,
         opening: &OpenRetry,
     ) -> io::Result<Peers> {
-        let Some(at) = config.peer_listen.filter(|_| config.epoch.settings.limits.peer_messages) else {
+        let Some(at) = config.peer_listen.filter(|_| config.settings.policy.limits.peer_messages) else {
             return Ok(Peers::default());
         };
         // Where the platform holds the listening socket the address is that of the process before, for as long as it runs.
@@ -69,7 +69,7 @@
         // Of two processes the one that accepts speaks for both: peers know the scheduler, not its processes.
         let speaks = bytes.len() <= MAX && s.upgrade.accepts();
         let Some(socket) = self.socket.get().filter(|_| speaks) else { return };
-        let (all, me) = (&s.config.peers, s.epoch().settings.own_id.0 as usize);
+        let (all, me) = (&s.config.peers, s.settings().policy.own_id.0 as usize);
         let others = || all.iter().enumerate().filter(|p| p.0 != me).map(|p| *p.1);
         let receivers: Vec<SocketAddr> = match to {
             Recipient::One(peer) if peer.0 as usize == me => Vec::new(),
@@ -118,7 +118,7 @@
             tokio::task::yield_now().await;
             continue;
         };
-        let me = s.epoch().settings.own_id.0 as usize;
+        let me = s.settings().policy.own_id.0 as usize;
         let peer = s.config.peers.iter().position(|p| *p == from).filter(|p| *p != me && length <= MAX);
         if let Some(peer) = peer {
             s.book.borrow_mut().counters.peers_in += 1;
--- a/crates/scheduler/src/relay.rs
+++ b/crates/scheduler/src/relay.rs
@@ -73,7 +73,7 @@
     let now = scheduler.clock.now();
     let latency = now.saturating_sub(forward.requested_at);
     // The run time counts from the reported start, or from the request where targets do not report starts.
-    let started_at = if scheduler.epoch().settings.job_starts_reported {
+    let started_at = if scheduler.settings().policy.job_starts_reported {
         forward.started_at
     } else {
         Some(forward.requested_at)
@@ -157,7 +157,9 @@
     let report = call_back.load.as_ref().and_then(|load| load.as_object()).map(|load| {
         let mut report = LoadReport::default();
         let values = load.iter().filter_map(|(name, value)| Some((name, value.as_f64()?)));
-        values.for_each(|(name, value)| scheduler.epoch().terms.record_load_value(&mut report, name, value));
+        values.for_each(|(name, value)| {
+            scheduler.settings().network.record_load_value(&mut report, name, value)
+        });
         report
     });
     match &*call_back.state {
--- a/crates/scheduler/src/reload.rs
+++ b/crates/scheduler/src/reload.rs
@@ -71,14 +71,15 @@
 /// Puts settings in force, all of them or nothing. Discovery is followed on from the list that is there.
 pub fn put_in_force(s: &Rc<Scheduler>, fresh: Fresh) -> Result<(), String> {
     let book = s.book.borrow();
-    let (next, starts) = s.epoch().next((*fresh.epoch).clone(), |class| book.has_flow_of_class(class.0))?;
+    let (next, starts) =
+        s.settings().merge((*fresh.settings).clone(), |class| book.has_flow_of_class(class.0))?;
     drop(book);
     let changed = starts.iter().filter(|start| **start != ClassOrigin::Kept).count();
-    s.pool.set_keepalive(next.terms.keepalive);
-    s.shutdown.turn(|service| service.patience(next.longest()));
-    s.quotas.add_classes(&next.aims());
-    let settings = Box::new(next.settings.clone());
-    *s.epoch.borrow_mut() = Rc::new(next);
+    s.pool.set_keepalive(next.network.keepalive);
+    s.shutdown.turn(|service| service.patience(next.longest_client_timeout()));
+    s.quotas.add_classes(&next.latency_objectives());
+    let settings = Box::new(next.policy.clone());
+    *s.settings.borrow_mut() = Rc::new(next);
     route::handle_event(s, Event::SettingsChanged(settings, starts));
     discovery::renamed(s);
     let (discovery, postponed) = (fresh.discovery, fresh.postponed.join(", "));
--- a/crates/scheduler/src/route.rs
+++ b/crates/scheduler/src/route.rs
@@ -67,7 +67,7 @@
     match action {
         Action::Send { id, worker, timeout } => send::start_forward(scheduler, id, worker, timeout),
         Action::Refuse { id, retry_after } => {
-            let retry_after = retry_after.min(scheduler.epoch().settings.limits.max_retry_after);
+            let retry_after = retry_after.min(scheduler.settings().policy.limits.max_retry_after);
             relay::answer_flow(scheduler, id, Answer::Refused(retry_after));
         }
         Action::Fail(id) => {
--- a/crates/scheduler/src/epoch.rs
+++ b/crates/scheduler/src/runtime_settings.rs
@@ -10,50 +10,48 @@
 
 /// Settings with the names in them.
 #[derive(Clone, Debug, Default)]
-pub struct Epoch {
+pub struct RuntimeSettings {
     /// For the module.
-    pub settings: Settings,
+    pub policy: Settings,
     /// The names, in the settings' order.
     pub names: SettingNames,
     /// For the network code.
-    pub terms: NetworkSettings,
+    pub network: NetworkSettings,
 }
 
-impl Epoch {
+impl RuntimeSettings {
     /// The longest time that a client of any class waits.
-    pub fn longest(&self) -> Nanos {
-        self.settings.classes.iter().map(|c| c.client_timeout).max().unwrap_or(0)
+    pub fn longest_client_timeout(&self) -> Nanos {
+        self.policy.classes.iter().map(|c| c.client_timeout).max().unwrap_or(0)
     }
 
     /// Where each class's answers are wanted by.
-    pub fn aims(&self) -> Vec<Nanos> {
-        self.settings.classes.iter().map(|c| c.latency_objective).collect()
+    pub fn latency_objectives(&self) -> Vec<Nanos> {
+        self.policy.classes.iter().map(|c| c.latency_objective).collect()
     }
 
     /// The epoch after this one, from a file's settings in their own order, with where each class starts. Numbers of
     /// classes that flows are open for (`in_use`) keep their rules.
-    pub fn next(
+    pub fn merge(
         &self,
-        fresh: Epoch,
+        fresh: RuntimeSettings,
         in_use: impl Fn(ClassId) -> bool,
-    ) -> Result<(Epoch, Vec<ClassOrigin>), String> {
+    ) -> Result<(RuntimeSettings, Vec<ClassOrigin>), String> {
         let mut next = fresh.clone();
         (next.names.zones, next.names.kinds) =
             (joined(&self.names.zones, &fresh.names.zones), joined(&self.names.kinds, &fresh.names.kinds));
-        (next.settings.zone_count, next.settings.kind_count) =
-            (next.names.zones.len(), next.names.kinds.len());
-        next.settings.own_zone =
-            ZoneId(moved(&fresh.names.zones, &next.names.zones, fresh.settings.own_zone.0));
+        (next.policy.zone_count, next.policy.kind_count) = (next.names.zones.len(), next.names.kinds.len());
+        next.policy.own_zone = ZoneId(moved(&fresh.names.zones, &next.names.zones, fresh.policy.own_zone.0));
         let kind = |k: KindId| KindId(moved(&fresh.names.kinds, &next.names.kinds, k.0));
         let class = |c: &Class| Class { kind: c.kind.map(kind), ..c.clone() };
 
-        let (mut names, mut classes) = (self.names.classes.clone(), self.settings.classes.clone());
+        let (mut names, mut classes) = (self.names.classes.clone(), self.policy.classes.clone());
         let mut starts = vec![ClassOrigin::Kept; classes.len()];
         let mut homeless = Vec::new();
         for name in names.iter_mut().filter(|n| !fresh.names.classes.contains(n)) {
             *name = NOBODY.into();
         }
-        for (name, new) in fresh.names.classes.iter().zip(fresh.settings.classes.iter().map(class)) {
+        for (name, new) in fresh.names.classes.iter().zip(fresh.policy.classes.iter().map(class)) {
             match names.iter().position(|n| n == name) {
                 Some(at) if classes[at] == new => {}
                 Some(at) if !in_use(ClassId(at)) => {
@@ -82,14 +80,14 @@
                 "settings.classes: more than {CLASSES} with those that requests are open for; try again later"
             ));
         }
-        (next.names.classes, next.settings.classes) = (names, classes);
+        (next.names.classes, next.policy.classes) = (names, classes);
 
         next.names.tenants = joined(&self.names.tenants, &fresh.names.tenants);
         let tenant = |(at, name): (usize, &String)| match place(&fresh.names.tenants, name) {
-            Some(new) => fresh.settings.tenants[new].clone(),
-            None => self.settings.tenants.get(at).cloned().unwrap_or(Tenant::default()),
+            Some(new) => fresh.policy.tenants[new].clone(),
+            None => self.policy.tenants.get(at).cloned().unwrap_or(Tenant::default()),
         };
-        next.settings.tenants = next.names.tenants.iter().enumerate().map(tenant).collect();
+        next.policy.tenants = next.names.tenants.iter().enumerate().map(tenant).collect();
         for name in next.names.tenants.iter_mut().filter(|n| !fresh.names.tenants.contains(n)) {
             *name = NOBODY.into();
         }
@@ -117,26 +115,26 @@
     use super::*;
     use loomlb_policy::Idempotency;
 
-    fn epoch(classes: &[(&str, Nanos)]) -> Epoch {
+    fn settings(classes: &[(&str, Nanos)]) -> RuntimeSettings {
         let class = |c: &(&str, Nanos)| Class { client_timeout: c.1, ..Class::default() };
         let settings = Settings { classes: classes.iter().map(class).collect(), ..Settings::default() };
         let names = SettingNames {
             classes: classes.iter().map(|c| c.0.to_string()).collect(),
             ..SettingNames::default()
         };
-        Epoch { settings, names, ..Epoch::default() }
+        RuntimeSettings { policy: settings, names, ..RuntimeSettings::default() }
     }
 
-    fn shown(epoch: &Epoch) -> String {
-        let classes = epoch.names.classes.iter().zip(&epoch.settings.classes);
+    fn shown(settings: &RuntimeSettings) -> String {
+        let classes = settings.names.classes.iter().zip(&settings.policy.classes);
         classes.map(|(n, c)| format!("{}={} ", n.replace(NOBODY, "-"), c.client_timeout)).collect()
     }
 
     #[test]
     fn classes_keep_their_numbers_by_name_and_open_ones_their_rules() {
-        let first = epoch(&[("view", 1), ("sign", 2), ("lodge", 3)]);
-        let step = |from: &Epoch, to: &[(&str, Nanos)], open: &[usize]| {
-            from.next(epoch(to), |c| open.contains(&c.0)).unwrap()
+        let first = settings(&[("view", 1), ("sign", 2), ("lodge", 3)]);
+        let step = |from: &RuntimeSettings, to: &[(&str, Nanos)], open: &[usize]| {
+            from.merge(settings(to), |c| open.contains(&c.0)).unwrap()
         };
         // Another order alone changes nothing.
         let (same, starts) = step(&first, &[("lodge", 3), ("view", 1), ("sign", 2)], &[0, 1, 2]);
@@ -157,29 +155,29 @@
     #[test]
     fn kinds_zones_and_tenants_keep_their_places() {
         let named = |kinds: &[&str], kind: usize, tenants: &[(&str, f64)]| {
-            let mut e = epoch(&[("view", 1)]);
-            e.settings.classes[0].kind = Some(KindId(kind));
-            e.settings.classes[0].idempotency = Idempotency::Idempotent;
+            let mut e = settings(&[("view", 1)]);
+            e.policy.classes[0].kind = Some(KindId(kind));
+            e.policy.classes[0].idempotency = Idempotency::Idempotent;
             e.names.kinds = kinds.iter().map(|k| k.to_string()).collect();
             e.names.zones = vec!["z".into()];
             e.names.tenants = tenants.iter().map(|t| t.0.to_string()).collect();
-            e.settings.tenants = tenants.iter().map(|t| Tenant { quota_per_s: t.1 }).collect();
+            e.policy.tenants = tenants.iter().map(|t| Tenant { quota_per_s: t.1 }).collect();
             e
         };
         let first = named(&["a", "b"], 1, &[("x", 1.0), ("y", 2.0)]);
-        let (next, starts) = first.next(named(&["b", "c"], 0, &[("y", 3.0), ("w", 4.0)]), |_| true).unwrap();
+        let (next, starts) = first.merge(named(&["b", "c"], 0, &[("y", 3.0), ("w", 4.0)]), |_| true).unwrap();
         assert_eq!(starts, [ClassOrigin::Kept], "its kind is the same one by another number");
         assert_eq!(next.names.kinds, ["a", "b", "c"]);
         assert_eq!(next.names.tenants, [NOBODY, "y", "w"]);
-        let quotas: Vec<f64> = next.settings.tenants.iter().map(|t| t.quota_per_s).collect();
+        let quotas: Vec<f64> = next.policy.tenants.iter().map(|t| t.quota_per_s).collect();
         assert_eq!(quotas, [1.0, 3.0, 4.0]);
-        assert_eq!((next.settings.own_zone, next.settings.kind_count), (ZoneId(0), 3));
+        assert_eq!((next.policy.own_zone, next.policy.kind_count), (ZoneId(0), 3));
     }
 
     #[test]
     fn numbers_are_bounded_while_flows_stay_open() {
-        let mut now = epoch(&[("view", 0)]);
-        let fault = (1..).find_map(|i| match now.next(epoch(&[("view", i)]), |_| true) {
+        let mut now = settings(&[("view", 0)]);
+        let fault = (1..).find_map(|i| match now.merge(settings(&[("view", i)]), |_| true) {
             Ok((next, _)) => {
                 now = next;
                 None
@@ -187,6 +185,6 @@
             Err(fault) => Some(fault),
         });
         assert!(fault.unwrap().starts_with("settings.classes: more than 256"));
-        assert_eq!(now.settings.classes.len(), CLASSES);
+        assert_eq!(now.policy.classes.len(), CLASSES);
     }
 }
--- a/crates/scheduler/src/send.rs
+++ b/crates/scheduler/src/send.rs
@@ -272,7 +272,7 @@
     }
     scheduler.book.borrow_mut().counters.dials += 1;
     let permit = scheduler.pool.count_connection();
-    let timeout = Duration::from_nanos(scheduler.epoch().terms.dial_timeout);
+    let timeout = Duration::from_nanos(scheduler.settings().network.dial_timeout);
     let local_fault = Cell::new(false);
     let progress = |fault: Option<ConnectFault>| {
         scheduler.book.borrow_mut().counters.dials_again += u64::from(fault.is_some());
@@ -311,7 +311,7 @@
     let attempt = flow.forwards.len() as u32;
     let not_allowed = flow.reply.is_none() || attempt >= flow.max_forwards;
     // This forward must not overtake the cancellation of an earlier one.
-    let one_at_a_time = !scheduler.epoch().settings.limits.hedging;
+    let one_at_a_time = !scheduler.settings().policy.limits.hedging;
     let earlier = flow.forwards.iter().filter(|forward| one_at_a_time || forward.target == worker);
     let cancellations: Vec<Rc<Notify>> =
         earlier.filter_map(|forward| forward.cancellation_done.clone()).collect();
@@ -484,7 +484,7 @@
         let scheduler = &self.scheduler;
         let mut book = scheduler.book.borrow_mut();
         let flow = book.flow(self.id);
-        let margin = REPEAT_MARGIN_TICKS * scheduler.epoch().settings.tick;
+        let margin = REPEAT_MARGIN_TICKS * scheduler.settings().policy.tick;
         let first_sent_at = flow.as_ref().and_then(|flow| {
             flow.forwards
                 .iter()
@@ -573,7 +573,7 @@
     let mut report = LoadReport::default();
     for (name, value) in text.split(',').filter_map(|pair| pair.split_once('=')) {
         if let Ok(value) = value.trim().parse() {
-            scheduler.epoch().terms.record_load_value(&mut report, name.trim(), value);
+            scheduler.settings().network.record_load_value(&mut report, name.trim(), value);
         }
     }
     report
@@ -704,7 +704,7 @@
     scheduler.book.borrow_mut().counters.probes += 1;
     let (scheduler, sent_at) = (Rc::clone(scheduler), scheduler.clock.now());
     tokio::task::spawn_local(async move {
-        let path = if scheduler.epoch().settings.load_reporting == LoadReporting::None {
+        let path = if scheduler.settings().policy.load_reporting == LoadReporting::None {
             "/healthz"
         } else {
             "/load"
--- a/crates/scheduler/src/upgrade.rs
+++ b/crates/scheduler/src/upgrade.rs
@@ -440,7 +440,7 @@
 
 /// The module takes what the other process holds for the word of a peer: this scheduler's own number, which no peer has.
 fn tell_module(s: &Rc<Scheduler>, partner: &Partner, holds: Holds) {
-    let me = s.epoch().settings.own_id;
+    let me = s.settings().policy.own_id;
     let before = partner.holds.replace(holds);
     let now = partner.holds.borrow().clone();
     let gone = before.slots.iter().filter(|b| !now.slots.iter().any(|n| n.0 == b.0));
@@ -458,8 +458,8 @@
     route::handle_event(
         s,
         Event::PeerMessage(
-            s.epoch().settings.own_id,
-            Message::Hello(ZoneId(s.epoch().settings.own_zone.0)).encode(),
+            s.settings().policy.own_id,
+            Message::Hello(ZoneId(s.settings().policy.own_zone.0)).encode(),
         ),
     );
 }
--- a/crates/scheduler/src/upgrade/snapshot.rs
+++ b/crates/scheduler/src/upgrade/snapshot.rs
@@ -46,8 +46,8 @@
 impl Snapshot {
     /// What a successor of this scheduler needs.
     pub(super) fn of(s: &Scheduler) -> Snapshot {
-        let epoch = s.epoch();
-        let names = &epoch.names;
+        let settings = s.settings();
+        let names = &settings.names;
         Snapshot {
             classes: names.classes.clone(),
             tenants: names.tenants.clone(),
@@ -91,7 +91,7 @@
             zones: self.zones,
             kinds: self.kinds,
         };
-        s.router.restore_learned_state(carried.remapped(&names, &s.epoch().names));
+        s.router.restore_learned_state(carried.remapped(&names, &s.settings().names));
     }
 }
 
--- a/tests/pins/configuration.rs
+++ b/tests/pins/configuration.rs
@@ -87,7 +87,7 @@
 fn defaults_of_the_configuration_stay() {
     let folder = tempfile::tempdir().unwrap();
     let config = read(&least(), &folder.path().join("config.json")).unwrap();
-    let (settings, terms) = (&config.epoch.settings, &config.epoch.terms);
+    let (settings, terms) = (&config.settings.policy, &config.settings.network);
     let (class, limits) = (&settings.classes[0], &settings.limits);
     let (obligations, costs) = (&settings.obligations, &settings.costs);
     let mut text = String::new();
