--- a/crates/scheduler/src/config.rs
+++ b/crates/scheduler/src/config.rs
@@ -1,6 +1,6 @@
 //! The configuration: the one place where it is read, checked and given defaults.
 
-use super::changes;
+use super::config_validation;
 use super::runtime_settings::RuntimeSettings;
 use loomlb_consensus::storage::write_atomically;
 use loomlb_policy::PeerId;
@@ -137,7 +137,7 @@
         // What a process of this scheduler has found good: a file that it turned down must not end the next one.
         let kept = listen.as_deref().and_then(|at| beside(at, "json")).and_then(|file| Raw::read(&file).ok());
         let fresh = Raw::read(&path).and_then(|(raw, keys)| {
-            kept.iter().try_for_each(|kept| changes::check(&kept.1, &keys))?;
+            kept.iter().try_for_each(|kept| config_validation::validate_reload(&kept.1, &keys))?;
             over(raw).check(path.clone(), keys)
         });
         let mut config = match (fresh, kept) {
@@ -181,7 +181,7 @@
         raw.listen = raw.listen.or_else(|| Some(self.listen.to_string()));
         raw.discovery = raw.discovery.or_else(|| Some(self.discovery.to_string()));
         let before = self.keys.borrow();
-        changes::check(&before, &keys)?;
+        config_validation::validate_reload(&before, &keys)?;
         let fresh = raw.check(self.file.clone(), keys)?;
         let keys = fresh.keys.into_inner();
         // A seed and a known list are for a start, and another one each time.
@@ -263,7 +263,7 @@
         if settings.classes.is_empty() {
             return Err("settings.classes: names no class".into());
         }
-        changes::check_start(&keys)?;
+        config_validation::validate_start(&keys)?;
         if self.limits.sockets < FEWEST {
             return Err(format!("limits.sockets: {} is too few ({FEWEST} at least)", self.limits.sockets));
         }
--- a/crates/scheduler/src/changes.rs
+++ b/crates/scheduler/src/config_validation.rs
@@ -11,7 +11,7 @@
 
 /// Checks that a file lacks nothing that the running one has, and that its figures can be worked with; what is wrong is
 /// named by its key.
-pub fn check(running: &Keys, fresh: &Keys) -> Result<(), String> {
+pub fn validate_reload(running: &Keys, fresh: &Keys) -> Result<(), String> {
     // What is for a start alone may be left out.
     let lasting = |key: &str| !["known", "seed"].contains(&key);
     for (key, value) in running.iter().filter(|(key, _)| lasting(key)) {
@@ -21,7 +21,7 @@
 }
 
 /// Checks that the figures of a file can be worked with, at a start as well.
-pub fn check_start(fresh: &Keys) -> Result<(), String> {
+pub fn validate_start(fresh: &Keys) -> Result<(), String> {
     figures(&Value::Null, fresh)
 }
 
@@ -102,7 +102,7 @@
     fn said(old: &str, new: &str) -> String {
         let keys = |text: &str| serde_json::from_str::<Keys>(text).unwrap();
         assert!(GOOD.contains(old), "{old}");
-        match check(&keys(GOOD), &keys(&GOOD.replacen(old, new, 1))) {
+        match validate_reload(&keys(GOOD), &keys(&GOOD.replacen(old, new, 1))) {
             Ok(()) => "good".into(),
             Err(e) => e,
         }
--- a/crates/scheduler/src/lib.rs
+++ b/crates/scheduler/src/lib.rs
@@ -12,9 +12,9 @@
 pub mod admit;
 pub mod agreed;
 pub mod book;
-pub mod changes;
 pub mod clock;
 pub mod config;
+pub mod config_validation;
 pub mod control;
 pub mod discovery;
 pub mod http;
