--- a/crates/scheduler/src/admit.rs
+++ b/crates/scheduler/src/admit.rs
@@ -79,7 +79,7 @@
         return Err(Rejection::Invalid("id already in use"));
     }
     let full = book.len() >= active.network.max_open
-        || book.body_bytes() + offer.job.body.len() > scheduler.config.body_bytes;
+        || book.body_bytes() + offer.job.body.len() > scheduler.config.max_body_bytes;
     if full || scheduler.shutdown.service().refusing(now) || !scheduler.tier.may_act() {
         book.counters.turned_back += 1;
         return Err(Rejection::Unavailable(
--- a/crates/scheduler/src/agreed.rs
+++ b/crates/scheduler/src/agreed.rs
@@ -22,7 +22,7 @@
     }
 
     fn settings(&self) -> Value {
-        self.0.config.settings()
+        self.0.config.settings_json()
     }
 
     fn check(&self, settings: Value) -> Result<(), String> {
--- a/crates/scheduler/src/config.rs
+++ b/crates/scheduler/src/config.rs
@@ -30,21 +30,21 @@
     /// Where discovery answers.
     pub discovery: SocketAddr,
     /// The number of the listening socket that the platform holds for us, if it does.
-    pub inherited: Option<RawFd>,
+    pub inherited_fd: Option<RawFd>,
     /// Where staff call, if anywhere.
     pub control: Option<SocketAddr>,
     /// Seed of the module's random numbers.
     pub seed: u64,
     /// Connections that may be open to the listener.
-    pub inbound: usize,
+    pub max_inbound: usize,
     /// Beyond so many connections at the listener, idle ones are closed.
-    pub ample: usize,
+    pub idle_close_threshold: usize,
     /// Connections that may be open to targets.
-    pub outbound: usize,
+    pub max_outbound: usize,
     /// Bytes that the bodies of open flows may take together.
-    pub body_bytes: usize,
+    pub max_body_bytes: usize,
     /// Bytes of one list of discovery's; a longer one is turned down, and counts as a fault of the list.
-    pub list_bytes: usize,
+    pub max_list_bytes: usize,
     /// Where peers' datagrams arrive, if there are peers.
     pub peer_listen: Option<SocketAddr>,
     /// The schedulers of the tier by number, this one included.
@@ -52,37 +52,37 @@
     /// The address of all of them.
     pub peers_all: Option<SocketAddr>,
     /// The target group as it was last known, in discovery's form.
-    pub known: serde_json::Value,
+    pub initial_list: serde_json::Value,
     /// The settings of the start.
     pub settings: Rc<RuntimeSettings>,
     /// What was wrong with the file, where an earlier process's configuration stands in for it.
-    pub passed_over: Option<String>,
+    pub rejected_file_error: Option<String>,
     /// The file it was read from, and what stood there when it was last found good.
     file: PathBuf,
-    keys: RefCell<Keys>,
+    keys: RefCell<ConfigJson>,
     /// What is in force is not in the file for the next process yet.
-    unkept: Cell<bool>,
+    save_pending: Cell<bool>,
 }
 
 /// A configuration as its file has it.
-pub type Keys = serde_json::Map<String, serde_json::Value>;
+pub type ConfigJson = serde_json::Map<String, serde_json::Value>;
 
 /// What a reload changes.
 #[derive(Debug)]
-pub struct Fresh {
+pub struct ReloadedConfig {
     /// Where discovery answers now.
     pub discovery: SocketAddr,
     /// The file's settings.
     pub settings: Rc<RuntimeSettings>,
     /// What stands in the file.
-    keys: Keys,
+    keys: ConfigJson,
     /// Keys that have changed as well, and are read at a start only.
-    pub postponed: Vec<String>,
+    pub restart_required: Vec<String>,
 }
 
-impl Fresh {
+impl ReloadedConfig {
     /// The settings as they stand in the file.
-    pub fn settings(&self) -> serde_json::Value {
+    pub fn settings_json(&self) -> serde_json::Value {
         self.keys.get("settings").cloned().unwrap_or_default()
     }
 }
@@ -135,7 +135,8 @@
             raw
         };
         // What a process of this scheduler has found good: a file that it turned down must not end the next one.
-        let kept = listen.as_deref().and_then(|at| beside(at, "json")).and_then(|file| Raw::read(&file).ok());
+        let kept =
+            listen.as_deref().and_then(|at| shared_path(at, "json")).and_then(|file| Raw::read(&file).ok());
         let fresh = Raw::read(&path).and_then(|(raw, keys)| {
             kept.iter().try_for_each(|kept| config_validation::validate_reload(&kept.1, &keys))?;
             over(raw).check(path.clone(), keys)
@@ -143,11 +144,11 @@
         let mut config = match (fresh, kept) {
             (Ok(config), _) => config,
             (Err(fault), Some((raw, keys))) => {
-                Config { passed_over: Some(fault), ..over(raw).check(path, keys)? }
+                Config { rejected_file_error: Some(fault), ..over(raw).check(path, keys)? }
             }
             (Err(fault), None) => return Err(fault),
         };
-        config.inherited = match env("LB_FD") {
+        config.inherited_fd = match env("LB_FD") {
             Some(text) => {
                 Some(text.parse().map_err(|_| format!("LB_FD: {text:?} is no number of a descriptor"))?)
             }
@@ -158,13 +159,13 @@
 
     /// Reads the same file again. `LB_DISCOVERY` was set at the start and cannot have changed since, so here
     /// the file's own word on discovery counts.
-    pub fn reload(&self) -> Result<Fresh, String> {
+    pub fn reload(&self) -> Result<ReloadedConfig, String> {
         let (raw, keys) = Raw::read(&self.file)?;
         self.fresh(raw, keys)
     }
 
     /// The same file with other settings, as the tier has agreed on them.
-    pub fn with_settings(&self, settings: serde_json::Value) -> Result<Fresh, String> {
+    pub fn with_settings(&self, settings: serde_json::Value) -> Result<ReloadedConfig, String> {
         let mut keys = self.keys.borrow().clone();
         keys.insert("settings".into(), settings);
         // The file itself may have a known list and addresses that the environment overrides: those stay as they are.
@@ -173,11 +174,11 @@
     }
 
     /// The settings as they stand in the file that was read last.
-    pub fn settings(&self) -> serde_json::Value {
+    pub fn settings_json(&self) -> serde_json::Value {
         self.keys.borrow().get("settings").cloned().unwrap_or_default()
     }
 
-    fn fresh(&self, mut raw: Raw, keys: Keys) -> Result<Fresh, String> {
+    fn fresh(&self, mut raw: Raw, keys: ConfigJson) -> Result<ReloadedConfig, String> {
         raw.listen = raw.listen.or_else(|| Some(self.listen.to_string()));
         raw.discovery = raw.discovery.or_else(|| Some(self.discovery.to_string()));
         let before = self.keys.borrow();
@@ -188,31 +189,31 @@
         let read = |key: &str| !["discovery", "settings", "seed", "known"].contains(&key);
         let all = before.keys().chain(keys.keys().filter(|k| !before.contains_key(*k)));
         let changed = all.filter(|k| read(k) && before.get(*k) != keys.get(*k));
-        let postponed = changed.cloned().collect();
-        Ok(Fresh { discovery: fresh.discovery, settings: fresh.settings, keys, postponed })
+        let restart_required = changed.cloned().collect();
+        Ok(ReloadedConfig { discovery: fresh.discovery, settings: fresh.settings, keys, restart_required })
     }
 
     /// What a reload brought is in force: the next one is compared with it.
-    pub fn took(&self, fresh: Fresh) {
+    pub fn record_active(&self, fresh: ReloadedConfig) {
         *self.keys.borrow_mut() = fresh.keys;
-        self.keep();
+        self.save();
     }
 
     /// Keeps what is in force for the process that takes this one's place, where there may be one. After a failure the
     /// file of an earlier process or reload is still there, complete, and [`Config::is_unkept`] until a later call
     /// succeeds. Only the first failure of a run is logged.
-    pub fn keep(&self) {
-        let Some(file) = beside(&self.listen.to_string(), "json") else { return };
+    pub fn save(&self) {
+        let Some(file) = shared_path(&self.listen.to_string(), "json") else { return };
         let fresh = file.with_extension(std::process::id().to_string());
         let text = serde_json::Value::Object(self.keys.borrow().clone()).to_string();
         match write_atomically(&file, &fresh, text.as_bytes()) {
             Ok(()) => {
-                if self.unkept.replace(false) {
+                if self.save_pending.replace(false) {
                     tracing::info!("{}: written again", file.display());
                 }
             }
             Err(e) => {
-                if !self.unkept.replace(true) {
+                if !self.save_pending.replace(true) {
                     tracing::warn!(
                         "{}: {e}; a next process has its own file alone until this one is written",
                         file.display()
@@ -223,14 +224,14 @@
     }
 
     /// Whether the last attempt to keep what is in force has failed.
-    pub fn is_unkept(&self) -> bool {
-        self.unkept.get()
+    pub fn is_save_pending(&self) -> bool {
+        self.save_pending.get()
     }
 }
 
 /// A file that the processes of a scheduler share, where one may take another's place (`LB_FD`): in `$TMPDIR`, named by
 /// the address that they share, as a directory may be shared by schedulers.
-pub fn beside(listen: &str, ending: &str) -> Option<PathBuf> {
+pub fn shared_path(listen: &str, ending: &str) -> Option<PathBuf> {
     let set = |name: &str| std::env::var_os(name).filter(|v| !v.is_empty());
     set("LB_FD")?;
     let name = format!("loomlb-{}.{ending}", listen.replace([':', '[', ']'], "-"));
@@ -246,7 +247,7 @@
 }
 
 impl Raw {
-    fn read(file: &Path) -> Result<(Raw, Keys), String> {
+    fn read(file: &Path) -> Result<(Raw, ConfigJson), String> {
         let text = std::fs::read(file).map_err(|e| format!("{}: {e}", file.display()))?;
         let raw = serde_path_to_error::deserialize(&mut serde_json::Deserializer::from_slice(&text));
         let raw = raw.map_err(|e| match e.path().to_string().as_str() {
@@ -257,7 +258,7 @@
         Ok((raw, keys))
     }
 
-    fn check(self, file: PathBuf, keys: Keys) -> Result<Config, String> {
+    fn check(self, file: PathBuf, keys: ConfigJson) -> Result<Config, String> {
         let boot = needed("settings", self.settings)?;
         let (settings, names) = boot.to_settings();
         if settings.classes.is_empty() {
@@ -288,23 +289,23 @@
             name: self.name.unwrap_or_else(|| "loomlb".into()),
             listen: address("listen", &needed("listen", self.listen)?)?,
             discovery: address("discovery", &needed("discovery", self.discovery)?)?,
-            inherited: None,
+            inherited_fd: None,
             control,
             seed,
-            inbound: usable - outbound,
-            ample: (usable - outbound).min(self.limits.sockets / 4),
-            outbound,
-            body_bytes: (self.limits.memory_mb << 20) / 4,
-            list_bytes: (self.limits.memory_mb << 20) / 16,
+            max_inbound: usable - outbound,
+            idle_close_threshold: (usable - outbound).min(self.limits.sockets / 4),
+            max_outbound: outbound,
+            max_body_bytes: (self.limits.memory_mb << 20) / 4,
+            max_list_bytes: (self.limits.memory_mb << 20) / 16,
             peer_listen: optional("peer_listen", self.peer_listen)?,
             peers: peers?,
             peers_all: optional("peers_all", self.peers_all)?,
-            known: self.known,
+            initial_list: self.known,
             settings: Rc::new(RuntimeSettings { network: boot.network_settings(), policy: settings, names }),
-            passed_over: None,
+            rejected_file_error: None,
             file,
             keys: RefCell::new(keys),
-            unkept: Cell::new(false),
+            save_pending: Cell::new(false),
         })
     }
 }
@@ -322,6 +323,6 @@
         if let Some(control) = self.control {
             writeln!(f, "control: {control}")?;
         }
-        write!(f, "connections: {} in, {} out", self.inbound, self.outbound)
+        write!(f, "connections: {} in, {} out", self.max_inbound, self.max_outbound)
     }
 }
--- a/crates/scheduler/src/config_validation.rs
+++ b/crates/scheduler/src/config_validation.rs
@@ -1,6 +1,6 @@
 //! Changes: whether a configuration may take the place of the one that runs. Pure: it compares what stands in two files.
 
-use super::config::Keys;
+use super::config::ConfigJson;
 use serde_json::Value;
 
 /// Keys of a class that only some classes need.
@@ -11,7 +11,7 @@
 
 /// Checks that a file lacks nothing that the running one has, and that its figures can be worked with; what is wrong is
 /// named by its key.
-pub fn validate_reload(running: &Keys, fresh: &Keys) -> Result<(), String> {
+pub fn validate_reload(running: &ConfigJson, fresh: &ConfigJson) -> Result<(), String> {
     // What is for a start alone may be left out.
     let lasting = |key: &str| !["known", "seed"].contains(&key);
     for (key, value) in running.iter().filter(|(key, _)| lasting(key)) {
@@ -21,11 +21,11 @@
 }
 
 /// Checks that the figures of a file can be worked with, at a start as well.
-pub fn validate_start(fresh: &Keys) -> Result<(), String> {
+pub fn validate_start(fresh: &ConfigJson) -> Result<(), String> {
     figures(&Value::Null, fresh)
 }
 
-fn figures(running: &Value, fresh: &Keys) -> Result<(), String> {
+fn figures(running: &Value, fresh: &ConfigJson) -> Result<(), String> {
     let Some(settings) = fresh.get("settings") else { return Err("settings: missing".into()) };
     classes(running, settings)?;
     if let Some(attempts) = settings.get("ceilings").and_then(|c| c.get("max_attempts")) {
@@ -100,7 +100,7 @@
         {"name":"sign","give_up":5000,"aim":1,"effect":"deduplicated","group":"cell","repeat_window":7}]}}"#;
 
     fn said(old: &str, new: &str) -> String {
-        let keys = |text: &str| serde_json::from_str::<Keys>(text).unwrap();
+        let keys = |text: &str| serde_json::from_str::<ConfigJson>(text).unwrap();
         assert!(GOOD.contains(old), "{old}");
         match validate_reload(&keys(GOOD), &keys(&GOOD.replacen(old, new, 1))) {
             Ok(()) => "good".into(),
--- a/crates/scheduler/src/discovery.rs
+++ b/crates/scheduler/src/discovery.rs
@@ -386,7 +386,7 @@
 
 /// Starts from the list that the configuration brought.
 pub fn start(s: &Rc<Scheduler>) {
-    let known = match &s.config.known {
+    let known = match &s.config.initial_list {
         serde_json::Value::Null => List::default(),
         known => List::deserialize(known).unwrap_or_else(|e| {
             tracing::error!("configuration: known: {e}; starting without targets");
@@ -485,7 +485,7 @@
     let count = |fault: Option<_>| s.book.borrow_mut().counters.dials_again += u64::from(fault.is_some());
     let dial = tokio::time::timeout(PATIENCE, loomlb_sockets::connect(address, count));
     let Ok(Ok(stream)) = dial.await else { return Err("no connection") };
-    let mut wire = Connection::new(stream).with_max_body(s.config.list_bytes);
+    let mut wire = Connection::new(stream).with_max_body(s.config.max_list_bytes);
     let begun = Instant::now();
     let answer = ask(&mut wire, &question(&s, Duration::ZERO), first_patience(&s)).await;
     // An answer that comes late, or an error, leaves open whether the crowd is gone.
--- a/crates/scheduler/src/lib.rs
+++ b/crates/scheduler/src/lib.rs
@@ -102,14 +102,14 @@
 ) -> io::Result<()> {
     // First of all, as a signal without a handler would end the process.
     let (hangup, signals) = (reload::take_over()?, shutdown::Signals::new()?);
-    if let Some(fault) = &config.passed_over {
+    if let Some(fault) = &config.rejected_file_error {
         tracing::error!("configuration: {fault}; starting with the last accepted one");
     }
-    config.keep();
+    config.save();
     let with_context =
         |context: &str, error: io::Error| io::Error::new(error.kind(), format!("{context}: {error}"));
     let open_retry = OpenRetry::start();
-    let listener = match config.inherited {
+    let listener = match config.inherited_fd {
         Some(number) => {
             let inherited = loomlb_listen_fd::adopt_listener(number).and_then(TcpListener::from_std);
             inherited.map_err(|error| with_context(&format!("LB_FD: descriptor {number}"), error))?
@@ -139,8 +139,8 @@
         quotas: quotas.map_err(io::Error::other)?,
         router: route::Router::new(Dispatcher::new(settings.policy.clone(), config.seed)),
         timers: timers::TimerWheel::new(clock.now()),
-        pool: send::Pool::new(config.outbound, settings.network.keepalive),
-        listener: intake::Listener::new(config.inbound, config.ample),
+        pool: send::Pool::new(config.max_outbound, settings.network.keepalive),
+        listener: intake::Listener::new(config.max_inbound, config.idle_close_threshold),
         book: RefCell::default(),
         target_group: discovery::Group::default(),
         orders: RefCell::default(),
--- a/crates/scheduler/src/peers.rs
+++ b/crates/scheduler/src/peers.rs
@@ -40,13 +40,13 @@
             return Ok(Peers::default());
         };
         // Where the platform holds the listening socket the address is that of the process before, for as long as it runs.
-        let in_use = if config.inherited.is_some() { AddressInUse::Report } else { AddressInUse::Retry };
+        let in_use = if config.inherited_fd.is_some() { AddressInUse::Report } else { AddressInUse::Retry };
         let bind = async || UdpSocket::bind(at).await;
         let socket = match taken_over {
             Some(descriptor) => UdpSocket::from_std(descriptor.into())?,
             None => match opening.open("peer_listen", at, in_use, bind).await {
                 Ok(socket) => socket,
-                Err(e) if e.source.kind() == io::ErrorKind::AddrInUse && config.inherited.is_some() => {
+                Err(e) if e.source.kind() == io::ErrorKind::AddrInUse && config.inherited_fd.is_some() => {
                     tracing::warn!("peer_listen: {}; waiting for the process that has it", e.source);
                     return Ok(Peers { socket: OnceCell::new(), later: Some(at) });
                 }
--- a/crates/scheduler/src/reload.rs
+++ b/crates/scheduler/src/reload.rs
@@ -1,7 +1,7 @@
 //! Reload: SIGHUP has the configuration read again: its settings are put in force, and discovery is followed where it now
 //! says.
 
-use super::config::Fresh;
+use super::config::ReloadedConfig;
 use super::{Scheduler, agreed, discovery, route};
 use loomlb_policy::{ClassOrigin, Event};
 use std::io;
@@ -46,8 +46,8 @@
     spawn_local(async move {
         loop {
             tokio::time::sleep(KEEP_RETRY).await;
-            if s.config.is_unkept() && s.upgrade.accepts() {
-                s.config.keep();
+            if s.config.is_save_pending() && s.upgrade.accepts() {
+                s.config.save();
             }
         }
     });
@@ -59,7 +59,7 @@
     if s.tier.on() {
         // Where the tier agrees on settings, a file is a proposal, and only what is this scheduler's own is taken in here.
         s.target_group.follow_at(fresh.discovery);
-        agreed::propose_settings(s, &fresh.settings());
+        agreed::propose_settings(s, &fresh.settings_json());
         return Ok(());
     }
     let discovery = fresh.discovery;
@@ -69,7 +69,7 @@
 }
 
 /// Puts settings in force, all of them or nothing. Discovery is followed on from the list that is there.
-pub fn put_in_force(s: &Rc<Scheduler>, fresh: Fresh) -> Result<(), String> {
+pub fn put_in_force(s: &Rc<Scheduler>, fresh: ReloadedConfig) -> Result<(), String> {
     let book = s.book.borrow();
     let (next, starts) =
         s.settings().merge((*fresh.settings).clone(), |class| book.has_flow_of_class(class.0))?;
@@ -82,12 +82,12 @@
     *s.settings.borrow_mut() = Rc::new(next);
     route::handle_event(s, Event::SettingsChanged(settings, starts));
     discovery::renamed(s);
-    let (discovery, postponed) = (fresh.discovery, fresh.postponed.join(", "));
-    s.config.took(fresh);
+    let (discovery, restart_required) = (fresh.discovery, fresh.restart_required.join(", "));
+    s.config.record_active(fresh);
     // Said last: a process that starts at this word, and takes over, reads what is kept.
     tracing::info!("configuration reloaded: discovery: {discovery}; {changed} classes changed or new");
-    if !postponed.is_empty() {
-        tracing::warn!("configuration: {postponed}: changed, read at the next start");
+    if !restart_required.is_empty() {
+        tracing::warn!("configuration: {restart_required}: changed, read at the next start");
     }
     Ok(())
 }
--- a/crates/scheduler/src/upgrade.rs
+++ b/crates/scheduler/src/upgrade.rs
@@ -2,7 +2,7 @@
 //! the listening socket (`LB_FD`). Who accepts when is decided in `loomlb-hot-restart`.
 
 use super::clock::Clock;
-use super::config::{Config, beside};
+use super::config::{Config, shared_path};
 use super::discovery::{self, number};
 use super::relay::{self, CallBackResult};
 use super::{Scheduler, control, intake, route};
@@ -146,8 +146,8 @@
 
 /// Where processes of this scheduler meet.
 fn path(config: &Config) -> Option<PathBuf> {
-    config.inherited?;
-    let path = beside(&config.listen.to_string(), "sock");
+    config.inherited_fd?;
+    let path = shared_path(&config.listen.to_string(), "sock");
     if path.is_none() {
         tracing::warn!("TMPDIR: not set; a process that replaces this one starts from its configuration");
     }
--- a/tests/pins/configuration.rs
+++ b/tests/pins/configuration.rs
@@ -96,13 +96,13 @@
     row("control", format!("{:?}", config.control));
     row("seed", config.seed.to_string());
     row("limits: connections in, idle ones from, out", {
-        format!("{} {} {}", config.inbound, config.ample, config.outbound)
+        format!("{} {} {}", config.max_inbound, config.idle_close_threshold, config.max_outbound)
     });
-    row("limits: bytes of bodies, of a list", format!("{} {}", config.body_bytes, config.list_bytes));
+    row("limits: bytes of bodies, of a list", format!("{} {}", config.max_body_bytes, config.max_list_bytes));
     row("peer_listen", format!("{:?}", config.peer_listen));
     row("peers", config.peers.len().to_string());
     row("peers_all", format!("{:?}", config.peers_all));
-    row("known", config.known.to_string());
+    row("known", config.initial_list.to_string());
     row("settings.balancers", settings.dispatcher_count.to_string());
     row("settings.rank", settings.own_id.0.to_string());
     row("settings.my_zone", settings.own_zone.0.to_string());
