--- a/crates/lab/src/capacity/scheduler.rs
+++ b/crates/lab/src/capacity/scheduler.rs
@@ -15,7 +15,7 @@
 use loomlb_capacity::{Series, Source};
 use loomlb_policy::{Event, ListKind};
 use loomlb_quota::parts::{Parts, number};
-use loomlb_scheduler::discovery::List;
+use loomlb_scheduler::discovery::EndpointList;
 use serde_json::json;
 use std::hint::black_box;
 
@@ -113,7 +113,7 @@
         let world = world(*n)?;
         let hosts: Vec<serde_json::Value> = (0..*n).map(|w| listed(&world, w)).collect();
         let text = json!({"seq": 1_000_000, "whole": true, "hosts": hosts}).to_string();
-        let parse = || serde_json::from_str::<List>(&text).map_err(|e| format!("a list: {e}"));
+        let parse = || serde_json::from_str::<EndpointList>(&text).map_err(|e| format!("a list: {e}"));
         parse()?;
         point(&mut bytes, *n as f64, vec![text.len() as f64]);
         point(&mut memory, *n as f64, vec![live(parse).1]);
--- a/crates/scheduler/src/agreed.rs
+++ b/crates/scheduler/src/agreed.rs
@@ -18,7 +18,7 @@
 
 impl Application for Around {
     fn list(&self) -> ListReport {
-        self.0.target_group.mine(self.0.clock.now())
+        self.0.target_group.report_to_peers(self.0.clock.now())
     }
 
     fn settings(&self) -> Value {
@@ -38,15 +38,15 @@
     }
 
     fn leaving(&self, leaving: &LeavingWorker) -> bool {
-        discovery::hearsay(&self.0, &leaving.host, leaving.born_ms)
+        discovery::record_peer_report(&self.0, &leaving.host, leaving.born_ms)
     }
 
     fn forget_leaving(&self) {
-        discovery::forget_hearsay(&self.0);
+        discovery::expire_peer_reports(&self.0);
     }
 
     fn ask_list_anew(&self) {
-        self.0.target_group.ask_anew();
+        self.0.target_group.request_full_list();
     }
 }
 
--- a/crates/scheduler/src/control.rs
+++ b/crates/scheduler/src/control.rs
@@ -156,7 +156,7 @@
         }
     };
     if let Call::Offline(host) | Call::Online(host) = &call
-        && !s.target_group.names(host)
+        && !s.target_group.contains(host)
         && !s.orders.borrow().is_out(host)
     {
         return no(404, "unknown worker");
@@ -207,7 +207,7 @@
     if let Call::Offline(host) | Call::Online(host) = call
         && changed
     {
-        discovery::ordered(s, host);
+        discovery::apply_order(s, host);
     }
     tracing::info!("control: {call:?}{}", if changed { "" } else { ": so already" });
 }
--- a/crates/scheduler/src/discovery.rs
+++ b/crates/scheduler/src/discovery.rs
@@ -46,7 +46,7 @@
     /// Where it listens.
     pub dial: SocketAddr,
     /// When it was told to be draining or gone, if it is.
-    pub leaving: Option<Nanos>,
+    pub leaving_since: Option<Nanos>,
     /// Since when other schedulers say that it is leaving, if our own list does not say so yet.
     hearsay: Option<Nanos>,
     /// Discovery's own word on it, as the module reads it,
@@ -57,12 +57,12 @@
 
 impl Target {
     /// Nobody has told that it drains or is gone.
-    pub fn takes_new(&self) -> bool {
-        self.leaving.is_none() && self.hearsay.is_none()
+    pub fn accepts_new_jobs(&self) -> bool {
+        self.leaving_since.is_none() && self.hearsay.is_none()
     }
 
     /// Whether another look at a target found the same process at the same address.
-    pub fn same_life(&self, other: &Target) -> bool {
+    pub fn is_same_incarnation(&self, other: &Target) -> bool {
         self.dial == other.dial && self.said.born_ms == other.said.born_ms
     }
 
@@ -74,7 +74,7 @@
 
 /// The targets that discovery has named.
 #[derive(Debug, Default)]
-pub struct Group {
+pub struct TargetGroup {
     targets: RefCell<HashMap<WorkerId, Target>>,
     asked: Notify,
     /// Where discovery answers, if a reload has named another address than the start did.
@@ -90,7 +90,7 @@
 
 /// The list, in discovery's form.
 #[derive(Clone, Debug, Deserialize, Serialize, Default)]
-pub struct List {
+pub struct EndpointList {
     #[serde(default)]
     seq: u64,
     #[serde(default)]
@@ -123,30 +123,30 @@
 
 /// A target's number: the same at every scheduler, and no more than 32 bits, as peers' messages cut the rest.
 /// Names of the usual form carry such a number; others are hashed (FNV-1a).
-pub fn number(host: &str) -> WorkerId {
+pub fn worker_id(host: &str) -> WorkerId {
     let plain = host.strip_prefix("s-").filter(|hex| hex.len() == 8 && !hex.starts_with('+'));
     let hash = || host.bytes().fold(0x811c_9dc5_u32, |h, b| (h ^ u32::from(b)).wrapping_mul(0x0100_0193));
     WorkerId(plain.and_then(|hex| u32::from_str_radix(hex, 16).ok()).unwrap_or_else(hash).into())
 }
 
-impl Group {
+impl TargetGroup {
     /// A target by its number.
     pub fn target(&self, id: WorkerId) -> Option<Target> {
         self.targets.borrow().get(&id).cloned()
     }
 
     /// Whether discovery has named this target, and if it has left since, not long ago.
-    pub fn names(&self, host: &str) -> bool {
-        self.targets.borrow().get(&number(host)).is_some_and(|t| &*t.host == host)
+    pub fn contains(&self, host: &str) -> bool {
+        self.targets.borrow().get(&worker_id(host)).is_some_and(|t| &*t.host == host)
     }
 
     /// The module wants the list, at sites where it must be asked for.
-    pub fn ask(&self) {
+    pub fn request_list(&self) {
         self.asked.notify_one();
     }
 
     /// The list as it was last told, targets that have left not long ago included.
-    pub fn list(&self) -> List {
+    pub fn endpoint_list(&self) -> EndpointList {
         let health = |state| match state {
             WorkerState::Ready => "active",
             WorkerState::Draining => "leaving",
@@ -155,7 +155,11 @@
         let targets = self.targets.borrow();
         let hosts =
             targets.values().map(|t| Host { health: health(t.word.state).into(), ..(*t.said).clone() });
-        List { seq: self.seq.get().unwrap_or(0), whole: self.seq.get().is_some(), hosts: hosts.collect() }
+        EndpointList {
+            seq: self.seq.get().unwrap_or(0),
+            whole: self.seq.get().is_some(),
+            hosts: hosts.collect(),
+        }
     }
 
     /// What is known of the workers' starts, for a successor.
@@ -166,14 +170,14 @@
     }
 
     /// Where discovery answers, if a reload has named another address than the start did.
-    pub fn moved_to(&self) -> Option<SocketAddr> {
+    pub fn reloaded_address(&self) -> Option<SocketAddr> {
         self.address.get()
     }
 
     /// What this scheduler tells others of its list: the version, and what is leaving by discovery's own word.
-    pub fn mine(&self, now: Nanos) -> ListReport {
+    pub fn report_to_peers(&self, now: Nanos) -> ListReport {
         let targets = self.targets.borrow();
-        let lately = targets.values().filter(|t| t.leaving.is_some_and(|at| now < at + TOLD));
+        let lately = targets.values().filter(|t| t.leaving_since.is_some_and(|at| now < at + TOLD));
         let leaving = lately.map(|t| LeavingWorker { host: t.host.to_string(), born_ms: t.said.born_ms });
         ListReport {
             version: self.seq.get().unwrap_or(0),
@@ -182,12 +186,12 @@
     }
 
     /// Others have a newer list: the whole of it is asked for at once.
-    pub fn ask_anew(&self) {
+    pub fn request_full_list(&self) {
         self.moved.notify_one();
     }
 
     /// Discovery answers at this address from now on.
-    pub fn follow_at(&self, address: SocketAddr) {
+    pub fn set_address(&self, address: SocketAddr) {
         self.address.set(Some(address));
         self.moved.notify_one();
     }
@@ -209,8 +213,8 @@
 
 /// Staff have ordered something of a target: the module is told what it is now. Connections to a process that is about
 /// to be restarted, or has been, are of no use.
-pub fn ordered(s: &Rc<Scheduler>, host: &str) {
-    let id = number(host);
+pub fn apply_order(s: &Rc<Scheduler>, host: &str) {
+    let id = worker_id(host);
     let Some(target) = s.target_group.target(id).filter(|t| &*t.host == host) else { return };
     s.pool.close_idle(id);
     let entry = effective(&s.orders.borrow(), &target);
@@ -219,11 +223,11 @@
 
 /// Another scheduler's list says that a target is leaving in the life that we know: it counts as draining until our own
 /// list says what it is, or the word is over. True if that is news. Words never take more than a third of the targets.
-pub fn hearsay(s: &Rc<Scheduler>, host: &str, born_ms: u64) -> bool {
-    let (now, id) = (s.clock.now(), number(host));
+pub fn record_peer_report(s: &Rc<Scheduler>, host: &str, born_ms: u64) -> bool {
+    let (now, id) = (s.clock.now(), worker_id(host));
     let mut targets = s.target_group.targets.borrow_mut();
     let (all, said) = (targets.len(), targets.values().filter(|t| t.hearsay.is_some()).count());
-    let Some(target) = targets.get_mut(&id).filter(|t| &*t.host == host && t.leaving.is_none()) else {
+    let Some(target) = targets.get_mut(&id).filter(|t| &*t.host == host && t.leaving_since.is_none()) else {
         return false;
     };
     if target.said.born_ms != born_ms {
@@ -245,7 +249,7 @@
 }
 
 /// Words of others that were not said again for a while are over: the targets are as our own list says.
-pub fn forget_hearsay(s: &Rc<Scheduler>) {
+pub fn expire_peer_reports(s: &Rc<Scheduler>) {
     let now = s.clock.now();
     let mut targets = s.target_group.targets.borrow_mut();
     let over = targets.values_mut().filter(|t| t.hearsay.is_some_and(|at| now >= at + HEARD));
@@ -262,7 +266,7 @@
 }
 
 /// Zones and kinds may have other numbers since the settings have changed: the module is told of all targets anew.
-pub fn renamed(s: &Rc<Scheduler>) {
+pub fn resend_targets(s: &Rc<Scheduler>) {
     let settings = s.settings();
     let mut targets = s.target_group.targets.borrow_mut();
     let listed = targets.values_mut().filter(|t| t.word.state != WorkerState::Removed);
@@ -284,13 +288,13 @@
 }
 
 /// Takes in a list and tells the module of it.
-fn take(s: &Rc<Scheduler>, list: List, kind: ListKind) {
+fn take(s: &Rc<Scheduler>, list: EndpointList, kind: ListKind) {
     let now = s.clock.now();
     let mut targets = s.target_group.targets.borrow_mut();
     if kind != ListKind::Partial {
-        let named: HashSet<WorkerId> = list.hosts.iter().map(|h| number(&h.host)).collect();
+        let named: HashSet<WorkerId> = list.hosts.iter().map(|h| worker_id(&h.host)).collect();
         for (id, target) in targets.iter_mut().filter(|t| !named.contains(t.0)) {
-            target.leaving.get_or_insert(now);
+            target.leaving_since.get_or_insert(now);
             target.word.state = WorkerState::Removed;
             s.pool.close_idle(*id);
         }
@@ -302,7 +306,7 @@
     starts.observe(now, news.map(|(host, _)| (&*host.host, host.born_ms)));
     let mut entries = Vec::with_capacity(hosts.len());
     for (host, dial) in hosts {
-        let id = number(&host.host);
+        let id = worker_id(&host.host);
         let state = listed_state(&host);
         let known = targets.get(&id);
         if known.is_some_and(|t| *t.host != *host.host) {
@@ -322,7 +326,7 @@
             known_start(&targets, &host).unwrap_or_else(|| starts.appeared(now, &host.host, host.born_ms));
         let leaving = match state {
             WorkerState::Ready => None,
-            _ => Some(known.and_then(|t| t.leaving).unwrap_or(now)),
+            _ => Some(known.and_then(|t| t.leaving_since).unwrap_or(now)),
         };
         if leaving.is_some() || known.is_some_and(|t| t.said.born_ms != host.born_ms || t.dial != dial) {
             // Connections to a process that has ended or is about to: the next use would only find that out.
@@ -336,13 +340,20 @@
             ..Worker::new(id)
         };
         let word = settings.names.with_zone_and_kind(&host.site, &host.class, worker);
-        let target =
-            Target { host: host.host.as_str().into(), dial, leaving, hearsay, word, said: Rc::new(host) };
+        let target = Target {
+            host: host.host.as_str().into(),
+            dial,
+            leaving_since: leaving,
+            hearsay,
+            word,
+            said: Rc::new(host),
+        };
         entries.push(effective(&s.orders.borrow(), &target));
         targets.insert(id, target);
     }
     s.orders.borrow_mut().age(now, s.settings().policy.obligations.warm_up_time.saturating_add(REMEMBER));
-    let departed = targets.extract_if(|_, target| target.leaving.is_some_and(|at| now >= at + REMEMBER));
+    let departed =
+        targets.extract_if(|_, target| target.leaving_since.is_some_and(|at| now >= at + REMEMBER));
     starts.departed(now, departed.map(|(_, target)| (target.host.to_string(), target.incarnation())));
     drop(targets);
     drop(starts);
@@ -352,7 +363,7 @@
 /// An entry with the address to dial, its own or the one known so far; none where that is no address, or where another
 /// target has its number.
 fn dialable(targets: &HashMap<WorkerId, Target>, host: Host) -> Option<(Host, SocketAddr)> {
-    let known = targets.get(&number(&host.host));
+    let known = targets.get(&worker_id(&host.host));
     if known.is_some_and(|t| *t.host != *host.host) {
         tracing::error!("discovery: {}: shares its number with another target, left out", host.host);
         return None;
@@ -379,18 +390,18 @@
 
 /// The start that was assigned to this incarnation when the list named it before.
 fn known_start(targets: &HashMap<WorkerId, Target>, host: &Host) -> Option<Nanos> {
-    let known = targets.get(&number(&host.host))?;
+    let known = targets.get(&worker_id(&host.host))?;
     let same = *known.host == *host.host && known.said.born_ms == host.born_ms;
     same.then_some(known.word.started_at)
 }
 
 /// Starts from the list that the configuration brought.
-pub fn start(s: &Rc<Scheduler>) {
+pub fn start_from_config(s: &Rc<Scheduler>) {
     let known = match &s.config.initial_list {
-        serde_json::Value::Null => List::default(),
-        known => List::deserialize(known).unwrap_or_else(|e| {
+        serde_json::Value::Null => EndpointList::default(),
+        known => EndpointList::deserialize(known).unwrap_or_else(|e| {
             tracing::error!("configuration: known: {e}; starting without targets");
-            List::default()
+            EndpointList::default()
         }),
     };
     start_from(s, known);
@@ -398,7 +409,7 @@
 
 /// Starts from the list of the process before this one, and from what that one knows of the workers' starts. A build
 /// that does not tell them had its list from discovery just now, as far as we know.
-pub fn take_over(s: &Rc<Scheduler>, list: List, starts: Option<WorkerStarts>) {
+pub fn start_from_predecessor(s: &Rc<Scheduler>, list: EndpointList, starts: Option<WorkerStarts>) {
     let answered = list.whole;
     let told = starts.is_some();
     s.target_group.starts.replace(starts.unwrap_or_default());
@@ -409,7 +420,7 @@
 }
 
 /// Takes in the first list, and follows discovery from its version on if it was a whole one.
-fn start_from(s: &Rc<Scheduler>, list: List) {
+fn start_from(s: &Rc<Scheduler>, list: EndpointList) {
     s.target_group.seq.set(list.whole.then_some(list.seq));
     take(s, list, ListKind::Persisted);
 }
@@ -417,7 +428,7 @@
 /// Keeps up with discovery for as long as the program runs. While it is silent the last list stays. What has changed
 /// since the version we have is all that is asked for: were every scheduler of a large tier to ask for the whole list at its
 /// start, the service of the list would fail them all.
-pub async fn follow(s: Rc<Scheduler>) {
+pub async fn watch(s: Rc<Scheduler>) {
     loop {
         if s.settings().policy.list_needs_watch {
             tokio::select! {
@@ -525,7 +536,9 @@
 
 /// Takes in an answer of discovery.
 fn take_in(s: &Rc<Scheduler>, answer: &Message) -> Result<(), &'static str> {
-    let Ok(list) = serde_json::from_slice::<List>(&answer.body) else { return Err("a malformed list") };
+    let Ok(list) = serde_json::from_slice::<EndpointList>(&answer.body) else {
+        return Err("a malformed list");
+    };
     let kind = if list.whole { ListKind::Complete } else { ListKind::Partial };
     s.target_group.seq.set(Some(list.seq));
     s.book.borrow_mut().counters.lists += 1;
@@ -563,9 +576,9 @@
 
     #[test]
     fn numbers_fit_32_bits_and_follow_from_the_name_alone() {
-        assert_eq!(number("s-5be2a07c"), WorkerId(0x5be2_a07c));
-        assert_eq!(number("alpha"), number("alpha"));
-        assert_ne!(number("alpha"), number("beta"));
-        assert!(number("s-+be2a07c").0 <= u64::from(u32::MAX));
+        assert_eq!(worker_id("s-5be2a07c"), WorkerId(0x5be2_a07c));
+        assert_eq!(worker_id("alpha"), worker_id("alpha"));
+        assert_ne!(worker_id("alpha"), worker_id("beta"));
+        assert!(worker_id("s-+be2a07c").0 <= u64::from(u32::MAX));
     }
 }
--- a/crates/scheduler/src/lib.rs
+++ b/crates/scheduler/src/lib.rs
@@ -61,7 +61,7 @@
     /// Connections to targets.
     pub pool: send::Pool,
     /// The targets listed by discovery.
-    pub target_group: discovery::Group,
+    pub target_group: discovery::TargetGroup,
     /// The other schedulers.
     pub peers: peers::Peers,
     /// Operators' orders on workers.
@@ -142,7 +142,7 @@
         pool: send::Pool::new(config.max_outbound, settings.network.keepalive),
         listener: intake::Listener::new(config.max_inbound, config.idle_close_threshold),
         book: RefCell::default(),
-        target_group: discovery::Group::default(),
+        target_group: discovery::TargetGroup::default(),
         orders: RefCell::default(),
         shutdown: shutdown::Shutdown::new(
             settings.longest_client_timeout(),
@@ -161,7 +161,7 @@
     upgrade::start(&scheduler, predecessor);
     send::sweep_pool(&scheduler);
     spawn_local(timers::run(Rc::clone(&scheduler)));
-    spawn_local(discovery::follow(Rc::clone(&scheduler)));
+    spawn_local(discovery::watch(Rc::clone(&scheduler)));
     spawn_local(peers::listen(Rc::clone(&scheduler)));
     if has_quotas {
         spawn_local(peers::share(Rc::clone(&scheduler)));
--- a/crates/scheduler/src/reload.rs
+++ b/crates/scheduler/src/reload.rs
@@ -58,13 +58,13 @@
     let fresh = s.config.reload()?;
     if s.tier.on() {
         // Where the tier agrees on settings, a file is a proposal, and only what is this scheduler's own is taken in here.
-        s.target_group.follow_at(fresh.discovery);
+        s.target_group.set_address(fresh.discovery);
         agreed::propose_settings(s, &fresh.settings_json());
         return Ok(());
     }
     let discovery = fresh.discovery;
     put_in_force(s, fresh)?;
-    s.target_group.follow_at(discovery);
+    s.target_group.set_address(discovery);
     Ok(())
 }
 
@@ -81,7 +81,7 @@
     let settings = Box::new(next.policy.clone());
     *s.settings.borrow_mut() = Rc::new(next);
     route::handle_event(s, Event::SettingsChanged(settings, starts));
-    discovery::renamed(s);
+    discovery::resend_targets(s);
     let (discovery, restart_required) = (fresh.discovery, fresh.restart_required.join(", "));
     s.config.record_active(fresh);
     // Said last: a process that starts at this word, and takes over, reads what is kept.
--- a/crates/scheduler/src/upgrade.rs
+++ b/crates/scheduler/src/upgrade.rs
@@ -3,7 +3,7 @@
 
 use super::clock::Clock;
 use super::config::{Config, shared_path};
-use super::discovery::{self, number};
+use super::discovery::{self, worker_id};
 use super::relay::{self, CallBackResult};
 use super::{Scheduler, control, intake, route};
 use loomlb_hot_restart::link::{Inbox, Link};
@@ -225,7 +225,7 @@
 /// Starts from what the process before knows, if there is one; otherwise from the configuration.
 pub fn start(s: &Rc<Scheduler>, before: Option<Before>) {
     let Some(Before { link, inbox, snapshot, peers: _ }) = before else {
-        discovery::start(s);
+        discovery::start_from_config(s);
         return publish(s);
     };
     snapshot.restore(s);
@@ -406,10 +406,10 @@
             let stream = std::net::TcpStream::from(descriptor);
             let stream = stream.set_nonblocking(true).and_then(|()| TcpStream::from_std(stream));
             if let Ok(stream) = stream
-                && s.target_group.names(&host)
+                && s.target_group.contains(&host)
             {
                 s.book.borrow_mut().counters.adopted += 1;
-                s.pool.adopt(number(&host), stream, since.min(s.clock.now()));
+                s.pool.adopt(worker_id(&host), stream, since.min(s.clock.now()));
             }
         }
         (Word::Holds(holds), _) => tell_module(s, partner, holds),
@@ -448,7 +448,8 @@
     let changed = now.slots.iter().filter(|n| !before.slots.contains(n)).map(|n| (&n.0, n.1));
     for (host, slots) in changed.chain(gone) {
         let turn = s.upgrade.next.replace(s.upgrade.next.get() + 1) as u16;
-        let held = Held { worker: number(host), slots: slots.round() as u8, sequence: turn, failed: false };
+        let held =
+            Held { worker: worker_id(host), slots: slots.round() as u8, sequence: turn, failed: false };
         route::handle_event(s, Event::PeerMessage(me, Message::SlotUsage(held).encode()));
     }
 }
--- a/crates/scheduler/src/upgrade/snapshot.rs
+++ b/crates/scheduler/src/upgrade/snapshot.rs
@@ -8,7 +8,7 @@
 
 use super::super::Scheduler;
 use super::super::clock::{Clock, ClockOffset, nanos_from_millis};
-use super::super::discovery::{self, Group, List};
+use super::super::discovery::{self, EndpointList, TargetGroup};
 use super::super::worker_starts::WorkerStarts;
 use loomlb_control::orders::Orders;
 use loomlb_control::service::State;
@@ -32,7 +32,7 @@
     carried: LearnedState,
     orders: Orders,
     service: State,
-    list: List,
+    list: EndpointList,
     /// Where discovery answers, if a reload has named another address than the start did.
     discovery: Option<SocketAddr>,
     /// The scale of all times here; the build before does not say.
@@ -59,8 +59,8 @@
                 .with_start_times(|id, started| listed_start(&s.target_group, id, started)),
             orders: s.orders.borrow().clone(),
             service: s.shutdown.service().state(),
-            list: s.target_group.list(),
-            discovery: s.target_group.moved_to(),
+            list: s.target_group.endpoint_list(),
+            discovery: s.target_group.reloaded_address(),
             clock: Some(s.clock.offset()),
             worker_starts: Some(s.target_group.starts_for_successor(s.clock.now())),
         }
@@ -81,9 +81,9 @@
         *s.orders.borrow_mut() = self.orders;
         s.shutdown.turn(|ours| ours.adopt(self.service));
         if let Some(address) = self.discovery {
-            s.target_group.follow_at(address);
+            s.target_group.set_address(address);
         }
-        discovery::take_over(s, self.list, self.worker_starts);
+        discovery::start_from_predecessor(s, self.list, self.worker_starts);
         let carried = self.carried.with_start_times(|id, listed| assigned_start(&s.target_group, id, listed));
         let names = SettingNames {
             classes: self.classes,
@@ -96,14 +96,14 @@
 }
 
 /// The list's date of the start that we assigned to a worker's incarnation. A start that staff's orders have set stays.
-fn listed_start(group: &Group, id: WorkerId, started: Nanos) -> Nanos {
+fn listed_start(group: &TargetGroup, id: WorkerId, started: Nanos) -> Nanos {
     let incarnation = group.target(id).map(|target| target.incarnation());
     let assigned = incarnation.filter(|incarnation| incarnation.started == started);
     assigned.map_or(started, |incarnation| nanos_from_millis(incarnation.born_ms))
 }
 
 /// The start that we assign to the incarnation that the list dates so.
-fn assigned_start(group: &Group, id: WorkerId, listed: Nanos) -> Nanos {
+fn assigned_start(group: &TargetGroup, id: WorkerId, listed: Nanos) -> Nanos {
     let incarnation = group.target(id).map(|target| target.incarnation());
     let dated = incarnation.filter(|incarnation| nanos_from_millis(incarnation.born_ms) == listed);
     dated.map_or(listed, |incarnation| incarnation.started)
--- a/crates/scheduler/src/upgrade/snapshot/tests.rs
+++ b/crates/scheduler/src/upgrade/snapshot/tests.rs
@@ -18,7 +18,7 @@
     carried: LearnedState,
     orders: Orders,
     service: State,
-    list: List,
+    list: EndpointList,
     discovery: Option<SocketAddr>,
 }
 
