--- a/crates/scheduler/src/control.rs
+++ b/crates/scheduler/src/control.rs
@@ -183,13 +183,13 @@
     if call != Call::Ready {
         carry_out(s, &call);
         let text = |bytes: &[u8]| String::from_utf8_lossy(bytes).into_owned();
-        upgrade::ask(s, &Ask::Order(text(&message.method), text(&message.path)), None).await;
+        upgrade::query_others(s, &Ask::Order(text(&message.method), text(&message.path)), None).await;
     }
     let service = s.shutdown.service();
     match &call {
         Call::Ready | Call::OutOfService | Call::InService if service.ending() => no(503, "ending"),
         Call::Ready if !s.tier.may_act() => no(503, "no lease of the tier"),
-        Call::Ready if !s.upgrade.accepts() => no(503, s.upgrade.why_not()),
+        Call::Ready if !s.upgrade.accepts() => no(503, s.upgrade.not_accepting_reason()),
         _ => Reply { status: 200, body: state(s), allow: None },
     }
 }
--- a/crates/scheduler/src/intake.rs
+++ b/crates/scheduler/src/intake.rs
@@ -206,10 +206,10 @@
     let mut retry = AcceptRetry::default();
     loop {
         if !scheduler.upgrade.accepts() {
-            scheduler.upgrade.turned.notified().await;
+            scheduler.upgrade.accepting_changed.notified().await;
             continue;
         }
-        if scheduler.listener.is_full(scheduler.upgrade.elsewhere().inbound) {
+        if scheduler.listener.is_full(scheduler.upgrade.held_by_others().inbound) {
             scheduler.listener.evict(scheduler.clock.now(), NEW_CONNECTION_RANK + 1);
             let _ =
                 tokio::time::timeout(EVICTION_WAIT, scheduler.listener.connection_closed.notified()).await;
@@ -217,7 +217,7 @@
         }
         let accepted = tokio::select! {
             accepted = listener.accept() => accepted,
-            () = scheduler.upgrade.turned.notified() => continue,
+            () = scheduler.upgrade.accepting_changed.notified() => continue,
         };
         match accepted {
             Ok((stream, _)) => {
@@ -225,7 +225,7 @@
                 scheduler.book.borrow_mut().counters.connections += 1;
                 scheduler
                     .listener
-                    .evict_above_threshold(scheduler.clock.now(), scheduler.upgrade.elsewhere().inbound);
+                    .evict_above_threshold(scheduler.clock.now(), scheduler.upgrade.held_by_others().inbound);
                 tokio::task::spawn_local(serve_connection(
                     ConnectionGuard::new(&scheduler),
                     stream,
@@ -323,16 +323,16 @@
                 IdleEnd::Close => {
                     scheduler.book.borrow_mut().counters.silent += u64::from(before_first_request);
                     // At the limit the connection is closed at once to free its descriptor, even if that resets it.
-                    if !scheduler.listener.is_full(scheduler.upgrade.elsewhere().inbound) {
+                    if !scheduler.listener.is_full(scheduler.upgrade.held_by_others().inbound) {
                         close_gracefully(&guard, connection).await;
                     }
                     return;
                 }
                 IdleEnd::HandOver => {
-                    let (successor, descriptor) = (scheduler.upgrade.heir(), connection.descriptor());
+                    let (successor, descriptor) = (scheduler.upgrade.successor(), connection.descriptor());
                     drop(connection);
                     if let (Some(successor), Ok(descriptor)) = (successor, descriptor) {
-                        successor.give_client(
+                        successor.hand_over_client(
                             &scheduler,
                             descriptor,
                             carries_call_backs,
@@ -415,7 +415,7 @@
     deadline: Instant,
 ) -> IdleEnd {
     let scheduler = &guard.scheduler;
-    if scheduler.upgrade.heir().is_some() {
+    if scheduler.upgrade.successor().is_some() {
         return IdleEnd::HandOver;
     }
     // New connections are exempt: their request, often a health check, is expected soon.
@@ -434,7 +434,7 @@
             }
             false
         }
-        () = scheduler.upgrade.moved.notified() => return IdleEnd::HandOver,
+        () = scheduler.upgrade.hand_over_idle.notified() => return IdleEnd::HandOver,
         () = guard.close.notified() => true,
         () = close_requested, if !carries_call_backs => true,
         () = tokio::time::sleep_until(deadline) => true,
@@ -469,7 +469,7 @@
         CALL_BACK_PATH => {
             return Some(match relay::handle_call_back(scheduler, &message.body) {
                 CallBackResult::Malformed => Reply::text(400, "malformed call-back"),
-                CallBackResult::UnknownFlow if !upgrade::pass_call_back(scheduler, &message.body).await => {
+                CallBackResult::UnknownFlow if !upgrade::relay_call_back(scheduler, &message.body).await => {
                     Reply::text(503, "its process does not answer")
                 }
                 _ => {
--- a/crates/scheduler/src/lib.rs
+++ b/crates/scheduler/src/lib.rs
@@ -122,10 +122,10 @@
     };
     let opened = loomlb_tier::open(tier, &config.name, &open_retry).await;
     let (tier, tier_links) = opened.map_err(|error| with_context("tier", error))?;
-    let mut predecessor = upgrade::predecessor(&config).await;
-    let peer_socket = predecessor.as_mut().and_then(upgrade::Before::peers);
+    let mut predecessor = upgrade::connect_to_predecessor(&config).await;
+    let peer_socket = predecessor.as_mut().and_then(upgrade::Predecessor::take_peer_socket);
     let peers = peers::Peers::open(&config, peer_socket, &open_retry).await?;
-    let clock = predecessor.as_ref().map(upgrade::Before::clock).unwrap_or_default();
+    let clock = predecessor.as_ref().map(upgrade::Predecessor::clock).unwrap_or_default();
     let settings = Rc::clone(&config.settings);
     // Traffic digests are exchanged only if there are quotas at the start, not if a reload brings the first ones.
     let has_quotas = quota_source.spec.is_some();
--- a/crates/scheduler/src/send.rs
+++ b/crates/scheduler/src/send.rs
@@ -262,7 +262,7 @@
         scheduler.book.borrow_mut().counters.reused += 1;
         return Ok(connection);
     }
-    if !scheduler.pool.make_room(scheduler.upgrade.elsewhere().outbound) {
+    if !scheduler.pool.make_room(scheduler.upgrade.held_by_others().outbound) {
         tracing::warn!(
             target = &*target.host,
             "no connection opened: all connections to workers that limits.sockets allows are in use"
@@ -543,13 +543,13 @@
     let stays = scheduler.target_group.target(worker).is_some_and(stays);
     if answer.keep_alive && !connection.http.has_input() && stays {
         // After a handover the successor process sends the next jobs, so it gets the connection.
-        match scheduler.upgrade.heir() {
+        match scheduler.upgrade.successor() {
             None => scheduler.pool.put_idle(worker, connection, scheduler.clock.now()),
             Some(successor) => {
                 let descriptor = connection.http.descriptor().ok();
                 drop(connection);
                 descriptor.into_iter().for_each(|descriptor| {
-                    successor.give_target(scheduler, worker, descriptor, scheduler.clock.now())
+                    successor.hand_over_target(scheduler, worker, descriptor, scheduler.clock.now())
                 });
             }
         }
--- a/crates/scheduler/src/shutdown.rs
+++ b/crates/scheduler/src/shutdown.rs
@@ -96,7 +96,7 @@
             _ = signals.terminate.recv() => break,
             _ = signals.interrupt.recv() => break,
             _ = signals.report.recv() => report(s),
-            () = upgrade::finished(s) => return,
+            () = upgrade::wait_until_finished(s) => return,
         }
     }
     let now = s.clock.now();
@@ -111,7 +111,7 @@
         // A process that ends resets connections on which something still comes, and what it wrote last with them.
         let parted = || s.listener.closing_count() == 0 || service_over(s);
         if upgrade::is_finished(s) {
-            return upgrade::finished(s).await;
+            return upgrade::wait_until_finished(s).await;
         }
         if s.shutdown.service().refusing(s.clock.now()) && over() {
             // One more turn: whatever the kernel holds for us by now gets read and answered.
--- a/crates/scheduler/src/upgrade.rs
+++ b/crates/scheduler/src/upgrade.rs
@@ -53,13 +53,13 @@
     }
 
     /// Passes an idle connection of a client on.
-    pub fn give_client(&self, s: &Scheduler, descriptor: OwnedFd, calls_back: bool, fresh: bool) {
+    pub fn hand_over_client(&self, s: &Scheduler, descriptor: OwnedFd, calls_back: bool, fresh: bool) {
         s.book.borrow_mut().counters.passed_on += 1;
         self.link.say(&Word::Client { calls_back, fresh }, Some(descriptor));
     }
 
     /// Passes an idle connection to a target on.
-    pub fn give_target(&self, s: &Scheduler, to: WorkerId, descriptor: OwnedFd, since: Nanos) {
+    pub fn hand_over_target(&self, s: &Scheduler, to: WorkerId, descriptor: OwnedFd, since: Nanos) {
         if let Some(target) = s.target_group.target(to) {
             s.book.borrow_mut().counters.passed_on += 1;
             self.link.say(&Word::Target { host: target.host.to_string(), since }, Some(descriptor));
@@ -76,9 +76,9 @@
     new: Cell<New>,
     partners: RefCell<Vec<Rc<Partner>>>,
     /// Told to the acceptor when it is to look whether it accepts.
-    pub turned: Notify,
+    pub accepting_changed: Notify,
     /// Told to idle connections when they are to be passed on.
-    pub moved: Notify,
+    pub hand_over_idle: Notify,
     /// Questions under way.
     asked: RefCell<HashMap<u64, oneshot::Sender<bool>>>,
     next: Cell<u64>,
@@ -99,8 +99,8 @@
             old: Cell::default(),
             new: Cell::new(new),
             partners: RefCell::default(),
-            turned: Notify::new(),
-            moved: Notify::new(),
+            accepting_changed: Notify::new(),
+            hand_over_idle: Notify::new(),
             asked: RefCell::default(),
             next: Cell::new(0),
             listening: RefCell::default(),
@@ -114,12 +114,12 @@
     }
 
     /// Why it does not.
-    pub fn why_not(&self) -> &'static str {
+    pub fn not_accepting_reason(&self) -> &'static str {
         if self.new.get().accepts() { "handed over" } else { "starting" }
     }
 
     /// The process that goes on with what is idle here, once it accepts.
-    pub fn heir(&self) -> Option<Rc<Partner>> {
+    pub fn successor(&self) -> Option<Rc<Partner>> {
         if self.old.get().accepts() {
             return None;
         }
@@ -127,7 +127,7 @@
     }
 
     /// What the other processes hold of the limits that are ours together.
-    pub fn elsewhere(&self) -> Holds {
+    pub fn held_by_others(&self) -> Holds {
         let mut all = Holds::default();
         for partner in &*self.partners.borrow() {
             let holds = partner.holds.borrow();
@@ -155,17 +155,17 @@
 }
 
 /// The process before this one, as far as the first words go.
-pub struct Before {
+pub struct Predecessor {
     link: Link,
     inbox: Inbox,
     snapshot: Snapshot,
-    peers: Option<OwnedFd>,
+    peer_socket: Option<OwnedFd>,
 }
 
-impl Before {
+impl Predecessor {
     /// The socket to the peers.
-    pub fn peers(&mut self) -> Option<OwnedFd> {
-        self.peers.take()
+    pub fn take_peer_socket(&mut self) -> Option<OwnedFd> {
+        self.peer_socket.take()
     }
 
     /// A clock on the scale of that process's times.
@@ -176,7 +176,7 @@
 
 /// Asks the process that runs for all that it knows. None if there is none, or it cannot or will not say: this one then
 /// starts from its configuration.
-pub async fn predecessor(config: &Config) -> Option<Before> {
+pub async fn connect_to_predecessor(config: &Config) -> Option<Predecessor> {
     let path = path(config)?;
     match tokio::time::timeout(PATIENCE, greet(&path)).await {
         Ok(Ok(before)) => Some(before),
@@ -193,18 +193,18 @@
     }
 }
 
-async fn greet(path: &Path) -> io::Result<Before> {
+async fn greet(path: &Path) -> io::Result<Predecessor> {
     let link = Link::new(connect(path).await?);
     link.say(&Word::Hello { version: VERSION }, None);
     let mut inbox = Inbox::default();
-    let (word, peers) = tokio::select! {
+    let (word, peer_socket) = tokio::select! {
         heard = link.hear(&mut inbox) => heard?,
         () = link.write() => return Err(io::ErrorKind::BrokenPipe.into()),
     };
     match word {
         Word::Snapshot(value) => {
             let snapshot = Snapshot::deserialize(value).map_err(io::Error::other)?;
-            Ok(Before { link, inbox, snapshot, peers })
+            Ok(Predecessor { link, inbox, snapshot, peer_socket })
         }
         Word::Refused(why) => Err(io::Error::other(format!("refused: {why}"))),
         _ => Err(io::Error::other("an unknown word")),
@@ -223,8 +223,8 @@
 }
 
 /// Starts from what the process before knows, if there is one; otherwise from the configuration.
-pub fn start(s: &Rc<Scheduler>, before: Option<Before>) {
-    let Some(Before { link, inbox, snapshot, peers: _ }) = before else {
+pub fn start(s: &Rc<Scheduler>, before: Option<Predecessor>) {
+    let Some(Predecessor { link, inbox, snapshot, peer_socket: _ }) = before else {
         discovery::start_from_config(s);
         return publish(s);
     };
@@ -251,7 +251,7 @@
     let mut new = s.upgrade.new.get();
     new.alone();
     s.upgrade.new.set(new);
-    s.upgrade.turned.notify_one();
+    s.upgrade.accepting_changed.notify_one();
     publish(s);
 }
 
@@ -368,7 +368,7 @@
         if !s.upgrade.left.get() && s.upgrade.turn(Old::broken) == Act::Resume {
             tracing::error!("upgrade: the process that took over is gone; accepting again");
             publish(&s);
-            s.upgrade.turned.notify_one();
+            s.upgrade.accepting_changed.notify_one();
         }
         return;
     }
@@ -385,12 +385,12 @@
     match (word, descriptor) {
         (Word::Ready, _) if partner.successor && s.upgrade.turn(Old::ready) == Act::Commit => {
             tracing::info!("upgrade: handed over, {} flows to finish", s.book.borrow().unanswered());
-            s.upgrade.turned.notify_one();
+            s.upgrade.accepting_changed.notify_one();
             partner.link.say(&Word::Committed, None);
             for (to, descriptor, since) in s.pool.take_all_idle() {
-                partner.give_target(s, to, descriptor, since);
+                partner.hand_over_target(s, to, descriptor, since);
             }
-            s.upgrade.moved.notify_waiters();
+            s.upgrade.hand_over_idle.notify_waiters();
         }
         (Word::Committed, _) if !partner.successor && !s.upgrade.new.get().accepts() => {
             tracing::info!("upgrade: taken over from the process before");
@@ -425,7 +425,7 @@
             };
             let (s, partner) = (Rc::clone(s), Rc::clone(partner));
             spawn_local(async move {
-                let theirs = theirs || self::ask(&s, &ask, Some(&partner)).await == Some(true);
+                let theirs = theirs || self::query_others(&s, &ask, Some(&partner)).await == Some(true);
                 partner.link.say(&Word::Answer(n, theirs), None);
             });
         }
@@ -466,7 +466,7 @@
 }
 
 /// Asks all other processes; whether it was for one of them, or none if one of them did not answer and no other took it.
-pub async fn ask(s: &Rc<Scheduler>, ask: &Ask, but: Option<&Rc<Partner>>) -> Option<bool> {
+pub async fn query_others(s: &Rc<Scheduler>, ask: &Ask, but: Option<&Rc<Partner>>) -> Option<bool> {
     let others = s.upgrade.partners.borrow().clone();
     let others = others.iter().filter(|p| !but.is_some_and(|b| Rc::ptr_eq(b, p)));
     let mut answers = Vec::new();
@@ -500,9 +500,9 @@
 
 /// Passes a call-back for a flow that is not here on to the process that has it; false if that one does not answer, and
 /// the target should say it again.
-pub async fn pass_call_back(s: &Rc<Scheduler>, body: &[u8]) -> bool {
+pub async fn relay_call_back(s: &Rc<Scheduler>, body: &[u8]) -> bool {
     let said = match std::str::from_utf8(body) {
-        Ok(body) => ask(s, &Ask::CallBack(body.into()), None).await,
+        Ok(body) => query_others(s, &Ask::CallBack(body.into()), None).await,
         Err(_) => Some(false),
     };
     let mut book = s.book.borrow_mut();
@@ -516,14 +516,14 @@
 /// Whether this process has handed over and owes nothing more. It stays for a process before it that has not finished:
 /// its call-backs come through here.
 pub fn is_finished(s: &Scheduler) -> bool {
-    s.upgrade.heir().is_some()
+    s.upgrade.successor().is_some()
         && s.book.borrow().unanswered() == 0
         && s.listener.connection_count() == 0
         && s.upgrade.partners.borrow().iter().all(|p| p.successor)
 }
 
 /// Waits until this process has handed over and owes nothing more, and takes its leave.
-pub async fn finished(s: &Rc<Scheduler>) {
+pub async fn wait_until_finished(s: &Rc<Scheduler>) {
     if s.upgrade.path.is_none() {
         std::future::pending::<()>().await;
     }
@@ -531,9 +531,9 @@
         tokio::time::sleep(LOOK).await;
     }
     s.upgrade.left.set(true);
-    if let Some(heir) = s.upgrade.heir() {
-        heir.link.say(&Word::Bye, None);
-        let _ = tokio::time::timeout(ANSWER, heir.link.flushed()).await;
+    if let Some(successor) = s.upgrade.successor() {
+        successor.link.say(&Word::Bye, None);
+        let _ = tokio::time::timeout(ANSWER, successor.link.flushed()).await;
     }
     tracing::info!("upgrade: finished");
 }
