--- a/crates/scheduler/src/control.rs
+++ b/crates/scheduler/src/control.rs
@@ -199,8 +199,8 @@
     let now = s.clock.now();
     let changed = match call {
         Call::Ready | Call::Tier | Call::Propose(_) => false,
-        Call::OutOfService => s.shutdown.turn(|service| service.drain(now)),
-        Call::InService => s.shutdown.turn(|service| service.resume()),
+        Call::OutOfService => s.shutdown.update_service(|service| service.drain(now)),
+        Call::InService => s.shutdown.update_service(|service| service.resume()),
         Call::Offline(host) => s.orders.borrow_mut().offline(host, now),
         Call::Online(host) => s.orders.borrow_mut().online(host, now),
     };
--- a/crates/scheduler/src/lib.rs
+++ b/crates/scheduler/src/lib.rs
@@ -173,8 +173,8 @@
         spawn_local(control::accept(Rc::clone(&scheduler), control_listener));
     }
     loomlb_tier::start(&scheduler.tier, &agreed::around(&scheduler), tier_links);
-    shutdown::wait(&scheduler, signals).await;
-    shutdown::report(&scheduler);
+    shutdown::wait_for_end(&scheduler, signals).await;
+    shutdown::log_counters(&scheduler);
     Ok(())
 }
 
--- a/crates/scheduler/src/reload.rs
+++ b/crates/scheduler/src/reload.rs
@@ -76,7 +76,7 @@
     drop(book);
     let changed = starts.iter().filter(|start| **start != ClassOrigin::Kept).count();
     s.pool.set_keepalive(next.network.keepalive);
-    s.shutdown.turn(|service| service.patience(next.longest_client_timeout()));
+    s.shutdown.update_service(|service| service.patience(next.longest_client_timeout()));
     s.quotas.add_classes(&next.latency_objectives());
     let settings = Box::new(next.policy.clone());
     *s.settings.borrow_mut() = Rc::new(next);
--- a/crates/scheduler/src/shutdown.rs
+++ b/crates/scheduler/src/shutdown.rs
@@ -35,7 +35,7 @@
     }
 
     /// Changes the state, and wakes whoever acts on it.
-    pub fn turn<T>(&self, word: impl FnOnce(&mut Service) -> T) -> T {
+    pub fn update_service<T>(&self, word: impl FnOnce(&mut Service) -> T) -> T {
         let mut service = self.service.get();
         let said = word(&mut service);
         self.service.set(service);
@@ -81,7 +81,7 @@
 }
 
 /// Logs the counters.
-pub fn report(s: &Scheduler) {
+pub fn log_counters(s: &Scheduler) {
     tracing::info!("counters: {}", s.book.borrow().counters);
     if let Some(table) = s.quotas.summary(s.clock.now()) {
         tracing::info!("{table}");
@@ -90,17 +90,17 @@
 
 /// Waits for the signals; returns once the program may end. Call-backs come to the listener, so it stays open
 /// until the last flow is answered.
-pub async fn wait(s: &Rc<Scheduler>, mut signals: Signals) {
+pub async fn wait_for_end(s: &Rc<Scheduler>, mut signals: Signals) {
     loop {
         tokio::select! {
             _ = signals.terminate.recv() => break,
             _ = signals.interrupt.recv() => break,
-            _ = signals.report.recv() => report(s),
+            _ = signals.report.recv() => log_counters(s),
             () = upgrade::wait_until_finished(s) => return,
         }
     }
     let now = s.clock.now();
-    s.shutdown.turn(|service| service.end(now));
+    s.shutdown.update_service(|service| service.end(now));
     tracing::info!("asked to end, {} flows to finish", s.book.borrow().unanswered());
     loop {
         let over = || {
--- a/crates/scheduler/src/upgrade/snapshot.rs
+++ b/crates/scheduler/src/upgrade/snapshot.rs
@@ -79,7 +79,7 @@
     /// Puts all of it in place in a scheduler that starts.
     pub(super) fn restore(self, s: &Rc<Scheduler>) {
         *s.orders.borrow_mut() = self.orders;
-        s.shutdown.turn(|ours| ours.adopt(self.service));
+        s.shutdown.update_service(|ours| ours.adopt(self.service));
         if let Some(address) = self.discovery {
             s.target_group.set_address(address);
         }
