--- a/crates/scheduler/src/agreed.rs
+++ b/crates/scheduler/src/agreed.rs
@@ -30,7 +30,7 @@
     }
 
     fn put_in_force(&self, settings: Value) -> Result<(), String> {
-        self.0.config.with_settings(settings).and_then(|fresh| reload::put_in_force(&self.0, fresh))
+        self.0.config.with_settings(settings).and_then(|fresh| reload::activate(&self.0, fresh))
     }
 
     fn order(&self, worker: &str, out: bool) {
--- a/crates/scheduler/src/lib.rs
+++ b/crates/scheduler/src/lib.rs
@@ -101,7 +101,7 @@
     tier: Option<loomlb_tier::Spec>,
 ) -> io::Result<()> {
     // First of all, as a signal without a handler would end the process.
-    let (hangup, signals) = (reload::take_over()?, shutdown::Signals::new()?);
+    let (hangup, signals) = (reload::install_sighup_handler()?, shutdown::Signals::new()?);
     if let Some(fault) = &config.rejected_file_error {
         tracing::error!("configuration: {fault}; starting with the last accepted one");
     }
@@ -156,7 +156,7 @@
         config,
     });
     reload::start(&scheduler, hangup);
-    reload::retry_keeping(&scheduler);
+    reload::retry_saving(&scheduler);
     tracing::info!("{} serves at {}", scheduler.config.name, listener.local_addr()?);
     upgrade::start(&scheduler, predecessor);
     send::sweep_pool(&scheduler);
--- a/crates/scheduler/src/reload.rs
+++ b/crates/scheduler/src/reload.rs
@@ -15,7 +15,7 @@
 
 /// Takes SIGHUP over, for as long as the program runs: left to its default it would end the program with
 /// every flow it has taken.
-pub fn take_over() -> io::Result<Signal> {
+pub fn install_sighup_handler() -> io::Result<Signal> {
     signal(SignalKind::hangup())
 }
 
@@ -41,7 +41,7 @@
 
 /// Writes the configuration in force for the next process once more for as long as that has failed, also at the start.
 /// Once this process has handed over, the file is the next one's.
-pub fn retry_keeping(s: &Rc<Scheduler>) {
+pub fn retry_saving(s: &Rc<Scheduler>) {
     let s = Rc::clone(s);
     spawn_local(async move {
         loop {
@@ -63,13 +63,13 @@
         return Ok(());
     }
     let discovery = fresh.discovery;
-    put_in_force(s, fresh)?;
+    activate(s, fresh)?;
     s.target_group.set_address(discovery);
     Ok(())
 }
 
 /// Puts settings in force, all of them or nothing. Discovery is followed on from the list that is there.
-pub fn put_in_force(s: &Rc<Scheduler>, fresh: ReloadedConfig) -> Result<(), String> {
+pub fn activate(s: &Rc<Scheduler>, fresh: ReloadedConfig) -> Result<(), String> {
     let book = s.book.borrow();
     let (next, starts) =
         s.settings().merge((*fresh.settings).clone(), |class| book.has_flow_of_class(class.0))?;
