--- a/crates/scheduler/src/lib.rs
+++ b/crates/scheduler/src/lib.rs
@@ -162,9 +162,9 @@
     send::sweep_pool(&scheduler);
     spawn_local(timers::run(Rc::clone(&scheduler)));
     spawn_local(discovery::watch(Rc::clone(&scheduler)));
-    spawn_local(peers::listen(Rc::clone(&scheduler)));
+    spawn_local(peers::receive(Rc::clone(&scheduler)));
     if has_quotas {
-        spawn_local(peers::share(Rc::clone(&scheduler)));
+        spawn_local(peers::send_digests(Rc::clone(&scheduler)));
     }
     spawn_local(intake::accept(Rc::clone(&scheduler), listener));
     spawn_local(shutdown::close_idle(Rc::clone(&scheduler)));
--- a/crates/scheduler/src/peers.rs
+++ b/crates/scheduler/src/peers.rs
@@ -65,7 +65,7 @@
     }
 
     /// Sends a message, once and without waiting: peers' messages may be lost anyway.
-    pub fn tell(&self, s: &Scheduler, to: Recipient, bytes: &[u8]) {
+    pub fn send(&self, s: &Scheduler, to: Recipient, bytes: &[u8]) {
         // Of two processes the one that accepts speaks for both: peers know the scheduler, not its processes.
         let speaks = bytes.len() <= MAX && s.upgrade.accepts();
         let Some(socket) = self.socket.get().filter(|_| speaks) else { return };
@@ -86,17 +86,17 @@
 }
 
 /// Tells peers of the traffic here, for as long as the program runs and where the operator has quotas.
-pub async fn share(s: Rc<Scheduler>) {
+pub async fn send_digests(s: Rc<Scheduler>) {
     loop {
         tokio::time::sleep(TALK).await;
         for word in s.quotas.traffic_digests(s.clock.now()) {
-            s.peers.tell(&s, Recipient::All, &word);
+            s.peers.send(&s, Recipient::All, &word);
         }
     }
 }
 
 /// Takes in peers' datagrams for as long as the program runs; strangers' are dropped.
-pub async fn listen(s: Rc<Scheduler>) {
+pub async fn receive(s: Rc<Scheduler>) {
     while let Some(at) = s.peers.later.filter(|_| s.peers.socket.get().is_none()) {
         if let Ok(socket) = UdpSocket::bind(at).await {
             let _ = s.peers.socket.set(socket);
--- a/crates/scheduler/src/route.rs
+++ b/crates/scheduler/src/route.rs
@@ -82,6 +82,6 @@
         Action::Probe(worker) => send::probe(scheduler, worker),
         Action::CloseIdleConnections(worker) => scheduler.pool.close_idle(worker),
         Action::WatchList => scheduler.target_group.request_list(),
-        Action::SendToPeers(to, bytes) => scheduler.peers.tell(scheduler, to, &bytes),
+        Action::SendToPeers(to, bytes) => scheduler.peers.send(scheduler, to, &bytes),
     }
 }
