--- a/crates/scheduler/src/agreed.rs
+++ b/crates/scheduler/src/agreed.rs
@@ -34,7 +34,7 @@
     }
 
     fn order(&self, worker: &str, out: bool) {
-        control::agreed(&self.0, worker, out);
+        control::apply_agreed_order(&self.0, worker, out);
     }
 
     fn leaving(&self, leaving: &LeavingWorker) -> bool {
--- a/crates/scheduler/src/control.rs
+++ b/crates/scheduler/src/control.rs
@@ -140,7 +140,7 @@
 }
 
 /// Takes a worker out or puts it back, as the tier has agreed.
-pub fn agreed(s: &Rc<Scheduler>, host: &str, out: bool) {
+pub fn apply_agreed_order(s: &Rc<Scheduler>, host: &str, out: bool) {
     let host = host.to_string();
     carry_out(s, &if out { Call::Offline(host) } else { Call::Online(host) });
 }
@@ -213,7 +213,7 @@
 }
 
 /// Does what the other process was ordered: both are one scheduler.
-pub fn passed_on(s: &Rc<Scheduler>, method: &str, path: &str) {
+pub fn execute_relayed(s: &Rc<Scheduler>, method: &str, path: &str) {
     if let Ok(call) = Call::read(method.as_bytes(), path.as_bytes()) {
         carry_out(s, &call);
     }
--- a/crates/scheduler/src/upgrade.rs
+++ b/crates/scheduler/src/upgrade.rs
@@ -416,7 +416,7 @@
         (Word::Ask(n, ask), _) => {
             let theirs = match &ask {
                 Ask::Order(method, path) => {
-                    control::passed_on(s, method, path);
+                    control::execute_relayed(s, method, path);
                     false
                 }
                 Ask::CallBack(body) => {
