--- a/crates/scheduler/src/control.rs
+++ b/crates/scheduler/src/control.rs
@@ -1,8 +1,8 @@
 //! Control: the second address, where staff call. One call a connection; a front of its own, so that it answers whatever
 //! the clients' listener is at. What a call means is decided in `loomlb-control`.
 
-use super::agreed::Around;
 use super::http::{Connection, Message, MessageKind, ReadError, encode_response};
+use super::tier_application::TierApplication;
 use super::{Scheduler, discovery, upgrade};
 use loomlb_control::call::{self, Call};
 use loomlb_control::service::State;
@@ -167,9 +167,9 @@
         }
         let (status, body) = match call {
             Call::Propose(base) => {
-                loomlb_tier::proposed(&s.tier, &Around(Rc::clone(s)), &message.body, base).await
+                loomlb_tier::proposed(&s.tier, &TierApplication(Rc::clone(s)), &message.body, base).await
             }
-            _ => (200, loomlb_tier::state(&s.tier, &Around(Rc::clone(s)))),
+            _ => (200, loomlb_tier::state(&s.tier, &TierApplication(Rc::clone(s)))),
         };
         return Reply { status, body: format!("{body}\n"), allow: None };
     }
@@ -177,7 +177,7 @@
         && s.tier.on()
     {
         let out = matches!(call, Call::Offline(_));
-        let (status, body) = loomlb_tier::order(&s.tier, &Around(Rc::clone(s)), host, out).await;
+        let (status, body) = loomlb_tier::order(&s.tier, &TierApplication(Rc::clone(s)), host, out).await;
         return Reply { status, body: format!("{body}\n"), allow: None };
     }
     if call != Call::Ready {
--- a/crates/scheduler/src/lib.rs
+++ b/crates/scheduler/src/lib.rs
@@ -10,7 +10,6 @@
 #![forbid(unsafe_code)]
 
 pub mod admit;
-pub mod agreed;
 pub mod book;
 pub mod clock;
 pub mod config;
@@ -27,6 +26,7 @@
 pub mod runtime_settings;
 pub mod send;
 pub mod shutdown;
+pub mod tier_application;
 pub mod timers;
 pub mod upgrade;
 pub mod worker_starts;
@@ -172,7 +172,7 @@
         tracing::info!("control at {}", control_listener.local_addr()?);
         spawn_local(control::accept(Rc::clone(&scheduler), control_listener));
     }
-    loomlb_tier::start(&scheduler.tier, &agreed::around(&scheduler), tier_links);
+    loomlb_tier::start(&scheduler.tier, &tier_application::application(&scheduler), tier_links);
     shutdown::wait_for_end(&scheduler, signals).await;
     shutdown::log_counters(&scheduler);
     Ok(())
--- a/crates/scheduler/src/reload.rs
+++ b/crates/scheduler/src/reload.rs
@@ -2,7 +2,7 @@
 //! says.
 
 use super::config::ReloadedConfig;
-use super::{Scheduler, agreed, discovery, route};
+use super::{Scheduler, discovery, route, tier_application};
 use loomlb_policy::{ClassOrigin, Event};
 use std::io;
 use std::rc::Rc;
@@ -59,7 +59,7 @@
     if s.tier.on() {
         // Where the tier agrees on settings, a file is a proposal, and only what is this scheduler's own is taken in here.
         s.target_group.set_address(fresh.discovery);
-        agreed::propose_settings(s, &fresh.settings_json());
+        tier_application::propose_settings(s, &fresh.settings_json());
         return Ok(());
     }
     let discovery = fresh.discovery;
--- a/crates/scheduler/src/agreed.rs
+++ b/crates/scheduler/src/tier_application.rs
@@ -9,14 +9,14 @@
 
 /// The scheduler as the tier sees it.
 #[derive(Debug)]
-pub struct Around(pub Rc<Scheduler>);
+pub struct TierApplication(pub Rc<Scheduler>);
 
 /// The same for tasks that go on for as long as the program runs.
-pub fn around(s: &Rc<Scheduler>) -> Rc<dyn Application> {
-    Rc::new(Around(Rc::clone(s)))
+pub fn application(s: &Rc<Scheduler>) -> Rc<dyn Application> {
+    Rc::new(TierApplication(Rc::clone(s)))
 }
 
-impl Application for Around {
+impl Application for TierApplication {
     fn list(&self) -> ListReport {
         self.0.target_group.report_to_peers(self.0.clock.now())
     }
@@ -55,7 +55,7 @@
     let (s, text) = (Rc::clone(s), settings.to_string());
     spawn_local(async move {
         let (status, said) =
-            loomlb_tier::proposed(&s.tier, &Around(Rc::clone(&s)), text.as_bytes(), None).await;
+            loomlb_tier::proposed(&s.tier, &TierApplication(Rc::clone(&s)), text.as_bytes(), None).await;
         if status < 300 {
             tracing::info!("configuration proposed to the tier: {said}");
         } else {
