--- a/crates/scheduler/src/discovery.rs
+++ b/crates/scheduler/src/discovery.rs
@@ -166,7 +166,7 @@
     pub fn starts_for_successor(&self, now: Nanos) -> WorkerStarts {
         let targets = self.targets.borrow();
         let listed = targets.values().map(|t| (t.host.to_string(), t.incarnation()));
-        self.starts.borrow().handed_over(now, listed)
+        self.starts.borrow().for_successor(now, listed)
     }
 
     /// Where discovery answers, if a reload has named another address than the start did.
@@ -323,7 +323,7 @@
             }
         }
         let started =
-            known_start(&targets, &host).unwrap_or_else(|| starts.appeared(now, &host.host, host.born_ms));
+            known_start(&targets, &host).unwrap_or_else(|| starts.assign(now, &host.host, host.born_ms));
         let leaving = match state {
             WorkerState::Ready => None,
             _ => Some(known.and_then(|t| t.leaving_since).unwrap_or(now)),
@@ -354,7 +354,8 @@
     s.orders.borrow_mut().age(now, s.settings().policy.obligations.warm_up_time.saturating_add(REMEMBER));
     let departed =
         targets.extract_if(|_, target| target.leaving_since.is_some_and(|at| now >= at + REMEMBER));
-    starts.departed(now, departed.map(|(_, target)| (target.host.to_string(), target.incarnation())));
+    starts
+        .record_departures(now, departed.map(|(_, target)| (target.host.to_string(), target.incarnation())));
     drop(targets);
     drop(starts);
     route::handle_event(s, Event::WorkerList { kind, entries });
@@ -415,7 +416,7 @@
     s.target_group.starts.replace(starts.unwrap_or_default());
     start_from(s, list);
     if answered && !told {
-        s.target_group.starts.borrow_mut().answered(s.clock.now());
+        s.target_group.starts.borrow_mut().record_response(s.clock.now());
     }
 }
 
@@ -546,7 +547,7 @@
     if kind == ListKind::Complete || !list.hosts.is_empty() {
         take(s, list, kind);
     }
-    s.target_group.starts.borrow_mut().answered(s.clock.now());
+    s.target_group.starts.borrow_mut().record_response(s.clock.now());
     Ok(())
 }
 
--- a/crates/scheduler/src/worker_starts.rs
+++ b/crates/scheduler/src/worker_starts.rs
@@ -70,7 +70,7 @@
 
 impl WorkerStarts {
     /// Discovery has answered: what it names for the first time from now on appears while we watch.
-    pub fn answered(&mut self, now: Nanos) {
+    pub fn record_response(&mut self, now: Nanos) {
         self.answered_at = Some(now);
     }
 
@@ -95,7 +95,7 @@
     }
 
     /// The start of an incarnation that the list names for the first time, or for the first time since it departed.
-    pub fn appeared(&mut self, now: Nanos, host: &str, born_ms: u64) -> Nanos {
+    pub fn assign(&mut self, now: Nanos, host: &str, born_ms: u64) -> Nanos {
         if born_ms == 0 {
             return 0;
         }
@@ -120,7 +120,11 @@
     }
 
     /// The list has named these workers no more for a while.
-    pub fn departed(&mut self, now: Nanos, workers: impl IntoIterator<Item = (String, Incarnation)>) {
+    pub fn record_departures(
+        &mut self,
+        now: Nanos,
+        workers: impl IntoIterator<Item = (String, Incarnation)>,
+    ) {
         self.departed.retain(|_, departed| now < departed.left_at.saturating_add(DEPARTED_FOR));
         let left = |incarnation| Departed { incarnation, left_at: now };
         self.departed.extend(workers.into_iter().map(|(host, incarnation)| (host, left(incarnation))));
@@ -140,7 +144,7 @@
     }
 
     /// What a successor starts from: for it all workers that are listed now are yet to appear.
-    pub fn handed_over(
+    pub fn for_successor(
         &self,
         now: Nanos,
         listed: impl IntoIterator<Item = (String, Incarnation)>,
--- a/crates/scheduler/src/worker_starts/tests.rs
+++ b/crates/scheduler/src/worker_starts/tests.rs
@@ -17,8 +17,8 @@
 /// Has one worker appear, as the only news of an answer.
 fn appears(starts: &mut WorkerStarts, now: Nanos, host: &str, born_ms: u64) -> Nanos {
     starts.observe(now, [(host, born_ms)].into_iter());
-    let started = starts.appeared(now, host, born_ms);
-    starts.answered(now);
+    let started = starts.assign(now, host, born_ms);
+    starts.record_response(now);
     started
 }
 
@@ -28,7 +28,7 @@
 fn a_worker_that_appears_has_its_true_age_whatever_the_wall_clock_says() {
     for ahead in [HOUR as i64, -(HOUR as i64), 5 * SECOND as i64, -5 * SECOND as i64, 0] {
         let mut starts = WorkerStarts::default();
-        starts.answered(START);
+        starts.record_response(START);
         let (born, told) = (START + SECOND, START + SECOND + 40 * MS);
         let started = appears(&mut starts, told, "a", date(born, ahead));
         assert_eq!(started, told, "{ahead} ns");
@@ -48,7 +48,7 @@
     let mut starts = WorkerStarts::default();
     let births = [0, date(START - 60 * SECOND, 0), date(START, HOUR as i64)];
     starts.observe(START, births.iter().map(|born_ms| ("a", *born_ms)));
-    let read = births.map(|born_ms| starts.appeared(START, "a", born_ms));
+    let read = births.map(|born_ms| starts.assign(START, "a", born_ms));
     assert_eq!(read, [0, START - 60 * SECOND, START]);
     assert_eq!(starts, WorkerStarts::default(), "it tells nothing of the offset");
 }
@@ -56,14 +56,14 @@
 #[test]
 fn a_worker_that_comes_back_with_the_same_birth_is_as_old_as_before() {
     let mut starts = WorkerStarts::default();
-    starts.answered(START);
+    starts.record_response(START);
     let known = Incarnation { born_ms: 77, started: START - HOUR };
-    starts.departed(START, ["a", "b"].map(|host| (host.to_string(), known)));
+    starts.record_departures(START, ["a", "b"].map(|host| (host.to_string(), known)));
     let now = START + DEPARTED_FOR / 2;
     assert_eq!(appears(&mut starts, now, "a", 77), START - HOUR);
     assert!(appears(&mut starts, now, "b", date(now, 0)) > START, "another incarnation");
-    starts.departed(now, [("c".to_string(), known)]);
-    starts.departed(now + DEPARTED_FOR, [("d".to_string(), known)]);
+    starts.record_departures(now, [("c".to_string(), known)]);
+    starts.record_departures(now + DEPARTED_FOR, [("d".to_string(), known)]);
     assert_eq!(starts.departed.len(), 1, "it is forgotten after a while");
 }
 
@@ -71,8 +71,8 @@
 fn departed_workers_are_remembered_up_to_a_bound_and_the_first_is_forgotten_first() {
     let mut starts = WorkerStarts::default();
     let known = Incarnation { born_ms: 77, started: START };
-    starts.departed(START, [("first".to_string(), known)]);
-    starts.departed(START + 1, (0..MOST_DEPARTED).map(|n| (n.to_string(), known)));
+    starts.record_departures(START, [("first".to_string(), known)]);
+    starts.record_departures(START + 1, (0..MOST_DEPARTED).map(|n| (n.to_string(), known)));
     assert_eq!(starts.departed.len(), MOST_DEPARTED);
     assert!(!starts.departed.contains_key("first"));
 }
@@ -82,7 +82,7 @@
 #[test]
 fn a_wrong_date_or_a_stepped_list_clock_is_found_out_by_the_next_worker() {
     let mut starts = WorkerStarts::default();
-    starts.answered(START);
+    starts.record_response(START);
     appears(&mut starts, START + SECOND, "ahead", date(START + SECOND, HOUR as i64));
     let now = START + 2 * SECOND;
     let started = appears(&mut starts, now, "right", date(now, 0));
@@ -96,14 +96,14 @@
 #[test]
 fn a_successor_gives_every_listed_worker_the_start_that_it_had() {
     let mut predecessor = WorkerStarts::default();
-    predecessor.answered(START);
+    predecessor.record_response(START);
     let born_ms = date(START + SECOND, HOUR as i64);
     let started = appears(&mut predecessor, START + 2 * SECOND, "a", born_ms);
     let listed = [("a".to_string(), Incarnation { born_ms, started })];
     let now = START + 3 * SECOND;
-    let mut successor = predecessor.handed_over(now, listed);
+    let mut successor = predecessor.for_successor(now, listed);
     successor.observe(now, [("a", born_ms)].into_iter());
-    assert_eq!(successor.appeared(now, "a", born_ms), started);
+    assert_eq!(successor.assign(now, "a", born_ms), started);
     assert_eq!(successor, predecessor, "nothing is learned from what was known");
 }
 
@@ -122,7 +122,7 @@
         news in news(),
     ) {
         let mut starts = WorkerStarts::default();
-        starts.answered(START);
+        starts.record_response(START);
         let mut now = START;
         for (n, (pause, delay)) in news.into_iter().enumerate() {
             now += pause;
@@ -143,15 +143,15 @@
     ) {
         let mut starts = WorkerStarts::default();
         let (mut now, mut before) = (START, START);
-        starts.answered(START);
+        starts.record_response(START);
         for (n, (pause, births)) in answers.into_iter().enumerate() {
             now += pause;
             starts.observe(now, births.iter().map(|born_ms| ("new", *born_ms)));
             for (at, born_ms) in births.into_iter().enumerate() {
-                let started = starts.appeared(now, &format!("{n} {at}"), born_ms);
+                let started = starts.assign(now, &format!("{n} {at}"), born_ms);
                 prop_assert!((before..=now).contains(&started));
             }
-            starts.answered(now);
+            starts.record_response(now);
             before = now;
         }
     }
@@ -160,7 +160,7 @@
     #[test]
     fn what_is_known_goes_over_to_a_successor(ahead in any::<i32>(), news in news()) {
         let mut starts = WorkerStarts::default();
-        starts.answered(START);
+        starts.record_response(START);
         let mut now = START;
         for (n, (pause, delay)) in news.into_iter().enumerate() {
             now += pause;
