--- a/crates/scheduler/src/clock.rs
+++ b/crates/scheduler/src/clock.rs
@@ -64,7 +64,7 @@
     }
 
     /// A clock on the scale of the process that this one takes over from.
-    pub fn on_scale_of(predecessor: ClockOffset) -> Clock {
+    pub fn with_offset(predecessor: ClockOffset) -> Clock {
         Clock { offset: predecessor }
     }
 
--- a/crates/scheduler/src/clock/tests.rs
+++ b/crates/scheduler/src/clock/tests.rs
@@ -15,7 +15,7 @@
         let predecessor = Clock::starting_at(wall);
         // What it would read without its predecessor's offset.
         let anew = Clock::starting_at(wall.saturating_add_signed(step * NANOS_PER_SECOND as i64));
-        let successor = Clock::on_scale_of(predecessor.offset());
+        let successor = Clock::with_offset(predecessor.offset());
         let before = predecessor.now();
         let apart = successor.now() - before;
         assert!(apart < SOON, "{step} s: {apart} ns apart");
--- a/crates/scheduler/src/upgrade/snapshot.rs
+++ b/crates/scheduler/src/upgrade/snapshot.rs
@@ -68,7 +68,7 @@
 
     /// A clock on the scale of the snapshot's times, as far as it tells.
     pub(super) fn clock(&self) -> Clock {
-        self.clock.map_or_else(|| Clock::starting_no_earlier_than(self.latest_event()), Clock::on_scale_of)
+        self.clock.map_or_else(|| Clock::starting_no_earlier_than(self.latest_event()), Clock::with_offset)
     }
 
     /// The latest time at which anything in it is known to have happened.
