--- a/crates/scheduler/src/config.rs
+++ b/crates/scheduler/src/config.rs
@@ -1,4 +1,5 @@
-//! The configuration: the one place where it is read, checked and given defaults.
+//! The configuration: reads and validates the file, applies defaults, and saves the active configuration for
+//! a successor.
 
 use super::config_validation;
 use super::runtime_settings::RuntimeSettings;
@@ -13,84 +14,87 @@
 use std::path::{Path, PathBuf};
 use std::rc::Rc;
 
-/// Descriptors kept aside for the runtime, the log, discovery, peers and the listener itself.
-const RESERVED: usize = 32;
-/// Descriptors kept aside for the callers of the second address, its listener included.
-const CALLERS: usize = 20;
-/// Fewer descriptors than this serve nobody.
-const FEWEST: usize = 64;
+/// File descriptors reserved for the runtime, the log, discovery, peers and the listener itself.
+const RESERVED_DESCRIPTORS: usize = 32;
+/// File descriptors reserved for the control listener and its connections.
+const CONTROL_DESCRIPTORS: usize = 20;
+/// The smallest valid `limits.sockets`.
+const MIN_SOCKETS: usize = 64;
 
-/// All that the program was told, checked.
+/// A validated configuration.
 #[derive(Debug)]
 pub struct Config {
     /// This scheduler's name.
     pub name: String,
-    /// Where clients and workers connect.
+    /// The address at which clients and workers connect.
     pub listen: SocketAddr,
-    /// Where discovery answers.
+    /// The address of discovery.
     pub discovery: SocketAddr,
-    /// The number of the listening socket that the platform holds for us, if it does.
+    /// The descriptor of the listening socket, if the platform passes one (`LB_FD`).
     pub inherited_fd: Option<RawFd>,
-    /// Where staff call, if anywhere.
+    /// The address of the control listener, if there is one.
     pub control: Option<SocketAddr>,
-    /// Seed of the module's random numbers.
+    /// Seed of the decision module's random numbers.
     pub seed: u64,
-    /// Connections that may be open to the listener.
+    /// Maximum number of connections to the listener.
     pub max_inbound: usize,
-    /// Beyond so many connections at the listener, idle ones are closed.
+    /// Number of connections to the listener above which idle ones are closed.
     pub idle_close_threshold: usize,
-    /// Connections that may be open to targets.
+    /// Maximum number of connections to targets.
     pub max_outbound: usize,
-    /// Bytes that the bodies of open flows may take together.
+    /// Maximum total size of the bodies of open flows, in bytes.
     pub max_body_bytes: usize,
-    /// Bytes of one list of discovery's; a longer one is turned down, and counts as a fault of the list.
+    /// Maximum size of a response of discovery, in bytes. A longer one is rejected as malformed.
     pub max_list_bytes: usize,
-    /// Where peers' datagrams arrive, if there are peers.
+    /// The address at which datagrams of peers arrive, if there are peers.
     pub peer_listen: Option<SocketAddr>,
-    /// The schedulers of the tier by number, this one included.
+    /// The addresses of all schedulers by number, this one included.
     pub peers: Vec<SocketAddr>,
-    /// The address of all of them.
+    /// The address that reaches all schedulers at once, if there is one.
     pub peers_all: Option<SocketAddr>,
-    /// The target group as it was last known, in discovery's form.
+    /// The endpoint list to start from, in discovery's format.
     pub initial_list: serde_json::Value,
-    /// The settings of the start.
+    /// The settings at the start.
     pub settings: Rc<RuntimeSettings>,
-    /// What was wrong with the file, where an earlier process's configuration stands in for it.
+    /// The error in the configuration file, if the saved configuration of an earlier process is used in its
+    /// place.
     pub rejected_file_error: Option<String>,
-    /// The file it was read from, and what stood there when it was last found good.
-    file: PathBuf,
-    keys: RefCell<ConfigJson>,
-    /// What is in force is not in the file for the next process yet.
+    /// The path of the configuration file.
+    path: PathBuf,
+    /// The active configuration.
+    json: RefCell<ConfigJson>,
+    /// Whether the active configuration has yet to be saved for a successor.
     save_pending: Cell<bool>,
 }
 
-/// A configuration as its file has it.
+/// The JSON object of a configuration file.
 pub type ConfigJson = serde_json::Map<String, serde_json::Value>;
 
-/// What a reload changes.
+/// A configuration that was read and validated by a reload.
 #[derive(Debug)]
 pub struct ReloadedConfig {
-    /// Where discovery answers now.
+    /// The address of discovery.
     pub discovery: SocketAddr,
-    /// The file's settings.
+    /// The settings.
     pub settings: Rc<RuntimeSettings>,
-    /// What stands in the file.
-    keys: ConfigJson,
-    /// Keys that have changed as well, and are read at a start only.
+    /// The file's content.
+    json: ConfigJson,
+    /// Changed keys that take effect only at the next start.
     pub restart_required: Vec<String>,
 }
 
 impl ReloadedConfig {
-    /// The settings as they stand in the file.
+    /// Returns the `settings` section of the file.
     pub fn settings_json(&self) -> serde_json::Value {
-        self.keys.get("settings").cloned().unwrap_or_default()
+        self.json.get("settings").cloned().unwrap_or_default()
     }
 }
 
+/// The keys of a configuration file.
 #[derive(Deserialize, Default)]
 #[serde(default)]
 #[serde(expecting = "struct Raw")]
-struct Raw {
+struct ConfigFile {
     name: Option<String>,
     listen: Option<String>,
     discovery: Option<String>,
@@ -104,6 +108,7 @@
     settings: Option<RawSettings>,
 }
 
+/// The `limits` section of a configuration file.
 #[derive(Deserialize)]
 #[serde(default)]
 #[serde(expecting = "struct Limits")]
@@ -119,7 +124,8 @@
 }
 
 impl Config {
-    /// Reads the named file, or the one that `LB_CONFIG` names; other `LB_` variables override its keys.
+    /// Reads `file`, or the file that `LB_CONFIG` names. Other `LB_` variables override its keys. If the file
+    /// is invalid, the configuration that an earlier process saved is used in its place.
     pub fn load(file: Option<&Path>) -> Result<Config, String> {
         let env = |name: &str| std::env::var(name).ok().filter(|v| !v.is_empty());
         let path = match file {
@@ -127,168 +133,185 @@
             None => env("LB_CONFIG").ok_or("LB_CONFIG: not set, and no --config given")?.into(),
         };
         let listen = env("LB_LISTEN");
-        let over = |mut raw: Raw| {
-            raw.name = env("LB_NAME").or(raw.name);
-            raw.listen = listen.clone().or(raw.listen);
-            raw.discovery = env("LB_DISCOVERY").or(raw.discovery);
-            raw.control = raw.control.or(env("LB_CONTROL"));
-            raw
+        let with_environment = |mut file: ConfigFile| {
+            file.name = env("LB_NAME").or(file.name);
+            file.listen = listen.clone().or(file.listen);
+            file.discovery = env("LB_DISCOVERY").or(file.discovery);
+            file.control = file.control.or(env("LB_CONTROL"));
+            file
         };
-        // What a process of this scheduler has found good: a file that it turned down must not end the next one.
-        let kept =
-            listen.as_deref().and_then(|at| shared_path(at, "json")).and_then(|file| Raw::read(&file).ok());
-        let fresh = Raw::read(&path).and_then(|(raw, keys)| {
-            kept.iter().try_for_each(|kept| config_validation::validate_reload(&kept.1, &keys))?;
-            over(raw).check(path.clone(), keys)
+        // The last configuration that a process of this scheduler accepted. With it a start succeeds even if
+        // the file is invalid.
+        let saved = listen
+            .as_deref()
+            .and_then(|at| shared_path(at, "json"))
+            .and_then(|path| ConfigFile::read(&path).ok());
+        let loaded = ConfigFile::read(&path).and_then(|(file, json)| {
+            saved.iter().try_for_each(|saved| config_validation::validate_reload(&saved.1, &json))?;
+            with_environment(file).into_config(path.clone(), json)
         });
-        let mut config = match (fresh, kept) {
+        let mut config = match (loaded, saved) {
             (Ok(config), _) => config,
-            (Err(fault), Some((raw, keys))) => {
-                Config { rejected_file_error: Some(fault), ..over(raw).check(path, keys)? }
+            (Err(error), Some((file, json))) => {
+                Config { rejected_file_error: Some(error), ..with_environment(file).into_config(path, json)? }
             }
-            (Err(fault), None) => return Err(fault),
+            (Err(error), None) => return Err(error),
         };
         config.inherited_fd = match env("LB_FD") {
-            Some(text) => {
-                Some(text.parse().map_err(|_| format!("LB_FD: {text:?} is no number of a descriptor"))?)
-            }
+            Some(text) => Some(
+                text.parse()
+                    .map_err(|_| format!("LB_FD: {text:?} is not the number of a file descriptor"))?,
+            ),
             None => None,
         };
         Ok(config)
     }
 
-    /// Reads the same file again. `LB_DISCOVERY` was set at the start and cannot have changed since, so here
-    /// the file's own word on discovery counts.
+    /// Reads the configuration file again. The file's `discovery` applies, not `LB_DISCOVERY`, which cannot
+    /// have changed since the start.
     pub fn reload(&self) -> Result<ReloadedConfig, String> {
-        let (raw, keys) = Raw::read(&self.file)?;
-        self.fresh(raw, keys)
+        let (file, json) = ConfigFile::read(&self.path)?;
+        self.validate_reloaded(file, json)
     }
 
-    /// The same file with other settings, as the tier has agreed on them.
+    /// Returns the active configuration with other settings, such as those that the tier has agreed on.
     pub fn with_settings(&self, settings: serde_json::Value) -> Result<ReloadedConfig, String> {
-        let mut keys = self.keys.borrow().clone();
-        keys.insert("settings".into(), settings);
-        // The file itself may have a known list and addresses that the environment overrides: those stay as they are.
-        let raw = Raw::deserialize(&serde_json::Value::Object(keys.clone())).map_err(|e| e.to_string())?;
-        self.fresh(raw, keys)
+        let mut json = self.json.borrow().clone();
+        json.insert("settings".into(), settings);
+        // Other keys, such as those that the environment overrides, stay as they are in the file.
+        let file =
+            ConfigFile::deserialize(&serde_json::Value::Object(json.clone())).map_err(|e| e.to_string())?;
+        self.validate_reloaded(file, json)
     }
 
-    /// The settings as they stand in the file that was read last.
+    /// Returns the `settings` section of the active configuration.
     pub fn settings_json(&self) -> serde_json::Value {
-        self.keys.borrow().get("settings").cloned().unwrap_or_default()
+        self.json.borrow().get("settings").cloned().unwrap_or_default()
     }
 
-    fn fresh(&self, mut raw: Raw, keys: ConfigJson) -> Result<ReloadedConfig, String> {
-        raw.listen = raw.listen.or_else(|| Some(self.listen.to_string()));
-        raw.discovery = raw.discovery.or_else(|| Some(self.discovery.to_string()));
-        let before = self.keys.borrow();
-        config_validation::validate_reload(&before, &keys)?;
-        let fresh = raw.check(self.file.clone(), keys)?;
-        let keys = fresh.keys.into_inner();
-        // A seed and a known list are for a start, and another one each time.
-        let read = |key: &str| !["discovery", "settings", "seed", "known"].contains(&key);
-        let all = before.keys().chain(keys.keys().filter(|k| !before.contains_key(*k)));
-        let changed = all.filter(|k| read(k) && before.get(*k) != keys.get(*k));
+    fn validate_reloaded(&self, mut file: ConfigFile, json: ConfigJson) -> Result<ReloadedConfig, String> {
+        file.listen = file.listen.or_else(|| Some(self.listen.to_string()));
+        file.discovery = file.discovery.or_else(|| Some(self.discovery.to_string()));
+        let active = self.json.borrow();
+        config_validation::validate_reload(&active, &json)?;
+        let reloaded = file.into_config(self.path.clone(), json)?;
+        let json = reloaded.json.into_inner();
+        // `seed` and `known` are used at the start only and differ every time.
+        let read_at_start = |key: &str| !["discovery", "settings", "seed", "known"].contains(&key);
+        let all_keys = active.keys().chain(json.keys().filter(|k| !active.contains_key(*k)));
+        let changed = all_keys.filter(|k| read_at_start(k) && active.get(*k) != json.get(*k));
         let restart_required = changed.cloned().collect();
-        Ok(ReloadedConfig { discovery: fresh.discovery, settings: fresh.settings, keys, restart_required })
+        Ok(ReloadedConfig {
+            discovery: reloaded.discovery,
+            settings: reloaded.settings,
+            json,
+            restart_required,
+        })
     }
 
-    /// What a reload brought is in force: the next one is compared with it.
-    pub fn record_active(&self, fresh: ReloadedConfig) {
-        *self.keys.borrow_mut() = fresh.keys;
+    /// Records a reloaded configuration as the active one, with which the next reload is compared, and saves
+    /// it.
+    pub fn record_active(&self, reloaded: ReloadedConfig) {
+        *self.json.borrow_mut() = reloaded.json;
         self.save();
     }
 
-    /// Keeps what is in force for the process that takes this one's place, where there may be one. After a failure the
-    /// file of an earlier process or reload is still there, complete, and [`Config::is_unkept`] until a later call
-    /// succeeds. Only the first failure of a run is logged.
+    /// Saves the active configuration for a successor, if there can be one. After a failure the file of an
+    /// earlier process or reload remains intact, and [`Config::is_save_pending`] returns true until a later
+    /// call succeeds. Only the first of consecutive failures is logged.
     pub fn save(&self) {
-        let Some(file) = shared_path(&self.listen.to_string(), "json") else { return };
-        let fresh = file.with_extension(std::process::id().to_string());
-        let text = serde_json::Value::Object(self.keys.borrow().clone()).to_string();
-        match write_atomically(&file, &fresh, text.as_bytes()) {
+        let Some(path) = shared_path(&self.listen.to_string(), "json") else { return };
+        let temporary = path.with_extension(std::process::id().to_string());
+        let text = serde_json::Value::Object(self.json.borrow().clone()).to_string();
+        match write_atomically(&path, &temporary, text.as_bytes()) {
             Ok(()) => {
                 if self.save_pending.replace(false) {
-                    tracing::info!("{}: written again", file.display());
+                    tracing::info!("{}: the active configuration is saved again", path.display());
                 }
             }
             Err(e) => {
                 if !self.save_pending.replace(true) {
                     tracing::warn!(
-                        "{}: {e}; a next process has its own file alone until this one is written",
-                        file.display()
+                        "{}: the active configuration cannot be saved: {e}; until it is, a successor cannot fall back to it",
+                        path.display()
                     );
                 }
             }
         }
     }
 
-    /// Whether the last attempt to keep what is in force has failed.
+    /// Returns whether the last attempt to save the active configuration failed.
     pub fn is_save_pending(&self) -> bool {
         self.save_pending.get()
     }
 }
 
-/// A file that the processes of a scheduler share, where one may take another's place (`LB_FD`): in `$TMPDIR`, named by
-/// the address that they share, as a directory may be shared by schedulers.
-pub fn shared_path(listen: &str, ending: &str) -> Option<PathBuf> {
-    let set = |name: &str| std::env::var_os(name).filter(|v| !v.is_empty());
-    set("LB_FD")?;
-    let name = format!("loomlb-{}.{ending}", listen.replace([':', '[', ']'], "-"));
-    Some(PathBuf::from(set("TMPDIR")?).join(name))
+/// Returns the path of a file that the processes of a scheduler share, if one may take over from another
+/// (`LB_FD`). It is in `$TMPDIR` and named after the listening address, as several schedulers may use one
+/// directory.
+pub fn shared_path(listen: &str, extension: &str) -> Option<PathBuf> {
+    let variable = |name: &str| std::env::var_os(name).filter(|v| !v.is_empty());
+    variable("LB_FD")?;
+    let name = format!("loomlb-{}.{extension}", listen.replace([':', '[', ']'], "-"));
+    Some(PathBuf::from(variable("TMPDIR")?).join(name))
 }
 
-fn address(key: &str, text: &str) -> Result<SocketAddr, String> {
-    text.parse().map_err(|_| format!("{key}: {text:?} is no address of the form IP:PORT"))
+fn parse_address(key: &str, text: &str) -> Result<SocketAddr, String> {
+    text.parse().map_err(|_| format!("{key}: {text:?} is not an address of the form IP:PORT"))
 }
 
-fn needed<T>(key: &str, value: Option<T>) -> Result<T, String> {
+fn required<T>(key: &str, value: Option<T>) -> Result<T, String> {
     value.ok_or_else(|| format!("{key}: missing"))
 }
 
-impl Raw {
-    fn read(file: &Path) -> Result<(Raw, ConfigJson), String> {
-        let text = std::fs::read(file).map_err(|e| format!("{}: {e}", file.display()))?;
-        let raw = serde_path_to_error::deserialize(&mut serde_json::Deserializer::from_slice(&text));
-        let raw = raw.map_err(|e| match e.path().to_string().as_str() {
+impl ConfigFile {
+    fn read(path: &Path) -> Result<(ConfigFile, ConfigJson), String> {
+        let text = std::fs::read(path).map_err(|e| format!("{}: {e}", path.display()))?;
+        let file = serde_path_to_error::deserialize(&mut serde_json::Deserializer::from_slice(&text));
+        let file = file.map_err(|e| match e.path().to_string().as_str() {
             "." | "?" => format!("the file: {}", e.inner()),
             path => format!("{path}: {}", e.inner()),
         })?;
-        let keys = serde_json::from_slice(&text).map_err(|e| format!("{}: {e}", file.display()))?;
-        Ok((raw, keys))
+        let json = serde_json::from_slice(&text).map_err(|e| format!("{}: {e}", path.display()))?;
+        Ok((file, json))
     }
 
-    fn check(self, file: PathBuf, keys: ConfigJson) -> Result<Config, String> {
-        let boot = needed("settings", self.settings)?;
-        let (settings, names) = boot.to_settings();
+    fn into_config(self, path: PathBuf, json: ConfigJson) -> Result<Config, String> {
+        let boot_info = required("settings", self.settings)?;
+        let (settings, names) = boot_info.to_settings();
         if settings.classes.is_empty() {
             return Err("settings.classes: names no class".into());
         }
-        config_validation::validate_start(&keys)?;
-        if self.limits.sockets < FEWEST {
-            return Err(format!("limits.sockets: {} is too few ({FEWEST} at least)", self.limits.sockets));
+        config_validation::validate_start(&json)?;
+        if self.limits.sockets < MIN_SOCKETS {
+            return Err(format!(
+                "limits.sockets: {} is too few ({MIN_SOCKETS} at least)",
+                self.limits.sockets
+            ));
         }
         if self.limits.memory_mb < 16 {
             return Err(format!("limits.memory_mb: {} is too little (16 at least)", self.limits.memory_mb));
         }
         let peers: Result<Vec<_>, _> =
-            self.peers.iter().enumerate().map(|(i, p)| address(&format!("peers[{i}]"), p)).collect();
-        let optional = |key: &str, text: Option<String>| text.map(|t| address(key, &t)).transpose();
+            self.peers.iter().enumerate().map(|(i, p)| parse_address(&format!("peers[{i}]"), p)).collect();
+        let optional = |key: &str, text: Option<String>| text.map(|t| parse_address(key, &t)).transpose();
         let seed = match self.seed {
             None | Some(serde_json::Value::Null) => 0,
-            Some(serde_json::Value::Number(n)) => needed("seed", n.as_u64())?,
+            Some(serde_json::Value::Number(n)) => required("seed", n.as_u64())?,
             Some(serde_json::Value::String(hex)) => u64::from_str_radix(&hex, 16)
                 .map_err(|_| format!("seed: {hex:?} is not a hexadecimal number of 64 bits"))?,
-            Some(other) => return Err(format!("seed: {other} is no number")),
+            Some(other) => return Err(format!("seed: {other} is not a number")),
         };
-        // Clients are the many; a target's connections are reused, so a third is ample for them.
+        // A third of the descriptors is enough for targets, since their connections are reused.
         let control = optional("control", self.control)?;
-        let usable = self.limits.sockets - RESERVED - if control.is_some() { CALLERS } else { 0 };
+        let usable = self.limits.sockets
+            - RESERVED_DESCRIPTORS
+            - if control.is_some() { CONTROL_DESCRIPTORS } else { 0 };
         let outbound = usable / 3;
         Ok(Config {
             name: self.name.unwrap_or_else(|| "loomlb".into()),
-            listen: address("listen", &needed("listen", self.listen)?)?,
-            discovery: address("discovery", &needed("discovery", self.discovery)?)?,
+            listen: parse_address("listen", &required("listen", self.listen)?)?,
+            discovery: parse_address("discovery", &required("discovery", self.discovery)?)?,
             inherited_fd: None,
             control,
             seed,
@@ -301,10 +324,14 @@
             peers: peers?,
             peers_all: optional("peers_all", self.peers_all)?,
             initial_list: self.known,
-            settings: Rc::new(RuntimeSettings { network: boot.network_settings(), policy: settings, names }),
+            settings: Rc::new(RuntimeSettings {
+                network: boot_info.network_settings(),
+                policy: settings,
+                names,
+            }),
             rejected_file_error: None,
-            file,
-            keys: RefCell::new(keys),
+            path,
+            json: RefCell::new(json),
             save_pending: Cell::new(false),
         })
     }
--- a/crates/scheduler/src/config_validation.rs
+++ b/crates/scheduler/src/config_validation.rs
@@ -1,47 +1,47 @@
-//! Changes: whether a configuration may take the place of the one that runs. Pure: it compares what stands in two files.
+//! Validates the JSON of a configuration file, at the start and before a reload. Pure: it reads no files.
 
 use super::config::ConfigJson;
 use serde_json::Value;
 
-/// Keys of a class that only some classes need.
-const SOME: [&str; 3] = ["group", "repeat_window", "aim_stretch"];
-/// A deadline beyond a day is a slip of the pen, as are this many attempts.
-const LONGEST: f64 = 86_400e9;
-const ATTEMPTS: f64 = 1000.0;
+/// Class keys that a reload may omit even if every active class has them.
+const OPTIONAL_CLASS_KEYS: [&str; 3] = ["group", "repeat_window", "aim_stretch"];
+/// Upper bounds that catch mistyped values.
+const MAX_GIVE_UP_NANOS: f64 = 86_400e9;
+const MAX_ATTEMPTS: f64 = 1000.0;
 
-/// Checks that a file lacks nothing that the running one has, and that its figures can be worked with; what is wrong is
-/// named by its key.
-pub fn validate_reload(running: &ConfigJson, fresh: &ConfigJson) -> Result<(), String> {
-    // What is for a start alone may be left out.
-    let lasting = |key: &str| !["known", "seed"].contains(&key);
-    for (key, value) in running.iter().filter(|(key, _)| lasting(key)) {
-        lacks_nothing(key, value, fresh.get(key))?;
+/// Checks that a reloaded file has every key of the active one and that its values are in range. The error
+/// names the key.
+pub fn validate_reload(active: &ConfigJson, candidate: &ConfigJson) -> Result<(), String> {
+    // These keys are used at the start only.
+    let required_at_reload = |key: &str| !["known", "seed"].contains(&key);
+    for (key, value) in active.iter().filter(|(key, _)| required_at_reload(key)) {
+        check_keys_present(key, value, candidate.get(key))?;
     }
-    figures(running.get("settings").unwrap_or(&Value::Null), fresh)
+    check_values(active.get("settings").unwrap_or(&Value::Null), candidate)
 }
 
-/// Checks that the figures of a file can be worked with, at a start as well.
-pub fn validate_start(fresh: &ConfigJson) -> Result<(), String> {
-    figures(&Value::Null, fresh)
+/// Checks the values of a file that is read at the start.
+pub fn validate_start(candidate: &ConfigJson) -> Result<(), String> {
+    check_values(&Value::Null, candidate)
 }
 
-fn figures(running: &Value, fresh: &ConfigJson) -> Result<(), String> {
-    let Some(settings) = fresh.get("settings") else { return Err("settings: missing".into()) };
-    classes(running, settings)?;
+fn check_values(active: &Value, candidate: &ConfigJson) -> Result<(), String> {
+    let Some(settings) = candidate.get("settings") else { return Err("settings: missing".into()) };
+    check_classes(active, settings)?;
     if let Some(attempts) = settings.get("ceilings").and_then(|c| c.get("max_attempts")) {
-        number("settings.ceilings.max_attempts", attempts, ATTEMPTS)?;
+        check_number("settings.ceilings.max_attempts", attempts, MAX_ATTEMPTS)?;
     }
     Ok(())
 }
 
-fn lacks_nothing(key: &str, running: &Value, fresh: Option<&Value>) -> Result<(), String> {
-    match (running, fresh) {
+fn check_keys_present(key: &str, active: &Value, candidate: Option<&Value>) -> Result<(), String> {
+    match (active, candidate) {
         (_, None) => Err(format!("{key}: missing")),
         (Value::Null, Some(_)) => Ok(()),
         (_, Some(Value::Null)) => Err(format!("{key}: null")),
-        (Value::Object(running), Some(Value::Object(fresh))) => {
-            running.iter().try_for_each(|(k, v)| lacks_nothing(&format!("{key}.{k}"), v, fresh.get(k)))
-        }
+        (Value::Object(active), Some(Value::Object(candidate))) => active
+            .iter()
+            .try_for_each(|(k, v)| check_keys_present(&format!("{key}.{k}"), v, candidate.get(k))),
         (Value::Object(_), Some(other)) => Err(format!("{key}: {other} is no object")),
         (Value::Array(_), Some(Value::Array(_))) => Ok(()),
         (Value::Array(_), Some(other)) => Err(format!("{key}: {other} is no list")),
@@ -49,44 +49,44 @@
     }
 }
 
-fn classes(running: &Value, fresh: &Value) -> Result<(), String> {
-    let list = |settings: &Value| settings.get("classes").and_then(Value::as_array).cloned();
-    let fresh = list(fresh).ok_or("settings.classes: missing")?;
-    let running = list(running).unwrap_or_default();
-    // What all classes have so far every class needs.
-    let first = running.first().and_then(Value::as_object);
-    let everywhere = |key: &&String| running.iter().all(|class| class.get(key).is_some());
-    let needed: Vec<&String> = first
+fn check_classes(active: &Value, candidate: &Value) -> Result<(), String> {
+    let class_list = |settings: &Value| settings.get("classes").and_then(Value::as_array).cloned();
+    let candidate = class_list(candidate).ok_or("settings.classes: missing")?;
+    let active = class_list(active).unwrap_or_default();
+    // A key that all active classes have is required of every class.
+    let first_class = active.first().and_then(Value::as_object);
+    let in_all_classes = |key: &&String| active.iter().all(|class| class.get(key).is_some());
+    let required: Vec<&String> = first_class
         .into_iter()
         .flat_map(|class| class.keys())
-        .filter(|key| !SOME.contains(&key.as_str()))
-        .filter(everywhere)
+        .filter(|key| !OPTIONAL_CLASS_KEYS.contains(&key.as_str()))
+        .filter(in_all_classes)
         .collect();
-    let mut names = Vec::new();
-    for (i, class) in fresh.iter().enumerate() {
+    let mut seen_names = Vec::new();
+    for (i, class) in candidate.iter().enumerate() {
         let key = |key: &str| format!("settings.classes[{i}].{key}");
-        if let Some(lacking) = needed.iter().find(|k| class.get(k).is_none_or(Value::is_null)) {
-            return Err(format!("{}: missing", key(lacking)));
+        if let Some(missing) = required.iter().find(|k| class.get(k).is_none_or(Value::is_null)) {
+            return Err(format!("{}: missing", key(missing)));
         }
         if let Some(value) = class.get("give_up") {
-            number(&key("give_up"), value, LONGEST)?;
+            check_number(&key("give_up"), value, MAX_GIVE_UP_NANOS)?;
         }
         let name = class.get("name").and_then(Value::as_str).unwrap_or("").to_string();
         if name.is_empty() || name.contains('\n') {
             return Err(format!("{}: {name:?} is no name", key("name")));
         }
-        if names.contains(&name) {
+        if seen_names.contains(&name) {
             return Err(format!("{}: {name:?} stands there twice", key("name")));
         }
-        names.push(name);
+        seen_names.push(name);
     }
     Ok(())
 }
 
-fn number(key: &str, value: &Value, most: f64) -> Result<(), String> {
+fn check_number(key: &str, value: &Value, max: f64) -> Result<(), String> {
     match value.as_f64() {
-        Some(n) if n > 0.0 && n <= most => Ok(()),
-        _ => Err(format!("{key}: {value} is no number above 0, and up to {most}")),
+        Some(n) if n > 0.0 && n <= max => Ok(()),
+        _ => Err(format!("{key}: {value} is no number above 0, and up to {max}")),
     }
 }
 
@@ -94,22 +94,22 @@
 mod tests {
     use super::*;
 
-    const GOOD: &str = r#"{"listen":"a","known":{"seq":1},"limits":{"sockets":64,"memory_mb":32},
+    const VALID: &str = r#"{"listen":"a","known":{"seq":1},"limits":{"sockets":64,"memory_mb":32},
         "settings":{"tick":2,"ceilings":{"max_attempts":4,"cancel":true},"classes":[
         {"name":"view","give_up":5000,"aim":1,"effect":"idempotent","aim_stretch":1.5},
         {"name":"sign","give_up":5000,"aim":1,"effect":"deduplicated","group":"cell","repeat_window":7}]}}"#;
 
-    fn said(old: &str, new: &str) -> String {
-        let keys = |text: &str| serde_json::from_str::<ConfigJson>(text).unwrap();
-        assert!(GOOD.contains(old), "{old}");
-        match validate_reload(&keys(GOOD), &keys(&GOOD.replacen(old, new, 1))) {
+    fn validate_change(old: &str, new: &str) -> String {
+        let parse = |text: &str| serde_json::from_str::<ConfigJson>(text).unwrap();
+        assert!(VALID.contains(old), "{old}");
+        match validate_reload(&parse(VALID), &parse(&VALID.replacen(old, new, 1))) {
             Ok(()) => "good".into(),
             Err(e) => e,
         }
     }
 
     #[test]
-    fn whatever_lacks_a_key_or_has_a_false_figure_is_turned_down_by_name() {
+    fn a_missing_key_or_an_invalid_value_is_rejected_by_name() {
         for (old, new) in [
             ("\"known\":{\"seq\":1},", ""),
             ("\"max_attempts\":4", "\"max_attempts\":1"),
@@ -117,9 +117,9 @@
             ("\"aim_stretch\":1.5", "\"more\":1"),
             ("}]}}", "},{\"name\":\"new\",\"give_up\":1,\"aim\":1,\"effect\":\"at_most_once\"}]}}"),
         ] {
-            assert_eq!(said(old, new), "good", "{new}");
+            assert_eq!(validate_change(old, new), "good", "{new}");
         }
-        let faults = [
+        let invalid_changes = [
             ("\"listen\":\"a\",", ""),
             ("\"sockets\":64,", ""),
             ("{\"sockets\":64,\"memory_mb\":32}", "7"),
@@ -140,8 +140,9 @@
             ("\"name\":\"sign\"", "\"name\":\"\""),
             ("\"classes\":[", "\"other\":["),
         ];
-        let all: Vec<String> = faults.iter().map(|(old, new)| said(old, new)).collect();
-        insta::assert_snapshot!(all.join("\n"), @r#"
+        let outcomes: Vec<String> =
+            invalid_changes.iter().map(|(old, new)| validate_change(old, new)).collect();
+        insta::assert_snapshot!(outcomes.join("\n"), @r#"
         listen: missing
         limits.sockets: missing
         limits: 7 is no object
--- a/tests/cli.rs
+++ b/tests/cli.rs
@@ -60,12 +60,12 @@
     connections: 662 in, 330 out
     log: Text, info
     2: loomlb: configuration: listen: missing
-    2: loomlb: configuration: discovery: "here" is no address of the form IP:PORT
+    2: loomlb: configuration: discovery: "here" is not an address of the form IP:PORT
     2: loomlb: configuration: settings.classes: names no class
     2: loomlb: configuration: settings.classes[0].name: invalid type: integer `7`, expected a string at line 1 column 82
     2: loomlb: configuration: limits.sockets: 8 is too few (64 at least)
     2: loomlb: configuration: seed: "xyz" is not a hexadecimal number of 64 bits
-    2: loomlb: configuration: peers[1]: "x" is no address of the form IP:PORT
+    2: loomlb: configuration: peers[1]: "x" is not an address of the form IP:PORT
     log: Json, info
     2: loomlb: operator file: FILE: line 2: unknown variant `xml`, expected `text` or `json`
     2: loomlb: operator file: FILE: line 3: unknown field `colour`, expected `format` or `level`
--- a/tests/sockets.rs
+++ b/tests/sockets.rs
@@ -281,7 +281,7 @@
     old.hear();
     let (here, there) = (discovery.at().to_string(), elsewhere.at().to_string());
     stage.reload(&here, "here");
-    assert_snapshot!(stage.logged("configuration: "), @r#"discovery: "here" is no address of the form IP:PORT; the old one stays"#);
+    assert_snapshot!(stage.logged("configuration: "), @r#"discovery: "here" is not an address of the form IP:PORT; the old one stays"#);
     stage.reload(
         r#""here","seed":"2a","limits":{"#,
         &format!(r#""{there}","seed":"2b","limits":{{"cores":1,"#),
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -216,7 +216,7 @@
         format!("{}: {}", out.status.code().unwrap(), String::from_utf8_lossy(&out.stderr).trim())
     };
     insta::assert_snapshot!([start("seven"), start("99"), start("0")].join("\n"), @r#"
-    2: loomlb: configuration: LB_FD: "seven" is no number of a descriptor
+    2: loomlb: configuration: LB_FD: "seven" is not the number of a file descriptor
     1: loomlb: LB_FD: descriptor 99: Bad file descriptor (os error 9)
     1: loomlb: LB_FD: descriptor 0: Socket operation on non-socket (os error 88)
     "#);
