--- a/crates/scheduler/src/discovery.rs
+++ b/crates/scheduler/src/discovery.rs
@@ -1,4 +1,4 @@
-//! Discovery: the target group, as the platform's list tells of it.
+//! Discovery: keeps the target group up to date by watching the platform's endpoint list.
 
 use super::http::{Connection, Message, MessageKind};
 use super::worker_starts::{Incarnation, WorkerStarts};
@@ -16,91 +16,96 @@
 use tokio::sync::Notify;
 use tokio::task::JoinSet;
 
-/// How long a watch may wait for news. What a silent one misses counts as told 6 s after discovery had it, so there is
-/// time to notice, and for a call in vain before the one that is answered.
-const HOLD: Duration = Duration::from_secs(2);
-/// How much longer an answer may take before its connection counts as dead.
-const PATIENCE: Duration = Duration::from_millis(1000);
-/// Where lists are asked for, discovery may be crowded and answer late. After a call that was given up unanswered the next
-/// one waits for so long: given up after `PATIENCE` each, calls would add to the crowd and never bring a list.
-const PATIENCE_WHEN_CROWDED: Duration = Duration::from_millis(2400);
-/// Where lists are pushed, what the agent has counts as told, and it answers at once: a first call that is not answered
-/// in this time is not waited for alone, and another one goes out beside it,
-const BESIDE: Duration = Duration::from_millis(250);
-/// so that there are no more than this many.
-const CALLS: usize = 4;
-/// Pause before another try after a failed one.
-const RETRY: Duration = Duration::from_millis(100);
-/// A drain is told to other schedulers for so long, in nanoseconds.
-const TOLD: Nanos = 10_000_000_000;
-/// Others' word that a target is leaving holds for so long after it was said last, in nanoseconds.
-const HEARD: Nanos = 3_000_000_000;
-/// Targets that have left are remembered for this long, for what is still out there.
-const REMEMBER: Nanos = 60_000_000_000;
-
-/// A target as listed.
+/// How long discovery may hold a watch until the list changes. The platform expects a change to be known 6 s
+/// after discovery has it, so a silent watch must end early enough for one failed call and the one that
+/// succeeds.
+const WATCH_HOLD: Duration = Duration::from_secs(2);
+/// Time limit for a response beyond the hold time of its call. After it the connection counts as broken.
+const RESPONSE_TIMEOUT: Duration = Duration::from_millis(1000);
+/// Time limit for the first response after an unanswered call, at sites where schedulers request the list.
+/// Discovery may be overloaded there, and repeated calls with a short limit would add to the load and never
+/// succeed.
+const OVERLOAD_TIMEOUT: Duration = Duration::from_millis(2400);
+/// Delay before another call is sent in parallel to an unanswered first call, at sites where an agent, which
+/// normally responds at once, pushes the list.
+const PARALLEL_CALL_DELAY: Duration = Duration::from_millis(250);
+/// Maximum number of parallel first calls.
+const MAX_PARALLEL_CALLS: usize = 4;
+/// Delay before the next attempt after a failure.
+const RETRY_DELAY: Duration = Duration::from_millis(100);
+/// How long this scheduler reports a leaving target to other schedulers, in nanoseconds.
+const LEAVING_REPORT_TIME: Nanos = 10_000_000_000;
+/// How long a peer's report of a leaving target holds after it was last repeated, in nanoseconds.
+const PEER_REPORT_TTL: Nanos = 3_000_000_000;
+/// How long targets that have left stay in the group, for flows that still refer to them, in nanoseconds.
+const LEFT_RETENTION: Nanos = 60_000_000_000;
+
+/// A target of the group.
 #[derive(Clone, Debug)]
 pub struct Target {
     /// Its name.
     pub host: Rc<str>,
-    /// Where it listens.
+    /// The address at which it listens.
     pub dial: SocketAddr,
-    /// When it was told to be draining or gone, if it is.
+    /// When the list first showed it as leaving or left; none while it is active.
     pub leaving_since: Option<Nanos>,
-    /// Since when other schedulers say that it is leaving, if our own list does not say so yet.
-    hearsay: Option<Nanos>,
-    /// Discovery's own word on it, as the module reads it,
-    word: Worker,
-    /// and as it was written.
-    said: Rc<Host>,
+    /// When a peer last reported it as leaving; none once the report has expired.
+    peer_report: Option<Nanos>,
+    /// The listed state of the target, for the decision module.
+    listed: Worker,
+    /// The endpoint from which `listed` was made.
+    endpoint: Rc<Endpoint>,
 }
 
 impl Target {
-    /// Nobody has told that it drains or is gone.
+    /// Returns whether neither the list nor a peer reports it as leaving.
     pub fn accepts_new_jobs(&self) -> bool {
-        self.leaving_since.is_none() && self.hearsay.is_none()
+        self.leaving_since.is_none() && self.peer_report.is_none()
     }
 
-    /// Whether another look at a target found the same process at the same address.
+    /// Returns whether both refer to the same process at the same address.
     pub fn is_same_incarnation(&self, other: &Target) -> bool {
-        self.dial == other.dial && self.said.born_ms == other.said.born_ms
+        self.dial == other.dial && self.endpoint.born_ms == other.endpoint.born_ms
     }
 
-    /// Its process, and when that started.
+    /// Returns the incarnation of its process, with the start assigned to it.
     pub fn incarnation(&self) -> Incarnation {
-        Incarnation { born_ms: self.said.born_ms, started: self.word.started_at }
+        Incarnation { born_ms: self.endpoint.born_ms, started: self.listed.started_at }
     }
 }
 
-/// The targets that discovery has named.
+/// The targets of the endpoint list, and the state of the watch.
 #[derive(Debug, Default)]
 pub struct TargetGroup {
     targets: RefCell<HashMap<WorkerId, Target>>,
-    asked: Notify,
-    /// Where discovery answers, if a reload has named another address than the start did.
+    /// Notifies the watch that the module requests the list.
+    list_requested: Notify,
+    /// The address of discovery, if a reload has changed it.
     address: Cell<Option<SocketAddr>>,
-    moved: Notify,
-    /// The last call on a new connection was given up unanswered.
-    unanswered: Cell<bool>,
-    /// The version of the list that was taken in last.
-    seq: Cell<Option<u64>>,
-    /// When workers started, on our own scale.
-    starts: RefCell<WorkerStarts>,
+    /// Notifies the watch to start again from the full list.
+    full_list_requested: Notify,
+    /// Whether the last call on a new connection timed out.
+    last_call_timed_out: Cell<bool>,
+    /// The version of the list that was applied last; none before the first full list.
+    version: Cell<Option<u64>>,
+    /// When workers started, by the scheduler's clock.
+    worker_starts: RefCell<WorkerStarts>,
 }
 
-/// The list, in discovery's form.
+/// The endpoint list in discovery's format: all endpoints, or those that have changed.
 #[derive(Clone, Debug, Deserialize, Serialize, Default)]
 pub struct EndpointList {
-    #[serde(default)]
-    seq: u64,
-    #[serde(default)]
-    whole: bool,
-    #[serde(default)]
-    hosts: Vec<Host>,
+    #[serde(default, rename = "seq")]
+    version: u64,
+    #[serde(default, rename = "whole")]
+    is_full: bool,
+    #[serde(default, rename = "hosts")]
+    endpoints: Vec<Endpoint>,
 }
 
+/// An entry of the endpoint list.
 #[derive(Clone, Debug, Deserialize, Serialize)]
-struct Host {
+struct Endpoint {
     host: String,
     #[serde(default)]
     dial: String,
@@ -111,18 +116,18 @@
     #[serde(default)]
     block: u64,
     health: String,
-    #[serde(default = "one")]
+    #[serde(default = "default_share")]
     share: f64,
     #[serde(default)]
     born_ms: u64,
 }
 
-fn one() -> f64 {
+fn default_share() -> f64 {
     1.0
 }
 
-/// A target's number: the same at every scheduler, and no more than 32 bits, as peers' messages cut the rest.
-/// Names of the usual form carry such a number; others are hashed (FNV-1a).
+/// Returns the id of a target, which is the same at every scheduler. Messages between peers carry 32 bits of
+/// it. Names of the form `s-` and eight hexadecimal digits contain the id; others are hashed with FNV-1a.
 pub fn worker_id(host: &str) -> WorkerId {
     let plain = host.strip_prefix("s-").filter(|hex| hex.len() == 8 && !hex.starts_with('+'));
     let hash = || host.bytes().fold(0x811c_9dc5_u32, |h, b| (h ^ u32::from(b)).wrapping_mul(0x0100_0193));
@@ -130,22 +135,22 @@
 }
 
 impl TargetGroup {
-    /// A target by its number.
+    /// Returns a target by its id.
     pub fn target(&self, id: WorkerId) -> Option<Target> {
         self.targets.borrow().get(&id).cloned()
     }
 
-    /// Whether discovery has named this target, and if it has left since, not long ago.
+    /// Returns whether the group has this target, including one that has left recently.
     pub fn contains(&self, host: &str) -> bool {
         self.targets.borrow().get(&worker_id(host)).is_some_and(|t| &*t.host == host)
     }
 
-    /// The module wants the list, at sites where it must be asked for.
+    /// Requests the list, at sites where schedulers request it.
     pub fn request_list(&self) {
-        self.asked.notify_one();
+        self.list_requested.notify_one();
     }
 
-    /// The list as it was last told, targets that have left not long ago included.
+    /// Returns the list as last received, including targets that have left recently.
     pub fn endpoint_list(&self) -> EndpointList {
         let health = |state| match state {
             WorkerState::Ready => "active",
@@ -153,401 +158,427 @@
             WorkerState::Removed => "left",
         };
         let targets = self.targets.borrow();
-        let hosts =
-            targets.values().map(|t| Host { health: health(t.word.state).into(), ..(*t.said).clone() });
+        let endpoints = targets
+            .values()
+            .map(|t| Endpoint { health: health(t.listed.state).into(), ..(*t.endpoint).clone() });
         EndpointList {
-            seq: self.seq.get().unwrap_or(0),
-            whole: self.seq.get().is_some(),
-            hosts: hosts.collect(),
+            version: self.version.get().unwrap_or(0),
+            is_full: self.version.get().is_some(),
+            endpoints: endpoints.collect(),
         }
     }
 
-    /// What is known of the workers' starts, for a successor.
+    /// Returns the known starts of workers for a successor.
     pub fn starts_for_successor(&self, now: Nanos) -> WorkerStarts {
         let targets = self.targets.borrow();
         let listed = targets.values().map(|t| (t.host.to_string(), t.incarnation()));
-        self.starts.borrow().for_successor(now, listed)
+        self.worker_starts.borrow().for_successor(now, listed)
     }
 
-    /// Where discovery answers, if a reload has named another address than the start did.
+    /// Returns the address of discovery, if a reload has changed it.
     pub fn reloaded_address(&self) -> Option<SocketAddr> {
         self.address.get()
     }
 
-    /// What this scheduler tells others of its list: the version, and what is leaving by discovery's own word.
+    /// Returns what this scheduler reports to others: the version of its list, and the targets that its list
+    /// shows as leaving.
     pub fn report_to_peers(&self, now: Nanos) -> ListReport {
         let targets = self.targets.borrow();
-        let lately = targets.values().filter(|t| t.leaving_since.is_some_and(|at| now < at + TOLD));
-        let leaving = lately.map(|t| LeavingWorker { host: t.host.to_string(), born_ms: t.said.born_ms });
+        let recent =
+            targets.values().filter(|t| t.leaving_since.is_some_and(|at| now < at + LEAVING_REPORT_TIME));
+        let leaving = recent.map(|t| LeavingWorker { host: t.host.to_string(), born_ms: t.endpoint.born_ms });
         ListReport {
-            version: self.seq.get().unwrap_or(0),
+            version: self.version.get().unwrap_or(0),
             leaving: leaving.take(MAX_LEAVING_WORKERS).collect(),
         }
     }
 
-    /// Others have a newer list: the whole of it is asked for at once.
+    /// Requests the full list at once, as other schedulers have a newer version.
     pub fn request_full_list(&self) {
-        self.moved.notify_one();
+        self.full_list_requested.notify_one();
     }
 
-    /// Discovery answers at this address from now on.
+    /// Changes the address of discovery and requests the full list from it.
     pub fn set_address(&self, address: SocketAddr) {
         self.address.set(Some(address));
-        self.moved.notify_one();
+        self.full_list_requested.notify_one();
     }
 }
 
-/// What the module is told of a target: discovery's word joined with what staff ordered.
-fn effective(orders: &Orders, target: &Target) -> Worker {
-    let mut word = target.word.clone();
-    if target.hearsay.is_some() && word.state == WorkerState::Ready {
-        word.state = WorkerState::Draining;
+/// Combines the listed state of a target with peers' reports and operators' orders.
+fn effective_state(orders: &Orders, target: &Target) -> Worker {
+    let mut listed = target.listed.clone();
+    if target.peer_report.is_some() && listed.state == WorkerState::Ready {
+        listed.state = WorkerState::Draining;
     }
-    match orders.effect(&target.host, word.started_at) {
-        Effect::AsListed => word,
-        Effect::Out if word.state == WorkerState::Removed => word,
-        Effect::Out => Worker { state: WorkerState::Draining, ..word },
-        Effect::Started(started) => Worker { started_at: started, ..word },
+    match orders.effect(&target.host, listed.started_at) {
+        Effect::AsListed => listed,
+        Effect::Out if listed.state == WorkerState::Removed => listed,
+        Effect::Out => Worker { state: WorkerState::Draining, ..listed },
+        Effect::Started(started) => Worker { started_at: started, ..listed },
     }
 }
 
-/// Staff have ordered something of a target: the module is told what it is now. Connections to a process that is about
-/// to be restarted, or has been, are of no use.
-pub fn apply_order(s: &Rc<Scheduler>, host: &str) {
+/// Informs the module after an operator's order for a target. Idle connections are closed: the process is
+/// about to be restarted, or has been.
+pub fn apply_order(scheduler: &Rc<Scheduler>, host: &str) {
     let id = worker_id(host);
-    let Some(target) = s.target_group.target(id).filter(|t| &*t.host == host) else { return };
-    s.pool.close_idle(id);
-    let entry = effective(&s.orders.borrow(), &target);
-    route::handle_event(s, Event::WorkerList { kind: ListKind::Partial, entries: vec![entry] });
+    let Some(target) = scheduler.target_group.target(id).filter(|t| &*t.host == host) else { return };
+    scheduler.pool.close_idle(id);
+    let entry = effective_state(&scheduler.orders.borrow(), &target);
+    route::handle_event(scheduler, Event::WorkerList { kind: ListKind::Partial, entries: vec![entry] });
 }
 
-/// Another scheduler's list says that a target is leaving in the life that we know: it counts as draining until our own
-/// list says what it is, or the word is over. True if that is news. Words never take more than a third of the targets.
-pub fn record_peer_report(s: &Rc<Scheduler>, host: &str, born_ms: u64) -> bool {
-    let (now, id) = (s.clock.now(), worker_id(host));
-    let mut targets = s.target_group.targets.borrow_mut();
-    let (all, said) = (targets.len(), targets.values().filter(|t| t.hearsay.is_some()).count());
+/// Records a peer's report that a target is leaving. If the incarnation matches, the target counts as
+/// draining until our own list shows it as leaving or restarted, or the report expires. Returns whether the
+/// report changed anything. Reports apply to at most a third of the targets at once.
+pub fn record_peer_report(scheduler: &Rc<Scheduler>, host: &str, born_ms: u64) -> bool {
+    let (now, id) = (scheduler.clock.now(), worker_id(host));
+    let mut targets = scheduler.target_group.targets.borrow_mut();
+    let (target_count, report_count) =
+        (targets.len(), targets.values().filter(|t| t.peer_report.is_some()).count());
     let Some(target) = targets.get_mut(&id).filter(|t| &*t.host == host && t.leaving_since.is_none()) else {
         return false;
     };
-    if target.said.born_ms != born_ms {
+    if target.endpoint.born_ms != born_ms {
         return false;
     }
-    if target.hearsay.is_some() {
-        target.hearsay = Some(now);
+    if target.peer_report.is_some() {
+        target.peer_report = Some(now);
         return false;
     }
-    if (said + 1) * 3 > all {
+    if (report_count + 1) * 3 > target_count {
         return false;
     }
-    target.hearsay = Some(now);
-    let entry = effective(&s.orders.borrow(), target);
+    target.peer_report = Some(now);
+    let entry = effective_state(&scheduler.orders.borrow(), target);
     drop(targets);
-    s.pool.close_idle(id);
-    route::handle_event(s, Event::WorkerList { kind: ListKind::Partial, entries: vec![entry] });
+    scheduler.pool.close_idle(id);
+    route::handle_event(scheduler, Event::WorkerList { kind: ListKind::Partial, entries: vec![entry] });
     true
 }
 
-/// Words of others that were not said again for a while are over: the targets are as our own list says.
-pub fn expire_peer_reports(s: &Rc<Scheduler>) {
-    let now = s.clock.now();
-    let mut targets = s.target_group.targets.borrow_mut();
-    let over = targets.values_mut().filter(|t| t.hearsay.is_some_and(|at| now >= at + HEARD));
-    let entries: Vec<Worker> = over
+/// Drops reports of peers that were not repeated in time.
+pub fn expire_peer_reports(scheduler: &Rc<Scheduler>) {
+    let now = scheduler.clock.now();
+    let mut targets = scheduler.target_group.targets.borrow_mut();
+    let expired =
+        targets.values_mut().filter(|t| t.peer_report.is_some_and(|at| now >= at + PEER_REPORT_TTL));
+    let entries: Vec<Worker> = expired
         .map(|target| {
-            target.hearsay = None;
-            effective(&s.orders.borrow(), target)
+            target.peer_report = None;
+            effective_state(&scheduler.orders.borrow(), target)
         })
         .collect();
     drop(targets);
     if !entries.is_empty() {
-        route::handle_event(s, Event::WorkerList { kind: ListKind::Partial, entries });
+        route::handle_event(scheduler, Event::WorkerList { kind: ListKind::Partial, entries });
     }
 }
 
-/// Zones and kinds may have other numbers since the settings have changed: the module is told of all targets anew.
-pub fn resend_targets(s: &Rc<Scheduler>) {
-    let settings = s.settings();
-    let mut targets = s.target_group.targets.borrow_mut();
-    let listed = targets.values_mut().filter(|t| t.word.state != WorkerState::Removed);
+/// Sends all targets to the module again after a change of settings, as zones and kinds may have other
+/// numbers.
+pub fn resend_targets(scheduler: &Rc<Scheduler>) {
+    let settings = scheduler.settings();
+    let mut targets = scheduler.target_group.targets.borrow_mut();
+    let listed = targets.values_mut().filter(|t| t.listed.state != WorkerState::Removed);
     let entries = listed.map(|target| {
-        target.word =
-            settings.names.with_zone_and_kind(&target.said.site, &target.said.class, target.word.clone());
-        effective(&s.orders.borrow(), target)
+        target.listed = settings.names.with_zone_and_kind(
+            &target.endpoint.site,
+            &target.endpoint.class,
+            target.listed.clone(),
+        );
+        effective_state(&scheduler.orders.borrow(), target)
     });
     let entries = entries.collect();
     drop(targets);
-    route::handle_event(s, Event::WorkerList { kind: ListKind::Partial, entries });
+    route::handle_event(scheduler, Event::WorkerList { kind: ListKind::Partial, entries });
 }
 
-/// What the settings do not know of a target's entry. The target itself can be used.
-fn strange(names: &SettingNames, host: &Host) -> Vec<String> {
-    let parts = [("site", &host.site, &names.zones), ("class", &host.class, &names.kinds)];
-    let unknown = parts.into_iter().filter(|(_, said, known)| !known.contains(said));
-    unknown.map(|(key, said, _)| format!("{key} {said:?} is not in the settings")).collect()
+/// Returns the attributes of an endpoint that the settings do not define. The target itself can be used.
+fn unknown_attributes(names: &SettingNames, endpoint: &Endpoint) -> Vec<String> {
+    let parts = [("site", &endpoint.site, &names.zones), ("class", &endpoint.class, &names.kinds)];
+    let unknown = parts.into_iter().filter(|(_, value, known)| !known.contains(value));
+    unknown.map(|(key, value, _)| format!("{key} {value:?} is not in the settings")).collect()
 }
 
-/// Takes in a list and tells the module of it.
-fn take(s: &Rc<Scheduler>, list: EndpointList, kind: ListKind) {
-    let now = s.clock.now();
-    let mut targets = s.target_group.targets.borrow_mut();
+/// Applies a list to the group and passes it to the module.
+fn apply_list(scheduler: &Rc<Scheduler>, list: EndpointList, kind: ListKind) {
+    let now = scheduler.clock.now();
+    let mut targets = scheduler.target_group.targets.borrow_mut();
     if kind != ListKind::Partial {
-        let named: HashSet<WorkerId> = list.hosts.iter().map(|h| worker_id(&h.host)).collect();
-        for (id, target) in targets.iter_mut().filter(|t| !named.contains(t.0)) {
+        let listed_ids: HashSet<WorkerId> =
+            list.endpoints.iter().map(|endpoint| worker_id(&endpoint.host)).collect();
+        for (id, target) in targets.iter_mut().filter(|t| !listed_ids.contains(t.0)) {
             target.leaving_since.get_or_insert(now);
-            target.word.state = WorkerState::Removed;
-            s.pool.close_idle(*id);
+            target.listed.state = WorkerState::Removed;
+            scheduler.pool.close_idle(*id);
         }
     }
-    let hosts: Vec<(Host, SocketAddr)> =
-        list.hosts.into_iter().filter_map(|host| dialable(&targets, host)).collect();
-    let mut starts = s.target_group.starts.borrow_mut();
-    let news = hosts.iter().filter(|(host, _)| known_start(&targets, host).is_none());
-    starts.observe(now, news.map(|(host, _)| (&*host.host, host.born_ms)));
-    let mut entries = Vec::with_capacity(hosts.len());
-    for (host, dial) in hosts {
-        let id = worker_id(&host.host);
-        let state = listed_state(&host);
+    let endpoints: Vec<(Endpoint, SocketAddr)> =
+        list.endpoints.into_iter().filter_map(|endpoint| with_address(&targets, endpoint)).collect();
+    let mut starts = scheduler.target_group.worker_starts.borrow_mut();
+    let new_endpoints = endpoints.iter().filter(|(endpoint, _)| assigned_start(&targets, endpoint).is_none());
+    starts.observe(now, new_endpoints.map(|(endpoint, _)| (&*endpoint.host, endpoint.born_ms)));
+    let mut entries = Vec::with_capacity(endpoints.len());
+    for (endpoint, dial) in endpoints {
+        let id = worker_id(&endpoint.host);
+        let state = listed_state(&endpoint);
         let known = targets.get(&id);
-        if known.is_some_and(|t| *t.host != *host.host) {
-            tracing::error!("discovery: {}: shares its number with another target, left out", host.host);
+        if known.is_some_and(|t| *t.host != *endpoint.host) {
+            tracing::error!("discovery: {}: has the same number as another target, ignored", endpoint.host);
             continue;
         }
-        let same_process = known.filter(|t| t.said.born_ms == host.born_ms);
-        let hearsay = same_process.and_then(|t| t.hearsay);
-        let settings = s.settings();
-        if known.is_none_or(|t| (&t.said.site, &t.said.class) != (&host.site, &host.class)) {
-            for fault in strange(&settings.names, &host) {
-                s.book.borrow_mut().counters.list_strange += 1;
-                tracing::warn!("discovery: {}: {fault}, used all the same", host.host);
+        let same_process = known.filter(|t| t.endpoint.born_ms == endpoint.born_ms);
+        let peer_report = same_process.and_then(|t| t.peer_report);
+        let settings = scheduler.settings();
+        if known.is_none_or(|t| (&t.endpoint.site, &t.endpoint.class) != (&endpoint.site, &endpoint.class)) {
+            for unknown in unknown_attributes(&settings.names, &endpoint) {
+                scheduler.book.borrow_mut().counters.list_strange += 1;
+                tracing::warn!("discovery: {}: {unknown}, target used anyway", endpoint.host);
             }
         }
-        let started =
-            known_start(&targets, &host).unwrap_or_else(|| starts.assign(now, &host.host, host.born_ms));
-        let leaving = match state {
+        let started = assigned_start(&targets, &endpoint)
+            .unwrap_or_else(|| starts.assign(now, &endpoint.host, endpoint.born_ms));
+        let leaving_since = match state {
             WorkerState::Ready => None,
             _ => Some(known.and_then(|t| t.leaving_since).unwrap_or(now)),
         };
-        if leaving.is_some() || known.is_some_and(|t| t.said.born_ms != host.born_ms || t.dial != dial) {
-            // Connections to a process that has ended or is about to: the next use would only find that out.
-            s.pool.close_idle(id);
+        if leaving_since.is_some()
+            || known.is_some_and(|t| t.endpoint.born_ms != endpoint.born_ms || t.dial != dial)
+        {
+            // Idle connections to a process that is ending or has ended are useless.
+            scheduler.pool.close_idle(id);
         }
         let worker = Worker {
-            cell: CellId(host.block),
+            cell: CellId(endpoint.block),
             state,
-            weight: host.share,
+            weight: endpoint.share,
             started_at: started,
             ..Worker::new(id)
         };
-        let word = settings.names.with_zone_and_kind(&host.site, &host.class, worker);
+        let listed = settings.names.with_zone_and_kind(&endpoint.site, &endpoint.class, worker);
         let target = Target {
-            host: host.host.as_str().into(),
+            host: endpoint.host.as_str().into(),
             dial,
-            leaving_since: leaving,
-            hearsay,
-            word,
-            said: Rc::new(host),
+            leaving_since,
+            peer_report,
+            listed,
+            endpoint: Rc::new(endpoint),
         };
-        entries.push(effective(&s.orders.borrow(), &target));
+        entries.push(effective_state(&scheduler.orders.borrow(), &target));
         targets.insert(id, target);
     }
-    s.orders.borrow_mut().age(now, s.settings().policy.obligations.warm_up_time.saturating_add(REMEMBER));
-    let departed =
-        targets.extract_if(|_, target| target.leaving_since.is_some_and(|at| now >= at + REMEMBER));
-    starts
-        .record_departures(now, departed.map(|(_, target)| (target.host.to_string(), target.incarnation())));
+    scheduler
+        .orders
+        .borrow_mut()
+        .age(now, scheduler.settings().policy.obligations.warm_up_time.saturating_add(LEFT_RETENTION));
+    let expired =
+        targets.extract_if(|_, target| target.leaving_since.is_some_and(|at| now >= at + LEFT_RETENTION));
+    starts.record_departures(now, expired.map(|(_, target)| (target.host.to_string(), target.incarnation())));
     drop(targets);
     drop(starts);
-    route::handle_event(s, Event::WorkerList { kind, entries });
+    route::handle_event(scheduler, Event::WorkerList { kind, entries });
 }
 
-/// An entry with the address to dial, its own or the one known so far; none where that is no address, or where another
-/// target has its number.
-fn dialable(targets: &HashMap<WorkerId, Target>, host: Host) -> Option<(Host, SocketAddr)> {
-    let known = targets.get(&worker_id(&host.host));
-    if known.is_some_and(|t| *t.host != *host.host) {
-        tracing::error!("discovery: {}: shares its number with another target, left out", host.host);
+/// Returns an endpoint with its address, or the last known address if its own is invalid. Returns none if
+/// there is no address, or if another target has the same number.
+fn with_address(targets: &HashMap<WorkerId, Target>, endpoint: Endpoint) -> Option<(Endpoint, SocketAddr)> {
+    let known = targets.get(&worker_id(&endpoint.host));
+    if known.is_some_and(|t| *t.host != *endpoint.host) {
+        tracing::error!("discovery: {}: has the same number as another target, ignored", endpoint.host);
         return None;
     }
-    let dial = host.dial.parse().ok().or(known.map(|t| t.dial));
+    let dial = endpoint.dial.parse().ok().or(known.map(|t| t.dial));
     if dial.is_none() {
-        tracing::error!("discovery: {}: dial {:?} is no address, left out", host.host, host.dial);
+        tracing::error!("discovery: {}: dial {:?} is not an address, ignored", endpoint.host, endpoint.dial);
     }
-    Some((host, dial?))
+    Some((endpoint, dial?))
 }
 
-/// The state that discovery gives an entry.
-fn listed_state(host: &Host) -> WorkerState {
-    match &*host.health {
+/// Returns the state of an endpoint.
+fn listed_state(endpoint: &Endpoint) -> WorkerState {
+    match &*endpoint.health {
         "active" => WorkerState::Ready,
         "left" => WorkerState::Removed,
         "leaving" => WorkerState::Draining,
         other => {
-            tracing::warn!("discovery: {}: unknown health {other:?}, taken as leaving", host.host);
+            tracing::warn!("discovery: {}: unknown health {other:?}, treated as leaving", endpoint.host);
             WorkerState::Draining
         }
     }
 }
 
-/// The start that was assigned to this incarnation when the list named it before.
-fn known_start(targets: &HashMap<WorkerId, Target>, host: &Host) -> Option<Nanos> {
-    let known = targets.get(&worker_id(&host.host))?;
-    let same = *known.host == *host.host && known.said.born_ms == host.born_ms;
-    same.then_some(known.word.started_at)
+/// Returns the start that was assigned to this incarnation when the list first contained it.
+fn assigned_start(targets: &HashMap<WorkerId, Target>, endpoint: &Endpoint) -> Option<Nanos> {
+    let known = targets.get(&worker_id(&endpoint.host))?;
+    let same = *known.host == *endpoint.host && known.endpoint.born_ms == endpoint.born_ms;
+    same.then_some(known.listed.started_at)
 }
 
-/// Starts from the list that the configuration brought.
-pub fn start_from_config(s: &Rc<Scheduler>) {
-    let known = match &s.config.initial_list {
+/// Starts from the list in the configuration.
+pub fn start_from_config(scheduler: &Rc<Scheduler>) {
+    let known = match &scheduler.config.initial_list {
         serde_json::Value::Null => EndpointList::default(),
         known => EndpointList::deserialize(known).unwrap_or_else(|e| {
             tracing::error!("configuration: known: {e}; starting without targets");
             EndpointList::default()
         }),
     };
-    start_from(s, known);
+    start_from(scheduler, known);
 }
 
-/// Starts from the list of the process before this one, and from what that one knows of the workers' starts. A build
-/// that does not tell them had its list from discovery just now, as far as we know.
-pub fn start_from_predecessor(s: &Rc<Scheduler>, list: EndpointList, starts: Option<WorkerStarts>) {
-    let answered = list.whole;
-    let told = starts.is_some();
-    s.target_group.starts.replace(starts.unwrap_or_default());
-    start_from(s, list);
-    if answered && !told {
-        s.target_group.starts.borrow_mut().record_response(s.clock.now());
+/// Starts from the predecessor's list and worker starts. A predecessor of the previous build sends no starts;
+/// its list counts as received just now.
+pub fn start_from_predecessor(scheduler: &Rc<Scheduler>, list: EndpointList, starts: Option<WorkerStarts>) {
+    let is_full = list.is_full;
+    let has_starts = starts.is_some();
+    scheduler.target_group.worker_starts.replace(starts.unwrap_or_default());
+    start_from(scheduler, list);
+    if is_full && !has_starts {
+        scheduler.target_group.worker_starts.borrow_mut().record_response(scheduler.clock.now());
     }
 }
 
-/// Takes in the first list, and follows discovery from its version on if it was a whole one.
-fn start_from(s: &Rc<Scheduler>, list: EndpointList) {
-    s.target_group.seq.set(list.whole.then_some(list.seq));
-    take(s, list, ListKind::Persisted);
+/// Applies the initial list. The watch continues from its version if it is a full list.
+fn start_from(scheduler: &Rc<Scheduler>, list: EndpointList) {
+    scheduler.target_group.version.set(list.is_full.then_some(list.version));
+    apply_list(scheduler, list, ListKind::Persisted);
 }
 
-/// Keeps up with discovery for as long as the program runs. While it is silent the last list stays. What has changed
-/// since the version we have is all that is asked for: were every scheduler of a large tier to ask for the whole list at its
-/// start, the service of the list would fail them all.
-pub async fn watch(s: Rc<Scheduler>) {
+/// Watches the list for as long as the program runs. The last list stays in use while discovery does not
+/// respond. Only changes since the last version are requested: if all schedulers of a large tier requested
+/// the full list when they start, they would overload the service.
+pub async fn watch(scheduler: Rc<Scheduler>) {
     loop {
-        if s.settings().policy.list_needs_watch {
+        if scheduler.settings().policy.list_needs_watch {
             tokio::select! {
-                () = s.target_group.asked.notified() => {}
-                () = s.target_group.moved.notified() => s.target_group.seq.set(None),
+                () = scheduler.target_group.list_requested.notified() => {}
+                () = scheduler.target_group.full_list_requested.notified() => scheduler.target_group.version.set(None),
             }
         }
-        let fault = loop {
+        let error = loop {
             tokio::select! {
-                // A connection that was closed with its answer is no fault: the next watch must be quick.
-                ended = session(&s) => if let Err(fault) = ended {
-                    break fault;
+                // A connection that was closed after its response is no failure: the next watch starts at
+                // once.
+                ended = run_connection(&scheduler) => if let Err(error) = ended {
+                    break error;
                 },
-                // At another address the versions may be others, and a watch that still waits at the old one
-                // would be told nothing more: the whole list is asked for at once. Until it comes the old
-                // stays.
-                () = s.target_group.moved.notified() => s.target_group.seq.set(None),
+                // Versions of another service need not match, and a watch at the old address would receive
+                // nothing. The old list stays in use until the full list arrives.
+                () = scheduler.target_group.full_list_requested.notified() => scheduler.target_group.version.set(None),
             }
         };
-        s.book.borrow_mut().counters.list_faults += 1;
-        tracing::warn!("discovery: {fault}; the last list stays");
-        if s.settings().policy.list_needs_watch {
-            route::handle_event(&s, Event::ListRequestFailed);
+        scheduler.book.borrow_mut().counters.list_faults += 1;
+        tracing::warn!("discovery: {error}; keeping the last list");
+        if scheduler.settings().policy.list_needs_watch {
+            route::handle_event(&scheduler, Event::ListRequestFailed);
         }
-        tokio::time::sleep(RETRY).await;
+        tokio::time::sleep(RETRY_DELAY).await;
     }
 }
 
-/// One connection to discovery: a call at once, then one watch after the other, until it is closed in good
-/// order or something fails.
-async fn session(s: &Rc<Scheduler>) -> Result<(), &'static str> {
-    let (mut wire, mut answer) = first(s).await?;
+/// Runs one connection to discovery: a call without hold time, then consecutive watches until the connection
+/// closes or a call fails.
+async fn run_connection(scheduler: &Rc<Scheduler>) -> Result<(), &'static str> {
+    let (mut connection, mut response) = connect(scheduler).await?;
     loop {
-        take_in(s, &answer)?;
-        if !answer.keep_alive {
+        apply_response(scheduler, &response)?;
+        if !response.keep_alive {
             return Ok(());
         }
-        answer = ask(&mut wire, &question(s, HOLD), HOLD + PATIENCE).await?;
+        response =
+            call(&mut connection, &changes_request(scheduler, WATCH_HOLD), WATCH_HOLD + RESPONSE_TIMEOUT)
+                .await?;
     }
 }
 
-/// A connection to discovery and the first answer on it, which waits for no news: after a call that failed nobody knows
-/// whether there are any. Where lists are pushed a call costs nothing, and another goes out beside one that hangs; where
-/// they are asked for there is one.
-async fn first(s: &Rc<Scheduler>) -> Result<(Connection, Message), &'static str> {
-    let most = if s.settings().policy.list_needs_watch { 1 } else { CALLS };
-    let (mut calls, mut again) = (JoinSet::new(), tokio::time::interval(BESIDE));
+/// Opens a connection and returns it with the first response, which does not wait for changes: after a
+/// failure it is unknown whether there are any. Where the list is pushed, calls are cheap and further ones
+/// are sent in parallel; where it is requested, there is one call.
+async fn connect(scheduler: &Rc<Scheduler>) -> Result<(Connection, Message), &'static str> {
+    let max_calls = if scheduler.settings().policy.list_needs_watch { 1 } else { MAX_PARALLEL_CALLS };
+    let (mut calls, mut attempts) = (JoinSet::new(), tokio::time::interval(PARALLEL_CALL_DELAY));
     loop {
         tokio::select! {
-            _ = again.tick(), if calls.len() < most => {
-                calls.spawn_local(first_call(Rc::clone(s)));
+            _ = attempts.tick(), if calls.len() < max_calls => {
+                calls.spawn_local(connect_and_call(Rc::clone(scheduler)));
             }
-            Some(called) = calls.join_next() => match called {
+            Some(finished) = calls.join_next() => match finished {
                 Ok(Err(_)) if !calls.is_empty() => {}
-                Ok(said) => return said,
-                Err(_) => return Err("the call ended"),
+                Ok(result) => return result,
+                Err(_) => return Err("call aborted"),
             },
         }
     }
 }
 
-/// A connection of its own, and the answer to one call on it.
-async fn first_call(s: Rc<Scheduler>) -> Result<(Connection, Message), &'static str> {
-    let address = s.target_group.address.get().unwrap_or(s.config.discovery);
-    let count = |fault: Option<_>| s.book.borrow_mut().counters.dials_again += u64::from(fault.is_some());
-    let dial = tokio::time::timeout(PATIENCE, loomlb_sockets::connect(address, count));
-    let Ok(Ok(stream)) = dial.await else { return Err("no connection") };
-    let mut wire = Connection::new(stream).with_max_body(s.config.max_list_bytes);
-    let begun = Instant::now();
-    let answer = ask(&mut wire, &question(&s, Duration::ZERO), first_patience(&s)).await;
-    // An answer that comes late, or an error, leaves open whether the crowd is gone.
-    if begun.elapsed() >= PATIENCE {
-        s.target_group.unanswered.set(true);
-    } else if answer.is_ok() {
-        s.target_group.unanswered.set(false);
-    }
-    answer.map(|answer| (wire, answer))
+/// Opens one connection and makes one call on it.
+async fn connect_and_call(scheduler: Rc<Scheduler>) -> Result<(Connection, Message), &'static str> {
+    let address = scheduler.target_group.address.get().unwrap_or(scheduler.config.discovery);
+    let count =
+        |error: Option<_>| scheduler.book.borrow_mut().counters.dials_again += u64::from(error.is_some());
+    let connecting = tokio::time::timeout(RESPONSE_TIMEOUT, loomlb_sockets::connect(address, count));
+    let Ok(Ok(stream)) = connecting.await else { return Err("cannot connect") };
+    let mut connection = Connection::new(stream).with_max_body(scheduler.config.max_list_bytes);
+    let started_at = Instant::now();
+    let response = call(
+        &mut connection,
+        &changes_request(&scheduler, Duration::ZERO),
+        first_response_timeout(&scheduler),
+    )
+    .await;
+    // A late response, or an error, does not show that the overload has ended.
+    if started_at.elapsed() >= RESPONSE_TIMEOUT {
+        scheduler.target_group.last_call_timed_out.set(true);
+    } else if response.is_ok() {
+        scheduler.target_group.last_call_timed_out.set(false);
+    }
+    response.map(|response| (connection, response))
 }
 
-/// How long the answer to the first call on a connection may take. An agent that has pushed lists answers at once.
-fn first_patience(s: &Scheduler) -> Duration {
-    let crowded = s.settings().policy.list_needs_watch && s.target_group.unanswered.get();
-    if crowded { PATIENCE_WHEN_CROWDED } else { PATIENCE }
+/// Returns the time limit for the response to the first call on a connection.
+fn first_response_timeout(scheduler: &Scheduler) -> Duration {
+    let overloaded =
+        scheduler.settings().policy.list_needs_watch && scheduler.target_group.last_call_timed_out.get();
+    if overloaded { OVERLOAD_TIMEOUT } else { RESPONSE_TIMEOUT }
 }
 
-/// A call for what has changed since the version we have, which may wait this long for news.
-fn question(s: &Scheduler, hold: Duration) -> String {
-    let address = s.target_group.address.get().unwrap_or(s.config.discovery);
-    let seq = s.target_group.seq.get();
+/// Formats a request for the changes since the last version. Discovery may hold it for `hold` until there are
+/// any.
+fn changes_request(scheduler: &Scheduler, hold: Duration) -> String {
+    let address = scheduler.target_group.address.get().unwrap_or(scheduler.config.discovery);
+    let seq = scheduler.target_group.version.get();
     let query = seq.map_or(String::new(), |seq| format!("?from={seq}&hold_ms={}", hold.as_millis()));
     format!("GET /v1/servers{query} HTTP/1.1\r\nHost: {address}\r\n\r\n")
 }
 
-async fn ask(wire: &mut Connection, call: &str, patience: Duration) -> Result<Message, &'static str> {
-    if wire.write_all(call.as_bytes()).await.is_err() {
-        return Err("the connection broke");
+/// Sends a request and returns the response, whose status must be 200.
+async fn call(connection: &mut Connection, call: &str, timeout: Duration) -> Result<Message, &'static str> {
+    if connection.write_all(call.as_bytes()).await.is_err() {
+        return Err("connection lost");
     }
-    match tokio::time::timeout(patience, wire.read(MessageKind::Response)).await {
-        Ok(Ok(answer)) if answer.status == 200 => Ok(answer),
-        Ok(Ok(_)) => Err("an answer other than 200"),
-        Ok(Err(_)) => Err("the connection broke"),
-        Err(_) => Err("no answer"),
+    match tokio::time::timeout(timeout, connection.read(MessageKind::Response)).await {
+        Ok(Ok(response)) if response.status == 200 => Ok(response),
+        Ok(Ok(_)) => Err("response status other than 200"),
+        Ok(Err(_)) => Err("connection lost"),
+        Err(_) => Err("no response in time"),
     }
 }
 
-/// Takes in an answer of discovery.
-fn take_in(s: &Rc<Scheduler>, answer: &Message) -> Result<(), &'static str> {
-    let Ok(list) = serde_json::from_slice::<EndpointList>(&answer.body) else {
-        return Err("a malformed list");
+/// Applies a response of discovery.
+fn apply_response(scheduler: &Rc<Scheduler>, response: &Message) -> Result<(), &'static str> {
+    let Ok(list) = serde_json::from_slice::<EndpointList>(&response.body) else {
+        return Err("invalid list");
     };
-    let kind = if list.whole { ListKind::Complete } else { ListKind::Partial };
-    s.target_group.seq.set(Some(list.seq));
-    s.book.borrow_mut().counters.lists += 1;
-    tracing::debug!(seq = list.seq, whole = list.whole, entries = list.hosts.len(), "list");
-    if kind == ListKind::Complete || !list.hosts.is_empty() {
-        take(s, list, kind);
-    }
-    s.target_group.starts.borrow_mut().record_response(s.clock.now());
+    let kind = if list.is_full { ListKind::Complete } else { ListKind::Partial };
+    scheduler.target_group.version.set(Some(list.version));
+    scheduler.book.borrow_mut().counters.lists += 1;
+    tracing::debug!(seq = list.version, whole = list.is_full, entries = list.endpoints.len(), "list");
+    if kind == ListKind::Complete || !list.endpoints.is_empty() {
+        apply_list(scheduler, list, kind);
+    }
+    scheduler.target_group.worker_starts.borrow_mut().record_response(scheduler.clock.now());
     Ok(())
 }
 
@@ -555,28 +586,33 @@
 mod tests {
     use super::*;
 
-    /// What discovery had, and was reachable with, counts as told 6 s later, whatever became of the calls before: a watch
-    /// that has just begun when it falls silent, and one call in vain after it, leave time for the call that is answered.
-    /// After SIGHUP what is there counts 4 s later.
+    /// Changes must arrive within 6 s of discovery having them, or 4 s after SIGHUP. A watch that has just
+    /// begun when discovery falls silent, and one failed call after it, must leave time for the call that
+    /// succeeds.
     #[test]
-    fn a_silent_watch_and_a_call_in_vain_leave_time_before_what_they_missed_counts_as_told() {
-        let told = Duration::from_secs(6);
-        let asked_at_most_every = Duration::from_secs(1);
-        let pushed = HOLD + PATIENCE + RETRY + PATIENCE + RETRY;
-        // The first of the module's pauses is half as long.
-        let asked =
-            HOLD + PATIENCE + RETRY + asked_at_most_every / 2 + PATIENCE + RETRY + asked_at_most_every;
-        assert!(pushed.max(asked) <= told);
+    fn a_silent_watch_and_a_failed_call_leave_time_for_a_successful_call() {
+        let arrival_limit = Duration::from_secs(6);
+        let request_interval = Duration::from_secs(1);
+        let when_pushed = WATCH_HOLD + RESPONSE_TIMEOUT + RETRY_DELAY + RESPONSE_TIMEOUT + RETRY_DELAY;
+        // The module's first pause is half as long.
+        let when_requested = WATCH_HOLD
+            + RESPONSE_TIMEOUT
+            + RETRY_DELAY
+            + request_interval / 2
+            + RESPONSE_TIMEOUT
+            + RETRY_DELAY
+            + request_interval;
+        assert!(when_pushed.max(when_requested) <= arrival_limit);
         assert!(
-            PATIENCE + RETRY + PATIENCE + RETRY <= Duration::from_secs(4),
-            "after SIGHUP, one call in vain, what is there counts"
+            RESPONSE_TIMEOUT + RETRY_DELAY + RESPONSE_TIMEOUT + RETRY_DELAY <= Duration::from_secs(4),
+            "after SIGHUP, with one failed call"
         );
-        // One that hangs when an outage ends, and the answer to the next, at whatever pace it came before.
-        assert!(PATIENCE_WHEN_CROWDED + RETRY + asked_at_most_every + PATIENCE_WHEN_CROWDED <= told);
+        // A call that hangs when an outage ends, followed by one that takes the longest time allowed.
+        assert!(OVERLOAD_TIMEOUT + RETRY_DELAY + request_interval + OVERLOAD_TIMEOUT <= arrival_limit);
     }
 
     #[test]
-    fn numbers_fit_32_bits_and_follow_from_the_name_alone() {
+    fn worker_ids_fit_32_bits_and_depend_on_the_name_alone() {
         assert_eq!(worker_id("s-5be2a07c"), WorkerId(0x5be2_a07c));
         assert_eq!(worker_id("alpha"), worker_id("alpha"));
         assert_ne!(worker_id("alpha"), worker_id("beta"));
--- a/tests/sockets.rs
+++ b/tests/sockets.rs
@@ -479,8 +479,8 @@
     }
     let said = [stage.logged("discovery: discovery: "), stage.logged("discovery: discovery: ")];
     assert_snapshot!(said.join("\n"), @r#"
-    s-00000001: site "far" is not in the settings, used all the same
-    s-00000001: class "odd" is not in the settings, used all the same
+    s-00000001: site "far" is not in the settings, target used anyway
+    s-00000001: class "odd" is not in the settings, target used anyway
     "#);
     let mut client = stage.connect();
     client.say(&job("view", "a1", "3.000"));
