--- a/crates/scheduler/src/reload.rs
+++ b/crates/scheduler/src/reload.rs
@@ -1,5 +1,5 @@
-//! Reload: SIGHUP has the configuration read again: its settings are put in force, and discovery is followed where it now
-//! says.
+//! Reload: on SIGHUP reads the configuration again, activates its settings and changes the address of
+//! discovery.
 
 use super::config::ReloadedConfig;
 use super::{Scheduler, discovery, route, tier_application};
@@ -10,84 +10,84 @@
 use tokio::signal::unix::{Signal, SignalKind, signal};
 use tokio::task::spawn_local;
 
-/// Pause between two looks whether the configuration in force has yet to be kept for the next process.
-const KEEP_RETRY: Duration = Duration::from_secs(1);
+/// Interval between attempts to save the active configuration after a failure.
+const SAVE_RETRY_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Takes SIGHUP over, for as long as the program runs: left to its default it would end the program with
-/// every flow it has taken.
+/// Installs the handler for SIGHUP, which would end the program by default.
 pub fn install_sighup_handler() -> io::Result<Signal> {
     signal(SignalKind::hangup())
 }
 
-/// Reads the configuration again at every SIGHUP. A faulty one is logged by its key and changes nothing.
-pub fn start(s: &Rc<Scheduler>, mut hangup: Signal) {
-    let s = Rc::clone(s);
+/// Reloads the operator file and the configuration on every SIGHUP. An invalid one is logged and changes
+/// nothing.
+pub fn start(scheduler: &Rc<Scheduler>, mut hangup: Signal) {
+    let scheduler = Rc::clone(scheduler);
     spawn_local(async move {
         while hangup.recv().await.is_some() {
-            if let Err(e) = s.quotas.reload(s.clock.now()) {
-                s.book.borrow_mut().counters.reload_faults += 1;
-                tracing::error!("operator file: {e}; the old one stays");
+            if let Err(e) = scheduler.quotas.reload(scheduler.clock.now()) {
+                scheduler.book.borrow_mut().counters.reload_faults += 1;
+                tracing::error!("operator file: {e}; keeping the active one");
             }
-            match take(&s) {
-                Ok(()) => s.book.borrow_mut().counters.reloads += 1,
+            match reload(&scheduler) {
+                Ok(()) => scheduler.book.borrow_mut().counters.reloads += 1,
                 Err(e) => {
-                    s.book.borrow_mut().counters.reload_faults += 1;
-                    tracing::error!("configuration: {e}; the old one stays");
+                    scheduler.book.borrow_mut().counters.reload_faults += 1;
+                    tracing::error!("configuration: {e}; keeping the active one");
                 }
             }
         }
     });
 }
 
-/// Writes the configuration in force for the next process once more for as long as that has failed, also at the start.
-/// Once this process has handed over, the file is the next one's.
-pub fn retry_saving(s: &Rc<Scheduler>) {
-    let s = Rc::clone(s);
+/// Saves the active configuration again for as long as that has failed, including at the start. After a
+/// handover the file belongs to the successor.
+pub fn retry_saving(scheduler: &Rc<Scheduler>) {
+    let scheduler = Rc::clone(scheduler);
     spawn_local(async move {
         loop {
-            tokio::time::sleep(KEEP_RETRY).await;
-            if s.config.is_save_pending() && s.upgrade.accepts() {
-                s.config.save();
+            tokio::time::sleep(SAVE_RETRY_INTERVAL).await;
+            if scheduler.config.is_save_pending() && scheduler.upgrade.accepts() {
+                scheduler.config.save();
             }
         }
     });
 }
 
-/// Reads the file, and puts all of it in force or nothing.
-fn take(s: &Rc<Scheduler>) -> Result<(), String> {
-    let fresh = s.config.reload()?;
-    if s.tier.on() {
-        // Where the tier agrees on settings, a file is a proposal, and only what is this scheduler's own is taken in here.
-        s.target_group.set_address(fresh.discovery);
-        tier_application::propose_settings(s, &fresh.settings_json());
+/// Reads the configuration and activates all of it or nothing.
+fn reload(scheduler: &Rc<Scheduler>) -> Result<(), String> {
+    let reloaded = scheduler.config.reload()?;
+    if scheduler.tier.on() {
+        // With a tier the settings are proposed to it, and only the address of discovery applies at once.
+        scheduler.target_group.set_address(reloaded.discovery);
+        tier_application::propose_settings(scheduler, &reloaded.settings_json());
         return Ok(());
     }
-    let discovery = fresh.discovery;
-    activate(s, fresh)?;
-    s.target_group.set_address(discovery);
+    let discovery = reloaded.discovery;
+    activate(scheduler, reloaded)?;
+    scheduler.target_group.set_address(discovery);
     Ok(())
 }
 
-/// Puts settings in force, all of them or nothing. Discovery is followed on from the list that is there.
-pub fn activate(s: &Rc<Scheduler>, fresh: ReloadedConfig) -> Result<(), String> {
-    let book = s.book.borrow();
-    let (next, starts) =
-        s.settings().merge((*fresh.settings).clone(), |class| book.has_flow_of_class(class.0))?;
+/// Activates settings, all of them or nothing. The current endpoint list stays in use.
+pub fn activate(scheduler: &Rc<Scheduler>, reloaded: ReloadedConfig) -> Result<(), String> {
+    let book = scheduler.book.borrow();
+    let (next, origins) =
+        scheduler.settings().merge((*reloaded.settings).clone(), |class| book.has_flow_of_class(class.0))?;
     drop(book);
-    let changed = starts.iter().filter(|start| **start != ClassOrigin::Kept).count();
-    s.pool.set_keepalive(next.network.keepalive);
-    s.shutdown.update_service(|service| service.patience(next.longest_client_timeout()));
-    s.quotas.add_classes(&next.latency_objectives());
+    let changed = origins.iter().filter(|start| **start != ClassOrigin::Kept).count();
+    scheduler.pool.set_keepalive(next.network.keepalive);
+    scheduler.shutdown.update_service(|service| service.patience(next.longest_client_timeout()));
+    scheduler.quotas.add_classes(&next.latency_objectives());
     let settings = Box::new(next.policy.clone());
-    *s.settings.borrow_mut() = Rc::new(next);
-    route::handle_event(s, Event::SettingsChanged(settings, starts));
-    discovery::resend_targets(s);
-    let (discovery, restart_required) = (fresh.discovery, fresh.restart_required.join(", "));
-    s.config.record_active(fresh);
-    // Said last: a process that starts at this word, and takes over, reads what is kept.
+    *scheduler.settings.borrow_mut() = Rc::new(next);
+    route::handle_event(scheduler, Event::SettingsChanged(settings, origins));
+    discovery::resend_targets(scheduler);
+    let (discovery, restart_required) = (reloaded.discovery, reloaded.restart_required.join(", "));
+    scheduler.config.record_active(reloaded);
+    // Logged last: a process that starts after this line and takes over reads the saved configuration.
     tracing::info!("configuration reloaded: discovery: {discovery}; {changed} classes changed or new");
     if !restart_required.is_empty() {
-        tracing::warn!("configuration: {restart_required}: changed, read at the next start");
+        tracing::warn!("configuration: {restart_required}: changed, takes effect at the next start");
     }
     Ok(())
 }
--- a/crates/scheduler/src/tier_application.rs
+++ b/crates/scheduler/src/tier_application.rs
@@ -1,4 +1,5 @@
-//! Agreed: what the tier has agreed on, put in force in this scheduler; and files that go to the tier as proposals.
+//! Connects the tier to this scheduler: applies what the schedulers of the tier have agreed on, and proposes
+//! reloaded settings to them.
 
 use super::{Scheduler, control, discovery, reload};
 use loomlb_consensus::worker_lists::{LeavingWorker, ListReport};
@@ -7,13 +8,13 @@
 use std::rc::Rc;
 use tokio::task::spawn_local;
 
-/// The scheduler as the tier sees it.
+/// Implements the tier's [`Application`] for a scheduler.
 #[derive(Debug)]
 pub struct TierApplication(pub Rc<Scheduler>);
 
-/// The same for tasks that go on for as long as the program runs.
-pub fn application(s: &Rc<Scheduler>) -> Rc<dyn Application> {
-    Rc::new(TierApplication(Rc::clone(s)))
+/// Returns the application as a shared object, for the background tasks of the tier.
+pub fn application(scheduler: &Rc<Scheduler>) -> Rc<dyn Application> {
+    Rc::new(TierApplication(Rc::clone(scheduler)))
 }
 
 impl Application for TierApplication {
@@ -30,7 +31,7 @@
     }
 
     fn put_in_force(&self, settings: Value) -> Result<(), String> {
-        self.0.config.with_settings(settings).and_then(|fresh| reload::activate(&self.0, fresh))
+        self.0.config.with_settings(settings).and_then(|reloaded| reload::activate(&self.0, reloaded))
     }
 
     fn order(&self, worker: &str, out: bool) {
@@ -50,17 +51,22 @@
     }
 }
 
-/// A file that SIGHUP had read is proposed to the tier; what comes of it is logged.
-pub fn propose_settings(s: &Rc<Scheduler>, settings: &Value) {
-    let (s, text) = (Rc::clone(s), settings.to_string());
+/// Proposes reloaded settings to the tier in the background and logs the result.
+pub fn propose_settings(scheduler: &Rc<Scheduler>, settings: &Value) {
+    let (scheduler, text) = (Rc::clone(scheduler), settings.to_string());
     spawn_local(async move {
-        let (status, said) =
-            loomlb_tier::proposed(&s.tier, &TierApplication(Rc::clone(&s)), text.as_bytes(), None).await;
+        let (status, reply) = loomlb_tier::proposed(
+            &scheduler.tier,
+            &TierApplication(Rc::clone(&scheduler)),
+            text.as_bytes(),
+            None,
+        )
+        .await;
         if status < 300 {
-            tracing::info!("configuration proposed to the tier: {said}");
+            tracing::info!("configuration proposed to the tier: {reply}");
         } else {
-            s.book.borrow_mut().counters.reload_faults += 1;
-            tracing::error!("configuration: refused by the tier: {said}");
+            scheduler.book.borrow_mut().counters.reload_faults += 1;
+            tracing::error!("configuration: refused by the tier: {reply}");
         }
     });
 }
--- a/tests/operation.rs
+++ b/tests/operation.rs
@@ -240,9 +240,9 @@
     assert_snapshot!(said.join("\n"), @"
     the file: EOF while parsing a value
     settings: EOF while parsing an object
-    settings.classes[0].give_up: missing; the old one stays
-    settings.classes[0].give_up: 0 is no number above 0, and up to 86400000000000; the old one stays
-    settings.ceilings.max_attempts: 0 is no number above 0, and up to 1000; the old one stays
+    settings.classes[0].give_up: missing; keeping the active one
+    settings.classes[0].give_up: 0 is no number above 0, and up to 86400000000000; keeping the active one
+    settings.ceilings.max_attempts: 0 is no number above 0, and up to 1000; keeping the active one
     ");
     assert!(stage.ask(&job("other", "c1", "3.000")).starts_with("HTTP/1.1 4"));
     taken(&stage, "c2", "sign");
--- a/tests/sockets.rs
+++ b/tests/sockets.rs
@@ -281,12 +281,12 @@
     old.hear();
     let (here, there) = (discovery.at().to_string(), elsewhere.at().to_string());
     stage.reload(&here, "here");
-    assert_snapshot!(stage.logged("configuration: "), @r#"discovery: "here" is not an address of the form IP:PORT; the old one stays"#);
+    assert_snapshot!(stage.logged("configuration: "), @r#"discovery: "here" is not an address of the form IP:PORT; keeping the active one"#);
     stage.reload(
         r#""here","seed":"2a","limits":{"#,
         &format!(r#""{there}","seed":"2b","limits":{{"cores":1,"#),
     );
-    assert_snapshot!(stage.logged("configuration: "), @"limits: changed, read at the next start");
+    assert_snapshot!(stage.logged("configuration: "), @"limits: changed, takes effect at the next start");
     let mut new = elsewhere.accept();
     let mut said = vec![new.hear().lines().next().unwrap().to_string()];
     assert!(old.closed());
