--- a/crates/scheduler/src/control.rs
+++ b/crates/scheduler/src/control.rs
@@ -1,5 +1,6 @@
-//! Control: the second address, where staff call. One call a connection; a front of its own, so that it answers whatever
-//! the clients' listener is at. What a call means is decided in `loomlb-control`.
+//! The control listener, at which operators call. It has connections of its own, so that it responds whatever
+//! the load on the clients' listener. Each connection carries one call. `loomlb-control` defines what a call
+//! means.
 
 use super::http::{Connection, Message, MessageKind, ReadError, encode_response};
 use super::tier_application::TierApplication;
@@ -15,62 +16,65 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::Notify;
 
-/// Callers at once. `config` sets their descriptors aside.
-const SEATS: usize = 16;
-/// A call is whole within this time from the start of its connection.
-const WHOLE: Duration = Duration::from_secs(4);
-/// An answer is read by its caller within this time.
-const TAKEN: Duration = Duration::from_secs(2);
-/// Pause before another look for a free seat.
-const PAUSE: Duration = Duration::from_millis(10);
-
-/// The callers that can be asked to leave, by their order of arrival: those that owe their call, or have their answer.
+/// Maximum number of open connections. `config` reserves their file descriptors.
+const MAX_CONNECTIONS: usize = 16;
+/// Time limit for receiving a call, from the start of its connection.
+const CALL_TIMEOUT: Duration = Duration::from_secs(4);
+/// Time limit for sending a reply.
+const REPLY_TIMEOUT: Duration = Duration::from_secs(2);
+/// Maximum wait for an evicted connection to close before the next one is evicted.
+const EVICTION_WAIT: Duration = Duration::from_millis(10);
+
+/// The open connections. Those that wait for a call or have received their reply can be evicted, the oldest
+/// first.
 #[derive(Debug, Default)]
-struct Seats {
-    callers: RefCell<BTreeMap<u64, Rc<Notify>>>,
-    next: Cell<u64>,
-    taken: Cell<usize>,
-    left: Notify,
+struct OpenConnections {
+    evictable: RefCell<BTreeMap<u64, Rc<Notify>>>,
+    next_number: Cell<u64>,
+    open: Cell<usize>,
+    closed: Notify,
 }
 
-/// A caller's place.
-struct Seat {
-    seats: Rc<Seats>,
+/// An open connection. It is removed from its [`OpenConnections`] when dropped.
+struct ConnectionGuard {
+    connections: Rc<OpenConnections>,
     number: u64,
-    leave: Rc<Notify>,
+    /// Notifies the connection that it must close.
+    evicted: Rc<Notify>,
 }
 
-impl Seat {
-    fn new(seats: &Rc<Seats>) -> Seat {
-        let number = seats.next.replace(seats.next.get() + 1);
-        let leave = Rc::new(Notify::new());
-        seats.callers.borrow_mut().insert(number, Rc::clone(&leave));
-        seats.taken.set(seats.taken.get() + 1);
-        Seat { seats: Rc::clone(seats), number, leave }
+impl ConnectionGuard {
+    fn new(connections: &Rc<OpenConnections>) -> ConnectionGuard {
+        let number = connections.next_number.replace(connections.next_number.get() + 1);
+        let evicted = Rc::new(Notify::new());
+        connections.evictable.borrow_mut().insert(number, Rc::clone(&evicted));
+        connections.open.set(connections.open.get() + 1);
+        ConnectionGuard { connections: Rc::clone(connections), number, evicted }
     }
 
-    /// Its call is whole: it stays until it is answered.
-    fn hold(&self) {
-        self.seats.callers.borrow_mut().remove(&self.number);
+    /// Exempts the connection from eviction while its call is handled.
+    fn disallow_eviction(&self) {
+        self.connections.evictable.borrow_mut().remove(&self.number);
     }
 
-    fn release(&self) {
-        self.seats.callers.borrow_mut().insert(self.number, Rc::clone(&self.leave));
+    /// Lets the connection be evicted again.
+    fn allow_eviction(&self) {
+        self.connections.evictable.borrow_mut().insert(self.number, Rc::clone(&self.evicted));
     }
 }
 
-impl Drop for Seat {
+impl Drop for ConnectionGuard {
     fn drop(&mut self) {
-        self.hold();
-        self.seats.taken.set(self.seats.taken.get() - 1);
-        self.seats.left.notify_one();
+        self.disallow_eviction();
+        self.connections.open.set(self.connections.open.get() - 1);
+        self.connections.closed.notify_one();
     }
 }
 
-/// Accepts callers for as long as the program runs. When all seats are taken the one that came first of those without
-/// a whole call makes room: whoever says nothing never keeps a new caller out.
-pub async fn accept(s: Rc<Scheduler>, listener: TcpListener) {
-    let seats = Rc::new(Seats::default());
+/// Accepts connections for as long as the program runs. When too many are open, the oldest one that has not
+/// sent its call is closed, so that silent connections cannot block new callers.
+pub async fn accept(scheduler: Rc<Scheduler>, listener: TcpListener) {
+    let connections = Rc::new(OpenConnections::default());
     let mut retry = AcceptRetry::default();
     loop {
         let stream = match listener.accept().await {
@@ -81,154 +85,161 @@
             }
         };
         retry.accepted();
-        while seats.taken.get() >= SEATS {
-            let first = seats.callers.borrow_mut().pop_first();
-            if let Some((_, leave)) = first {
-                leave.notify_one();
+        while connections.open.get() >= MAX_CONNECTIONS {
+            let oldest = connections.evictable.borrow_mut().pop_first();
+            if let Some((_, evicted)) = oldest {
+                evicted.notify_one();
             }
-            let _ = tokio::time::timeout(PAUSE, seats.left.notified()).await;
+            let _ = tokio::time::timeout(EVICTION_WAIT, connections.closed.notified()).await;
         }
-        tokio::task::spawn_local(serve(Rc::clone(&s), Seat::new(&seats), stream));
+        tokio::task::spawn_local(serve(Rc::clone(&scheduler), ConnectionGuard::new(&connections), stream));
     }
 }
 
-/// What a caller hears.
+/// The reply to a call.
 struct Reply {
     status: u16,
     body: String,
     allow: Option<&'static str>,
 }
 
-async fn serve(s: Rc<Scheduler>, seat: Seat, stream: TcpStream) {
-    let mut wire = Connection::new(stream);
-    let read = tokio::select! {
+async fn serve(scheduler: Rc<Scheduler>, guard: ConnectionGuard, stream: TcpStream) {
+    let mut connection = Connection::new(stream);
+    let received = tokio::select! {
         biased;
-        read = tokio::time::timeout(WHOLE, wire.read(MessageKind::Request)) => read.ok(),
-        () = seat.leave.notified() => {
-            s.book.borrow_mut().counters.calls_cut += 1;
+        read = tokio::time::timeout(CALL_TIMEOUT, connection.read(MessageKind::Request)) => read.ok(),
+        () = guard.evicted.notified() => {
+            scheduler.book.borrow_mut().counters.calls_cut += 1;
             return;
         }
     };
-    seat.hold();
-    let reply = match read {
-        Some(Ok(message)) => answer(&s, &message).await,
+    guard.disallow_eviction();
+    let reply = match received {
+        Some(Ok(message)) => handle(&scheduler, &message).await,
         Some(Err(ReadError::Closed | ReadError::Broken)) => {
-            s.book.borrow_mut().counters.calls_cut += 1;
+            scheduler.book.borrow_mut().counters.calls_cut += 1;
             return;
         }
-        Some(Err(ReadError::Malformed)) => no(400, "malformed request"),
-        Some(Err(ReadError::HeadTooLarge)) => no(431, "head too large"),
-        Some(Err(ReadError::BodyTooLarge)) => no(413, "body too large"),
-        None => no(408, "call not whole in time"),
+        Some(Err(ReadError::Malformed)) => refusal(400, "malformed request"),
+        Some(Err(ReadError::HeadTooLarge)) => refusal(431, "head too large"),
+        Some(Err(ReadError::BodyTooLarge)) => refusal(413, "body too large"),
+        None => refusal(408, "call not whole in time"),
     };
-    s.book.borrow_mut().counters.count_control_call(reply.status);
+    scheduler.book.borrow_mut().counters.count_control_call(reply.status);
     let allow = reply.allow.map(|method| ("Allow", method));
     let mut headers = vec![("Content-Type", "application/json")];
     headers.extend(allow);
     let text = encode_response(reply.status, &headers, reply.body.as_bytes(), false);
-    if let Ok(Ok(())) = tokio::time::timeout(TAKEN, wire.write_all(&text)).await {
-        seat.release();
+    if let Ok(Ok(())) = tokio::time::timeout(REPLY_TIMEOUT, connection.write_all(&text)).await {
+        guard.allow_eviction();
         tokio::select! {
-            () = wire.lingering_close() => {}
-            () = seat.leave.notified() => {}
+            () = connection.lingering_close() => {}
+            () = guard.evicted.notified() => {}
         }
     }
 }
 
-fn no(status: u16, why: &str) -> Reply {
+fn refusal(status: u16, why: &str) -> Reply {
     Reply { status, body: format!("{}\n", serde_json::json!({ "yes": false, "why": why })), allow: None }
 }
 
-/// Takes a worker out or puts it back, as the tier has agreed.
-pub fn apply_agreed_order(s: &Rc<Scheduler>, host: &str, out: bool) {
+/// Takes a worker offline or puts it back online, as the tier has agreed.
+pub fn apply_agreed_order(scheduler: &Rc<Scheduler>, host: &str, offline: bool) {
     let host = host.to_string();
-    carry_out(s, &if out { Call::Offline(host) } else { Call::Online(host) });
+    execute(scheduler, &if offline { Call::Offline(host) } else { Call::Online(host) });
 }
 
-/// Carries a call out and says what has come of it.
-async fn answer(s: &Rc<Scheduler>, message: &Message) -> Reply {
+/// Executes a call and returns the reply to it.
+async fn handle(scheduler: &Rc<Scheduler>, message: &Message) -> Reply {
     let call = match Call::read(&message.method, &message.path) {
         Ok(call) => call,
-        Err(call::Fault::Malformed) => return no(400, "malformed path"),
-        Err(call::Fault::Unknown) => return no(404, "unknown path"),
-        Err(call::Fault::Method(takes)) => {
-            return Reply { allow: Some(takes), ..no(405, "wrong method") };
+        Err(call::Fault::Malformed) => return refusal(400, "malformed path"),
+        Err(call::Fault::Unknown) => return refusal(404, "unknown path"),
+        Err(call::Fault::Method(allowed_method)) => {
+            return Reply { allow: Some(allowed_method), ..refusal(405, "wrong method") };
         }
     };
     if let Call::Offline(host) | Call::Online(host) = &call
-        && !s.target_group.contains(host)
-        && !s.orders.borrow().is_out(host)
+        && !scheduler.target_group.contains(host)
+        && !scheduler.orders.borrow().is_out(host)
     {
-        return no(404, "unknown worker");
+        return refusal(404, "unknown worker");
     }
     if let Call::Tier | Call::Propose(_) = call {
-        if !s.tier.on() {
-            return no(404, "no tier is configured here");
+        if !scheduler.tier.on() {
+            return refusal(404, "no tier is configured here");
         }
         let (status, body) = match call {
             Call::Propose(base) => {
-                loomlb_tier::proposed(&s.tier, &TierApplication(Rc::clone(s)), &message.body, base).await
+                loomlb_tier::proposed(
+                    &scheduler.tier,
+                    &TierApplication(Rc::clone(scheduler)),
+                    &message.body,
+                    base,
+                )
+                .await
             }
-            _ => (200, loomlb_tier::state(&s.tier, &TierApplication(Rc::clone(s)))),
+            _ => (200, loomlb_tier::state(&scheduler.tier, &TierApplication(Rc::clone(scheduler)))),
         };
         return Reply { status, body: format!("{body}\n"), allow: None };
     }
     if let Call::Offline(host) | Call::Online(host) = &call
-        && s.tier.on()
+        && scheduler.tier.on()
     {
         let out = matches!(call, Call::Offline(_));
-        let (status, body) = loomlb_tier::order(&s.tier, &TierApplication(Rc::clone(s)), host, out).await;
+        let (status, body) =
+            loomlb_tier::order(&scheduler.tier, &TierApplication(Rc::clone(scheduler)), host, out).await;
         return Reply { status, body: format!("{body}\n"), allow: None };
     }
     if call != Call::Ready {
-        carry_out(s, &call);
+        execute(scheduler, &call);
         let text = |bytes: &[u8]| String::from_utf8_lossy(bytes).into_owned();
-        upgrade::query_others(s, &Ask::Order(text(&message.method), text(&message.path)), None).await;
+        upgrade::query_others(scheduler, &Ask::Order(text(&message.method), text(&message.path)), None).await;
     }
-    let service = s.shutdown.service();
+    let service = scheduler.shutdown.service();
     match &call {
-        Call::Ready | Call::OutOfService | Call::InService if service.ending() => no(503, "ending"),
-        Call::Ready if !s.tier.may_act() => no(503, "no lease of the tier"),
-        Call::Ready if !s.upgrade.accepts() => no(503, s.upgrade.not_accepting_reason()),
-        _ => Reply { status: 200, body: state(s), allow: None },
+        Call::Ready | Call::OutOfService | Call::InService if service.ending() => refusal(503, "ending"),
+        Call::Ready if !scheduler.tier.may_act() => refusal(503, "no lease of the tier"),
+        Call::Ready if !scheduler.upgrade.accepts() => refusal(503, scheduler.upgrade.not_accepting_reason()),
+        _ => Reply { status: 200, body: status_body(scheduler), allow: None },
     }
 }
 
-/// Does what a call orders.
-fn carry_out(s: &Rc<Scheduler>, call: &Call) {
-    let now = s.clock.now();
+/// Executes a call in this process.
+fn execute(scheduler: &Rc<Scheduler>, call: &Call) {
+    let now = scheduler.clock.now();
     let changed = match call {
         Call::Ready | Call::Tier | Call::Propose(_) => false,
-        Call::OutOfService => s.shutdown.update_service(|service| service.drain(now)),
-        Call::InService => s.shutdown.update_service(|service| service.resume()),
-        Call::Offline(host) => s.orders.borrow_mut().offline(host, now),
-        Call::Online(host) => s.orders.borrow_mut().online(host, now),
+        Call::OutOfService => scheduler.shutdown.update_service(|service| service.drain(now)),
+        Call::InService => scheduler.shutdown.update_service(|service| service.resume()),
+        Call::Offline(host) => scheduler.orders.borrow_mut().offline(host, now),
+        Call::Online(host) => scheduler.orders.borrow_mut().online(host, now),
     };
     if let Call::Offline(host) | Call::Online(host) = call
         && changed
     {
-        discovery::apply_order(s, host);
+        discovery::apply_order(scheduler, host);
     }
-    tracing::info!("control: {call:?}{}", if changed { "" } else { ": so already" });
+    tracing::info!("control: {call:?}{}", if changed { "" } else { ": no change" });
 }
 
-/// Does what the other process was ordered: both are one scheduler.
-pub fn execute_relayed(s: &Rc<Scheduler>, method: &str, path: &str) {
+/// Executes a call that another process of this scheduler received.
+pub fn execute_relayed(scheduler: &Rc<Scheduler>, method: &str, path: &str) {
     if let Ok(call) = Call::read(method.as_bytes(), path.as_bytes()) {
-        carry_out(s, &call);
+        execute(scheduler, &call);
     }
 }
 
-/// What staff see with every yes.
-fn state(s: &Scheduler) -> String {
-    let service = match s.shutdown.service().state() {
+/// Returns the body of a positive reply.
+fn status_body(scheduler: &Scheduler) -> String {
+    let service = match scheduler.shutdown.service().state() {
         State::In => "in",
         State::Draining(_) => "draining",
         State::Ending(_) => "ending",
     };
-    let orders = s.orders.borrow();
+    let orders = scheduler.orders.borrow();
     let out: Vec<&str> = orders.out().collect();
-    let flows = s.book.borrow().unanswered();
+    let flows = scheduler.book.borrow().unanswered();
     format!(
         "{}\n",
         serde_json::json!({ "yes": true, "service": service, "workers_out": out, "flows": flows })
