--- a/crates/scheduler/src/peers.rs
+++ b/crates/scheduler/src/peers.rs
@@ -1,4 +1,4 @@
-//! Peers: short datagrams between schedulers.
+//! Peers: datagrams between schedulers.
 
 use super::{Scheduler, route};
 use crate::config::Config;
@@ -12,118 +12,128 @@
 use std::time::Duration;
 use tokio::net::UdpSocket;
 
-/// A longer datagram breaks a rule of the platform.
-const MAX: usize = 256;
+/// The platform's limit for datagrams between schedulers, in bytes.
+const MAX_DATAGRAM_BYTES: usize = 256;
 
-/// Pause before the socket is looked at again, while another process has it.
-const AGAIN: Duration = Duration::from_millis(20);
-/// Time between two digests of traffic.
-const TALK: Duration = Duration::from_millis(250);
+/// Delay between attempts while another process of this scheduler owns the socket.
+const RETRY_DELAY: Duration = Duration::from_millis(20);
+/// Interval between digests of tenants' traffic.
+const DIGEST_INTERVAL: Duration = Duration::from_millis(250);
 
-/// The socket to the peers, where there are any.
+/// The socket for peers' datagrams, if there are peers.
 #[derive(Debug, Default)]
 pub struct Peers {
     socket: OnceCell<UdpSocket>,
-    /// Where to open it, if another process has it still.
-    later: Option<SocketAddr>,
+    /// The address to bind later, if another process has it.
+    deferred_address: Option<SocketAddr>,
 }
 
 impl Peers {
-    /// Opens the socket if the configuration names one and the site allows messages, or takes over the one that came
-    /// from the process before. Where one runs beside us that has it still, it is opened later.
-    pub async fn open(
-        config: &Config,
-        taken_over: Option<OwnedFd>,
-        opening: &OpenRetry,
-    ) -> io::Result<Peers> {
-        let Some(at) = config.peer_listen.filter(|_| config.settings.policy.limits.peer_messages) else {
+    /// Opens the socket if the configuration has an address for it and the settings allow messages, or uses
+    /// the one received from the predecessor. If a process of this scheduler still has the address, it is
+    /// bound later.
+    pub async fn open(config: &Config, received: Option<OwnedFd>, opening: &OpenRetry) -> io::Result<Peers> {
+        let Some(address) = config.peer_listen.filter(|_| config.settings.policy.limits.peer_messages) else {
             return Ok(Peers::default());
         };
-        // Where the platform holds the listening socket the address is that of the process before, for as long as it runs.
+        // With an inherited listening socket the address belongs to the predecessor for as long as that runs.
         let in_use = if config.inherited_fd.is_some() { AddressInUse::Report } else { AddressInUse::Retry };
-        let bind = async || UdpSocket::bind(at).await;
-        let socket = match taken_over {
+        let bind = async || UdpSocket::bind(address).await;
+        let socket = match received {
             Some(descriptor) => UdpSocket::from_std(descriptor.into())?,
-            None => match opening.open("peer_listen", at, in_use, bind).await {
+            None => match opening.open("peer_listen", address, in_use, bind).await {
                 Ok(socket) => socket,
                 Err(e) if e.source.kind() == io::ErrorKind::AddrInUse && config.inherited_fd.is_some() => {
-                    tracing::warn!("peer_listen: {}; waiting for the process that has it", e.source);
-                    return Ok(Peers { socket: OnceCell::new(), later: Some(at) });
+                    tracing::warn!("peer_listen: {}; waiting for the process that has the address", e.source);
+                    return Ok(Peers { socket: OnceCell::new(), deferred_address: Some(address) });
                 }
                 Err(e) => return Err(e.into()),
             },
         };
-        // The runtime does not know yet that the socket is writable, and would drop the module's first word, by
-        // which the schedulers find each other.
+        // The runtime must know that the socket is writable, or it would drop the module's first message, by
+        // which schedulers find each other.
         socket.writable().await?;
-        Ok(Peers { socket: OnceCell::from(socket), later: None })
+        Ok(Peers { socket: OnceCell::from(socket), deferred_address: None })
     }
 
-    /// A second descriptor of the socket, for the process that takes over.
+    /// Returns a duplicate of the socket's descriptor, for a successor.
     pub fn descriptor(&self) -> Option<OwnedFd> {
         self.socket.get()?.as_fd().try_clone_to_owned().ok()
     }
 
-    /// Sends a message, once and without waiting: peers' messages may be lost anyway.
-    pub fn send(&self, s: &Scheduler, to: Recipient, bytes: &[u8]) {
-        // Of two processes the one that accepts speaks for both: peers know the scheduler, not its processes.
-        let speaks = bytes.len() <= MAX && s.upgrade.accepts();
-        let Some(socket) = self.socket.get().filter(|_| speaks) else { return };
-        let (all, me) = (&s.config.peers, s.settings().policy.own_id.0 as usize);
-        let others = || all.iter().enumerate().filter(|p| p.0 != me).map(|p| *p.1);
+    /// Sends a message once and without waiting; messages between peers may be lost.
+    pub fn send(&self, scheduler: &Scheduler, to: Recipient, bytes: &[u8]) {
+        // Only the process that accepts connections sends: peers know the scheduler, not its processes.
+        let may_send = bytes.len() <= MAX_DATAGRAM_BYTES && scheduler.upgrade.accepts();
+        let Some(socket) = self.socket.get().filter(|_| may_send) else { return };
+        let (addresses, own_id) = (&scheduler.config.peers, scheduler.settings().policy.own_id.0 as usize);
+        let other_peers = || addresses.iter().enumerate().filter(|p| p.0 != own_id).map(|p| *p.1);
         let receivers: Vec<SocketAddr> = match to {
-            Recipient::One(peer) if peer.0 as usize == me => Vec::new(),
-            Recipient::One(peer) => all.get(peer.0 as usize).copied().into_iter().collect(),
-            Recipient::All if others().next().is_none() => Vec::new(),
-            Recipient::All => s.config.peers_all.map_or_else(|| others().collect(), |all| vec![all]),
+            Recipient::One(peer) if peer.0 as usize == own_id => Vec::new(),
+            Recipient::One(peer) => addresses.get(peer.0 as usize).copied().into_iter().collect(),
+            Recipient::All if other_peers().next().is_none() => Vec::new(),
+            Recipient::All => {
+                scheduler.config.peers_all.map_or_else(|| other_peers().collect(), |address| vec![address])
+            }
         };
         for receiver in receivers {
             if socket.try_send_to(bytes, receiver).is_ok() {
-                s.book.borrow_mut().counters.peers_out += 1;
+                scheduler.book.borrow_mut().counters.peers_out += 1;
             }
         }
     }
 }
 
-/// Tells peers of the traffic here, for as long as the program runs and where the operator has quotas.
-pub async fn send_digests(s: Rc<Scheduler>) {
+/// Sends digests of this scheduler's traffic for as long as the program runs. Started only with quotas.
+pub async fn send_digests(scheduler: Rc<Scheduler>) {
     loop {
-        tokio::time::sleep(TALK).await;
-        for word in s.quotas.traffic_digests(s.clock.now()) {
-            s.peers.send(&s, Recipient::All, &word);
+        tokio::time::sleep(DIGEST_INTERVAL).await;
+        for digest in scheduler.quotas.traffic_digests(scheduler.clock.now()) {
+            scheduler.peers.send(&scheduler, Recipient::All, &digest);
         }
     }
 }
 
-/// Takes in peers' datagrams for as long as the program runs; strangers' are dropped.
-pub async fn receive(s: Rc<Scheduler>) {
-    while let Some(at) = s.peers.later.filter(|_| s.peers.socket.get().is_none()) {
-        if let Ok(socket) = UdpSocket::bind(at).await {
-            let _ = s.peers.socket.set(socket);
+/// Receives peers' datagrams for as long as the program runs. Datagrams from unknown addresses are dropped.
+pub async fn receive(scheduler: Rc<Scheduler>) {
+    while let Some(address) =
+        scheduler.peers.deferred_address.filter(|_| scheduler.peers.socket.get().is_none())
+    {
+        if let Ok(socket) = UdpSocket::bind(address).await {
+            let _ = scheduler.peers.socket.set(socket);
         } else {
-            tokio::time::sleep(AGAIN).await;
+            tokio::time::sleep(RETRY_DELAY).await;
         }
     }
-    let Some(socket) = s.peers.socket.get() else { return };
-    let mut buf = [0; MAX + 1];
+    let Some(socket) = scheduler.peers.socket.get() else { return };
+    let mut buffer = [0; MAX_DATAGRAM_BYTES + 1];
     loop {
         let _ = socket.readable().await;
-        // Of two processes that share the socket one hears.
-        if !s.upgrade.accepts() {
-            tokio::time::sleep(AGAIN).await;
+        // Only the process that accepts connections receives.
+        if !scheduler.upgrade.accepts() {
+            tokio::time::sleep(RETRY_DELAY).await;
             continue;
         }
-        let Ok((length, from)) = socket.try_recv_from(&mut buf) else {
-            // An earlier datagram found nobody; the socket itself is fine.
+        let Ok((length, from)) = socket.try_recv_from(&mut buffer) else {
+            // An error here refers to an earlier datagram that could not be delivered; the socket remains
+            // usable.
             tokio::task::yield_now().await;
             continue;
         };
-        let me = s.settings().policy.own_id.0 as usize;
-        let peer = s.config.peers.iter().position(|p| *p == from).filter(|p| *p != me && length <= MAX);
+        let own_id = scheduler.settings().policy.own_id.0 as usize;
+        let peer = scheduler
+            .config
+            .peers
+            .iter()
+            .position(|p| *p == from)
+            .filter(|p| *p != own_id && length <= MAX_DATAGRAM_BYTES);
         if let Some(peer) = peer {
-            s.book.borrow_mut().counters.peers_in += 1;
-            if !s.quotas.handle_digest(s.clock.now(), peer, &buf[..length]) {
-                route::handle_event(&s, Event::PeerMessage(PeerId(peer as u32), buf[..length].to_vec()));
+            scheduler.book.borrow_mut().counters.peers_in += 1;
+            if !scheduler.quotas.handle_digest(scheduler.clock.now(), peer, &buffer[..length]) {
+                route::handle_event(
+                    &scheduler,
+                    Event::PeerMessage(PeerId(peer as u32), buffer[..length].to_vec()),
+                );
             }
         }
     }
