--- a/crates/scheduler/src/shutdown.rs
+++ b/crates/scheduler/src/shutdown.rs
@@ -1,4 +1,4 @@
-//! Shutdown: from SIGTERM to the end, without losing what was taken.
+//! Shutdown: from SIGTERM to the end of the process, without losing accepted flows.
 
 use super::{Scheduler, upgrade};
 use loomlb_control::service::Service;
@@ -10,121 +10,123 @@
 use tokio::signal::unix::{Signal, SignalKind, signal};
 use tokio::sync::Notify;
 
-/// Time between two words to idle connections while they are to close.
-const CLOSE_EVERY: Duration = Duration::from_millis(5);
+/// Interval between requests to idle connections to close.
+const CLOSE_INTERVAL: Duration = Duration::from_millis(5);
 
-/// The state of the service, and who is told when it turns.
+/// The service state with notifications of its changes.
 #[derive(Debug)]
 pub struct Shutdown {
     service: Cell<Service>,
-    turned: Notify,
-    /// Told to idle connections when they are to close.
+    service_changed: Notify,
+    /// Notifies idle connections that they must close.
     pub close_idle: Notify,
 }
 
 impl Shutdown {
-    /// For a scheduler whose clients wait no longer than `longest`; whether no other serves them.
+    /// Creates the state for a scheduler whose clients wait for at most `longest`; `alone` if no other
+    /// scheduler serves them.
     pub fn new(longest: Nanos, alone: bool) -> Self {
         let service = Cell::new(Service::new(longest, alone));
-        Shutdown { service, turned: Notify::new(), close_idle: Notify::new() }
+        Shutdown { service, service_changed: Notify::new(), close_idle: Notify::new() }
     }
 
-    /// The state as it stands.
+    /// Returns the current service state.
     pub fn service(&self) -> Service {
         self.service.get()
     }
 
-    /// Changes the state, and wakes whoever acts on it.
-    pub fn update_service<T>(&self, word: impl FnOnce(&mut Service) -> T) -> T {
+    /// Changes the service state and wakes the tasks that depend on it.
+    pub fn update_service<T>(&self, update: impl FnOnce(&mut Service) -> T) -> T {
         let mut service = self.service.get();
-        let said = word(&mut service);
+        let result = update(&mut service);
         self.service.set(service);
-        self.turned.notify_one();
-        said
+        self.service_changed.notify_one();
+        result
     }
 }
 
-/// Has idle connections close for as long as nothing is taken: at the end of the program, or of a drain's time.
-pub async fn close_idle(s: Rc<Scheduler>) {
+/// Closes idle connections while no new flows are accepted: at the end of the program and of a drain period.
+pub async fn close_idle(scheduler: Rc<Scheduler>) {
     loop {
-        match s.shutdown.service().closing() {
-            None => s.shutdown.turned.notified().await,
-            Some(at) if s.clock.now() < at => tokio::select! {
-                () = s.shutdown.turned.notified() => {}
-                () = tokio::time::sleep_until(s.clock.instant(at)) => {}
+        match scheduler.shutdown.service().closing() {
+            None => scheduler.shutdown.service_changed.notified().await,
+            Some(at) if scheduler.clock.now() < at => tokio::select! {
+                () = scheduler.shutdown.service_changed.notified() => {}
+                () = tokio::time::sleep_until(scheduler.clock.instant(at)) => {}
             },
             Some(_) => {
-                s.shutdown.close_idle.notify_waiters();
-                tokio::time::sleep(CLOSE_EVERY).await;
+                scheduler.shutdown.close_idle.notify_waiters();
+                tokio::time::sleep(CLOSE_INTERVAL).await;
             }
         }
     }
 }
 
-/// The signals that end the program or have it report.
+/// The signals that end the program or make it log its counters.
 #[derive(Debug)]
 pub struct Signals {
     terminate: Signal,
     interrupt: Signal,
-    report: Signal,
+    user1: Signal,
 }
 
 impl Signals {
-    /// Takes them over from their defaults.
+    /// Installs the signal handlers.
     pub fn new() -> io::Result<Signals> {
         Ok(Signals {
             terminate: signal(SignalKind::terminate())?,
             interrupt: signal(SignalKind::interrupt())?,
-            report: signal(SignalKind::user_defined1())?,
+            user1: signal(SignalKind::user_defined1())?,
         })
     }
 }
 
 /// Logs the counters.
-pub fn log_counters(s: &Scheduler) {
-    tracing::info!("counters: {}", s.book.borrow().counters);
-    if let Some(table) = s.quotas.summary(s.clock.now()) {
+pub fn log_counters(scheduler: &Scheduler) {
+    tracing::info!("counters: {}", scheduler.book.borrow().counters);
+    if let Some(table) = scheduler.quotas.summary(scheduler.clock.now()) {
         tracing::info!("{table}");
     }
 }
 
-/// Waits for the signals; returns once the program may end. Call-backs come to the listener, so it stays open
-/// until the last flow is answered.
-pub async fn wait_for_end(s: &Rc<Scheduler>, mut signals: Signals) {
+/// Waits for signals and returns when the program may end. Workers' call-backs arrive at the listener, so it
+/// stays open until the last flow is answered.
+pub async fn wait_for_end(scheduler: &Rc<Scheduler>, mut signals: Signals) {
     loop {
         tokio::select! {
             _ = signals.terminate.recv() => break,
             _ = signals.interrupt.recv() => break,
-            _ = signals.report.recv() => log_counters(s),
-            () = upgrade::wait_until_finished(s) => return,
+            _ = signals.user1.recv() => log_counters(scheduler),
+            () = upgrade::wait_until_finished(scheduler) => return,
         }
     }
-    let now = s.clock.now();
-    s.shutdown.update_service(|service| service.end(now));
-    tracing::info!("asked to end, {} flows to finish", s.book.borrow().unanswered());
+    let now = scheduler.clock.now();
+    scheduler.shutdown.update_service(|service| service.end(now));
+    tracing::info!("asked to end, {} flows to finish", scheduler.book.borrow().unanswered());
     loop {
-        let over = || {
-            s.book.borrow().unanswered() == 0
-                && s.listener.active_count() == 0
-                && s.pool.unsent_cancellations() == 0
+        let finished = || {
+            scheduler.book.borrow().unanswered() == 0
+                && scheduler.listener.active_count() == 0
+                && scheduler.pool.unsent_cancellations() == 0
         };
-        // A process that ends resets connections on which something still comes, and what it wrote last with them.
-        let parted = || s.listener.closing_count() == 0 || service_over(s);
-        if upgrade::is_finished(s) {
-            return upgrade::wait_until_finished(s).await;
+        // Ending the process resets connections with unread input, and the other side may then lose the last
+        // response.
+        let connections_closed = || scheduler.listener.closing_count() == 0 || answer_time_over(scheduler);
+        if upgrade::is_finished(scheduler) {
+            return upgrade::wait_until_finished(scheduler).await;
         }
-        if s.shutdown.service().refusing(s.clock.now()) && over() {
-            // One more turn: whatever the kernel holds for us by now gets read and answered.
+        if scheduler.shutdown.service().refusing(scheduler.clock.now()) && finished() {
+            // Reads and answers what the kernel has received by now.
             tokio::time::sleep(Duration::from_millis(20)).await;
-            if over() && parted() {
+            if finished() && connections_closed() {
                 return;
             }
         }
-        tokio::time::sleep(CLOSE_EVERY).await;
+        tokio::time::sleep(CLOSE_INTERVAL).await;
     }
 }
 
-/// Whether the time is over by which all must be answered.
-fn service_over(s: &Scheduler) -> bool {
-    s.shutdown.service().answer_by().is_some_and(|by| s.clock.now() >= by)
+/// Returns whether the time limit for answering all flows has passed.
+fn answer_time_over(scheduler: &Scheduler) -> bool {
+    scheduler.shutdown.service().answer_by().is_some_and(|by| scheduler.clock.now() >= by)
 }
