--- a/crates/scheduler/src/upgrade.rs
+++ b/crates/scheduler/src/upgrade.rs
@@ -1,5 +1,6 @@
-//! Upgrade: this process takes over from one that runs, and hands over to one that starts. Only where the platform holds
-//! the listening socket (`LB_FD`). Who accepts when is decided in `loomlb-hot-restart`.
+//! Hot restart: this process takes over from a running one, and hands over to one that starts. Only available
+//! if the platform passes the listening socket (`LB_FD`). `loomlb-hot-restart` decides which process accepts
+//! connections.
 
 use super::clock::Clock;
 use super::config::{Config, shared_path};
@@ -27,134 +28,147 @@
 
 mod snapshot;
 
-/// A partner that says nothing for this long while it is waited for is passed over.
-const PATIENCE: Duration = Duration::from_millis(700);
-/// What is asked of a partner is answered in this time, or counts as unanswered.
-const ANSWER: Duration = Duration::from_millis(400);
-/// Time between two words on what is held.
-const TELL: Duration = Duration::from_millis(50);
-/// Time between two looks whether all is finished here.
-const LOOK: Duration = Duration::from_millis(5);
-/// Questions that may wait for their answers at once.
-const ASKED: usize = 1024;
+/// Time limit for an expected message of another process.
+const MESSAGE_TIMEOUT: Duration = Duration::from_millis(700);
+/// Time limit for the answer to a query of another process.
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(400);
+/// Interval between reports of the resources that this process holds.
+const HOLDS_INTERVAL: Duration = Duration::from_millis(50);
+/// Interval between checks of a local condition.
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
+/// Maximum number of unanswered queries.
+const MAX_QUERIES: usize = 1024;
 
 /// Another process of this scheduler.
 #[derive(Debug)]
-pub struct Partner {
+pub struct OtherProcess {
     link: Link,
-    /// It takes over from us, or we from it.
-    successor: bool,
+    /// Whether it is the successor of this process, not its predecessor.
+    is_successor: bool,
+    /// The resources that it holds, as last reported.
     holds: RefCell<Holds>,
 }
 
-impl Partner {
-    fn new(link: Link, successor: bool) -> Rc<Partner> {
-        Rc::new(Partner { link, successor, holds: RefCell::default() })
+impl OtherProcess {
+    fn new(link: Link, is_successor: bool) -> Rc<OtherProcess> {
+        Rc::new(OtherProcess { link, is_successor, holds: RefCell::default() })
     }
 
-    /// Passes an idle connection of a client on.
-    pub fn hand_over_client(&self, s: &Scheduler, descriptor: OwnedFd, calls_back: bool, fresh: bool) {
-        s.book.borrow_mut().counters.passed_on += 1;
+    /// Hands over an idle connection of a client.
+    pub fn hand_over_client(
+        &self,
+        scheduler: &Scheduler,
+        descriptor: OwnedFd,
+        calls_back: bool,
+        fresh: bool,
+    ) {
+        scheduler.book.borrow_mut().counters.passed_on += 1;
         self.link.say(&Word::Client { calls_back, fresh }, Some(descriptor));
     }
 
-    /// Passes an idle connection to a target on.
-    pub fn hand_over_target(&self, s: &Scheduler, to: WorkerId, descriptor: OwnedFd, since: Nanos) {
-        if let Some(target) = s.target_group.target(to) {
-            s.book.borrow_mut().counters.passed_on += 1;
+    /// Hands over an idle connection to a target.
+    pub fn hand_over_target(&self, scheduler: &Scheduler, to: WorkerId, descriptor: OwnedFd, since: Nanos) {
+        if let Some(target) = scheduler.target_group.target(to) {
+            scheduler.book.borrow_mut().counters.passed_on += 1;
             self.link.say(&Word::Target { host: target.host.to_string(), since }, Some(descriptor));
         }
     }
 }
 
-/// The processes beside this one.
+/// The state of hot restarts in this process.
 #[derive(Debug)]
 pub struct Upgrade {
-    /// Where a successor finds us; none where there is no handover.
+    /// The socket at which successors connect; none if hot restarts are not available.
     path: Option<PathBuf>,
-    old: Cell<Old>,
-    new: Cell<New>,
-    partners: RefCell<Vec<Rc<Partner>>>,
-    /// Told to the acceptor when it is to look whether it accepts.
+    /// The state of a handover to a successor.
+    as_predecessor: Cell<Old>,
+    /// The state of a takeover from a predecessor.
+    as_successor: Cell<New>,
+    /// The processes with which this one has a link.
+    processes: RefCell<Vec<Rc<OtherProcess>>>,
+    /// Notifies the accept loop that [`Upgrade::accepts`] may have changed.
     pub accepting_changed: Notify,
-    /// Told to idle connections when they are to be passed on.
+    /// Notifies idle connections that they must be handed over.
     pub hand_over_idle: Notify,
-    /// Questions under way.
-    asked: RefCell<HashMap<u64, oneshot::Sender<bool>>>,
-    next: Cell<u64>,
-    listening: RefCell<Option<AbortHandle>>,
-    /// It has taken its leave.
-    left: Cell<bool>,
+    /// Unanswered queries by number.
+    queries: RefCell<HashMap<u64, oneshot::Sender<bool>>>,
+    /// The number of the next query or report to the module.
+    next_number: Cell<u64>,
+    /// The task that accepts successors.
+    listener_task: RefCell<Option<AbortHandle>>,
+    /// Whether this process has told its successor that it has finished.
+    goodbye_sent: Cell<bool>,
 }
 
 impl Upgrade {
-    /// For a process that takes over from another, or from none.
+    /// Creates the state for a process with or without a predecessor.
     pub fn new(config: &Config, takes_over: bool) -> Upgrade {
-        let mut new = New::default();
+        let mut state = New::default();
         if !takes_over {
-            new.alone();
+            state.alone();
         }
         Upgrade {
-            path: path(config),
-            old: Cell::default(),
-            new: Cell::new(new),
-            partners: RefCell::default(),
+            path: socket_path(config),
+            as_predecessor: Cell::default(),
+            as_successor: Cell::new(state),
+            processes: RefCell::default(),
             accepting_changed: Notify::new(),
             hand_over_idle: Notify::new(),
-            asked: RefCell::default(),
-            next: Cell::new(0),
-            listening: RefCell::default(),
-            left: Cell::new(false),
+            queries: RefCell::default(),
+            next_number: Cell::new(0),
+            listener_task: RefCell::default(),
+            goodbye_sent: Cell::new(false),
         }
     }
 
-    /// Whether this process accepts connections, and speaks for the scheduler.
+    /// Returns whether this process accepts connections and communicates with peers.
     pub fn accepts(&self) -> bool {
-        self.old.get().accepts() && self.new.get().accepts()
+        self.as_predecessor.get().accepts() && self.as_successor.get().accepts()
     }
 
-    /// Why it does not.
+    /// Returns why this process does not accept connections.
     pub fn not_accepting_reason(&self) -> &'static str {
-        if self.new.get().accepts() { "handed over" } else { "starting" }
+        if self.as_successor.get().accepts() { "handed over" } else { "starting" }
     }
 
-    /// The process that goes on with what is idle here, once it accepts.
-    pub fn successor(&self) -> Option<Rc<Partner>> {
-        if self.old.get().accepts() {
+    /// Returns the process that takes idle connections over, if this one has handed over.
+    pub fn successor(&self) -> Option<Rc<OtherProcess>> {
+        if self.as_predecessor.get().accepts() {
             return None;
         }
-        self.partners.borrow().iter().find(|p| p.successor && !p.link.over()).cloned()
+        self.processes.borrow().iter().find(|p| p.is_successor && !p.link.over()).cloned()
     }
 
-    /// What the other processes hold of the limits that are ours together.
+    /// Returns the connections of the other processes, which count against the same limits.
     pub fn held_by_others(&self) -> Holds {
         let mut all = Holds::default();
-        for partner in &*self.partners.borrow() {
-            let holds = partner.holds.borrow();
+        for process in &*self.processes.borrow() {
+            let holds = process.holds.borrow();
             (all.inbound, all.outbound) = (all.inbound + holds.inbound, all.outbound + holds.outbound);
         }
         all
     }
 
-    fn turn<T>(&self, word: impl FnOnce(&mut Old) -> T) -> T {
-        let mut old = self.old.get();
-        let said = word(&mut old);
-        self.old.set(old);
-        said
+    /// Changes the state of a handover to a successor.
+    fn update_predecessor_state<T>(&self, update: impl FnOnce(&mut Old) -> T) -> T {
+        let mut state = self.as_predecessor.get();
+        let result = update(&mut state);
+        self.as_predecessor.set(state);
+        result
     }
 }
 
-/// Where processes of this scheduler meet.
-fn path(config: &Config) -> Option<PathBuf> {
+/// Returns the path of the socket that the processes of this scheduler use.
+fn socket_path(config: &Config) -> Option<PathBuf> {
     config.inherited_fd?;
     let path = shared_path(&config.listen.to_string(), "sock");
     if path.is_none() {
-        tracing::warn!("TMPDIR: not set; a process that replaces this one starts from its configuration");
+        tracing::warn!("TMPDIR: not set; a successor will start from its configuration");
     }
     path
 }
 
-/// The process before this one, as far as the first words go.
+/// The predecessor, with its snapshot.
 pub struct Predecessor {
     link: Link,
     inbox: Inbox,
@@ -163,115 +177,117 @@
 }
 
 impl Predecessor {
-    /// The socket to the peers.
+    /// Takes the socket for peers' datagrams.
     pub fn take_peer_socket(&mut self) -> Option<OwnedFd> {
         self.peer_socket.take()
     }
 
-    /// A clock on the scale of that process's times.
+    /// Returns a clock for the times in the snapshot.
     pub fn clock(&self) -> Clock {
         self.snapshot.clock()
     }
 }
 
-/// Asks the process that runs for all that it knows. None if there is none, or it cannot or will not say: this one then
-/// starts from its configuration.
+/// Requests a snapshot from the running process. Returns none if there is no such process, or if it fails or
+/// refuses; this process then starts from its configuration.
 pub async fn connect_to_predecessor(config: &Config) -> Option<Predecessor> {
-    let path = path(config)?;
-    match tokio::time::timeout(PATIENCE, greet(&path)).await {
-        Ok(Ok(before)) => Some(before),
-        // The usual first start.
+    let path = socket_path(config)?;
+    match tokio::time::timeout(MESSAGE_TIMEOUT, request_snapshot(&path)).await {
+        Ok(Ok(predecessor)) => Some(predecessor),
+        // The socket does not exist: this is the first start.
         Ok(Err(e)) if e.kind() == io::ErrorKind::NotFound => None,
         Ok(Err(e)) => {
             tracing::warn!("{}: {e}; starting from the configuration", path.display());
             None
         }
         Err(_) => {
-            tracing::warn!("{}: no answer; starting from the configuration", path.display());
+            tracing::warn!("{}: no response; starting from the configuration", path.display());
             None
         }
     }
 }
 
-async fn greet(path: &Path) -> io::Result<Predecessor> {
+/// Sends the greeting and waits for the snapshot.
+async fn request_snapshot(path: &Path) -> io::Result<Predecessor> {
     let link = Link::new(connect(path).await?);
     link.say(&Word::Hello { version: VERSION }, None);
     let mut inbox = Inbox::default();
-    let (word, peer_socket) = tokio::select! {
-        heard = link.hear(&mut inbox) => heard?,
+    let (message, peer_socket) = tokio::select! {
+        received = link.hear(&mut inbox) => received?,
         () = link.write() => return Err(io::ErrorKind::BrokenPipe.into()),
     };
-    match word {
+    match message {
         Word::Snapshot(value) => {
             let snapshot = Snapshot::deserialize(value).map_err(io::Error::other)?;
             Ok(Predecessor { link, inbox, snapshot, peer_socket })
         }
-        Word::Refused(why) => Err(io::Error::other(format!("refused: {why}"))),
-        _ => Err(io::Error::other("an unknown word")),
+        Word::Refused(reason) => Err(io::Error::other(format!("refused: {reason}"))),
+        _ => Err(io::Error::other("unexpected message")),
     }
 }
 
-/// Connects to the process that runs. What fails on this machine for a moment is tried again for as long as the caller
-/// waits.
+/// Connects to the running process. Temporary local failures are retried for as long as the caller waits.
 async fn connect(path: &Path) -> io::Result<UnixStream> {
     loop {
         match UnixStream::connect(path).await {
-            Err(e) if connect_fault(&e) == ConnectFault::Local => tokio::time::sleep(LOOK).await,
+            Err(e) if connect_fault(&e) == ConnectFault::Local => tokio::time::sleep(POLL_INTERVAL).await,
             connected => return connected,
         }
     }
 }
 
-/// Starts from what the process before knows, if there is one; otherwise from the configuration.
-pub fn start(s: &Rc<Scheduler>, before: Option<Predecessor>) {
-    let Some(Predecessor { link, inbox, snapshot, peer_socket: _ }) = before else {
-        discovery::start_from_config(s);
-        return publish(s);
+/// Starts from the predecessor's snapshot if there is one, otherwise from the configuration.
+pub fn start(scheduler: &Rc<Scheduler>, predecessor: Option<Predecessor>) {
+    let Some(Predecessor { link, inbox, snapshot, peer_socket: _ }) = predecessor else {
+        discovery::start_from_config(scheduler);
+        return open_socket(scheduler);
     };
-    snapshot.restore(s);
-    let partner = Partner::new(link, false);
-    let mut new = s.upgrade.new.get();
-    if new.restored() {
-        partner.link.say(&Word::Ready, None);
+    snapshot.restore(scheduler);
+    let process = OtherProcess::new(link, false);
+    let mut state = scheduler.upgrade.as_successor.get();
+    if state.restored() {
+        process.link.say(&Word::Ready, None);
     }
-    s.upgrade.new.set(new);
-    meet(s, &partner, inbox);
-    let s = Rc::clone(s);
+    scheduler.upgrade.as_successor.set(state);
+    start_link(scheduler, &process, inbox);
+    let scheduler = Rc::clone(scheduler);
     spawn_local(async move {
-        tokio::time::sleep(PATIENCE).await;
-        if !s.upgrade.new.get().accepts() {
-            tracing::warn!("upgrade: the process before does not commit; serving beside it");
-            serve(&s);
+        tokio::time::sleep(MESSAGE_TIMEOUT).await;
+        if !scheduler.upgrade.as_successor.get().accepts() {
+            tracing::warn!(
+                "upgrade: the predecessor has not handed over in time; accepting connections beside it"
+            );
+            start_accepting(&scheduler);
         }
     });
 }
 
-/// This process accepts from now on.
-fn serve(s: &Rc<Scheduler>) {
-    let mut new = s.upgrade.new.get();
-    new.alone();
-    s.upgrade.new.set(new);
-    s.upgrade.accepting_changed.notify_one();
-    publish(s);
+/// Starts to accept connections in this process.
+fn start_accepting(scheduler: &Rc<Scheduler>) {
+    let mut state = scheduler.upgrade.as_successor.get();
+    state.alone();
+    scheduler.upgrade.as_successor.set(state);
+    scheduler.upgrade.accepting_changed.notify_one();
+    open_socket(scheduler);
 }
 
-/// Lets a successor find this process, in place of whatever was there.
-fn publish(s: &Rc<Scheduler>) {
-    let Some(path) = &s.upgrade.path else { return };
-    let task = spawn_local(serve_successors(Rc::clone(s), path.clone()));
-    if let Some(earlier) = s.upgrade.listening.borrow_mut().replace(task.abort_handle()) {
+/// Opens the socket for successors in place of an earlier one.
+fn open_socket(scheduler: &Rc<Scheduler>) {
+    let Some(path) = &scheduler.upgrade.path else { return };
+    let task = spawn_local(serve_successors(Rc::clone(scheduler), path.clone()));
+    if let Some(earlier) = scheduler.upgrade.listener_task.borrow_mut().replace(task.abort_handle()) {
         earlier.abort();
     }
 }
 
-/// Puts a listener in place of whatever was at the path, and hears the processes that call there.
-async fn serve_successors(s: Rc<Scheduler>, path: PathBuf) {
+/// Binds the socket for successors and serves the processes that connect to it.
+async fn serve_successors(scheduler: Rc<Scheduler>, path: PathBuf) {
     let bind = async || bind_in_place(&path);
     let opened = OpenRetry::start().open("upgrade", path.display(), AddressInUse::Retry, bind).await;
     let listener = match opened {
         Ok(listener) => listener,
         Err(e) => {
-            return tracing::warn!("{e}; a process that replaces this one starts from its configuration");
+            return tracing::warn!("{e}; a successor will start from its configuration");
         }
     };
     let mut retry = AcceptRetry::default();
@@ -279,48 +295,50 @@
         match listener.accept().await {
             Ok((stream, _)) => {
                 retry.accepted();
-                spawn_local(receive(Rc::clone(&s), Link::new(stream)));
+                spawn_local(greet_successor(Rc::clone(&scheduler), Link::new(stream)));
             }
             Err(e) => retry.pause(&e).await,
         }
     }
 }
 
-/// Binds a listener beside the path and moves it there, so that the path always leads to one that listens.
+/// Binds a listener under a temporary name and renames it, so that the path always refers to an active
+/// listener.
 fn bind_in_place(path: &Path) -> io::Result<UnixListener> {
-    let fresh = path.with_extension(std::process::id().to_string());
-    let _ = std::fs::remove_file(&fresh);
-    let listener = UnixListener::bind(&fresh)?;
-    std::fs::rename(&fresh, path)?;
+    let temporary = path.with_extension(std::process::id().to_string());
+    let _ = std::fs::remove_file(&temporary);
+    let listener = UnixListener::bind(&temporary)?;
+    std::fs::rename(&temporary, path)?;
     Ok(listener)
 }
 
-/// Hears the first word of a process that starts.
-async fn receive(s: Rc<Scheduler>, link: Link) {
+/// Handles the greeting of a starting process.
+async fn greet_successor(scheduler: Rc<Scheduler>, link: Link) {
     let mut inbox = Inbox::default();
-    let Ok(Ok((Word::Hello { version }, _))) = tokio::time::timeout(PATIENCE, link.hear(&mut inbox)).await
+    let Ok(Ok((Word::Hello { version }, _))) =
+        tokio::time::timeout(MESSAGE_TIMEOUT, link.hear(&mut inbox)).await
     else {
         return;
     };
-    match s.upgrade.turn(|old| old.hello(version)) {
+    match scheduler.upgrade.update_predecessor_state(|state| state.hello(version)) {
         Act::Offer => {
-            let partner = Partner::new(link, true);
-            match serde_json::to_value(Snapshot::of(&s)) {
+            let process = OtherProcess::new(link, true);
+            match serde_json::to_value(Snapshot::of(&scheduler)) {
                 Ok(value) => {
-                    tracing::info!("upgrade: another process starts, and gets what is known here");
-                    partner.link.say(&Word::Snapshot(value), s.peers.descriptor());
-                    meet(&s, &partner, inbox);
+                    tracing::info!("upgrade: sending a snapshot to a successor");
+                    process.link.say(&Word::Snapshot(value), scheduler.peers.descriptor());
+                    start_link(&scheduler, &process, inbox);
                 }
                 Err(e) => {
-                    tracing::error!("upgrade: {e}");
-                    s.upgrade.turn(Old::broken);
+                    tracing::error!("upgrade: the snapshot cannot be encoded: {e}");
+                    scheduler.upgrade.update_predecessor_state(Old::broken);
                 }
             }
         }
-        Act::Refuse(why) => {
-            tracing::warn!("upgrade: another process starts, refused: {why}");
-            link.say(&Word::Refused(why.into()), None);
-            let _ = tokio::time::timeout(ANSWER, async {
+        Act::Refuse(reason) => {
+            tracing::warn!("upgrade: refused a successor: {reason}");
+            link.say(&Word::Refused(reason.into()), None);
+            let _ = tokio::time::timeout(ANSWER_TIMEOUT, async {
                 tokio::select! { () = link.write() => {}, () = link.flushed() => {} }
             })
             .await;
@@ -329,211 +347,230 @@
     }
 }
 
-/// Talks with another process until the link is over.
-fn meet(s: &Rc<Scheduler>, partner: &Rc<Partner>, inbox: Inbox) {
-    s.upgrade.partners.borrow_mut().push(Rc::clone(partner));
-    let writer = Rc::clone(partner);
+/// Starts the tasks that communicate with another process until the link closes.
+fn start_link(scheduler: &Rc<Scheduler>, process: &Rc<OtherProcess>, inbox: Inbox) {
+    scheduler.upgrade.processes.borrow_mut().push(Rc::clone(process));
+    let writer = Rc::clone(process);
     spawn_local(async move { writer.link.write().await });
-    let (teller, told) = (Rc::clone(s), Rc::clone(partner));
+    let (reporter, receiver) = (Rc::clone(scheduler), Rc::clone(process));
     spawn_local(async move {
-        while !told.link.over() {
-            told.link.say(&Word::Holds(holds(&teller)), None);
-            tokio::time::sleep(TELL).await;
+        while !receiver.link.over() {
+            receiver.link.say(&Word::Holds(local_holds(&reporter)), None);
+            tokio::time::sleep(HOLDS_INTERVAL).await;
         }
     });
-    spawn_local(converse(Rc::clone(s), Rc::clone(partner), inbox));
+    spawn_local(receive_messages(Rc::clone(scheduler), Rc::clone(process), inbox));
 }
 
-fn holds(s: &Scheduler) -> Holds {
-    let held = s.book.borrow().slots_by_host();
+/// Returns the resources that this process holds.
+fn local_holds(scheduler: &Scheduler) -> Holds {
+    let held = scheduler.book.borrow().slots_by_host();
     Holds {
         slots: held.into_iter().map(|(host, slots)| (host.to_string(), slots)).collect(),
-        inbound: s.listener.connection_count(),
-        outbound: s.pool.open_count(),
+        inbound: scheduler.listener.connection_count(),
+        outbound: scheduler.pool.open_count(),
     }
 }
 
-async fn converse(s: Rc<Scheduler>, partner: Rc<Partner>, mut inbox: Inbox) {
-    let why = loop {
-        match partner.link.hear(&mut inbox).await {
+/// Handles the messages of another process until the link closes.
+async fn receive_messages(scheduler: Rc<Scheduler>, process: Rc<OtherProcess>, mut inbox: Inbox) {
+    let error = loop {
+        match process.link.hear(&mut inbox).await {
             Ok((Word::Bye, _)) => break None,
-            Ok((word, descriptor)) => heard(&s, &partner, word, descriptor),
+            Ok((message, descriptor)) => handle_message(&scheduler, &process, message, descriptor),
             Err(e) => break Some(e),
         }
     };
-    partner.link.close();
-    s.upgrade.partners.borrow_mut().retain(|p| !Rc::ptr_eq(p, &partner));
-    forget(&s);
-    if partner.successor {
-        if !s.upgrade.left.get() && s.upgrade.turn(Old::broken) == Act::Resume {
-            tracing::error!("upgrade: the process that took over is gone; accepting again");
-            publish(&s);
-            s.upgrade.accepting_changed.notify_one();
+    process.link.close();
+    scheduler.upgrade.processes.borrow_mut().retain(|p| !Rc::ptr_eq(p, &process));
+    clear_holds(&scheduler);
+    if process.is_successor {
+        if !scheduler.upgrade.goodbye_sent.get()
+            && scheduler.upgrade.update_predecessor_state(Old::broken) == Act::Resume
+        {
+            tracing::error!("upgrade: lost the successor; accepting connections again");
+            open_socket(&scheduler);
+            scheduler.upgrade.accepting_changed.notify_one();
         }
         return;
     }
-    match why {
-        None => tracing::info!("upgrade: the process before has finished"),
-        Some(e) => tracing::warn!("upgrade: the process before is gone: {e}"),
+    match error {
+        None => tracing::info!("upgrade: the predecessor has finished"),
+        Some(e) => tracing::warn!("upgrade: lost the predecessor: {e}"),
     }
-    if !s.upgrade.new.get().accepts() {
-        serve(&s);
+    if !scheduler.upgrade.as_successor.get().accepts() {
+        start_accepting(&scheduler);
     }
 }
 
-fn heard(s: &Rc<Scheduler>, partner: &Rc<Partner>, word: Word, descriptor: Option<OwnedFd>) {
-    match (word, descriptor) {
-        (Word::Ready, _) if partner.successor && s.upgrade.turn(Old::ready) == Act::Commit => {
-            tracing::info!("upgrade: handed over, {} flows to finish", s.book.borrow().unanswered());
-            s.upgrade.accepting_changed.notify_one();
-            partner.link.say(&Word::Committed, None);
-            for (to, descriptor, since) in s.pool.take_all_idle() {
-                partner.hand_over_target(s, to, descriptor, since);
+/// Handles one message of another process.
+fn handle_message(
+    scheduler: &Rc<Scheduler>,
+    process: &Rc<OtherProcess>,
+    message: Word,
+    descriptor: Option<OwnedFd>,
+) {
+    match (message, descriptor) {
+        (Word::Ready, _)
+            if process.is_successor
+                && scheduler.upgrade.update_predecessor_state(Old::ready) == Act::Commit =>
+        {
+            tracing::info!("upgrade: handed over, {} flows to finish", scheduler.book.borrow().unanswered());
+            scheduler.upgrade.accepting_changed.notify_one();
+            process.link.say(&Word::Committed, None);
+            for (to, descriptor, since) in scheduler.pool.take_all_idle() {
+                process.hand_over_target(scheduler, to, descriptor, since);
             }
-            s.upgrade.hand_over_idle.notify_waiters();
+            scheduler.upgrade.hand_over_idle.notify_waiters();
         }
-        (Word::Committed, _) if !partner.successor && !s.upgrade.new.get().accepts() => {
-            tracing::info!("upgrade: taken over from the process before");
-            serve(s);
+        (Word::Committed, _) if !process.is_successor && !scheduler.upgrade.as_successor.get().accepts() => {
+            tracing::info!("upgrade: taken over from the predecessor");
+            start_accepting(scheduler);
         }
         (Word::Client { calls_back, fresh }, Some(descriptor)) => {
-            match intake::adopt(s, descriptor, calls_back, fresh) {
-                Ok(()) => s.book.borrow_mut().counters.adopted += 1,
-                Err(e) => tracing::warn!("upgrade: a client's connection is lost: {e}"),
+            match intake::adopt(scheduler, descriptor, calls_back, fresh) {
+                Ok(()) => scheduler.book.borrow_mut().counters.adopted += 1,
+                Err(e) => tracing::warn!("upgrade: cannot take over a client's connection: {e}"),
             }
         }
         (Word::Target { host, since }, Some(descriptor)) => {
             let stream = std::net::TcpStream::from(descriptor);
             let stream = stream.set_nonblocking(true).and_then(|()| TcpStream::from_std(stream));
             if let Ok(stream) = stream
-                && s.target_group.contains(&host)
+                && scheduler.target_group.contains(&host)
             {
-                s.book.borrow_mut().counters.adopted += 1;
-                s.pool.adopt(worker_id(&host), stream, since.min(s.clock.now()));
+                scheduler.book.borrow_mut().counters.adopted += 1;
+                scheduler.pool.adopt(worker_id(&host), stream, since.min(scheduler.clock.now()));
             }
         }
-        (Word::Holds(holds), _) => tell_module(s, partner, holds),
-        (Word::Ask(n, ask), _) => {
-            let theirs = match &ask {
+        (Word::Holds(holds), _) => report_holds(scheduler, process, holds),
+        (Word::Ask(number, ask), _) => {
+            let accepted = match &ask {
                 Ask::Order(method, path) => {
-                    control::execute_relayed(s, method, path);
+                    control::execute_relayed(scheduler, method, path);
                     false
                 }
                 Ask::CallBack(body) => {
-                    relay::handle_call_back(s, body.as_bytes()) == CallBackResult::Accepted
+                    relay::handle_call_back(scheduler, body.as_bytes()) == CallBackResult::Accepted
                 }
             };
-            let (s, partner) = (Rc::clone(s), Rc::clone(partner));
+            let (scheduler, process) = (Rc::clone(scheduler), Rc::clone(process));
             spawn_local(async move {
-                let theirs = theirs || self::query_others(&s, &ask, Some(&partner)).await == Some(true);
-                partner.link.say(&Word::Answer(n, theirs), None);
+                let accepted =
+                    accepted || self::query_others(&scheduler, &ask, Some(&process)).await == Some(true);
+                process.link.say(&Word::Answer(number, accepted), None);
             });
         }
-        (Word::Answer(n, theirs), _) => {
-            let asker = s.upgrade.asked.borrow_mut().remove(&n);
-            // Whoever asked may have stopped waiting.
-            asker.into_iter().for_each(|asker| _ = asker.send(theirs));
+        (Word::Answer(number, accepted), _) => {
+            let sender = scheduler.upgrade.queries.borrow_mut().remove(&number);
+            // The query may have timed out.
+            sender.into_iter().for_each(|sender| _ = sender.send(accepted));
         }
         _ => {}
     }
 }
 
-/// The module takes what the other process holds for the word of a peer: this scheduler's own number, which no peer has.
-fn tell_module(s: &Rc<Scheduler>, partner: &Partner, holds: Holds) {
-    let me = s.settings().policy.own_id;
-    let before = partner.holds.replace(holds);
-    let now = partner.holds.borrow().clone();
-    let gone = before.slots.iter().filter(|b| !now.slots.iter().any(|n| n.0 == b.0));
-    let gone = gone.map(|b| (&b.0, 0.0));
-    let changed = now.slots.iter().filter(|n| !before.slots.contains(n)).map(|n| (&n.0, n.1));
-    for (host, slots) in changed.chain(gone) {
-        let turn = s.upgrade.next.replace(s.upgrade.next.get() + 1) as u16;
-        let held =
-            Held { worker: worker_id(host), slots: slots.round() as u8, sequence: turn, failed: false };
-        route::handle_event(s, Event::PeerMessage(me, Message::SlotUsage(held).encode()));
+/// Reports the slots that another process holds to the module, as messages of a peer with this scheduler's
+/// own number.
+fn report_holds(scheduler: &Rc<Scheduler>, process: &OtherProcess, holds: Holds) {
+    let me = scheduler.settings().policy.own_id;
+    let previous = process.holds.replace(holds);
+    let current = process.holds.borrow().clone();
+    let released = previous.slots.iter().filter(|p| !current.slots.iter().any(|n| n.0 == p.0));
+    let released = released.map(|p| (&p.0, 0.0));
+    let changed = current.slots.iter().filter(|n| !previous.slots.contains(n)).map(|n| (&n.0, n.1));
+    for (host, slots) in changed.chain(released) {
+        let sequence = scheduler.upgrade.next_number.replace(scheduler.upgrade.next_number.get() + 1) as u16;
+        let held = Held { worker: worker_id(host), slots: slots.round() as u8, sequence, failed: false };
+        route::handle_event(scheduler, Event::PeerMessage(me, Message::SlotUsage(held).encode()));
     }
 }
 
-/// The other process is over, and what it held with it.
-fn forget(s: &Rc<Scheduler>) {
+/// Makes the module forget the slots of a process that has ended.
+fn clear_holds(scheduler: &Rc<Scheduler>) {
     route::handle_event(
-        s,
+        scheduler,
         Event::PeerMessage(
-            s.settings().policy.own_id,
-            Message::Hello(ZoneId(s.settings().policy.own_zone.0)).encode(),
+            scheduler.settings().policy.own_id,
+            Message::Hello(ZoneId(scheduler.settings().policy.own_zone.0)).encode(),
         ),
     );
 }
 
-/// Asks all other processes; whether it was for one of them, or none if one of them did not answer and no other took it.
-pub async fn query_others(s: &Rc<Scheduler>, ask: &Ask, but: Option<&Rc<Partner>>) -> Option<bool> {
-    let others = s.upgrade.partners.borrow().clone();
-    let others = others.iter().filter(|p| !but.is_some_and(|b| Rc::ptr_eq(b, p)));
+/// Sends a query to all other processes but `except`. Returns whether one of them accepted it, or none if
+/// none did and at least one did not answer.
+pub async fn query_others(
+    scheduler: &Rc<Scheduler>,
+    ask: &Ask,
+    except: Option<&Rc<OtherProcess>>,
+) -> Option<bool> {
+    let others = scheduler.upgrade.processes.borrow().clone();
+    let others = others.iter().filter(|p| !except.is_some_and(|b| Rc::ptr_eq(b, p)));
     let mut answers = Vec::new();
-    for partner in others {
-        if s.upgrade.asked.borrow().len() >= ASKED {
+    for process in others {
+        if scheduler.upgrade.queries.borrow().len() >= MAX_QUERIES {
             return None;
         }
-        let n = s.upgrade.next.replace(s.upgrade.next.get() + 1);
-        let (answer, asked) = oneshot::channel();
-        s.upgrade.asked.borrow_mut().insert(n, answer);
-        partner.link.say(&Word::Ask(n, ask.clone()), None);
-        answers.push((n, partner, asked));
+        let number = scheduler.upgrade.next_number.replace(scheduler.upgrade.next_number.get() + 1);
+        let (sender, receiver) = oneshot::channel();
+        scheduler.upgrade.queries.borrow_mut().insert(number, sender);
+        process.link.say(&Word::Ask(number, ask.clone()), None);
+        answers.push((number, process, receiver));
     }
-    let mut said = Some(false);
-    for (n, partner, asked) in answers {
-        // The answer first: a partner may take its leave right behind it.
+    let mut result = Some(false);
+    for (number, process, receiver) in answers {
+        // The answer is polled first: the process may close the link directly after it.
         let answer = tokio::select! {
             biased;
-            answer = tokio::time::timeout(ANSWER, asked) => answer.ok().and_then(Result::ok),
-            () = partner.link.ended() => Some(false),
+            answer = tokio::time::timeout(ANSWER_TIMEOUT, receiver) => answer.ok().and_then(Result::ok),
+            () = process.link.ended() => Some(false),
         };
-        s.upgrade.asked.borrow_mut().remove(&n);
+        scheduler.upgrade.queries.borrow_mut().remove(&number);
         match answer {
             Some(true) => return Some(true),
             Some(false) => {}
-            None => said = None,
+            None => result = None,
         }
     }
-    said
+    result
 }
 
-/// Passes a call-back for a flow that is not here on to the process that has it; false if that one does not answer, and
-/// the target should say it again.
-pub async fn relay_call_back(s: &Rc<Scheduler>, body: &[u8]) -> bool {
-    let said = match std::str::from_utf8(body) {
-        Ok(body) => query_others(s, &Ask::CallBack(body.into()), None).await,
+/// Relays a call-back for an unknown flow to the other processes. Returns false if one of them did not
+/// answer, so that the target should repeat it.
+pub async fn relay_call_back(scheduler: &Rc<Scheduler>, body: &[u8]) -> bool {
+    let accepted = match std::str::from_utf8(body) {
+        Ok(body) => query_others(scheduler, &Ask::CallBack(body.into()), None).await,
         Err(_) => Some(false),
     };
-    let mut book = s.book.borrow_mut();
-    match said {
+    let mut book = scheduler.book.borrow_mut();
+    match accepted {
         Some(true) => book.counters.call_backs_passed += 1,
         _ => book.counters.call_backs_unknown += 1,
     }
-    said.is_some()
+    accepted.is_some()
 }
 
-/// Whether this process has handed over and owes nothing more. It stays for a process before it that has not finished:
-/// its call-backs come through here.
-pub fn is_finished(s: &Scheduler) -> bool {
-    s.upgrade.successor().is_some()
-        && s.book.borrow().unanswered() == 0
-        && s.listener.connection_count() == 0
-        && s.upgrade.partners.borrow().iter().all(|p| p.successor)
+/// Returns whether this process has handed over and has finished all flows. While its own predecessor runs it
+/// is not finished, as it relays that process's call-backs.
+pub fn is_finished(scheduler: &Scheduler) -> bool {
+    scheduler.upgrade.successor().is_some()
+        && scheduler.book.borrow().unanswered() == 0
+        && scheduler.listener.connection_count() == 0
+        && scheduler.upgrade.processes.borrow().iter().all(|p| p.is_successor)
 }
 
-/// Waits until this process has handed over and owes nothing more, and takes its leave.
-pub async fn wait_until_finished(s: &Rc<Scheduler>) {
-    if s.upgrade.path.is_none() {
+/// Waits until [`is_finished`], then notifies the successor.
+pub async fn wait_until_finished(scheduler: &Rc<Scheduler>) {
+    if scheduler.upgrade.path.is_none() {
         std::future::pending::<()>().await;
     }
-    while !is_finished(s) {
-        tokio::time::sleep(LOOK).await;
+    while !is_finished(scheduler) {
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
-    s.upgrade.left.set(true);
-    if let Some(successor) = s.upgrade.successor() {
+    scheduler.upgrade.goodbye_sent.set(true);
+    if let Some(successor) = scheduler.upgrade.successor() {
         successor.link.say(&Word::Bye, None);
-        let _ = tokio::time::timeout(ANSWER, successor.link.flushed()).await;
+        let _ = tokio::time::timeout(ANSWER_TIMEOUT, successor.link.flushed()).await;
     }
     tracing::info!("upgrade: finished");
 }
--- a/crates/scheduler/src/upgrade/snapshot.rs
+++ b/crates/scheduler/src/upgrade/snapshot.rs
@@ -1,10 +1,12 @@
-//! What a process sends its successor. The build before reads it and is read: fields are added as optional ones, which it
-//! skips, and times keep the meaning that they have for it.
+//! The state that a process sends to its successor. The previous build reads it, and its own snapshots are
+//! read: new fields are optional, unknown fields are ignored, and times keep the meaning that they have in
+//! that build.
 //!
-//! Times are on the sender's scale. A sender of this build says which one that is (`clock`), and its successor goes on with
-//! it. The build before does not: its scale was anchored to the wall clock at its start, and so is its successor's, no
-//! earlier than the latest event in the snapshot. A wall clock that was set back in between is made up for by that; one
-//! that was set ahead makes the times in the snapshot older by the step.
+//! Times are by the sender's clock. A sender of this build includes its clock's offset (`clock`), and the
+//! successor uses the same one. The previous build sends no offset: it derived its clock from the wall clock
+//! when it started, and its successor does the same, but starts no earlier than the latest event in the
+//! snapshot. That compensates for a wall clock that was set back in between; one that was set ahead makes the
+//! times in the snapshot older by the step.
 
 use super::super::Scheduler;
 use super::super::clock::{Clock, ClockOffset, nanos_from_millis};
@@ -21,8 +23,8 @@
 #[cfg(test)]
 mod tests;
 
-/// All that a process sends its successor. Workers' starts in `carried` are as the list dates them, by which the build
-/// before knows an incarnation.
+/// The state that a process sends to its successor. In `carried`, workers' starts are the list's dates, by
+/// which the previous build identifies an incarnation.
 #[derive(Debug, Serialize, Deserialize)]
 pub(super) struct Snapshot {
     classes: Vec<String>,
@@ -33,76 +35,78 @@
     orders: Orders,
     service: State,
     list: EndpointList,
-    /// Where discovery answers, if a reload has named another address than the start did.
+    /// The address of discovery, if a reload has changed it.
     discovery: Option<SocketAddr>,
-    /// The scale of all times here; the build before does not say.
+    /// The offset of the clock of all times here; missing from the previous build.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     clock: Option<ClockOffset>,
-    /// When the listed workers started; the build before does not say.
+    /// When the listed workers started; missing from the previous build.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     worker_starts: Option<WorkerStarts>,
 }
 
 impl Snapshot {
-    /// What a successor of this scheduler needs.
-    pub(super) fn of(s: &Scheduler) -> Snapshot {
-        let settings = s.settings();
+    /// Takes a snapshot of a scheduler.
+    pub(super) fn of(scheduler: &Scheduler) -> Snapshot {
+        let settings = scheduler.settings();
         let names = &settings.names;
         Snapshot {
             classes: names.classes.clone(),
             tenants: names.tenants.clone(),
             kinds: names.kinds.clone(),
             zones: names.zones.clone(),
-            carried: s
+            carried: scheduler
                 .router
                 .learned_state()
-                .with_start_times(|id, started| listed_start(&s.target_group, id, started)),
-            orders: s.orders.borrow().clone(),
-            service: s.shutdown.service().state(),
-            list: s.target_group.endpoint_list(),
-            discovery: s.target_group.reloaded_address(),
-            clock: Some(s.clock.offset()),
-            worker_starts: Some(s.target_group.starts_for_successor(s.clock.now())),
+                .with_start_times(|id, started| listed_start(&scheduler.target_group, id, started)),
+            orders: scheduler.orders.borrow().clone(),
+            service: scheduler.shutdown.service().state(),
+            list: scheduler.target_group.endpoint_list(),
+            discovery: scheduler.target_group.reloaded_address(),
+            clock: Some(scheduler.clock.offset()),
+            worker_starts: Some(scheduler.target_group.starts_for_successor(scheduler.clock.now())),
         }
     }
 
-    /// A clock on the scale of the snapshot's times, as far as it tells.
+    /// Returns a clock for the times of the snapshot.
     pub(super) fn clock(&self) -> Clock {
         self.clock.map_or_else(|| Clock::starting_no_earlier_than(self.latest_event()), Clock::with_offset)
     }
 
-    /// The latest time at which anything in it is known to have happened.
+    /// Returns the latest time at which an event in the snapshot happened.
     fn latest_event(&self) -> Nanos {
         self.carried.latest_event().max(self.orders.latest()).max(self.service.since())
     }
 
-    /// Puts all of it in place in a scheduler that starts.
-    pub(super) fn restore(self, s: &Rc<Scheduler>) {
-        *s.orders.borrow_mut() = self.orders;
-        s.shutdown.update_service(|ours| ours.adopt(self.service));
+    /// Restores the snapshot in a scheduler that starts.
+    pub(super) fn restore(self, scheduler: &Rc<Scheduler>) {
+        *scheduler.orders.borrow_mut() = self.orders;
+        scheduler.shutdown.update_service(|service| service.adopt(self.service));
         if let Some(address) = self.discovery {
-            s.target_group.set_address(address);
+            scheduler.target_group.set_address(address);
         }
-        discovery::start_from_predecessor(s, self.list, self.worker_starts);
-        let carried = self.carried.with_start_times(|id, listed| assigned_start(&s.target_group, id, listed));
+        discovery::start_from_predecessor(scheduler, self.list, self.worker_starts);
+        let carried =
+            self.carried.with_start_times(|id, listed| assigned_start(&scheduler.target_group, id, listed));
         let names = SettingNames {
             classes: self.classes,
             tenants: self.tenants,
             zones: self.zones,
             kinds: self.kinds,
         };
-        s.router.restore_learned_state(carried.remapped(&names, &s.settings().names));
+        scheduler.router.restore_learned_state(carried.remapped(&names, &scheduler.settings().names));
     }
 }
 
-/// The list's date of the start that we assigned to a worker's incarnation. A start that staff's orders have set stays.
+/// Converts the start that we assigned to a worker's incarnation to the list's date of it. A start that an
+/// operator's order has set stays.
 fn listed_start(group: &TargetGroup, id: WorkerId, started: Nanos) -> Nanos {
     let incarnation = group.target(id).map(|target| target.incarnation());
     let assigned = incarnation.filter(|incarnation| incarnation.started == started);
     assigned.map_or(started, |incarnation| nanos_from_millis(incarnation.born_ms))
 }
 
-/// The start that we assign to the incarnation that the list dates so.
+/// Converts the list's date of a worker's start to the start that we assigned to that incarnation.
 fn assigned_start(group: &TargetGroup, id: WorkerId, listed: Nanos) -> Nanos {
     let incarnation = group.target(id).map(|target| target.incarnation());
     let dated = incarnation.filter(|incarnation| nanos_from_millis(incarnation.born_ms) == listed);
