--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,18 +1,18 @@
-//! The command line of loomlb, as a library: the program calls it, and the laboratory hosts the same program.
+//! The command line of loomlb as a library: used by the program, and by the laboratory, which hosts it.
 #![forbid(unsafe_code)]
 
 mod operator;
-mod staff;
+mod tier_command;
 
 use clap::{Parser, Subcommand};
 use loomlb_scheduler::config::Config;
 use loomlb_scheduler::quotas::QuotaSource;
-use operator::{Format, Operator};
+use operator::{LogFormat, OperatorFile};
 use std::ffi::OsString;
 use std::path::PathBuf;
 use std::process::ExitCode;
 
-const AFTER: &str = "\
+const AFTER_HELP: &str = "\
 Environment:
   LB_CONFIG, LB_NAME, LB_LISTEN, LB_DISCOVERY  set by the platform; the last three override the file
   LOOMLB_OPERATOR  the operator file, where --operator does not name one
@@ -27,7 +27,7 @@
 
 /// A job scheduler that learns which worker serves which job best.
 #[derive(Parser)]
-#[command(name = "loomlb", version, after_help = AFTER)]
+#[command(name = "loomlb", version, after_help = AFTER_HELP)]
 struct Args {
     #[command(subcommand)]
     command: Command,
@@ -51,15 +51,15 @@
         #[arg(long, value_name = "IP:PORT", env = "LB_CONTROL")]
         at: std::net::SocketAddr,
         #[command(subcommand)]
-        order: Order,
+        command: TierCommand,
     },
     /// Print the version.
     Version,
 }
 
-/// What staff want of the tier.
+/// Commands for the tier.
 #[derive(Subcommand)]
-enum Order {
+enum TierCommand {
     /// What is in force, what is coming, and what this scheduler may do.
     Status,
     /// The latest versions: who proposed them and what they changed.
@@ -82,7 +82,7 @@
     },
 }
 
-fn faulty(what: &str, e: &str) -> ExitCode {
+fn invalid_input(what: &str, e: &str) -> ExitCode {
     eprintln!("loomlb: {what}: {e}");
     ExitCode::from(2)
 }
@@ -100,28 +100,28 @@
         println!("loomlb {}", env!("CARGO_PKG_VERSION"));
         return ExitCode::SUCCESS;
     }
-    if let Command::Tier { at, order } = &args.command {
-        return staff::tier(*at, order);
+    if let Command::Tier { at, command } = &args.command {
+        return tier_command::run(*at, command);
     }
-    let operator = match Operator::load(args.operator.as_deref()) {
+    let operator = match OperatorFile::load(args.operator.as_deref()) {
         Ok(operator) => operator,
-        Err(e) => return faulty("operator file", &e),
+        Err(e) => return invalid_input("operator file", &e),
     };
     let config = match Config::load(args.config.as_deref()) {
         Ok(config) => config,
-        Err(e) => return faulty("configuration", &e),
+        Err(e) => return invalid_input("configuration", &e),
     };
     if matches!(args.command, Command::CheckConfig) {
         println!("{config}\n{operator}");
         return ExitCode::SUCCESS;
     }
     if let Err(e) = log_to_stderr(&operator) {
-        return faulty("log", &e);
+        return invalid_input("log", &e);
     }
     let file = args.operator.clone();
     let quotas = QuotaSource {
         spec: operator.quota,
-        reload: Box::new(move || Operator::load(file.as_deref()).map(|fresh| fresh.quota)),
+        reload: Box::new(move || OperatorFile::load(file.as_deref()).map(|fresh| fresh.quota)),
     };
     match loomlb_scheduler::serve(config, quotas, operator.tier) {
         Ok(()) => ExitCode::SUCCESS,
@@ -132,18 +132,18 @@
     }
 }
 
-/// Sets up the log: lines for people, or JSON for machines, to standard error.
-fn log_to_stderr(operator: &Operator) -> Result<(), String> {
+/// Sets up logging to standard error, as text or JSON.
+fn log_to_stderr(operator: &OperatorFile) -> Result<(), String> {
     use tracing_subscriber::filter::Targets;
     use tracing_subscriber::layer::{Layer, SubscriberExt};
     use tracing_subscriber::util::SubscriberInitExt;
-    let said = std::env::var("RUST_LOG").ok().filter(|v| !v.is_empty());
-    let words = said.as_deref().unwrap_or(&operator.log.level);
-    let filter: Targets = words.parse().map_err(|e| format!("{words:?}: {e}"))?;
-    let lines = tracing_subscriber::fmt::layer().with_writer(std::io::stderr).with_ansi(false);
+    let from_environment = std::env::var("RUST_LOG").ok().filter(|v| !v.is_empty());
+    let directives = from_environment.as_deref().unwrap_or(&operator.log.level);
+    let filter: Targets = directives.parse().map_err(|e| format!("{directives:?}: {e}"))?;
+    let output = tracing_subscriber::fmt::layer().with_writer(std::io::stderr).with_ansi(false);
     let layer = match operator.log.format {
-        Format::Text => lines.boxed(),
-        Format::Json => lines.json().flatten_event(true).boxed(),
+        LogFormat::Text => output.boxed(),
+        LogFormat::Json => output.json().flatten_event(true).boxed(),
     };
     tracing_subscriber::registry().with(layer.with_filter(filter)).try_init().map_err(|e| e.to_string())
 }
--- a/src/operator.rs
+++ b/src/operator.rs
@@ -1,4 +1,5 @@
-//! The operator file: what our own installations switch on beyond the platform's terms. Off where it says nothing.
+//! The operator file: features that an installation enables beyond what the platform requires. They are off
+//! by default.
 
 use loomlb_config_file::{ConfigError, line_of_key};
 use loomlb_quota::Spec;
@@ -7,81 +8,82 @@
 use std::fmt;
 use std::path::Path;
 
-/// The operator file, checked.
+/// A validated operator file.
 #[derive(Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 #[serde(expecting = "struct Operator")]
-pub(crate) struct Operator {
-    /// The log.
-    pub(crate) log: Log,
-    /// Nested quotas; without them shares are those of the settings.
+pub(crate) struct OperatorFile {
+    /// Settings of the log.
+    pub(crate) log: LogSettings,
+    /// Nested quotas; without them the shares in the settings apply.
     pub(crate) quota: Option<Spec>,
-    /// The tier that agrees on settings and orders; without one each scheduler goes by its own file.
+    /// The tier that agrees on settings and orders; without one each scheduler uses its own file.
     pub(crate) tier: Option<Tier>,
 }
 
-/// How to log.
+/// Settings of the log.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 #[serde(expecting = "struct Log")]
-pub(crate) struct Log {
-    /// Lines for people or JSON.
-    pub(crate) format: Format,
+pub(crate) struct LogSettings {
+    /// Text or JSON.
+    pub(crate) format: LogFormat,
     /// What is logged: a level, or levels by target (`info,loomlb_scheduler=debug`).
     pub(crate) level: String,
 }
 
-impl Default for Log {
+impl Default for LogSettings {
     fn default() -> Self {
-        Log { format: Format::Text, level: "info".into() }
+        LogSettings { format: LogFormat::Text, level: "info".into() }
     }
 }
 
-/// The form of a line of the log.
+/// The format of log lines.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "snake_case")]
-pub(crate) enum Format {
-    /// For people.
+pub(crate) enum LogFormat {
+    /// Readable text.
     Text,
-    /// One JSON object a line.
+    /// One JSON object per line.
     Json,
 }
 
-impl Operator {
-    /// Reads the file; the defaults without one.
-    pub(crate) fn load(file: Option<&Path>) -> Result<Operator, String> {
-        let Some(file) = file else { return Ok(Operator::default()) };
+impl OperatorFile {
+    /// Reads and validates the file. Returns the defaults without one.
+    pub(crate) fn load(file: Option<&Path>) -> Result<OperatorFile, String> {
+        let Some(file) = file else { return Ok(OperatorFile::default()) };
         let text = std::fs::read_to_string(file).map_err(|e| format!("{}: {e}", file.display()))?;
-        Operator::read(&text).map_err(|e| format!("{}: {e}", file.display()))
+        OperatorFile::parse(&text).map_err(|e| format!("{}: {e}", file.display()))
     }
 
-    fn read(text: &str) -> Result<Operator, ConfigError> {
-        let operator: Operator = loomlb_config_file::parse(text)?;
-        let fault = |key: String, reason: String| ConfigError { line: line_of_key(text, &key), key, reason };
-        // A bare word that is no level would be taken for the name of a target, and nothing would be logged.
-        let known = |part: &str| {
+    fn parse(text: &str) -> Result<OperatorFile, ConfigError> {
+        let operator: OperatorFile = loomlb_config_file::parse(text)?;
+        let error_at =
+            |key: String, reason: String| ConfigError { line: line_of_key(text, &key), key, reason };
+        // An unknown level would be parsed as the name of a target, and nothing would be logged.
+        let is_valid = |part: &str| {
             let level = part.rsplit('=').next().unwrap_or(part);
             level.trim().parse::<tracing_subscriber::filter::LevelFilter>().is_ok()
         };
-        if let Some(part) = operator.log.level.split(',').find(|part| !known(part)) {
+        if let Some(part) = operator.log.level.split(',').find(|part| !is_valid(part)) {
             let reason = format!("{part:?}: a level is off, error, warn, info, debug or trace");
-            return Err(fault("log.level".into(), reason));
+            return Err(error_at("log.level".into(), reason));
         }
         if let Some(Err(e)) = operator.quota.as_ref().map(Spec::check) {
             let key = match e.node {
                 Some(i) => format!("quota.node[{i}].{}", e.key),
                 None => format!("quota.{}", e.key),
             };
-            return Err(fault(key, e.reason));
+            return Err(error_at(key, e.reason));
         }
         if let Some(Err((key, reason))) = operator.tier.as_ref().map(Tier::check) {
-            return Err(fault(format!("tier.{key}"), reason));
+            return Err(error_at(format!("tier.{key}"), reason));
         }
         Ok(operator)
     }
 }
 
-impl fmt::Display for Operator {
+impl fmt::Display for OperatorFile {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "log: {:?}, {}", self.log.format, self.log.level)?;
         let nodes = self.quota.as_ref().map_or(0, |q| q.nodes.len());
