--- a/crates/scheduler/src/send.rs
+++ b/crates/scheduler/src/send.rs
@@ -6,7 +6,7 @@
 use super::timers::TimerEvent;
 use super::{Scheduler, relay, route};
 use loomlb_policy::{AttemptResult, Event, LoadReport, LoadReporting, Nanos, Outcome, RequestId, WorkerId};
-use loomlb_sockets::faults::ConnectFault;
+use loomlb_sockets::error_kind::ConnectErrorKind;
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
 use std::os::fd::OwnedFd;
@@ -274,9 +274,9 @@
     let permit = scheduler.pool.count_connection();
     let timeout = Duration::from_nanos(scheduler.epoch().terms.dial_timeout);
     let local_fault = Cell::new(false);
-    let progress = |fault: Option<ConnectFault>| {
+    let progress = |fault: Option<ConnectErrorKind>| {
         scheduler.book.borrow_mut().counters.dials_again += u64::from(fault.is_some());
-        local_fault.set(fault == Some(ConnectFault::Local));
+        local_fault.set(fault == Some(ConnectErrorKind::Local));
         observe(local_fault.get());
     };
     let connected = tokio::time::timeout(timeout, loomlb_sockets::connect(target.dial, progress)).await;
--- a/crates/scheduler/src/upgrade.rs
+++ b/crates/scheduler/src/upgrade.rs
@@ -10,7 +10,7 @@
 use loomlb_hot_restart::machine::{Act, New, Old};
 use loomlb_hot_restart::words::{Ask, Holds, VERSION, Word};
 use loomlb_policy::{Event, Message, Nanos, SlotUsage as Held, WorkerId, ZoneId};
-use loomlb_sockets::faults::{ConnectFault, connect_fault};
+use loomlb_sockets::error_kind::{ConnectErrorKind, classify_connect_error};
 use loomlb_sockets::{AcceptRetry, AddressInUse, OpenRetry};
 use serde::Deserialize;
 use snapshot::Snapshot;
@@ -216,7 +216,7 @@
 async fn connect(path: &Path) -> io::Result<UnixStream> {
     loop {
         match UnixStream::connect(path).await {
-            Err(e) if connect_fault(&e) == ConnectFault::Local => tokio::time::sleep(LOOK).await,
+            Err(e) if classify_connect_error(&e) == ConnectErrorKind::Local => tokio::time::sleep(LOOK).await,
             connected => return connected,
         }
     }
--- a/crates/sockets/src/accepting.rs
+++ b/crates/sockets/src/accepting.rs
@@ -1,7 +1,7 @@
 //! What follows a failed accept.
 
 use crate::Backoff;
-use crate::faults::{AcceptFault, accept_fault};
+use crate::error_kind::{AcceptErrorKind, classify_accept_error};
 use std::io;
 use std::time::Duration;
 
@@ -50,13 +50,13 @@
 
     /// An accept has failed.
     pub fn failed(&mut self, error: &io::Error) -> AcceptNext {
-        match accept_fault(error) {
-            AcceptFault::Connection if self.gone < GONE_IN_A_ROW => {
+        match classify_accept_error(error) {
+            AcceptErrorKind::Connection if self.gone < GONE_IN_A_ROW => {
                 self.gone += 1;
                 AcceptNext::Again
             }
-            AcceptFault::Exhausted => AcceptNext::MakeRoom(PAUSE),
-            AcceptFault::Connection | AcceptFault::Other => AcceptNext::Pause(self.backoff.pause()),
+            AcceptErrorKind::ResourceExhausted => AcceptNext::MakeRoom(PAUSE),
+            AcceptErrorKind::Connection | AcceptErrorKind::Other => AcceptNext::Pause(self.backoff.pause()),
         }
     }
 
--- a/crates/sockets/src/connecting.rs
+++ b/crates/sockets/src/connecting.rs
@@ -1,7 +1,7 @@
 //! Opening a connection in spite of what fails for a moment on this machine.
 
 use crate::Backoff;
-use crate::faults::{ConnectFault, connect_fault};
+use crate::error_kind::{ConnectErrorKind, classify_connect_error};
 use std::io;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -23,7 +23,7 @@
 /// The last error of a try, if it is not this machine's.
 pub async fn connect(
     address: SocketAddr,
-    mut observe: impl FnMut(Option<ConnectFault>),
+    mut observe: impl FnMut(Option<ConnectErrorKind>),
 ) -> io::Result<TcpStream> {
     let mut backoff = Backoff::new(FIRST_PAUSE, LONGEST_PAUSE);
     let mut path_retries = 0;
@@ -33,14 +33,14 @@
             Ok(stream) => return Ok(stream),
             Err(error) => error,
         };
-        let fault = connect_fault(&error);
-        match fault {
-            ConnectFault::Remote => return Err(error),
-            ConnectFault::Path if path_retries == PATH_RETRIES => return Err(error),
-            ConnectFault::Path => path_retries += 1,
-            ConnectFault::Local => {}
+        let kind = classify_connect_error(&error);
+        match kind {
+            ConnectErrorKind::Remote => return Err(error),
+            ConnectErrorKind::Path if path_retries == PATH_RETRIES => return Err(error),
+            ConnectErrorKind::Path => path_retries += 1,
+            ConnectErrorKind::Local => {}
         }
-        observe(Some(fault));
+        observe(Some(kind));
         tokio::time::sleep(backoff.pause()).await;
     }
 }
--- a/crates/sockets/src/faults/tests.rs
+++ b/crates/sockets/src/error_kind/tests.rs
@@ -24,13 +24,13 @@
     ];
     for number in 1..=133 {
         let expected = match number {
-            number if exhausted.contains(&number) => AcceptFault::Exhausted,
-            number if connection.contains(&number) => AcceptFault::Connection,
-            _ => AcceptFault::Other,
+            number if exhausted.contains(&number) => AcceptErrorKind::ResourceExhausted,
+            number if connection.contains(&number) => AcceptErrorKind::Connection,
+            _ => AcceptErrorKind::Other,
         };
-        assert_eq!(accept_fault(&error(number)), expected, "{}", error(number));
+        assert_eq!(classify_accept_error(&error(number)), expected, "{}", error(number));
     }
-    assert_eq!(accept_fault(&io::Error::other("no number")), AcceptFault::Other);
+    assert_eq!(classify_accept_error(&io::Error::other("no number")), AcceptErrorKind::Other);
 }
 
 #[test]
@@ -48,22 +48,22 @@
     let path = [libc::ENETUNREACH, libc::ENETDOWN, libc::EHOSTUNREACH, libc::EHOSTDOWN];
     for number in 1..=133 {
         let expected = match number {
-            number if local.contains(&number) => ConnectFault::Local,
-            number if path.contains(&number) => ConnectFault::Path,
-            _ => ConnectFault::Remote,
+            number if local.contains(&number) => ConnectErrorKind::Local,
+            number if path.contains(&number) => ConnectErrorKind::Path,
+            _ => ConnectErrorKind::Remote,
         };
-        assert_eq!(connect_fault(&error(number)), expected, "{}", error(number));
+        assert_eq!(classify_connect_error(&error(number)), expected, "{}", error(number));
     }
     for remote in [libc::ECONNREFUSED, libc::ETIMEDOUT, libc::ECONNRESET] {
-        assert_eq!(connect_fault(&error(remote)), ConnectFault::Remote);
+        assert_eq!(classify_connect_error(&error(remote)), ConnectErrorKind::Remote);
     }
 }
 
 #[test]
 fn an_operator_finds_the_code_and_the_advice_of_every_fault_on_the_page() {
     let page = include_str!("../../../../docs/operate/errors.md");
-    for fault in OpenFault::ALL {
-        assert!(page.contains(&format!("| `{}` |", fault.code())), "{fault:?}");
-        assert!(!fault.advice().is_empty());
+    for kind in OpenErrorKind::ALL {
+        assert!(page.contains(&format!("| `{}` |", kind.code())), "{kind:?}");
+        assert!(!kind.advice().is_empty());
     }
 }
--- a/crates/sockets/src/lib.rs
+++ b/crates/sockets/src/lib.rs
@@ -1,6 +1,6 @@
 //! What a failed socket call means, in one place for all that open, accept, connect, read and write.
 //!
-//! [`faults`] sorts error numbers by what they are evidence of. [`OpenRetry`] opens sockets at a start, [`AcceptRetry`]
+//! [`error_kind`] sorts error numbers by what they are evidence of. [`OpenRetry`] opens sockets at a start, [`AcceptRetry`]
 //! says what follows a failed accept, [`connect`] opens a connection, and [`read_some`] and [`write_all`] move bytes
 //! without relying on what a short read or write says about the kernel's buffers.
 
@@ -8,7 +8,7 @@
 
 mod accepting;
 mod connecting;
-pub mod faults;
+pub mod error_kind;
 mod opening;
 mod transfer;
 
--- a/crates/sockets/src/opening.rs
+++ b/crates/sockets/src/opening.rs
@@ -1,7 +1,7 @@
 //! Opening sockets at a start, in spite of what fails for a moment.
 
 use crate::Backoff;
-use crate::faults::{OpenFault, open_fault};
+use crate::error_kind::{OpenErrorKind, classify_open_error};
 use std::fmt::Display;
 use std::io;
 use std::time::Duration;
@@ -17,14 +17,14 @@
 
 /// A socket that could not be opened.
 #[derive(Debug, thiserror::Error)]
-#[error("{key}: {address}: {source} ({tries} tries). [{code}] {advice}", code = .fault.code(), advice = .fault.advice())]
+#[error("{key}: {address}: {source} ({tries} tries). [{code}] {advice}", code = .kind.code(), advice = .kind.advice())]
 pub struct OpenError {
     /// The key of the configuration that names the address.
     pub key: &'static str,
     /// The address.
     pub address: String,
     /// What the error means.
-    pub fault: OpenFault,
+    pub kind: OpenErrorKind,
     /// How often it was tried.
     pub tries: u32,
     /// What the system says.
@@ -78,11 +78,11 @@
                 Ok(opened) => return Ok(opened),
                 Err(source) => source,
             };
-            let fault = open_fault(&source);
-            let reported = fault == OpenFault::AddressInUse && in_use == AddressInUse::Report;
+            let kind = classify_open_error(&source);
+            let reported = kind == OpenErrorKind::AddressInUse && in_use == AddressInUse::Report;
             let pause = backoff.pause();
-            if !fault.is_transient() || reported || Instant::now() + pause > self.until {
-                return Err(OpenError { key, address: address.to_string(), fault, tries, source });
+            if !kind.is_transient() || reported || Instant::now() + pause > self.until {
+                return Err(OpenError { key, address: address.to_string(), kind, tries, source });
             }
             tokio::time::sleep(pause).await;
         }
--- a/crates/sockets/src/opening/tests.rs
+++ b/crates/sockets/src/opening/tests.rs
@@ -31,7 +31,7 @@
         assert!(begun.elapsed() <= LIMIT, "{error}");
         assert!(begun.elapsed() > LIMIT / 2, "{error}");
         let text = error.to_string();
-        assert!(text.starts_with("listen: a:1: ") && text.ends_with(error.fault.advice()), "{text}");
+        assert!(text.starts_with("listen: a:1: ") && text.ends_with(error.kind.advice()), "{text}");
     }
 }
 
