--- a/crates/sockets/src/lib.rs
+++ b/crates/sockets/src/lib.rs
@@ -6,15 +6,15 @@
 
 #![forbid(unsafe_code)]
 
-mod accepting;
-mod connecting;
+mod accept_retry;
+mod connect;
 pub mod error_kind;
-mod opening;
+mod open_retry;
 mod transfer;
 
-pub use accepting::{AcceptNext, AcceptRetry};
-pub use connecting::connect;
-pub use opening::{AddressInUse, OpenError, OpenRetry};
+pub use accept_retry::{AcceptNext, AcceptRetry};
+pub use connect::connect;
+pub use open_retry::{AddressInUse, OpenError, OpenRetry};
 pub use transfer::{is_momentary, read_some, write_all};
 
 use std::time::Duration;
