--- a/crates/scheduler/src/control.rs
+++ b/crates/scheduler/src/control.rs
@@ -76,11 +76,11 @@
         let stream = match listener.accept().await {
             Ok((stream, _)) => stream,
             Err(e) => {
-                retry.pause(&e).await;
+                retry.wait_after(&e).await;
                 continue;
             }
         };
-        retry.accepted();
+        retry.record_success();
         while seats.taken.get() >= SEATS {
             let first = seats.callers.borrow_mut().pop_first();
             if let Some((_, leave)) = first {
--- a/crates/scheduler/src/intake.rs
+++ b/crates/scheduler/src/intake.rs
@@ -7,7 +7,7 @@
 use super::relay::{self, CallBackResult};
 use super::{Scheduler, upgrade};
 use loomlb_policy::Nanos;
-use loomlb_sockets::{AcceptNext, AcceptRetry};
+use loomlb_sockets::{AcceptAction, AcceptRetry};
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
 use std::io;
@@ -221,7 +221,7 @@
         };
         match accepted {
             Ok((stream, _)) => {
-                retry.accepted();
+                retry.record_success();
                 scheduler.book.borrow_mut().counters.connections += 1;
                 scheduler
                     .listener
@@ -234,8 +234,8 @@
                 ));
             }
             Err(error) => {
-                let next = retry.failed(&error);
-                if retry.is_worth_a_line(next) {
+                let next = retry.record_error(&error);
+                if retry.should_log(next) {
                     tracing::warn!("cannot accept client connections: {error}");
                 }
                 handle_accept_failure(&scheduler, next).await;
@@ -245,15 +245,15 @@
 }
 
 /// Counts a failed accept and waits before the next one. Evicts a connection only if descriptors or memory are short.
-async fn handle_accept_failure(scheduler: &Scheduler, next: AcceptNext) {
+async fn handle_accept_failure(scheduler: &Scheduler, next: AcceptAction) {
     scheduler.book.borrow_mut().counters.accept_faults += 1;
     match next {
-        AcceptNext::Again => scheduler.book.borrow_mut().counters.accept_gone += 1,
-        AcceptNext::MakeRoom(pause) => {
+        AcceptAction::RetryNow => scheduler.book.borrow_mut().counters.accept_gone += 1,
+        AcceptAction::ReleaseThenRetry(pause) => {
             scheduler.listener.evict(scheduler.clock.now(), NEW_CONNECTION_RANK + 1);
             tokio::time::sleep(pause).await;
         }
-        AcceptNext::Pause(pause) => tokio::time::sleep(pause).await,
+        AcceptAction::RetryAfter(pause) => tokio::time::sleep(pause).await,
     }
 }
 
--- a/crates/scheduler/src/upgrade.rs
+++ b/crates/scheduler/src/upgrade.rs
@@ -278,10 +278,10 @@
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
-                retry.accepted();
+                retry.record_success();
                 spawn_local(receive(Rc::clone(&s), Link::new(stream)));
             }
-            Err(e) => retry.pause(&e).await,
+            Err(e) => retry.wait_after(&e).await,
         }
     }
 }
--- a/crates/sockets/src/accept_retry.rs
+++ b/crates/sockets/src/accept_retry.rs
@@ -18,13 +18,13 @@
 
 /// What to do after a failed accept.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum AcceptNext {
+pub enum AcceptAction {
     /// Accept again at once.
-    Again,
+    RetryNow,
     /// Close something, then accept again after this pause.
-    MakeRoom(Duration),
+    ReleaseThenRetry(Duration),
     /// Accept again after this pause.
-    Pause(Duration),
+    RetryAfter(Duration),
 }
 
 /// Counts the failed accepts of one listener, in a row.
@@ -44,33 +44,37 @@
 
 impl AcceptRetry {
     /// A connection was accepted.
-    pub fn accepted(&mut self) {
+    pub fn record_success(&mut self) {
         *self = AcceptRetry::default();
     }
 
     /// An accept has failed.
-    pub fn failed(&mut self, error: &io::Error) -> AcceptNext {
+    pub fn record_error(&mut self, error: &io::Error) -> AcceptAction {
         match classify_accept_error(error) {
             AcceptErrorKind::Connection if self.gone < GONE_IN_A_ROW => {
                 self.gone += 1;
-                AcceptNext::Again
+                AcceptAction::RetryNow
+            }
+            AcceptErrorKind::ResourceExhausted => AcceptAction::ReleaseThenRetry(PAUSE),
+            AcceptErrorKind::Connection | AcceptErrorKind::Other => {
+                AcceptAction::RetryAfter(self.backoff.pause())
             }
-            AcceptErrorKind::ResourceExhausted => AcceptNext::MakeRoom(PAUSE),
-            AcceptErrorKind::Connection | AcceptErrorKind::Other => AcceptNext::Pause(self.backoff.pause()),
         }
     }
 
     /// Waits as long as is meant after a failed accept, where there is nothing to close for room.
-    pub async fn pause(&mut self, error: &io::Error) {
-        match self.failed(error) {
-            AcceptNext::Again => {}
-            AcceptNext::MakeRoom(pause) | AcceptNext::Pause(pause) => tokio::time::sleep(pause).await,
+    pub async fn wait_after(&mut self, error: &io::Error) {
+        match self.record_error(error) {
+            AcceptAction::RetryNow => {}
+            AcceptAction::ReleaseThenRetry(pause) | AcceptAction::RetryAfter(pause) => {
+                tokio::time::sleep(pause).await
+            }
         }
     }
 
     /// Whether this is the first one of a row to be logged: they come as fast as the pauses allow. Connections that were
     /// gone are no fault of this process, and are not worth a line.
-    pub fn is_worth_a_line(&mut self, next: AcceptNext) -> bool {
-        next != AcceptNext::Again && !std::mem::replace(&mut self.reported, true)
+    pub fn should_log(&mut self, action: AcceptAction) -> bool {
+        action != AcceptAction::RetryNow && !std::mem::replace(&mut self.reported, true)
     }
 }
--- a/crates/sockets/src/lib.rs
+++ b/crates/sockets/src/lib.rs
@@ -12,7 +12,7 @@
 mod open_retry;
 mod transfer;
 
-pub use accept_retry::{AcceptNext, AcceptRetry};
+pub use accept_retry::{AcceptAction, AcceptRetry};
 pub use connect::connect;
 pub use open_retry::{AddressInUse, OpenError, OpenRetry};
 pub use transfer::{is_momentary, read_some, write_all};
--- a/crates/tier/src/link.rs
+++ b/crates/tier/src/link.rs
@@ -132,11 +132,11 @@
         let (stream, from) = match listener.accept().await {
             Ok(accepted) => accepted,
             Err(e) => {
-                retry.pause(&e).await;
+                retry.wait_after(&e).await;
                 continue;
             }
         };
-        retry.accepted();
+        retry.record_success();
         if on.counts.links.get() >= LINKS {
             drop(stream);
             tokio::time::sleep(AGAIN).await;
