--- a/crates/scheduler/src/lib.rs
+++ b/crates/scheduler/src/lib.rs
@@ -34,7 +34,7 @@
 use config::Config;
 use loomlb_control::orders::Orders;
 use loomlb_policy::{Dispatcher, Event};
-use loomlb_sockets::{AddressInUse, OpenRetry};
+use loomlb_sockets::{OnAddressInUse, OpenRetry};
 use std::cell::RefCell;
 use std::io;
 use std::net::SocketAddr;
@@ -174,7 +174,7 @@
 /// Opens a listener. Retries while the address is in use, as a process that is shutting down may still have it.
 async fn listen(open_retry: &OpenRetry, key: &'static str, address: SocketAddr) -> io::Result<TcpListener> {
     let bind = async || TcpListener::bind(address).await;
-    Ok(open_retry.open(key, address, AddressInUse::Retry, bind).await?)
+    Ok(open_retry.open(key, address, OnAddressInUse::Retry, bind).await?)
 }
 
 /// Handles a timer that is due.
--- a/crates/scheduler/src/peers.rs
+++ b/crates/scheduler/src/peers.rs
@@ -3,7 +3,7 @@
 use super::{Scheduler, route};
 use crate::config::Config;
 use loomlb_policy::{Event, PeerId, Recipient};
-use loomlb_sockets::{AddressInUse, OpenRetry};
+use loomlb_sockets::{OnAddressInUse, OpenRetry};
 use std::cell::OnceCell;
 use std::io;
 use std::net::SocketAddr;
@@ -40,7 +40,7 @@
             return Ok(Peers::default());
         };
         // Where the platform holds the listening socket the address is that of the process before, for as long as it runs.
-        let in_use = if config.inherited.is_some() { AddressInUse::Report } else { AddressInUse::Retry };
+        let in_use = if config.inherited.is_some() { OnAddressInUse::Fail } else { OnAddressInUse::Retry };
         let bind = async || UdpSocket::bind(at).await;
         let socket = match taken_over {
             Some(descriptor) => UdpSocket::from_std(descriptor.into())?,
--- a/crates/scheduler/src/upgrade.rs
+++ b/crates/scheduler/src/upgrade.rs
@@ -11,7 +11,7 @@
 use loomlb_hot_restart::words::{Ask, Holds, VERSION, Word};
 use loomlb_policy::{Event, Message, Nanos, SlotUsage as Held, WorkerId, ZoneId};
 use loomlb_sockets::error_kind::{ConnectErrorKind, classify_connect_error};
-use loomlb_sockets::{AcceptRetry, AddressInUse, OpenRetry};
+use loomlb_sockets::{AcceptRetry, OnAddressInUse, OpenRetry};
 use serde::Deserialize;
 use snapshot::Snapshot;
 use std::cell::{Cell, RefCell};
@@ -267,7 +267,7 @@
 /// Puts a listener in place of whatever was at the path, and hears the processes that call there.
 async fn serve_successors(s: Rc<Scheduler>, path: PathBuf) {
     let bind = async || bind_in_place(&path);
-    let opened = OpenRetry::start().open("upgrade", path.display(), AddressInUse::Retry, bind).await;
+    let opened = OpenRetry::start().open("upgrade", path.display(), OnAddressInUse::Retry, bind).await;
     let listener = match opened {
         Ok(listener) => listener,
         Err(e) => {
--- a/crates/sockets/src/open_retry.rs
+++ b/crates/sockets/src/open_retry.rs
@@ -17,7 +17,7 @@
 
 /// A socket that could not be opened.
 #[derive(Debug, thiserror::Error)]
-#[error("{key}: {address}: {source} ({tries} tries). [{code}] {advice}", code = .kind.code(), advice = .kind.advice())]
+#[error("{key}: {address}: {source} ({attempts} tries). [{code}] {advice}", code = .kind.code(), advice = .kind.advice())]
 pub struct OpenError {
     /// The key of the configuration that names the address.
     pub key: &'static str,
@@ -26,7 +26,7 @@
     /// What the error means.
     pub kind: OpenErrorKind,
     /// How often it was tried.
-    pub tries: u32,
+    pub attempts: u32,
     /// What the system says.
     pub source: io::Error,
 }
@@ -39,11 +39,11 @@
 
 /// What to do where another socket has the address.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum AddressInUse {
+pub enum OnAddressInUse {
     /// It may be that of a process which is ending: try again.
     Retry,
     /// The caller knows whose it is: report it at once.
-    Report,
+    Fail,
 }
 
 /// Opens the sockets of one start, which share a time limit.
@@ -67,22 +67,22 @@
         &self,
         key: &'static str,
         address: impl Display,
-        in_use: AddressInUse,
+        in_use: OnAddressInUse,
         mut open: impl AsyncFnMut() -> io::Result<T>,
     ) -> Result<T, OpenError> {
         let mut backoff = Backoff::new(FIRST_PAUSE, LONGEST_PAUSE);
-        let mut tries = 0;
+        let mut attempts = 0;
         loop {
-            tries += 1;
+            attempts += 1;
             let source = match open().await {
                 Ok(opened) => return Ok(opened),
                 Err(source) => source,
             };
             let kind = classify_open_error(&source);
-            let reported = kind == OpenErrorKind::AddressInUse && in_use == AddressInUse::Report;
+            let reported = kind == OpenErrorKind::AddressInUse && in_use == OnAddressInUse::Fail;
             let pause = backoff.pause();
             if !kind.is_transient() || reported || Instant::now() + pause > self.until {
-                return Err(OpenError { key, address: address.to_string(), kind, tries, source });
+                return Err(OpenError { key, address: address.to_string(), kind, attempts, source });
             }
             tokio::time::sleep(pause).await;
         }
--- a/crates/sockets/src/open_retry/tests.rs
+++ b/crates/sockets/src/open_retry/tests.rs
@@ -18,7 +18,7 @@
 
 #[tokio::test(start_paused = true)]
 async fn what_fails_for_a_moment_is_opened_in_the_end() {
-    let opened = OpenRetry::start().open("listen", "a:1", AddressInUse::Retry, failing(&TRANSIENT)).await;
+    let opened = OpenRetry::start().open("listen", "a:1", OnAddressInUse::Retry, failing(&TRANSIENT)).await;
     opened.unwrap();
 }
 
@@ -27,7 +27,8 @@
     for number in TRANSIENT {
         let begun = Instant::now();
         let always = async || Err::<(), _>(io::Error::from_raw_os_error(number));
-        let error = OpenRetry::start().open("listen", "a:1", AddressInUse::Retry, always).await.unwrap_err();
+        let error =
+            OpenRetry::start().open("listen", "a:1", OnAddressInUse::Retry, always).await.unwrap_err();
         assert!(begun.elapsed() <= LIMIT, "{error}");
         assert!(begun.elapsed() > LIMIT / 2, "{error}");
         let text = error.to_string();
@@ -39,12 +40,12 @@
 async fn what_no_retry_helps_is_reported_at_once() {
     let retry = OpenRetry::start();
     for (numbers, in_use) in [
-        (&[libc::EACCES], AddressInUse::Retry),
-        (&[libc::EAFNOSUPPORT], AddressInUse::Retry),
-        (&[libc::EADDRINUSE], AddressInUse::Report),
+        (&[libc::EACCES], OnAddressInUse::Retry),
+        (&[libc::EAFNOSUPPORT], OnAddressInUse::Retry),
+        (&[libc::EADDRINUSE], OnAddressInUse::Fail),
     ] {
         let error = retry.open("listen", "a:1", in_use, failing(numbers)).await.unwrap_err();
-        assert_eq!(error.tries, 1, "{error}");
+        assert_eq!(error.attempts, 1, "{error}");
     }
 }
 
@@ -53,7 +54,7 @@
     let (begun, retry) = (Instant::now(), OpenRetry::start());
     for _ in 0..4 {
         let always = async || Err::<(), _>(io::Error::from_raw_os_error(libc::ENFILE));
-        retry.open("listen", "a:1", AddressInUse::Retry, always).await.unwrap_err();
+        retry.open("listen", "a:1", OnAddressInUse::Retry, always).await.unwrap_err();
     }
     assert!(begun.elapsed() <= LIMIT);
 }
--- a/crates/tier/src/voter.rs
+++ b/crates/tier/src/voter.rs
@@ -15,7 +15,7 @@
 use loomlb_consensus::store_error::StoreError;
 use loomlb_consensus::timing::LeaseTiming;
 use loomlb_consensus::worker_lists::ListReports;
-use loomlb_sockets::{AddressInUse, OpenRetry};
+use loomlb_sockets::{OnAddressInUse, OpenRetry};
 use std::io;
 use std::rc::Rc;
 use std::time::Duration;
@@ -74,7 +74,7 @@
     let owner = format!("{name} of {}", names.join(", "));
     let (log, loaded) = LogFile::open(store, &owner, spec.found)?;
     let bind = async || TcpListener::bind(at).await;
-    let opened = opening.open("listen", at, AddressInUse::Report, bind).await;
+    let opened = opening.open("listen", at, OnAddressInUse::Fail, bind).await;
     let listener = opened.map_err(|e| VoterError::Listen { at, source: e.into() })?;
     let agreement = RaftNode::new(number, spec.voters.len() as u64, loaded)?;
     let promises = LeaseGrants::new(timing, now);
