--- a/crates/scheduler/src/http.rs
+++ b/crates/scheduler/src/http.rs
@@ -1,7 +1,7 @@
 //! HTTP/1.1 framing: reads messages from a connection and encodes responses.
 
 use bytes::{Buf, Bytes, BytesMut};
-use loomlb_sockets::is_momentary;
+use loomlb_sockets::is_retryable;
 use std::future::Future;
 use std::io;
 use std::os::fd::{AsFd, OwnedFd};
@@ -258,7 +258,7 @@
         self.buffer.reserve(4096);
         match self.stream.try_read_buf(&mut self.buffer) {
             Ok(length) => length > 0,
-            Err(error) => is_momentary(&error),
+            Err(error) => is_retryable(&error),
         }
     }
 
@@ -418,7 +418,7 @@
         match self.stream.try_read(&mut [0; MAX_BODY_BYTES]) {
             Ok(0) => Discarded::Closed,
             Ok(_) => Discarded::Some,
-            Err(error) if is_momentary(&error) => Discarded::Nothing,
+            Err(error) if is_retryable(&error) => Discarded::Nothing,
             Err(_) => Discarded::Closed,
         }
     }
--- a/crates/sockets/src/lib.rs
+++ b/crates/sockets/src/lib.rs
@@ -15,7 +15,7 @@
 pub use accept_retry::{AcceptAction, AcceptRetry};
 pub use connect::connect;
 pub use open_retry::{OnAddressInUse, OpenError, OpenRetry};
-pub use transfer::{is_momentary, read_some, write_all};
+pub use transfer::{is_retryable, read_some, write_all};
 
 use std::time::Duration;
 
--- a/crates/sockets/src/transfer.rs
+++ b/crates/sockets/src/transfer.rs
@@ -10,7 +10,7 @@
 use tokio::net::TcpStream;
 
 /// Whether a read or write has failed for this moment alone: nothing is there yet, or a signal came in between.
-pub fn is_momentary(error: &io::Error) -> bool {
+pub fn is_retryable(error: &io::Error) -> bool {
     matches!(error.kind(), io::ErrorKind::WouldBlock | io::ErrorKind::Interrupted)
 }
 
@@ -23,7 +23,7 @@
         stream.readable().await?;
         match stream.try_read_buf(buffer) {
             // Other tasks get their turn even where each read is interrupted.
-            Err(error) if is_momentary(&error) => tokio::task::consume_budget().await,
+            Err(error) if is_retryable(&error) => tokio::task::consume_budget().await,
             read => return read,
         }
     }
@@ -39,7 +39,7 @@
         match stream.try_write(bytes) {
             Ok(0) => return Err(io::ErrorKind::WriteZero.into()),
             Ok(written) => bytes = &bytes[written..],
-            Err(error) if is_momentary(&error) => {}
+            Err(error) if is_retryable(&error) => {}
             Err(error) => return Err(error),
         }
         tokio::task::consume_budget().await;
