--- a/crates/scheduler/src/control.rs
+++ b/crates/scheduler/src/control.rs
@@ -4,7 +4,7 @@
 use super::agreed::Around;
 use super::http::{Connection, Message, MessageKind, ReadError, encode_response};
 use super::{Scheduler, discovery, upgrade};
-use loomlb_control::call::{self, Call};
+use loomlb_control::request::{self, AdminRequest};
 use loomlb_control::service::State;
 use loomlb_hot_restart::words::Ask;
 use loomlb_sockets::AcceptRetry;
@@ -142,69 +142,71 @@
 /// Takes a worker out or puts it back, as the tier has agreed.
 pub fn agreed(s: &Rc<Scheduler>, host: &str, out: bool) {
     let host = host.to_string();
-    carry_out(s, &if out { Call::Offline(host) } else { Call::Online(host) });
+    carry_out(s, &if out { AdminRequest::Offline(host) } else { AdminRequest::Online(host) });
 }
 
 /// Carries a call out and says what has come of it.
 async fn answer(s: &Rc<Scheduler>, message: &Message) -> Reply {
-    let call = match Call::read(&message.method, &message.path) {
+    let call = match AdminRequest::parse(&message.method, &message.path) {
         Ok(call) => call,
-        Err(call::Fault::Malformed) => return no(400, "malformed path"),
-        Err(call::Fault::Unknown) => return no(404, "unknown path"),
-        Err(call::Fault::Method(takes)) => {
+        Err(request::RequestError::Malformed) => return no(400, "malformed path"),
+        Err(request::RequestError::NotFound) => return no(404, "unknown path"),
+        Err(request::RequestError::MethodNotAllowed(takes)) => {
             return Reply { allow: Some(takes), ..no(405, "wrong method") };
         }
     };
-    if let Call::Offline(host) | Call::Online(host) = &call
+    if let AdminRequest::Offline(host) | AdminRequest::Online(host) = &call
         && !s.target_group.names(host)
         && !s.orders.borrow().is_out(host)
     {
         return no(404, "unknown worker");
     }
-    if let Call::Tier | Call::Propose(_) = call {
+    if let AdminRequest::TierStatus | AdminRequest::ProposeSettings(_) = call {
         if !s.tier.on() {
             return no(404, "no tier is configured here");
         }
         let (status, body) = match call {
-            Call::Propose(base) => {
+            AdminRequest::ProposeSettings(base) => {
                 loomlb_tier::proposed(&s.tier, &Around(Rc::clone(s)), &message.body, base).await
             }
             _ => (200, loomlb_tier::state(&s.tier, &Around(Rc::clone(s)))),
         };
         return Reply { status, body: format!("{body}\n"), allow: None };
     }
-    if let Call::Offline(host) | Call::Online(host) = &call
+    if let AdminRequest::Offline(host) | AdminRequest::Online(host) = &call
         && s.tier.on()
     {
-        let out = matches!(call, Call::Offline(_));
+        let out = matches!(call, AdminRequest::Offline(_));
         let (status, body) = loomlb_tier::order(&s.tier, &Around(Rc::clone(s)), host, out).await;
         return Reply { status, body: format!("{body}\n"), allow: None };
     }
-    if call != Call::Ready {
+    if call != AdminRequest::Ready {
         carry_out(s, &call);
         let text = |bytes: &[u8]| String::from_utf8_lossy(bytes).into_owned();
         upgrade::ask(s, &Ask::Order(text(&message.method), text(&message.path)), None).await;
     }
     let service = s.shutdown.service();
     match &call {
-        Call::Ready | Call::OutOfService | Call::InService if service.ending() => no(503, "ending"),
-        Call::Ready if !s.tier.may_act() => no(503, "no lease of the tier"),
-        Call::Ready if !s.upgrade.accepts() => no(503, s.upgrade.why_not()),
+        AdminRequest::Ready | AdminRequest::OutOfService | AdminRequest::InService if service.ending() => {
+            no(503, "ending")
+        }
+        AdminRequest::Ready if !s.tier.may_act() => no(503, "no lease of the tier"),
+        AdminRequest::Ready if !s.upgrade.accepts() => no(503, s.upgrade.why_not()),
         _ => Reply { status: 200, body: state(s), allow: None },
     }
 }
 
 /// Does what a call orders.
-fn carry_out(s: &Rc<Scheduler>, call: &Call) {
+fn carry_out(s: &Rc<Scheduler>, call: &AdminRequest) {
     let now = s.clock.now();
     let changed = match call {
-        Call::Ready | Call::Tier | Call::Propose(_) => false,
-        Call::OutOfService => s.shutdown.turn(|service| service.drain(now)),
-        Call::InService => s.shutdown.turn(|service| service.resume()),
-        Call::Offline(host) => s.orders.borrow_mut().offline(host, now),
-        Call::Online(host) => s.orders.borrow_mut().online(host, now),
+        AdminRequest::Ready | AdminRequest::TierStatus | AdminRequest::ProposeSettings(_) => false,
+        AdminRequest::OutOfService => s.shutdown.turn(|service| service.drain(now)),
+        AdminRequest::InService => s.shutdown.turn(|service| service.resume()),
+        AdminRequest::Offline(host) => s.orders.borrow_mut().offline(host, now),
+        AdminRequest::Online(host) => s.orders.borrow_mut().online(host, now),
     };
-    if let Call::Offline(host) | Call::Online(host) = call
+    if let AdminRequest::Offline(host) | AdminRequest::Online(host) = call
         && changed
     {
         discovery::ordered(s, host);
@@ -214,7 +216,7 @@
 
 /// Does what the other process was ordered: both are one scheduler.
 pub fn passed_on(s: &Rc<Scheduler>, method: &str, path: &str) {
-    if let Ok(call) = Call::read(method.as_bytes(), path.as_bytes()) {
+    if let Ok(call) = AdminRequest::parse(method.as_bytes(), path.as_bytes()) {
         carry_out(s, &call);
     }
 }
