--- a/crates/scheduler/src/control.rs
+++ b/crates/scheduler/src/control.rs
@@ -157,7 +157,7 @@
     };
     if let AdminRequest::Offline(host) | AdminRequest::Online(host) = &call
         && !s.target_group.names(host)
-        && !s.orders.borrow().is_out(host)
+        && !s.orders.borrow().is_offline(host)
     {
         return no(404, "unknown worker");
     }
@@ -203,8 +203,8 @@
         AdminRequest::Ready | AdminRequest::TierStatus | AdminRequest::ProposeSettings(_) => false,
         AdminRequest::OutOfService => s.shutdown.turn(|service| service.drain(now)),
         AdminRequest::InService => s.shutdown.turn(|service| service.resume()),
-        AdminRequest::Offline(host) => s.orders.borrow_mut().offline(host, now),
-        AdminRequest::Online(host) => s.orders.borrow_mut().online(host, now),
+        AdminRequest::Offline(host) => s.orders.borrow_mut().take_offline(host, now),
+        AdminRequest::Online(host) => s.orders.borrow_mut().restore(host, now),
     };
     if let AdminRequest::Offline(host) | AdminRequest::Online(host) = call
         && changed
@@ -229,7 +229,7 @@
         State::Ending(_) => "ending",
     };
     let orders = s.orders.borrow();
-    let out: Vec<&str> = orders.out().collect();
+    let out: Vec<&str> = orders.offline_workers().collect();
     let flows = s.book.borrow().unanswered();
     format!(
         "{}\n",
--- a/crates/scheduler/src/discovery.rs
+++ b/crates/scheduler/src/discovery.rs
@@ -4,7 +4,7 @@
 use super::worker_starts::{Incarnation, WorkerStarts};
 use super::{Scheduler, route};
 use loomlb_consensus::worker_lists::{LeavingWorker, ListReport, MAX_LEAVING_WORKERS};
-use loomlb_control::orders::{Effect, Orders};
+use loomlb_control::overrides::{EffectiveState, WorkerOverrides};
 use loomlb_policy::raw_settings::SettingNames;
 use loomlb_policy::{CellId, Event, ListKind, Nanos, Worker, WorkerId, WorkerState};
 use serde::{Deserialize, Serialize};
@@ -194,16 +194,16 @@
 }
 
 /// What the module is told of a target: discovery's word joined with what staff ordered.
-fn effective(orders: &Orders, target: &Target) -> Worker {
+fn effective(orders: &WorkerOverrides, target: &Target) -> Worker {
     let mut word = target.word.clone();
     if target.hearsay.is_some() && word.state == WorkerState::Ready {
         word.state = WorkerState::Draining;
     }
-    match orders.effect(&target.host, word.started_at) {
-        Effect::AsListed => word,
-        Effect::Out if word.state == WorkerState::Removed => word,
-        Effect::Out => Worker { state: WorkerState::Draining, ..word },
-        Effect::Started(started) => Worker { started_at: started, ..word },
+    match orders.effective_state(&target.host, word.started_at) {
+        EffectiveState::AsListed => word,
+        EffectiveState::Offline if word.state == WorkerState::Removed => word,
+        EffectiveState::Offline => Worker { state: WorkerState::Draining, ..word },
+        EffectiveState::StartedAt(started) => Worker { started_at: started, ..word },
     }
 }
 
@@ -341,7 +341,9 @@
         entries.push(effective(&s.orders.borrow(), &target));
         targets.insert(id, target);
     }
-    s.orders.borrow_mut().age(now, s.epoch().settings.obligations.warm_up_time.saturating_add(REMEMBER));
+    s.orders
+        .borrow_mut()
+        .forget_restored(now, s.epoch().settings.obligations.warm_up_time.saturating_add(REMEMBER));
     let departed = targets.extract_if(|_, target| target.leaving.is_some_and(|at| now >= at + REMEMBER));
     starts.departed(now, departed.map(|(_, target)| (target.host.to_string(), target.incarnation())));
     drop(targets);
--- a/crates/scheduler/src/lib.rs
+++ b/crates/scheduler/src/lib.rs
@@ -32,7 +32,7 @@
 pub mod worker_starts;
 
 use config::Config;
-use loomlb_control::orders::Orders;
+use loomlb_control::overrides::WorkerOverrides;
 use loomlb_policy::{Dispatcher, Event};
 use loomlb_sockets::{OnAddressInUse, OpenRetry};
 use std::cell::RefCell;
@@ -65,7 +65,7 @@
     /// The other schedulers.
     pub peers: peers::Peers,
     /// Operators' orders on workers.
-    pub orders: RefCell<Orders>,
+    pub orders: RefCell<WorkerOverrides>,
     /// Connections of clients.
     pub listener: intake::Listener,
     /// Whether the scheduler is in service, draining or shutting down.
--- a/crates/scheduler/src/send.rs
+++ b/crates/scheduler/src/send.rs
@@ -499,9 +499,9 @@
             repeat_until: first_sent_at
                 .zip(repeat_window)
                 .map(|(first, window)| (first + window).saturating_sub(margin)),
-            target_accepts_jobs: target
-                .as_ref()
-                .is_some_and(|target| target.takes_new() && !scheduler.orders.borrow().is_out(&target.host)),
+            target_accepts_jobs: target.as_ref().is_some_and(|target| {
+                target.takes_new() && !scheduler.orders.borrow().is_offline(&target.host)
+            }),
             same_incarnation: target.is_some_and(|target| target.same_life(chosen)),
             // The lease is checked last, as close to the write as possible.
             may_act: scheduler.tier.acts(),
@@ -538,7 +538,8 @@
     if connection.http.has_input() {
         scheduler.pool.duplicate_answer_at.set(Some(scheduler.clock.now()));
     }
-    let stays = |target: Target| target.leaving.is_none() && !scheduler.orders.borrow().is_out(&target.host);
+    let stays =
+        |target: Target| target.leaving.is_none() && !scheduler.orders.borrow().is_offline(&target.host);
     let stays = scheduler.target_group.target(worker).is_some_and(stays);
     if answer.keep_alive && !connection.http.has_input() && stays {
         // After a handover the successor process sends the next jobs, so it gets the connection.
--- a/crates/scheduler/src/upgrade/snapshot.rs
+++ b/crates/scheduler/src/upgrade/snapshot.rs
@@ -10,7 +10,7 @@
 use super::super::clock::{Clock, ClockOffset, nanos_from_millis};
 use super::super::discovery::{self, Group, List};
 use super::super::worker_starts::WorkerStarts;
-use loomlb_control::orders::Orders;
+use loomlb_control::overrides::WorkerOverrides;
 use loomlb_control::service::State;
 use loomlb_policy::raw_settings::SettingNames;
 use loomlb_policy::{LearnedState, Nanos, WorkerId};
@@ -30,7 +30,7 @@
     kinds: Vec<String>,
     zones: Vec<String>,
     carried: LearnedState,
-    orders: Orders,
+    orders: WorkerOverrides,
     service: State,
     list: List,
     /// Where discovery answers, if a reload has named another address than the start did.
@@ -73,7 +73,7 @@
 
     /// The latest time at which anything in it is known to have happened.
     fn latest_event(&self) -> Nanos {
-        self.carried.latest_event().max(self.orders.latest()).max(self.service.since())
+        self.carried.latest_event().max(self.orders.latest_change()).max(self.service.since())
     }
 
     /// Puts all of it in place in a scheduler that starts.
--- a/crates/scheduler/src/upgrade/snapshot/tests.rs
+++ b/crates/scheduler/src/upgrade/snapshot/tests.rs
@@ -16,7 +16,7 @@
     kinds: Vec<String>,
     zones: Vec<String>,
     carried: LearnedState,
-    orders: Orders,
+    orders: WorkerOverrides,
     service: State,
     list: List,
     discovery: Option<SocketAddr>,
