--- a/crates/control/src/service.rs
+++ b/crates/control/src/lifecycle.rs
@@ -18,78 +18,78 @@
 
 /// What the scheduler is at.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub enum State {
+pub enum LifecycleState {
     /// It takes clients.
     #[default]
     #[serde(rename = "In")]
-    In,
+    Serving,
     /// Staff took it out of service then.
     #[serde(rename = "Draining")]
     Draining(Nanos),
     /// Its process was told to end then; nothing leads back.
     #[serde(rename = "Ending")]
-    Ending(Nanos),
+    ShuttingDown(Nanos),
 }
 
-impl State {
+impl LifecycleState {
     /// Since when it is so; 0 in service.
     pub fn since(self) -> Nanos {
         match self {
-            State::In => 0,
-            State::Draining(at) | State::Ending(at) => at,
+            LifecycleState::Serving => 0,
+            LifecycleState::Draining(at) | LifecycleState::ShuttingDown(at) => at,
         }
     }
 }
 
 /// The machine.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Service {
-    state: State,
+pub struct Lifecycle {
+    state: LifecycleState,
     /// The longest time that a client waits.
-    longest: Nanos,
+    longest_wait: Nanos,
     /// No other scheduler serves its clients.
-    alone: bool,
+    is_only_scheduler: bool,
 }
 
-impl Service {
+impl Lifecycle {
     /// In service, for clients that wait no longer than `longest`; whether no other scheduler serves them.
-    pub fn new(longest: Nanos, alone: bool) -> Service {
-        Service { state: State::In, longest, alone }
+    pub fn new(longest_wait: Nanos, is_only_scheduler: bool) -> Lifecycle {
+        Lifecycle { state: LifecycleState::Serving, longest_wait, is_only_scheduler }
     }
 
     /// The state.
-    pub fn state(&self) -> State {
+    pub fn state(&self) -> LifecycleState {
         self.state
     }
 
     /// Clients wait no longer than this from now on; an end already asked for stays timed as it was.
-    pub fn patience(&mut self, longest: Nanos) {
-        if !self.ending() {
-            self.longest = longest;
+    pub fn set_longest_wait(&mut self, longest_wait: Nanos) {
+        if !self.is_shutting_down() {
+            self.longest_wait = longest_wait;
         }
     }
 
     /// Staff take it out of service; true if that changes anything.
-    pub fn drain(&mut self, now: Nanos) -> bool {
-        self.turn(self.state == State::In, State::Draining(now))
+    pub fn start_drain(&mut self, now: Nanos) -> bool {
+        self.transition(self.state == LifecycleState::Serving, LifecycleState::Draining(now))
     }
 
     /// Staff put it back; true if that changes anything. An end cannot be taken back.
-    pub fn resume(&mut self) -> bool {
-        self.turn(matches!(self.state, State::Draining(_)), State::In)
+    pub fn end_drain(&mut self) -> bool {
+        self.transition(matches!(self.state, LifecycleState::Draining(_)), LifecycleState::Serving)
     }
 
     /// The process is told to end; true the first time.
-    pub fn end(&mut self, now: Nanos) -> bool {
-        self.turn(!self.ending(), State::Ending(now))
+    pub fn start_shutdown(&mut self, now: Nanos) -> bool {
+        self.transition(!self.is_shutting_down(), LifecycleState::ShuttingDown(now))
     }
 
     /// Takes over the state of a process that this one replaces. Its end is not ours.
-    pub fn adopt(&mut self, state: State) {
-        self.turn(!self.ending() && !matches!(state, State::Ending(_)), state);
+    pub fn adopt(&mut self, state: LifecycleState) {
+        self.transition(!self.is_shutting_down() && !matches!(state, LifecycleState::ShuttingDown(_)), state);
     }
 
-    fn turn(&mut self, may: bool, to: State) -> bool {
+    fn transition(&mut self, may: bool, to: LifecycleState) -> bool {
         if may {
             self.state = to;
         }
@@ -97,45 +97,49 @@
     }
 
     /// The process was told to end.
-    pub fn ending(&self) -> bool {
-        matches!(self.state, State::Ending(_))
+    pub fn is_shutting_down(&self) -> bool {
+        matches!(self.state, LifecycleState::ShuttingDown(_))
     }
 
     /// Whether new clients may come.
-    pub fn healthy(&self) -> bool {
-        self.state == State::In
+    pub fn is_healthy(&self) -> bool {
+        self.state == LifecycleState::Serving
     }
 
     /// When jobs cease to be taken and idle connections close. At an end clients keep to the connections that they
     /// have, and while a peer restarts as well nobody else serves them: those stay in use for half of the wait, and the
     /// other half is left to what was taken last. Nobody else serves the clients of a lone scheduler, so it takes jobs to
     /// the last moment: one that does not end in time is lost either way.
-    pub fn closing(&self) -> Option<Nanos> {
+    pub fn closes_at(&self) -> Option<Nanos> {
         match self.state {
-            State::In => None,
-            State::Draining(at) => Some(at + TAKES),
-            State::Ending(at) => {
+            LifecycleState::Serving => None,
+            LifecycleState::Draining(at) => Some(at + TAKES),
+            LifecycleState::ShuttingDown(at) => {
                 let last_moment = self.last_answer(at) - self.last_job_time();
-                Some(if self.alone { last_moment } else { last_moment.min(at + NOTICE + self.wait() / 2) })
+                Some(if self.is_only_scheduler {
+                    last_moment
+                } else {
+                    last_moment.min(at + NOTICE + self.wait() / 2)
+                })
             }
         }
     }
 
     /// Nothing new is taken any more, and nothing idle stays.
-    pub fn refusing(&self, now: Nanos) -> bool {
-        self.closing().is_some_and(|at| now >= at)
+    pub fn refuses_jobs(&self, now: Nanos) -> bool {
+        self.closes_at().is_some_and(|at| now >= at)
     }
 
     /// Whether an answer given now says that its connection closes.
-    pub fn parting(&self, now: Nanos) -> bool {
-        self.refusing(now) || matches!(self.state, State::Draining(at) if now >= at + SEEN)
+    pub fn announces_close(&self, now: Nanos) -> bool {
+        self.refuses_jobs(now) || matches!(self.state, LifecycleState::Draining(at) if now >= at + SEEN)
     }
 
     /// By when a flow that is taken now must have its answer: what is taken after the notice of an end is lost if the
     /// platform's kill finds it open.
-    pub fn answer_by(&self) -> Option<Nanos> {
+    pub fn answer_deadline(&self) -> Option<Nanos> {
         match self.state {
-            State::Ending(at) => Some(self.last_answer(at)),
+            LifecycleState::ShuttingDown(at) => Some(self.last_answer(at)),
             _ => None,
         }
     }
@@ -151,7 +155,7 @@
     }
 
     fn wait(&self) -> Nanos {
-        self.longest.min(LONGEST)
+        self.longest_wait.min(LONGEST)
     }
 }
 
@@ -164,31 +168,36 @@
 
     #[test]
     fn a_drain_takes_jobs_parts_with_its_clients_and_is_over_in_time() {
-        let mut service = Service::new(5_000 * MS, false);
-        assert!(service.drain(0) && !service.drain(1_000 * MS), "a second call does not begin it anew");
-        let at = |ms: Nanos| (service.healthy(), service.parting(ms * MS), service.refusing(ms * MS));
+        let mut lifecycle = Lifecycle::new(5_000 * MS, false);
+        assert!(
+            lifecycle.start_drain(0) && !lifecycle.start_drain(1_000 * MS),
+            "a second call does not begin it anew"
+        );
+        let at = |ms: Nanos| {
+            (lifecycle.is_healthy(), lifecycle.announces_close(ms * MS), lifecycle.refuses_jobs(ms * MS))
+        };
         assert_eq!(
             [at(0), at(399), at(400)],
             [(false, false, false), (false, false, false), (false, true, false)]
         );
         assert_eq!([at(1_699), at(1_700)], [(false, true, false), (false, true, true)]);
-        assert_eq!(service.answer_by(), None, "a drain leaves jobs their time");
-        assert!(service.resume() && !service.resume());
-        assert!(service.healthy() && !service.parting(5_000 * MS));
+        assert_eq!(lifecycle.answer_deadline(), None, "a drain leaves jobs their time");
+        assert!(lifecycle.end_drain() && !lifecycle.end_drain());
+        assert!(lifecycle.is_healthy() && !lifecycle.announces_close(5_000 * MS));
     }
 
     #[test]
     fn an_end_is_final_and_keeps_half_of_the_wait_for_what_was_taken_last() {
-        let mut service = Service::new(5_000 * MS, false);
-        service.drain(0);
-        assert!(service.end(100 * MS) && !service.end(200 * MS));
-        assert!(!service.resume() && !service.drain(300 * MS));
-        service.patience(1);
-        assert_eq!(service.closing(), Some(2_300 * MS));
-        assert_eq!(service.answer_by(), Some(3_600 * MS));
-        let mut alone = Service::new(5_000 * MS, true);
-        alone.end(100 * MS);
-        assert_eq!((alone.closing(), alone.answer_by()), (Some(3_400 * MS), Some(3_600 * MS)));
+        let mut lifecycle = Lifecycle::new(5_000 * MS, false);
+        lifecycle.start_drain(0);
+        assert!(lifecycle.start_shutdown(100 * MS) && !lifecycle.start_shutdown(200 * MS));
+        assert!(!lifecycle.end_drain() && !lifecycle.start_drain(300 * MS));
+        lifecycle.set_longest_wait(1);
+        assert_eq!(lifecycle.closes_at(), Some(2_300 * MS));
+        assert_eq!(lifecycle.answer_deadline(), Some(3_600 * MS));
+        let mut alone = Lifecycle::new(5_000 * MS, true);
+        alone.start_shutdown(100 * MS);
+        assert_eq!((alone.closes_at(), alone.answer_deadline()), (Some(3_400 * MS), Some(3_600 * MS)));
     }
 
     proptest! {
@@ -196,20 +205,20 @@
         /// refuses also parts.
         #[test]
         fn every_order_of_words_leaves_one_clear_state(words in prop::collection::vec(0u8..4, 0..30)) {
-            let mut service = Service::new(3_000 * MS, false);
+            let mut lifecycle = Lifecycle::new(3_000 * MS, false);
             let mut ended = false;
             for (i, word) in words.into_iter().enumerate() {
                 let now = i as Nanos * 500 * MS;
                 match word {
-                    0 => _ = service.drain(now),
-                    1 => _ = service.resume(),
-                    2 => service.adopt(State::Ending(now)),
-                    _ => { ended = true; service.end(now); }
+                    0 => _ = lifecycle.start_drain(now),
+                    1 => _ = lifecycle.end_drain(),
+                    2 => lifecycle.adopt(LifecycleState::ShuttingDown(now)),
+                    _ => { ended = true; lifecycle.start_shutdown(now); }
                 }
-                prop_assert_eq!(service.ending(), ended);
-                prop_assert_eq!(service.healthy(), service.closing().is_none());
-                prop_assert!(!service.refusing(now) || service.parting(now));
-                prop_assert_eq!(service.answer_by().is_some(), ended);
+                prop_assert_eq!(lifecycle.is_shutting_down(), ended);
+                prop_assert_eq!(lifecycle.is_healthy(), lifecycle.closes_at().is_none());
+                prop_assert!(!lifecycle.refuses_jobs(now) || lifecycle.announces_close(now));
+                prop_assert_eq!(lifecycle.answer_deadline().is_some(), ended);
             }
         }
     }
--- a/crates/scheduler/src/admit.rs
+++ b/crates/scheduler/src/admit.rs
@@ -80,7 +80,7 @@
     }
     let full = book.len() >= epoch.terms.max_open
         || book.body_bytes() + offer.job.body.len() > scheduler.config.body_bytes;
-    if full || scheduler.shutdown.service().refusing(now) || !scheduler.tier.may_act() {
+    if full || scheduler.shutdown.service().refuses_jobs(now) || !scheduler.tier.may_act() {
         book.counters.turned_back += 1;
         return Err(Rejection::Unavailable(
             UNAVAILABLE_RETRY_AFTER.min(scheduler.epoch().settings.limits.max_retry_after),
@@ -103,7 +103,7 @@
     let time_left = offer.time_left.unwrap_or(settings.client_timeout);
     // A process that shuts down must answer sooner. The decision module gets this limit as a value of its own: a short
     // time left would mean that the client has already waited.
-    let within = scheduler.shutdown.service().answer_by().map(|by| by.saturating_sub(now));
+    let within = scheduler.shutdown.service().answer_deadline().map(|by| by.saturating_sub(now));
     let deadline = now.saturating_add(within.unwrap_or(time_left).min(time_left));
     let (reply, answer) = oneshot::channel();
     let correlation_id = offer.job.correlation_id.clone();
--- a/crates/scheduler/src/control.rs
+++ b/crates/scheduler/src/control.rs
@@ -4,8 +4,8 @@
 use super::agreed::Around;
 use super::http::{Connection, Message, MessageKind, ReadError, encode_response};
 use super::{Scheduler, discovery, upgrade};
+use loomlb_control::lifecycle::LifecycleState;
 use loomlb_control::request::{self, AdminRequest};
-use loomlb_control::service::State;
 use loomlb_hot_restart::words::Ask;
 use loomlb_sockets::AcceptRetry;
 use std::cell::{Cell, RefCell};
@@ -187,7 +187,9 @@
     }
     let service = s.shutdown.service();
     match &call {
-        AdminRequest::Ready | AdminRequest::OutOfService | AdminRequest::InService if service.ending() => {
+        AdminRequest::Ready | AdminRequest::OutOfService | AdminRequest::InService
+            if service.is_shutting_down() =>
+        {
             no(503, "ending")
         }
         AdminRequest::Ready if !s.tier.may_act() => no(503, "no lease of the tier"),
@@ -201,8 +203,8 @@
     let now = s.clock.now();
     let changed = match call {
         AdminRequest::Ready | AdminRequest::TierStatus | AdminRequest::ProposeSettings(_) => false,
-        AdminRequest::OutOfService => s.shutdown.turn(|service| service.drain(now)),
-        AdminRequest::InService => s.shutdown.turn(|service| service.resume()),
+        AdminRequest::OutOfService => s.shutdown.turn(|service| service.start_drain(now)),
+        AdminRequest::InService => s.shutdown.turn(|service| service.end_drain()),
         AdminRequest::Offline(host) => s.orders.borrow_mut().take_offline(host, now),
         AdminRequest::Online(host) => s.orders.borrow_mut().restore(host, now),
     };
@@ -224,9 +226,9 @@
 /// What staff see with every yes.
 fn state(s: &Scheduler) -> String {
     let service = match s.shutdown.service().state() {
-        State::In => "in",
-        State::Draining(_) => "draining",
-        State::Ending(_) => "ending",
+        LifecycleState::Serving => "in",
+        LifecycleState::Draining(_) => "draining",
+        LifecycleState::ShuttingDown(_) => "ending",
     };
     let orders = s.orders.borrow();
     let out: Vec<&str> = orders.offline_workers().collect();
--- a/crates/scheduler/src/intake.rs
+++ b/crates/scheduler/src/intake.rs
@@ -368,7 +368,7 @@
         scheduler.book.borrow_mut().counters.count_invalid_request(reply.status);
         // While draining or shutting down, connections for call-backs stay open, as open flows need them; so do
         // connections with input, whose request would otherwise be lost.
-        let closes = scheduler.shutdown.service().parting(scheduler.clock.now());
+        let closes = scheduler.shutdown.service().announces_close(scheduler.clock.now());
         let keep_alive = keep_alive
             && (carries_call_backs || !closes || connection.poll_input() && connection.has_input());
         let keep_alive = keep_alive && !connection.input_discarded();
@@ -461,7 +461,7 @@
     tracing::trace!("{} {path}", String::from_utf8_lossy(method));
     match path {
         HEALTH_PATH if method != b"GET" => return Some(Reply::text(405, "only GET is served here")),
-        HEALTH_PATH if !scheduler.shutdown.service().healthy() || !scheduler.tier.may_act() => {
+        HEALTH_PATH if !scheduler.shutdown.service().is_healthy() || !scheduler.tier.may_act() => {
             return Some(Reply::text(503, "out of service"));
         }
         HEALTH_PATH => return Some(Reply::text(200, "ready")),
--- a/crates/scheduler/src/reload.rs
+++ b/crates/scheduler/src/reload.rs
@@ -75,7 +75,7 @@
     drop(book);
     let changed = starts.iter().filter(|start| **start != ClassOrigin::Kept).count();
     s.pool.set_keepalive(next.terms.keepalive);
-    s.shutdown.turn(|service| service.patience(next.longest()));
+    s.shutdown.turn(|service| service.set_longest_wait(next.longest()));
     s.quotas.add_classes(&next.aims());
     let settings = Box::new(next.settings.clone());
     *s.epoch.borrow_mut() = Rc::new(next);
--- a/crates/scheduler/src/shutdown.rs
+++ b/crates/scheduler/src/shutdown.rs
@@ -1,7 +1,7 @@
 //! Shutdown: from SIGTERM to the end, without losing what was taken.
 
 use super::{Scheduler, upgrade};
-use loomlb_control::service::Service;
+use loomlb_control::lifecycle::Lifecycle;
 use loomlb_policy::Nanos;
 use std::cell::Cell;
 use std::io;
@@ -16,7 +16,7 @@
 /// The state of the service, and who is told when it turns.
 #[derive(Debug)]
 pub struct Shutdown {
-    service: Cell<Service>,
+    service: Cell<Lifecycle>,
     turned: Notify,
     /// Told to idle connections when they are to close.
     pub close_idle: Notify,
@@ -25,17 +25,17 @@
 impl Shutdown {
     /// For a scheduler whose clients wait no longer than `longest`; whether no other serves them.
     pub fn new(longest: Nanos, alone: bool) -> Self {
-        let service = Cell::new(Service::new(longest, alone));
+        let service = Cell::new(Lifecycle::new(longest, alone));
         Shutdown { service, turned: Notify::new(), close_idle: Notify::new() }
     }
 
     /// The state as it stands.
-    pub fn service(&self) -> Service {
+    pub fn service(&self) -> Lifecycle {
         self.service.get()
     }
 
     /// Changes the state, and wakes whoever acts on it.
-    pub fn turn<T>(&self, word: impl FnOnce(&mut Service) -> T) -> T {
+    pub fn turn<T>(&self, word: impl FnOnce(&mut Lifecycle) -> T) -> T {
         let mut service = self.service.get();
         let said = word(&mut service);
         self.service.set(service);
@@ -47,7 +47,7 @@
 /// Has idle connections close for as long as nothing is taken: at the end of the program, or of a drain's time.
 pub async fn close_idle(s: Rc<Scheduler>) {
     loop {
-        match s.shutdown.service().closing() {
+        match s.shutdown.service().closes_at() {
             None => s.shutdown.turned.notified().await,
             Some(at) if s.clock.now() < at => tokio::select! {
                 () = s.shutdown.turned.notified() => {}
@@ -100,7 +100,7 @@
         }
     }
     let now = s.clock.now();
-    s.shutdown.turn(|service| service.end(now));
+    s.shutdown.turn(|service| service.start_shutdown(now));
     tracing::info!("asked to end, {} flows to finish", s.book.borrow().unanswered());
     loop {
         let over = || {
@@ -113,7 +113,7 @@
         if upgrade::is_finished(s) {
             return upgrade::finished(s).await;
         }
-        if s.shutdown.service().refusing(s.clock.now()) && over() {
+        if s.shutdown.service().refuses_jobs(s.clock.now()) && over() {
             // One more turn: whatever the kernel holds for us by now gets read and answered.
             tokio::time::sleep(Duration::from_millis(20)).await;
             if over() && parted() {
@@ -126,5 +126,5 @@
 
 /// Whether the time is over by which all must be answered.
 fn service_over(s: &Scheduler) -> bool {
-    s.shutdown.service().answer_by().is_some_and(|by| s.clock.now() >= by)
+    s.shutdown.service().answer_deadline().is_some_and(|by| s.clock.now() >= by)
 }
--- a/crates/scheduler/src/upgrade/snapshot.rs
+++ b/crates/scheduler/src/upgrade/snapshot.rs
@@ -10,8 +10,8 @@
 use super::super::clock::{Clock, ClockOffset, nanos_from_millis};
 use super::super::discovery::{self, Group, List};
 use super::super::worker_starts::WorkerStarts;
+use loomlb_control::lifecycle::LifecycleState;
 use loomlb_control::overrides::WorkerOverrides;
-use loomlb_control::service::State;
 use loomlb_policy::raw_settings::SettingNames;
 use loomlb_policy::{LearnedState, Nanos, WorkerId};
 use serde::{Deserialize, Serialize};
@@ -31,7 +31,7 @@
     zones: Vec<String>,
     carried: LearnedState,
     orders: WorkerOverrides,
-    service: State,
+    service: LifecycleState,
     list: List,
     /// Where discovery answers, if a reload has named another address than the start did.
     discovery: Option<SocketAddr>,
--- a/crates/scheduler/src/upgrade/snapshot/tests.rs
+++ b/crates/scheduler/src/upgrade/snapshot/tests.rs
@@ -17,7 +17,7 @@
     zones: Vec<String>,
     carried: LearnedState,
     orders: WorkerOverrides,
-    service: State,
+    service: LifecycleState,
     list: List,
     discovery: Option<SocketAddr>,
 }
@@ -38,7 +38,7 @@
 #[test]
 fn the_clock_of_a_successor_of_the_build_before_starts_no_earlier_than_what_has_happened() {
     let mut snapshot = build_before();
-    snapshot.service = State::Draining(super::super::super::clock::Clock::default().now() + HOUR);
+    snapshot.service = LifecycleState::Draining(super::super::super::clock::Clock::default().now() + HOUR);
     let now = snapshot.clock().now();
     assert!(now >= snapshot.latest_event() && now < snapshot.latest_event() + HOUR);
 }
@@ -59,5 +59,5 @@
     let written = serde_json::to_value(&snapshot).unwrap();
     assert!(written.get("clock").is_some() && written.get("worker_starts").is_some());
     let read: BuildBefore = serde_json::from_value(written).unwrap();
-    assert_eq!(read.service, State::Draining(DRAINING_SINCE));
+    assert_eq!(read.service, LifecycleState::Draining(DRAINING_SINCE));
 }
