--- a/crates/hot-restart/src/link.rs
+++ b/crates/hot-restart/src/link.rs
@@ -1,6 +1,6 @@
 //! The link: words, and descriptors with them, over a Unix socket.
 
-use super::words::{Fault, Frames, Word};
+use super::message::{FrameDecoder, FrameError, RestartMessage};
 use rustix::net::{
     RecvAncillaryBuffer, RecvAncillaryMessage, RecvFlags, SendAncillaryBuffer, SendAncillaryMessage,
     SendFlags, recvmsg, sendmsg,
@@ -34,12 +34,12 @@
 /// What has been read and not been taken as a word yet.
 #[derive(Debug, Default)]
 pub struct Inbox {
-    frames: Frames,
+    frames: FrameDecoder,
     descriptors: VecDeque<OwnedFd>,
 }
 
-fn faulty(fault: Fault) -> io::Error {
-    io::Error::new(io::ErrorKind::InvalidData, format!("{fault:?}"))
+fn faulty(error: FrameError) -> io::Error {
+    io::Error::new(io::ErrorKind::InvalidData, format!("{error:?}"))
 }
 
 impl Link {
@@ -68,11 +68,11 @@
     }
 
     /// Queues a word. A link that cannot take it is over; the descriptor is closed then.
-    pub fn say(&self, word: &Word, descriptor: Option<OwnedFd>) {
+    pub fn say(&self, word: &RestartMessage, descriptor: Option<OwnedFd>) {
         if self.over() {
             return;
         }
-        match word.frame(descriptor.is_some()) {
+        match word.encode(descriptor.is_some()) {
             Ok(frame) if self.out.borrow().len() < WAITING => {
                 self.out.borrow_mut().push_back((frame, descriptor));
                 self.queued.notify_one();
@@ -138,9 +138,9 @@
 
     /// The next word, with its descriptor; an error once the link is broken or what comes is no word. Loses nothing when
     /// dropped half-way.
-    pub async fn hear(&self, inbox: &mut Inbox) -> io::Result<(Word, Option<OwnedFd>)> {
+    pub async fn hear(&self, inbox: &mut Inbox) -> io::Result<(RestartMessage, Option<OwnedFd>)> {
         loop {
-            if let Some((word, with)) = inbox.frames.take().map_err(faulty)? {
+            if let Some((word, with)) = inbox.frames.next_message().map_err(faulty)? {
                 let descriptor = if with { inbox.descriptors.pop_front() } else { None };
                 if with && descriptor.is_none() {
                     return Err(io::Error::new(io::ErrorKind::InvalidData, "a descriptor is missing"));
@@ -163,7 +163,7 @@
             });
             match read {
                 Ok(0) => return Err(io::ErrorKind::UnexpectedEof.into()),
-                Ok(n) => inbox.frames.put(&piece[..n]),
+                Ok(n) => inbox.frames.push(&piece[..n]),
                 Err(e) if matches!(e.kind(), io::ErrorKind::WouldBlock | io::ErrorKind::Interrupted) => {}
                 Err(e) => return Err(e),
             }
@@ -183,9 +183,9 @@
         let (a, b) = (Link::new(a), Link::new(b));
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let mut clients = Vec::new();
-        let word = |i: usize| Word::Target { host: format!("t{i}"), since: i as u64 };
+        let word = |i: usize| RestartMessage::TargetConnection { host: format!("t{i}"), since: i as u64 };
         // A long word between them, so that writes and reads are cut anywhere.
-        let long = Word::Refused("x".repeat(1 << 20));
+        let long = RestartMessage::Refused("x".repeat(1 << 20));
         for i in 0..40 {
             clients.push(TcpStream::connect(listener.local_addr().unwrap()).unwrap());
             let (served, _) = listener.accept().unwrap();
@@ -217,7 +217,7 @@
         drop(a);
         assert!(b.hear(&mut inbox).await.is_err());
         b.close();
-        b.say(&Word::Bye, None);
+        b.say(&RestartMessage::Bye, None);
         assert!(b.over());
     }
 }
--- a/crates/hot-restart/src/machine.rs
+++ b/crates/hot-restart/src/machine.rs
@@ -1,6 +1,6 @@
 //! Who accepts when. Two machines, one in each process; the only way from the one to the other is the commit point.
 
-use super::words::VERSION;
+use super::message::PROTOCOL_VERSION;
 
 /// The process that runs, as its successor comes and goes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
@@ -37,7 +37,7 @@
 
     /// A process says hello.
     pub fn hello(&mut self, version: u32) -> Act {
-        if version != VERSION {
+        if version != PROTOCOL_VERSION {
             return Act::Refuse("another version");
         }
         if *self != Old::Serving {
@@ -134,7 +134,9 @@
             step(&|n| {
                 let (said, old) = (n.to_old.pop_front(), n.old.as_mut().unwrap());
                 match said {
-                    Some(Say::Hello) if old.hello(VERSION) == Act::Offer => n.to_new.push_back(Say::Snapshot),
+                    Some(Say::Hello) if old.hello(PROTOCOL_VERSION) == Act::Offer => {
+                        n.to_new.push_back(Say::Snapshot)
+                    }
                     Some(Say::Ready) if old.ready() == Act::Commit => n.to_new.push_back(Say::Committed),
                     _ => {}
                 }
@@ -210,10 +212,13 @@
     #[test]
     fn one_successor_at_a_time_and_of_this_version() {
         let mut old = Old::default();
-        assert_eq!(old.hello(VERSION + 1), Act::Refuse("another version"));
-        assert_eq!((old.ready(), old.hello(VERSION)), (Act::Nothing, Act::Offer));
-        assert_eq!(old.hello(VERSION), Act::Refuse("another process is taking over"));
-        assert_eq!((old.broken(), old.hello(VERSION), old.ready()), (Act::Nothing, Act::Offer, Act::Commit));
+        assert_eq!(old.hello(PROTOCOL_VERSION + 1), Act::Refuse("another version"));
+        assert_eq!((old.ready(), old.hello(PROTOCOL_VERSION)), (Act::Nothing, Act::Offer));
+        assert_eq!(old.hello(PROTOCOL_VERSION), Act::Refuse("another process is taking over"));
+        assert_eq!(
+            (old.broken(), old.hello(PROTOCOL_VERSION), old.ready()),
+            (Act::Nothing, Act::Offer, Act::Commit)
+        );
         assert!(!old.accepts());
         assert_eq!((old.broken(), old.accepts()), (Act::Resume, true));
     }
--- a/crates/hot-restart/src/words.rs
+++ b/crates/hot-restart/src/message.rs
@@ -5,18 +5,18 @@
 use serde::{Deserialize, Serialize};
 
 /// The version of the words. Another one is refused: its process starts from the configuration.
-pub const VERSION: u32 = 1;
+pub const PROTOCOL_VERSION: u32 = 1;
 /// The longest word, in bytes: the snapshot of 10,000 workers takes some 5 MB.
-pub const MOST: usize = 32 << 20;
-const HEAD: usize = 5;
+pub const MAX_MESSAGE_BYTES: usize = 32 << 20;
+const HEADER_BYTES: usize = 5;
 
 /// What one process says to the other.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Word {
+pub enum RestartMessage {
     /// The new process is there, and speaks this version.
     #[serde(rename = "Hello")]
     Hello {
-        /// See [`VERSION`].
+        /// See [`PROTOCOL_VERSION`].
         #[serde(rename = "version")]
         version: u32,
     },
@@ -34,7 +34,7 @@
     Committed,
     /// An idle connection of a client or of call-backs, with its descriptor.
     #[serde(rename = "Client")]
-    Client {
+    ClientConnection {
         /// Its last request was a call-back.
         #[serde(rename = "calls_back")]
         calls_back: bool,
@@ -44,7 +44,7 @@
     },
     /// An idle connection to a target, with its descriptor.
     #[serde(rename = "Target")]
-    Target {
+    TargetConnection {
         /// The target's name.
         #[serde(rename = "host")]
         host: String,
@@ -54,13 +54,13 @@
     },
     /// What the sender holds now.
     #[serde(rename = "Holds")]
-    Holds(Holds),
+    Usage(ResourceUsage),
     /// Something to be done by whoever can, and to be answered under the same number.
     #[serde(rename = "Ask")]
-    Ask(u64, Ask),
+    Request(u64, ForwardedRequest),
     /// The answer: whether it was for the other process.
     #[serde(rename = "Answer")]
-    Answer(u64, bool),
+    Response(u64, bool),
     /// The sender has nothing more to say, and ends.
     #[serde(rename = "Bye")]
     Bye,
@@ -68,7 +68,7 @@
 
 /// What a process holds.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Holds {
+pub struct ResourceUsage {
     /// Slots at targets, by their names.
     #[serde(rename = "slots")]
     pub slots: Vec<(String, f64)>,
@@ -82,32 +82,32 @@
 
 /// What is passed on.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Ask {
+pub enum ForwardedRequest {
     /// The body of a call-back for a flow that the sender does not have.
     #[serde(rename = "CallBack")]
     CallBack(String),
     /// Method and path of a call of staff, which the sender has carried out on its side.
     #[serde(rename = "Order")]
-    Order(String, String),
+    Admin(String, String),
 }
 
 /// Why what came is no word.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Fault {
-    /// Longer than [`MOST`].
+pub enum FrameError {
+    /// Longer than [`MAX_MESSAGE_BYTES`].
     TooLong,
     /// No word of this version.
     Unknown(String),
 }
 
-impl Word {
+impl RestartMessage {
     /// The word in its frame; an error if it is too long for one.
-    pub fn frame(&self, with_descriptor: bool) -> Result<Vec<u8>, Fault> {
-        let text = serde_json::to_vec(self).map_err(|e| Fault::Unknown(e.to_string()))?;
-        if text.len() > MOST {
-            return Err(Fault::TooLong);
+    pub fn encode(&self, with_descriptor: bool) -> Result<Vec<u8>, FrameError> {
+        let text = serde_json::to_vec(self).map_err(|e| FrameError::Unknown(e.to_string()))?;
+        if text.len() > MAX_MESSAGE_BYTES {
+            return Err(FrameError::TooLong);
         }
-        let mut out = Vec::with_capacity(HEAD + text.len());
+        let mut out = Vec::with_capacity(HEADER_BYTES + text.len());
         out.extend_from_slice(&(text.len() as u32).to_le_bytes());
         out.push(u8::from(with_descriptor));
         out.extend_from_slice(&text);
@@ -117,26 +117,26 @@
 
 /// Puts words together from pieces of any size.
 #[derive(Debug, Default)]
-pub struct Frames {
-    buf: Vec<u8>,
+pub struct FrameDecoder {
+    buffer: Vec<u8>,
 }
 
-impl Frames {
+impl FrameDecoder {
     /// Takes in a piece.
-    pub fn put(&mut self, piece: &[u8]) {
-        self.buf.extend_from_slice(piece);
+    pub fn push(&mut self, piece: &[u8]) {
+        self.buffer.extend_from_slice(piece);
     }
 
     /// The next word, and whether a descriptor comes with it; none until it is whole.
-    pub fn take(&mut self) -> Result<Option<(Word, bool)>, Fault> {
-        let Some(&[a, b, c, d, mark]) = self.buf.first_chunk::<HEAD>() else { return Ok(None) };
+    pub fn next_message(&mut self) -> Result<Option<(RestartMessage, bool)>, FrameError> {
+        let Some(&[a, b, c, d, mark]) = self.buffer.first_chunk::<HEADER_BYTES>() else { return Ok(None) };
         let length = u32::from_le_bytes([a, b, c, d]) as usize;
-        if length > MOST {
-            return Err(Fault::TooLong);
+        if length > MAX_MESSAGE_BYTES {
+            return Err(FrameError::TooLong);
         }
-        let Some(text) = self.buf.get(HEAD..HEAD + length) else { return Ok(None) };
-        let word = serde_json::from_slice(text).map_err(|e| Fault::Unknown(e.to_string()))?;
-        self.buf.drain(..HEAD + length);
+        let Some(text) = self.buffer.get(HEADER_BYTES..HEADER_BYTES + length) else { return Ok(None) };
+        let word = serde_json::from_slice(text).map_err(|e| FrameError::Unknown(e.to_string()))?;
+        self.buffer.drain(..HEADER_BYTES + length);
         Ok(Some((word, mark == 1)))
     }
 }
@@ -148,26 +148,26 @@
     #[test]
     fn words_come_whole_from_pieces_of_any_size_and_strange_ones_are_refused() {
         let words = [
-            (Word::Hello { version: VERSION }, false),
-            (Word::Client { calls_back: true, fresh: false }, true),
-            (Word::Ask(7, Ask::CallBack("{\"id\":\"é\"}".into())), false),
+            (RestartMessage::Hello { version: PROTOCOL_VERSION }, false),
+            (RestartMessage::ClientConnection { calls_back: true, fresh: false }, true),
+            (RestartMessage::Request(7, ForwardedRequest::CallBack("{\"id\":\"é\"}".into())), false),
         ];
-        let bytes: Vec<u8> = words.iter().flat_map(|(w, fd)| w.frame(*fd).unwrap()).collect();
+        let bytes: Vec<u8> = words.iter().flat_map(|(w, fd)| w.encode(*fd).unwrap()).collect();
         for size in 1..bytes.len() {
-            let (mut frames, mut came) = (Frames::default(), Vec::new());
+            let (mut frames, mut came) = (FrameDecoder::default(), Vec::new());
             for piece in bytes.chunks(size) {
-                frames.put(piece);
-                while let Some(word) = frames.take().unwrap() {
+                frames.push(piece);
+                while let Some(word) = frames.next_message().unwrap() {
                     came.push(word);
                 }
             }
             assert_eq!(came, words, "pieces of {size}");
         }
-        let mut frames = Frames::default();
-        frames.put(&[0xff; 5]);
-        assert_eq!(frames.take(), Err(Fault::TooLong));
-        let mut frames = Frames::default();
-        frames.put(b"\x06\0\0\0\0\"Wave\"");
-        assert!(matches!(frames.take(), Err(Fault::Unknown(_))));
+        let mut frames = FrameDecoder::default();
+        frames.push(&[0xff; 5]);
+        assert_eq!(frames.next_message(), Err(FrameError::TooLong));
+        let mut frames = FrameDecoder::default();
+        frames.push(b"\x06\0\0\0\0\"Wave\"");
+        assert!(matches!(frames.next_message(), Err(FrameError::Unknown(_))));
     }
 }
--- a/crates/hot-restart/tests/pins.rs
+++ b/crates/hot-restart/tests/pins.rs
@@ -4,35 +4,40 @@
 #[path = "../../../tests/golden/mod.rs"]
 mod golden;
 
-use loomlb_hot_restart::words::{Ask, Frames, Holds, VERSION, Word};
+use loomlb_hot_restart::message::{
+    ForwardedRequest, FrameDecoder, PROTOCOL_VERSION, ResourceUsage, RestartMessage,
+};
 
-fn messages() -> Vec<(Word, bool)> {
-    let holds = Holds { slots: vec![("s-00000001".into(), 1.5)], inbound: 2, outbound: 3 };
+fn messages() -> Vec<(RestartMessage, bool)> {
+    let holds = ResourceUsage { slots: vec![("s-00000001".into(), 1.5)], inbound: 2, outbound: 3 };
     vec![
-        (Word::Hello { version: VERSION }, false),
-        (Word::Refused("another upgrade is under way".into()), false),
-        (Word::Snapshot(serde_json::json!({"classes": ["view"], "é": null})), false),
-        (Word::Snapshot(serde_json::json!({})), true),
-        (Word::Ready, false),
-        (Word::Committed, false),
-        (Word::Client { calls_back: true, fresh: false }, true),
-        (Word::Target { host: "s-00000001".into(), since: u64::MAX }, true),
-        (Word::Holds(Holds::default()), false),
-        (Word::Holds(holds), false),
-        (Word::Ask(7, Ask::CallBack(r#"{"id":"a1"}"#.into())), false),
-        (Word::Ask(8, Ask::Order("PUT".into(), "/control/in-service".into())), false),
-        (Word::Answer(7, true), false),
-        (Word::Bye, false),
+        (RestartMessage::Hello { version: PROTOCOL_VERSION }, false),
+        (RestartMessage::Refused("another upgrade is under way".into()), false),
+        (RestartMessage::Snapshot(serde_json::json!({"classes": ["view"], "é": null})), false),
+        (RestartMessage::Snapshot(serde_json::json!({})), true),
+        (RestartMessage::Ready, false),
+        (RestartMessage::Committed, false),
+        (RestartMessage::ClientConnection { calls_back: true, fresh: false }, true),
+        (RestartMessage::TargetConnection { host: "s-00000001".into(), since: u64::MAX }, true),
+        (RestartMessage::Usage(ResourceUsage::default()), false),
+        (RestartMessage::Usage(holds), false),
+        (RestartMessage::Request(7, ForwardedRequest::CallBack(r#"{"id":"a1"}"#.into())), false),
+        (
+            RestartMessage::Request(8, ForwardedRequest::Admin("PUT".into(), "/control/in-service".into())),
+            false,
+        ),
+        (RestartMessage::Response(7, true), false),
+        (RestartMessage::Bye, false),
     ]
 }
 
 #[test]
 fn messages_of_a_hot_restart_keep_their_bytes_and_are_read_as_the_same() {
-    let (mut text, mut frames, mut read) = (String::new(), Frames::default(), Vec::new());
+    let (mut text, mut frames, mut read) = (String::new(), FrameDecoder::default(), Vec::new());
     for (message, with_descriptor) in messages() {
-        let frame = message.frame(with_descriptor).unwrap();
-        frames.put(&frame);
-        read.extend(frames.take().unwrap());
+        let frame = message.encode(with_descriptor).unwrap();
+        frames.push(&frame);
+        read.extend(frames.next_message().unwrap());
         let (head, payload) = frame.split_at(5);
         text += &format!("{} {}\n", golden::hex(head), golden::visible(payload));
     }
--- a/crates/scheduler/src/control.rs
+++ b/crates/scheduler/src/control.rs
@@ -6,7 +6,7 @@
 use super::{Scheduler, discovery, upgrade};
 use loomlb_control::lifecycle::LifecycleState;
 use loomlb_control::request::{self, AdminRequest};
-use loomlb_hot_restart::words::Ask;
+use loomlb_hot_restart::message::ForwardedRequest;
 use loomlb_sockets::AcceptRetry;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -183,7 +183,7 @@
     if call != AdminRequest::Ready {
         carry_out(s, &call);
         let text = |bytes: &[u8]| String::from_utf8_lossy(bytes).into_owned();
-        upgrade::ask(s, &Ask::Order(text(&message.method), text(&message.path)), None).await;
+        upgrade::ask(s, &ForwardedRequest::Admin(text(&message.method), text(&message.path)), None).await;
     }
     let service = s.shutdown.service();
     match &call {
--- a/crates/scheduler/src/upgrade.rs
+++ b/crates/scheduler/src/upgrade.rs
@@ -8,7 +8,7 @@
 use super::{Scheduler, control, intake, route};
 use loomlb_hot_restart::link::{Inbox, Link};
 use loomlb_hot_restart::machine::{Act, New, Old};
-use loomlb_hot_restart::words::{Ask, Holds, VERSION, Word};
+use loomlb_hot_restart::message::{ForwardedRequest, PROTOCOL_VERSION, ResourceUsage, RestartMessage};
 use loomlb_policy::{Event, Message, Nanos, SlotUsage as Held, WorkerId, ZoneId};
 use loomlb_sockets::error_kind::{ConnectErrorKind, classify_connect_error};
 use loomlb_sockets::{AcceptRetry, OnAddressInUse, OpenRetry};
@@ -44,7 +44,7 @@
     link: Link,
     /// It takes over from us, or we from it.
     successor: bool,
-    holds: RefCell<Holds>,
+    holds: RefCell<ResourceUsage>,
 }
 
 impl Partner {
@@ -55,14 +55,17 @@
     /// Passes an idle connection of a client on.
     pub fn give_client(&self, s: &Scheduler, descriptor: OwnedFd, calls_back: bool, fresh: bool) {
         s.book.borrow_mut().counters.passed_on += 1;
-        self.link.say(&Word::Client { calls_back, fresh }, Some(descriptor));
+        self.link.say(&RestartMessage::ClientConnection { calls_back, fresh }, Some(descriptor));
     }
 
     /// Passes an idle connection to a target on.
     pub fn give_target(&self, s: &Scheduler, to: WorkerId, descriptor: OwnedFd, since: Nanos) {
         if let Some(target) = s.target_group.target(to) {
             s.book.borrow_mut().counters.passed_on += 1;
-            self.link.say(&Word::Target { host: target.host.to_string(), since }, Some(descriptor));
+            self.link.say(
+                &RestartMessage::TargetConnection { host: target.host.to_string(), since },
+                Some(descriptor),
+            );
         }
     }
 }
@@ -127,8 +130,8 @@
     }
 
     /// What the other processes hold of the limits that are ours together.
-    pub fn elsewhere(&self) -> Holds {
-        let mut all = Holds::default();
+    pub fn elsewhere(&self) -> ResourceUsage {
+        let mut all = ResourceUsage::default();
         for partner in &*self.partners.borrow() {
             let holds = partner.holds.borrow();
             (all.inbound, all.outbound) = (all.inbound + holds.inbound, all.outbound + holds.outbound);
@@ -195,18 +198,18 @@
 
 async fn greet(path: &Path) -> io::Result<Before> {
     let link = Link::new(connect(path).await?);
-    link.say(&Word::Hello { version: VERSION }, None);
+    link.say(&RestartMessage::Hello { version: PROTOCOL_VERSION }, None);
     let mut inbox = Inbox::default();
     let (word, peers) = tokio::select! {
         heard = link.hear(&mut inbox) => heard?,
         () = link.write() => return Err(io::ErrorKind::BrokenPipe.into()),
     };
     match word {
-        Word::Snapshot(value) => {
+        RestartMessage::Snapshot(value) => {
             let snapshot = Snapshot::deserialize(value).map_err(io::Error::other)?;
             Ok(Before { link, inbox, snapshot, peers })
         }
-        Word::Refused(why) => Err(io::Error::other(format!("refused: {why}"))),
+        RestartMessage::Refused(why) => Err(io::Error::other(format!("refused: {why}"))),
         _ => Err(io::Error::other("an unknown word")),
     }
 }
@@ -232,7 +235,7 @@
     let partner = Partner::new(link, false);
     let mut new = s.upgrade.new.get();
     if new.restored() {
-        partner.link.say(&Word::Ready, None);
+        partner.link.say(&RestartMessage::Ready, None);
     }
     s.upgrade.new.set(new);
     meet(s, &partner, inbox);
@@ -298,7 +301,8 @@
 /// Hears the first word of a process that starts.
 async fn receive(s: Rc<Scheduler>, link: Link) {
     let mut inbox = Inbox::default();
-    let Ok(Ok((Word::Hello { version }, _))) = tokio::time::timeout(PATIENCE, link.hear(&mut inbox)).await
+    let Ok(Ok((RestartMessage::Hello { version }, _))) =
+        tokio::time::timeout(PATIENCE, link.hear(&mut inbox)).await
     else {
         return;
     };
@@ -308,7 +312,7 @@
             match serde_json::to_value(Snapshot::of(&s)) {
                 Ok(value) => {
                     tracing::info!("upgrade: another process starts, and gets what is known here");
-                    partner.link.say(&Word::Snapshot(value), s.peers.descriptor());
+                    partner.link.say(&RestartMessage::Snapshot(value), s.peers.descriptor());
                     meet(&s, &partner, inbox);
                 }
                 Err(e) => {
@@ -319,7 +323,7 @@
         }
         Act::Refuse(why) => {
             tracing::warn!("upgrade: another process starts, refused: {why}");
-            link.say(&Word::Refused(why.into()), None);
+            link.say(&RestartMessage::Refused(why.into()), None);
             let _ = tokio::time::timeout(ANSWER, async {
                 tokio::select! { () = link.write() => {}, () = link.flushed() => {} }
             })
@@ -337,16 +341,16 @@
     let (teller, told) = (Rc::clone(s), Rc::clone(partner));
     spawn_local(async move {
         while !told.link.over() {
-            told.link.say(&Word::Holds(holds(&teller)), None);
+            told.link.say(&RestartMessage::Usage(holds(&teller)), None);
             tokio::time::sleep(TELL).await;
         }
     });
     spawn_local(converse(Rc::clone(s), Rc::clone(partner), inbox));
 }
 
-fn holds(s: &Scheduler) -> Holds {
+fn holds(s: &Scheduler) -> ResourceUsage {
     let held = s.book.borrow().slots_by_host();
-    Holds {
+    ResourceUsage {
         slots: held.into_iter().map(|(host, slots)| (host.to_string(), slots)).collect(),
         inbound: s.listener.connection_count(),
         outbound: s.pool.open_count(),
@@ -356,7 +360,7 @@
 async fn converse(s: Rc<Scheduler>, partner: Rc<Partner>, mut inbox: Inbox) {
     let why = loop {
         match partner.link.hear(&mut inbox).await {
-            Ok((Word::Bye, _)) => break None,
+            Ok((RestartMessage::Bye, _)) => break None,
             Ok((word, descriptor)) => heard(&s, &partner, word, descriptor),
             Err(e) => break Some(e),
         }
@@ -381,28 +385,28 @@
     }
 }
 
-fn heard(s: &Rc<Scheduler>, partner: &Rc<Partner>, word: Word, descriptor: Option<OwnedFd>) {
+fn heard(s: &Rc<Scheduler>, partner: &Rc<Partner>, word: RestartMessage, descriptor: Option<OwnedFd>) {
     match (word, descriptor) {
-        (Word::Ready, _) if partner.successor && s.upgrade.turn(Old::ready) == Act::Commit => {
+        (RestartMessage::Ready, _) if partner.successor && s.upgrade.turn(Old::ready) == Act::Commit => {
             tracing::info!("upgrade: handed over, {} flows to finish", s.book.borrow().unanswered());
             s.upgrade.turned.notify_one();
-            partner.link.say(&Word::Committed, None);
+            partner.link.say(&RestartMessage::Committed, None);
             for (to, descriptor, since) in s.pool.take_all_idle() {
                 partner.give_target(s, to, descriptor, since);
             }
             s.upgrade.moved.notify_waiters();
         }
-        (Word::Committed, _) if !partner.successor && !s.upgrade.new.get().accepts() => {
+        (RestartMessage::Committed, _) if !partner.successor && !s.upgrade.new.get().accepts() => {
             tracing::info!("upgrade: taken over from the process before");
             serve(s);
         }
-        (Word::Client { calls_back, fresh }, Some(descriptor)) => {
+        (RestartMessage::ClientConnection { calls_back, fresh }, Some(descriptor)) => {
             match intake::adopt(s, descriptor, calls_back, fresh) {
                 Ok(()) => s.book.borrow_mut().counters.adopted += 1,
                 Err(e) => tracing::warn!("upgrade: a client's connection is lost: {e}"),
             }
         }
-        (Word::Target { host, since }, Some(descriptor)) => {
+        (RestartMessage::TargetConnection { host, since }, Some(descriptor)) => {
             let stream = std::net::TcpStream::from(descriptor);
             let stream = stream.set_nonblocking(true).and_then(|()| TcpStream::from_std(stream));
             if let Ok(stream) = stream
@@ -412,24 +416,24 @@
                 s.pool.adopt(number(&host), stream, since.min(s.clock.now()));
             }
         }
-        (Word::Holds(holds), _) => tell_module(s, partner, holds),
-        (Word::Ask(n, ask), _) => {
+        (RestartMessage::Usage(holds), _) => tell_module(s, partner, holds),
+        (RestartMessage::Request(n, ask), _) => {
             let theirs = match &ask {
-                Ask::Order(method, path) => {
+                ForwardedRequest::Admin(method, path) => {
                     control::passed_on(s, method, path);
                     false
                 }
-                Ask::CallBack(body) => {
+                ForwardedRequest::CallBack(body) => {
                     relay::handle_call_back(s, body.as_bytes()) == CallBackResult::Accepted
                 }
             };
             let (s, partner) = (Rc::clone(s), Rc::clone(partner));
             spawn_local(async move {
                 let theirs = theirs || self::ask(&s, &ask, Some(&partner)).await == Some(true);
-                partner.link.say(&Word::Answer(n, theirs), None);
+                partner.link.say(&RestartMessage::Response(n, theirs), None);
             });
         }
-        (Word::Answer(n, theirs), _) => {
+        (RestartMessage::Response(n, theirs), _) => {
             let asker = s.upgrade.asked.borrow_mut().remove(&n);
             // Whoever asked may have stopped waiting.
             asker.into_iter().for_each(|asker| _ = asker.send(theirs));
@@ -439,7 +443,7 @@
 }
 
 /// The module takes what the other process holds for the word of a peer: this scheduler's own number, which no peer has.
-fn tell_module(s: &Rc<Scheduler>, partner: &Partner, holds: Holds) {
+fn tell_module(s: &Rc<Scheduler>, partner: &Partner, holds: ResourceUsage) {
     let me = s.epoch().settings.own_id;
     let before = partner.holds.replace(holds);
     let now = partner.holds.borrow().clone();
@@ -465,7 +469,7 @@
 }
 
 /// Asks all other processes; whether it was for one of them, or none if one of them did not answer and no other took it.
-pub async fn ask(s: &Rc<Scheduler>, ask: &Ask, but: Option<&Rc<Partner>>) -> Option<bool> {
+pub async fn ask(s: &Rc<Scheduler>, ask: &ForwardedRequest, but: Option<&Rc<Partner>>) -> Option<bool> {
     let others = s.upgrade.partners.borrow().clone();
     let others = others.iter().filter(|p| !but.is_some_and(|b| Rc::ptr_eq(b, p)));
     let mut answers = Vec::new();
@@ -476,7 +480,7 @@
         let n = s.upgrade.next.replace(s.upgrade.next.get() + 1);
         let (answer, asked) = oneshot::channel();
         s.upgrade.asked.borrow_mut().insert(n, answer);
-        partner.link.say(&Word::Ask(n, ask.clone()), None);
+        partner.link.say(&RestartMessage::Request(n, ask.clone()), None);
         answers.push((n, partner, asked));
     }
     let mut said = Some(false);
@@ -501,7 +505,7 @@
 /// the target should say it again.
 pub async fn pass_call_back(s: &Rc<Scheduler>, body: &[u8]) -> bool {
     let said = match std::str::from_utf8(body) {
-        Ok(body) => ask(s, &Ask::CallBack(body.into()), None).await,
+        Ok(body) => ask(s, &ForwardedRequest::CallBack(body.into()), None).await,
         Err(_) => Some(false),
     };
     let mut book = s.book.borrow_mut();
@@ -531,7 +535,7 @@
     }
     s.upgrade.left.set(true);
     if let Some(heir) = s.upgrade.heir() {
-        heir.link.say(&Word::Bye, None);
+        heir.link.say(&RestartMessage::Bye, None);
         let _ = tokio::time::timeout(ANSWER, heir.link.flushed()).await;
     }
     tracing::info!("upgrade: finished");
--- a/tests/pins/restart.rs
+++ b/tests/pins/restart.rs
@@ -3,7 +3,7 @@
 
 use crate::golden;
 use crate::stage::{Agent, Mode, Platform, Server, Stage, job, response, until};
-use loomlb_hot_restart::words::{Frames, VERSION, Word};
+use loomlb_hot_restart::message::{FrameDecoder, PROTOCOL_VERSION, RestartMessage};
 use serde_json::Value;
 use std::io::{Read, Write};
 use std::os::unix::net::{UnixListener, UnixStream};
@@ -12,26 +12,26 @@
 /// The end of a link to another process.
 struct Partner {
     stream: UnixStream,
-    frames: Frames,
+    frames: FrameDecoder,
 }
 
 impl Partner {
     fn new(stream: UnixStream) -> Partner {
         stream.set_read_timeout(Some(std::time::Duration::from_secs(20))).unwrap();
-        Partner { stream, frames: Frames::default() }
+        Partner { stream, frames: FrameDecoder::default() }
     }
-    fn send(&mut self, message: &Word) {
-        self.stream.write_all(&message.frame(false).unwrap()).unwrap();
+    fn send(&mut self, message: &RestartMessage) {
+        self.stream.write_all(&message.encode(false).unwrap()).unwrap();
     }
-    fn receive(&mut self) -> Word {
+    fn receive(&mut self) -> RestartMessage {
         loop {
-            if let Some((message, _)) = self.frames.take().unwrap() {
+            if let Some((message, _)) = self.frames.next_message().unwrap() {
                 return message;
             }
             let mut piece = [0; 4096];
             let length = self.stream.read(&mut piece).unwrap();
             assert!(length > 0, "the link has ended");
-            self.frames.put(&piece[..length]);
+            self.frames.push(&piece[..length]);
         }
     }
 }
@@ -39,9 +39,9 @@
 /// What the process that serves tells one that starts.
 fn snapshot(platform: &Platform) -> Value {
     let mut partner = Partner::new(UnixStream::connect(platform.link()).unwrap());
-    partner.send(&Word::Hello { version: VERSION });
+    partner.send(&RestartMessage::Hello { version: PROTOCOL_VERSION });
     match partner.receive() {
-        Word::Snapshot(value) => value,
+        RestartMessage::Snapshot(value) => value,
         other => panic!("{other:?}"),
     }
 }
@@ -137,11 +137,11 @@
     let link = std::thread::spawn(move || {
         let (stream, _) = predecessor.accept().unwrap();
         let mut partner = Partner::new(stream);
-        assert_eq!(partner.receive(), Word::Hello { version: VERSION });
-        partner.send(&Word::Snapshot(told));
-        while partner.receive() != Word::Ready {}
-        partner.send(&Word::Committed);
-        partner.send(&Word::Bye);
+        assert_eq!(partner.receive(), RestartMessage::Hello { version: PROTOCOL_VERSION });
+        partner.send(&RestartMessage::Snapshot(told));
+        while partner.receive() != RestartMessage::Ready {}
+        partner.send(&RestartMessage::Committed);
+        partner.send(&RestartMessage::Bye);
         partner
     });
     let stage = Stage::beside(&[], &discovery.server, &platform);
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -3,7 +3,7 @@
 mod stage;
 
 use loomlb_fault_plan::{Call, FaultPlan, Limit, WITHOUT_END};
-use loomlb_hot_restart::words::{Frames, VERSION, Word};
+use loomlb_hot_restart::message::{FrameDecoder, PROTOCOL_VERSION, RestartMessage};
 use stage::{Line, Platform, Server, Stage, job, response, until};
 use std::io::{Read, Write};
 use std::os::unix::net::UnixListener;
@@ -103,17 +103,20 @@
     old.ready();
     drop(old);
     // Partners that refuse, that end in the midst of a word, that speak another tongue, that say nothing.
-    let refused = Word::Refused("another version".into()).frame(false).unwrap();
+    let refused = RestartMessage::Refused("another version".into()).encode(false).unwrap();
     for said in [&refused[..], &refused[..4], b"\x03\0\0\0\0abc", b""] {
         std::fs::remove_file(platform.link()).unwrap();
         let stranger = UnixListener::bind(platform.link()).unwrap();
         let (say, stays) = (said.to_vec(), said.is_empty());
         let partner = std::thread::spawn(move || {
             let (mut stream, _) = stranger.accept().unwrap();
-            let (mut frames, mut piece) = (Frames::default(), [0; 256]);
+            let (mut frames, mut piece) = (FrameDecoder::default(), [0; 256]);
             let n = stream.read(&mut piece).unwrap();
-            frames.put(&piece[..n]);
-            assert_eq!(frames.take(), Ok(Some((Word::Hello { version: VERSION }, false))));
+            frames.push(&piece[..n]);
+            assert_eq!(
+                frames.next_message(),
+                Ok(Some((RestartMessage::Hello { version: PROTOCOL_VERSION }, false)))
+            );
             stream.write_all(&say).unwrap();
             // Silent until the other side has had enough.
             let _ = if stays { stream.read(&mut piece) } else { Ok(0) };
