--- a/crates/scheduler/src/upgrade.rs
+++ b/crates/scheduler/src/upgrade.rs
@@ -7,8 +7,8 @@
 use super::relay::{self, CallBackResult};
 use super::{Scheduler, control, intake, route};
 use loomlb_hot_restart::link::{Inbox, Link};
-use loomlb_hot_restart::machine::{Act, New, Old};
 use loomlb_hot_restart::message::{ForwardedRequest, PROTOCOL_VERSION, ResourceUsage, RestartMessage};
+use loomlb_hot_restart::state_machine::{Predecessor, PredecessorAction, Successor};
 use loomlb_policy::{Event, Message, Nanos, SlotUsage as Held, WorkerId, ZoneId};
 use loomlb_sockets::error_kind::{ConnectErrorKind, classify_connect_error};
 use loomlb_sockets::{AcceptRetry, OnAddressInUse, OpenRetry};
@@ -75,8 +75,8 @@
 pub struct Upgrade {
     /// Where a successor finds us; none where there is no handover.
     path: Option<PathBuf>,
-    old: Cell<Old>,
-    new: Cell<New>,
+    old: Cell<Predecessor>,
+    new: Cell<Successor>,
     partners: RefCell<Vec<Rc<Partner>>>,
     /// Told to the acceptor when it is to look whether it accepts.
     pub turned: Notify,
@@ -93,9 +93,9 @@
 impl Upgrade {
     /// For a process that takes over from another, or from none.
     pub fn new(config: &Config, takes_over: bool) -> Upgrade {
-        let mut new = New::default();
+        let mut new = Successor::default();
         if !takes_over {
-            new.alone();
+            new.start_serving();
         }
         Upgrade {
             path: path(config),
@@ -113,17 +113,17 @@
 
     /// Whether this process accepts connections, and speaks for the scheduler.
     pub fn accepts(&self) -> bool {
-        self.old.get().accepts() && self.new.get().accepts()
+        self.old.get().accepts_connections() && self.new.get().accepts_connections()
     }
 
     /// Why it does not.
     pub fn why_not(&self) -> &'static str {
-        if self.new.get().accepts() { "handed over" } else { "starting" }
+        if self.new.get().accepts_connections() { "handed over" } else { "starting" }
     }
 
     /// The process that goes on with what is idle here, once it accepts.
     pub fn heir(&self) -> Option<Rc<Partner>> {
-        if self.old.get().accepts() {
+        if self.old.get().accepts_connections() {
             return None;
         }
         self.partners.borrow().iter().find(|p| p.successor && !p.link.over()).cloned()
@@ -139,7 +139,7 @@
         all
     }
 
-    fn turn<T>(&self, word: impl FnOnce(&mut Old) -> T) -> T {
+    fn turn<T>(&self, word: impl FnOnce(&mut Predecessor) -> T) -> T {
         let mut old = self.old.get();
         let said = word(&mut old);
         self.old.set(old);
@@ -234,7 +234,7 @@
     snapshot.restore(s);
     let partner = Partner::new(link, false);
     let mut new = s.upgrade.new.get();
-    if new.restored() {
+    if new.on_restored() {
         partner.link.say(&RestartMessage::Ready, None);
     }
     s.upgrade.new.set(new);
@@ -242,7 +242,7 @@
     let s = Rc::clone(s);
     spawn_local(async move {
         tokio::time::sleep(PATIENCE).await;
-        if !s.upgrade.new.get().accepts() {
+        if !s.upgrade.new.get().accepts_connections() {
             tracing::warn!("upgrade: the process before does not commit; serving beside it");
             serve(&s);
         }
@@ -252,7 +252,7 @@
 /// This process accepts from now on.
 fn serve(s: &Rc<Scheduler>) {
     let mut new = s.upgrade.new.get();
-    new.alone();
+    new.start_serving();
     s.upgrade.new.set(new);
     s.upgrade.turned.notify_one();
     publish(s);
@@ -306,8 +306,8 @@
     else {
         return;
     };
-    match s.upgrade.turn(|old| old.hello(version)) {
-        Act::Offer => {
+    match s.upgrade.turn(|old| old.on_hello(version)) {
+        PredecessorAction::SendSnapshot => {
             let partner = Partner::new(link, true);
             match serde_json::to_value(Snapshot::of(&s)) {
                 Ok(value) => {
@@ -317,11 +317,11 @@
                 }
                 Err(e) => {
                     tracing::error!("upgrade: {e}");
-                    s.upgrade.turn(Old::broken);
+                    s.upgrade.turn(Predecessor::on_link_lost);
                 }
             }
         }
-        Act::Refuse(why) => {
+        PredecessorAction::Refuse(why) => {
             tracing::warn!("upgrade: another process starts, refused: {why}");
             link.say(&RestartMessage::Refused(why.into()), None);
             let _ = tokio::time::timeout(ANSWER, async {
@@ -369,7 +369,7 @@
     s.upgrade.partners.borrow_mut().retain(|p| !Rc::ptr_eq(p, &partner));
     forget(&s);
     if partner.successor {
-        if !s.upgrade.left.get() && s.upgrade.turn(Old::broken) == Act::Resume {
+        if !s.upgrade.left.get() && s.upgrade.turn(Predecessor::on_link_lost) == PredecessorAction::Resume {
             tracing::error!("upgrade: the process that took over is gone; accepting again");
             publish(&s);
             s.upgrade.turned.notify_one();
@@ -380,14 +380,16 @@
         None => tracing::info!("upgrade: the process before has finished"),
         Some(e) => tracing::warn!("upgrade: the process before is gone: {e}"),
     }
-    if !s.upgrade.new.get().accepts() {
+    if !s.upgrade.new.get().accepts_connections() {
         serve(&s);
     }
 }
 
 fn heard(s: &Rc<Scheduler>, partner: &Rc<Partner>, word: RestartMessage, descriptor: Option<OwnedFd>) {
     match (word, descriptor) {
-        (RestartMessage::Ready, _) if partner.successor && s.upgrade.turn(Old::ready) == Act::Commit => {
+        (RestartMessage::Ready, _)
+            if partner.successor && s.upgrade.turn(Predecessor::on_ready) == PredecessorAction::Commit =>
+        {
             tracing::info!("upgrade: handed over, {} flows to finish", s.book.borrow().unanswered());
             s.upgrade.turned.notify_one();
             partner.link.say(&RestartMessage::Committed, None);
@@ -396,7 +398,9 @@
             }
             s.upgrade.moved.notify_waiters();
         }
-        (RestartMessage::Committed, _) if !partner.successor && !s.upgrade.new.get().accepts() => {
+        (RestartMessage::Committed, _)
+            if !partner.successor && !s.upgrade.new.get().accepts_connections() =>
+        {
             tracing::info!("upgrade: taken over from the process before");
             serve(s);
         }
