--- a/crates/hot-restart/src/link.rs
+++ b/crates/hot-restart/src/link.rs
@@ -15,30 +15,30 @@
 use tokio::sync::Notify;
 
 /// Words that may wait to be written: a partner that reads nothing is as good as gone.
-const WAITING: usize = 8192;
+const MAX_QUEUED_MESSAGES: usize = 8192;
 /// Bytes read at once.
-const PIECE: usize = 64 << 10;
+const READ_BUFFER_BYTES: usize = 64 << 10;
 /// Descriptors that may come with one read.
-const DESCRIPTORS: usize = 64;
+const MAX_DESCRIPTORS_PER_READ: usize = 64;
 
 /// One side of a link. One task reads, another writes; words are queued from anywhere.
 #[derive(Debug)]
 pub struct Link {
     stream: UnixStream,
-    out: RefCell<VecDeque<(Vec<u8>, Option<OwnedFd>)>>,
-    queued: Notify,
-    emptied: Notify,
-    over: Cell<bool>,
+    outgoing: RefCell<VecDeque<(Vec<u8>, Option<OwnedFd>)>>,
+    message_queued: Notify,
+    progress: Notify,
+    closed: Cell<bool>,
 }
 
 /// What has been read and not been taken as a word yet.
 #[derive(Debug, Default)]
-pub struct Inbox {
+pub struct ReceiveBuffer {
     frames: FrameDecoder,
     descriptors: VecDeque<OwnedFd>,
 }
 
-fn faulty(error: FrameError) -> io::Error {
+fn invalid_data(error: FrameError) -> io::Error {
     io::Error::new(io::ErrorKind::InvalidData, format!("{error:?}"))
 }
 
@@ -47,72 +47,72 @@
     pub fn new(stream: UnixStream) -> Link {
         Link {
             stream,
-            out: RefCell::default(),
-            queued: Notify::new(),
-            emptied: Notify::new(),
-            over: Cell::new(false),
+            outgoing: RefCell::default(),
+            message_queued: Notify::new(),
+            progress: Notify::new(),
+            closed: Cell::new(false),
         }
     }
 
     /// Whether the link is broken or closed.
-    pub fn over(&self) -> bool {
-        self.over.get()
+    pub fn is_closed(&self) -> bool {
+        self.closed.get()
     }
 
-    /// Ends the link: nothing more is written, and [`Link::write`] returns.
+    /// Ends the link: nothing more is written, and [`Link::run_writer`] returns.
     pub fn close(&self) {
-        self.over.set(true);
-        self.out.borrow_mut().clear();
-        self.queued.notify_one();
-        self.emptied.notify_waiters();
+        self.closed.set(true);
+        self.outgoing.borrow_mut().clear();
+        self.message_queued.notify_one();
+        self.progress.notify_waiters();
     }
 
     /// Queues a word. A link that cannot take it is over; the descriptor is closed then.
-    pub fn say(&self, word: &RestartMessage, descriptor: Option<OwnedFd>) {
-        if self.over() {
+    pub fn send(&self, word: &RestartMessage, descriptor: Option<OwnedFd>) {
+        if self.is_closed() {
             return;
         }
         match word.encode(descriptor.is_some()) {
-            Ok(frame) if self.out.borrow().len() < WAITING => {
-                self.out.borrow_mut().push_back((frame, descriptor));
-                self.queued.notify_one();
+            Ok(frame) if self.outgoing.borrow().len() < MAX_QUEUED_MESSAGES => {
+                self.outgoing.borrow_mut().push_back((frame, descriptor));
+                self.message_queued.notify_one();
             }
             _ => self.close(),
         }
     }
 
     /// Waits until the link is over.
-    pub async fn ended(&self) {
-        while !self.over() {
-            self.emptied.notified().await;
+    pub async fn wait_closed(&self) {
+        while !self.is_closed() {
+            self.progress.notified().await;
         }
     }
 
     /// Waits until all that was queued is written.
-    pub async fn flushed(&self) {
-        while !self.over() && !self.out.borrow().is_empty() {
-            self.emptied.notified().await;
+    pub async fn wait_flushed(&self) {
+        while !self.is_closed() && !self.outgoing.borrow().is_empty() {
+            self.progress.notified().await;
         }
     }
 
     /// Writes what is queued, until the link is over.
-    pub async fn write(&self) {
-        while !self.over() {
-            let Some((frame, descriptor)) = self.out.borrow_mut().pop_front() else {
-                self.emptied.notify_waiters();
-                self.queued.notified().await;
+    pub async fn run_writer(&self) {
+        while !self.is_closed() {
+            let Some((frame, descriptor)) = self.outgoing.borrow_mut().pop_front() else {
+                self.progress.notify_waiters();
+                self.message_queued.notified().await;
                 continue;
             };
             // In the queue while it is under way, so that nobody takes the link for flushed.
-            self.out.borrow_mut().push_front((Vec::new(), None));
-            if self.write_one(&frame, descriptor).await.is_err() {
+            self.outgoing.borrow_mut().push_front((Vec::new(), None));
+            if self.write_frame(&frame, descriptor).await.is_err() {
                 return self.close();
             }
-            self.out.borrow_mut().pop_front();
+            self.outgoing.borrow_mut().pop_front();
         }
     }
 
-    async fn write_one(&self, frame: &[u8], mut descriptor: Option<OwnedFd>) -> io::Result<()> {
+    async fn write_frame(&self, frame: &[u8], mut descriptor: Option<OwnedFd>) -> io::Result<()> {
         let mut written = 0;
         while written < frame.len() {
             self.stream.writable().await?;
@@ -138,9 +138,9 @@
 
     /// The next word, with its descriptor; an error once the link is broken or what comes is no word. Loses nothing when
     /// dropped half-way.
-    pub async fn hear(&self, inbox: &mut Inbox) -> io::Result<(RestartMessage, Option<OwnedFd>)> {
+    pub async fn receive(&self, inbox: &mut ReceiveBuffer) -> io::Result<(RestartMessage, Option<OwnedFd>)> {
         loop {
-            if let Some((word, with)) = inbox.frames.next_message().map_err(faulty)? {
+            if let Some((word, with)) = inbox.frames.next_message().map_err(invalid_data)? {
                 let descriptor = if with { inbox.descriptors.pop_front() } else { None };
                 if with && descriptor.is_none() {
                     return Err(io::Error::new(io::ErrorKind::InvalidData, "a descriptor is missing"));
@@ -148,8 +148,8 @@
                 return Ok((word, descriptor));
             }
             self.stream.readable().await?;
-            let mut piece = vec![0; PIECE];
-            let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(DESCRIPTORS))];
+            let mut piece = vec![0; READ_BUFFER_BYTES];
+            let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(MAX_DESCRIPTORS_PER_READ))];
             let read = self.stream.try_io(Interest::READABLE, || {
                 let mut control = RecvAncillaryBuffer::new(&mut space);
                 let mut parts = [IoSliceMut::new(&mut piece)];
@@ -189,15 +189,15 @@
         for i in 0..40 {
             clients.push(TcpStream::connect(listener.local_addr().unwrap()).unwrap());
             let (served, _) = listener.accept().unwrap();
-            a.say(&word(i), Some(served.into()));
+            a.send(&word(i), Some(served.into()));
             if i % 8 == 0 {
-                a.say(&long, None);
+                a.send(&long, None);
             }
         }
         let reading = async {
-            let mut inbox = Inbox::default();
+            let mut inbox = ReceiveBuffer::default();
             for (i, client) in clients.iter_mut().enumerate() {
-                let (said, descriptor) = b.hear(&mut inbox).await.unwrap();
+                let (said, descriptor) = b.receive(&mut inbox).await.unwrap();
                 assert_eq!(said, word(i));
                 let mut stream = TcpStream::from(descriptor.unwrap());
                 stream.write_all(&[i as u8]).unwrap();
@@ -205,19 +205,19 @@
                 client.read_exact(&mut byte).unwrap();
                 assert_eq!(byte[0], i as u8, "the descriptor of another word");
                 if i % 8 == 0 {
-                    assert_eq!(b.hear(&mut inbox).await.unwrap().0, long);
+                    assert_eq!(b.receive(&mut inbox).await.unwrap().0, long);
                 }
             }
             inbox
         };
         let writing = async {
-            tokio::select! { () = a.write() => {}, () = a.flushed() => {} }
+            tokio::select! { () = a.run_writer() => {}, () = a.wait_flushed() => {} }
         };
         let (mut inbox, ()) = tokio::join!(reading, writing);
         drop(a);
-        assert!(b.hear(&mut inbox).await.is_err());
+        assert!(b.receive(&mut inbox).await.is_err());
         b.close();
-        b.say(&RestartMessage::Bye, None);
-        assert!(b.over());
+        b.send(&RestartMessage::Bye, None);
+        assert!(b.is_closed());
     }
 }
--- a/crates/scheduler/src/upgrade.rs
+++ b/crates/scheduler/src/upgrade.rs
@@ -6,7 +6,7 @@
 use super::discovery::{self, number};
 use super::relay::{self, CallBackResult};
 use super::{Scheduler, control, intake, route};
-use loomlb_hot_restart::link::{Inbox, Link};
+use loomlb_hot_restart::link::{Link, ReceiveBuffer};
 use loomlb_hot_restart::message::{ForwardedRequest, PROTOCOL_VERSION, ResourceUsage, RestartMessage};
 use loomlb_hot_restart::state_machine::{Predecessor, PredecessorAction, Successor};
 use loomlb_policy::{Event, Message, Nanos, SlotUsage as Held, WorkerId, ZoneId};
@@ -55,14 +55,14 @@
     /// Passes an idle connection of a client on.
     pub fn give_client(&self, s: &Scheduler, descriptor: OwnedFd, calls_back: bool, fresh: bool) {
         s.book.borrow_mut().counters.passed_on += 1;
-        self.link.say(&RestartMessage::ClientConnection { calls_back, fresh }, Some(descriptor));
+        self.link.send(&RestartMessage::ClientConnection { calls_back, fresh }, Some(descriptor));
     }
 
     /// Passes an idle connection to a target on.
     pub fn give_target(&self, s: &Scheduler, to: WorkerId, descriptor: OwnedFd, since: Nanos) {
         if let Some(target) = s.target_group.target(to) {
             s.book.borrow_mut().counters.passed_on += 1;
-            self.link.say(
+            self.link.send(
                 &RestartMessage::TargetConnection { host: target.host.to_string(), since },
                 Some(descriptor),
             );
@@ -126,7 +126,7 @@
         if self.old.get().accepts_connections() {
             return None;
         }
-        self.partners.borrow().iter().find(|p| p.successor && !p.link.over()).cloned()
+        self.partners.borrow().iter().find(|p| p.successor && !p.link.is_closed()).cloned()
     }
 
     /// What the other processes hold of the limits that are ours together.
@@ -160,7 +160,7 @@
 /// The process before this one, as far as the first words go.
 pub struct Before {
     link: Link,
-    inbox: Inbox,
+    inbox: ReceiveBuffer,
     snapshot: Snapshot,
     peers: Option<OwnedFd>,
 }
@@ -198,11 +198,11 @@
 
 async fn greet(path: &Path) -> io::Result<Before> {
     let link = Link::new(connect(path).await?);
-    link.say(&RestartMessage::Hello { version: PROTOCOL_VERSION }, None);
-    let mut inbox = Inbox::default();
+    link.send(&RestartMessage::Hello { version: PROTOCOL_VERSION }, None);
+    let mut inbox = ReceiveBuffer::default();
     let (word, peers) = tokio::select! {
-        heard = link.hear(&mut inbox) => heard?,
-        () = link.write() => return Err(io::ErrorKind::BrokenPipe.into()),
+        heard = link.receive(&mut inbox) => heard?,
+        () = link.run_writer() => return Err(io::ErrorKind::BrokenPipe.into()),
     };
     match word {
         RestartMessage::Snapshot(value) => {
@@ -235,7 +235,7 @@
     let partner = Partner::new(link, false);
     let mut new = s.upgrade.new.get();
     if new.on_restored() {
-        partner.link.say(&RestartMessage::Ready, None);
+        partner.link.send(&RestartMessage::Ready, None);
     }
     s.upgrade.new.set(new);
     meet(s, &partner, inbox);
@@ -300,9 +300,9 @@
 
 /// Hears the first word of a process that starts.
 async fn receive(s: Rc<Scheduler>, link: Link) {
-    let mut inbox = Inbox::default();
+    let mut inbox = ReceiveBuffer::default();
     let Ok(Ok((RestartMessage::Hello { version }, _))) =
-        tokio::time::timeout(PATIENCE, link.hear(&mut inbox)).await
+        tokio::time::timeout(PATIENCE, link.receive(&mut inbox)).await
     else {
         return;
     };
@@ -312,7 +312,7 @@
             match serde_json::to_value(Snapshot::of(&s)) {
                 Ok(value) => {
                     tracing::info!("upgrade: another process starts, and gets what is known here");
-                    partner.link.say(&RestartMessage::Snapshot(value), s.peers.descriptor());
+                    partner.link.send(&RestartMessage::Snapshot(value), s.peers.descriptor());
                     meet(&s, &partner, inbox);
                 }
                 Err(e) => {
@@ -323,9 +323,9 @@
         }
         PredecessorAction::Refuse(why) => {
             tracing::warn!("upgrade: another process starts, refused: {why}");
-            link.say(&RestartMessage::Refused(why.into()), None);
+            link.send(&RestartMessage::Refused(why.into()), None);
             let _ = tokio::time::timeout(ANSWER, async {
-                tokio::select! { () = link.write() => {}, () = link.flushed() => {} }
+                tokio::select! { () = link.run_writer() => {}, () = link.wait_flushed() => {} }
             })
             .await;
         }
@@ -334,14 +334,14 @@
 }
 
 /// Talks with another process until the link is over.
-fn meet(s: &Rc<Scheduler>, partner: &Rc<Partner>, inbox: Inbox) {
+fn meet(s: &Rc<Scheduler>, partner: &Rc<Partner>, inbox: ReceiveBuffer) {
     s.upgrade.partners.borrow_mut().push(Rc::clone(partner));
     let writer = Rc::clone(partner);
-    spawn_local(async move { writer.link.write().await });
+    spawn_local(async move { writer.link.run_writer().await });
     let (teller, told) = (Rc::clone(s), Rc::clone(partner));
     spawn_local(async move {
-        while !told.link.over() {
-            told.link.say(&RestartMessage::Usage(holds(&teller)), None);
+        while !told.link.is_closed() {
+            told.link.send(&RestartMessage::Usage(holds(&teller)), None);
             tokio::time::sleep(TELL).await;
         }
     });
@@ -357,9 +357,9 @@
     }
 }
 
-async fn converse(s: Rc<Scheduler>, partner: Rc<Partner>, mut inbox: Inbox) {
+async fn converse(s: Rc<Scheduler>, partner: Rc<Partner>, mut inbox: ReceiveBuffer) {
     let why = loop {
-        match partner.link.hear(&mut inbox).await {
+        match partner.link.receive(&mut inbox).await {
             Ok((RestartMessage::Bye, _)) => break None,
             Ok((word, descriptor)) => heard(&s, &partner, word, descriptor),
             Err(e) => break Some(e),
@@ -392,7 +392,7 @@
         {
             tracing::info!("upgrade: handed over, {} flows to finish", s.book.borrow().unanswered());
             s.upgrade.turned.notify_one();
-            partner.link.say(&RestartMessage::Committed, None);
+            partner.link.send(&RestartMessage::Committed, None);
             for (to, descriptor, since) in s.pool.take_all_idle() {
                 partner.give_target(s, to, descriptor, since);
             }
@@ -434,7 +434,7 @@
             let (s, partner) = (Rc::clone(s), Rc::clone(partner));
             spawn_local(async move {
                 let theirs = theirs || self::ask(&s, &ask, Some(&partner)).await == Some(true);
-                partner.link.say(&RestartMessage::Response(n, theirs), None);
+                partner.link.send(&RestartMessage::Response(n, theirs), None);
             });
         }
         (RestartMessage::Response(n, theirs), _) => {
@@ -484,7 +484,7 @@
         let n = s.upgrade.next.replace(s.upgrade.next.get() + 1);
         let (answer, asked) = oneshot::channel();
         s.upgrade.asked.borrow_mut().insert(n, answer);
-        partner.link.say(&RestartMessage::Request(n, ask.clone()), None);
+        partner.link.send(&RestartMessage::Request(n, ask.clone()), None);
         answers.push((n, partner, asked));
     }
     let mut said = Some(false);
@@ -493,7 +493,7 @@
         let answer = tokio::select! {
             biased;
             answer = tokio::time::timeout(ANSWER, asked) => answer.ok().and_then(Result::ok),
-            () = partner.link.ended() => Some(false),
+            () = partner.link.wait_closed() => Some(false),
         };
         s.upgrade.asked.borrow_mut().remove(&n);
         match answer {
@@ -539,8 +539,8 @@
     }
     s.upgrade.left.set(true);
     if let Some(heir) = s.upgrade.heir() {
-        heir.link.say(&RestartMessage::Bye, None);
-        let _ = tokio::time::timeout(ANSWER, heir.link.flushed()).await;
+        heir.link.send(&RestartMessage::Bye, None);
+        let _ = tokio::time::timeout(ANSWER, heir.link.wait_flushed()).await;
     }
     tracing::info!("upgrade: finished");
 }
