--- a/crates/scheduler/src/lib.rs
+++ b/crates/scheduler/src/lib.rs
@@ -89,7 +89,7 @@
 pub fn serve(
     config: Config,
     quota_source: quotas::QuotaSource,
-    tier: Option<loomlb_tier::Spec>,
+    tier: Option<loomlb_tier::TierConfig>,
 ) -> io::Result<()> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     LocalSet::new().block_on(&runtime, run(config, quota_source, tier))
@@ -98,7 +98,7 @@
 async fn run(
     config: Config,
     quota_source: quotas::QuotaSource,
-    tier: Option<loomlb_tier::Spec>,
+    tier: Option<loomlb_tier::TierConfig>,
 ) -> io::Result<()> {
     // First of all, as a signal without a handler would end the process.
     let (hangup, signals) = (reload::take_over()?, shutdown::Signals::new()?);
--- a/crates/tier/src/spec.rs
+++ b/crates/tier/src/config.rs
@@ -9,44 +9,44 @@
 use std::path::PathBuf;
 
 /// The shortest key.
-const KEY: usize = 16;
+const MIN_KEY_BYTES: usize = 16;
 
 /// The operator file's words on the tier.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 #[serde(expecting = "struct Spec")]
-pub struct Spec {
+pub struct TierConfig {
     /// What all schedulers of the tier know and nobody else does.
     pub(crate) key: String,
     /// Where this voter listens for the others.
     pub(crate) listen: Option<SocketAddr>,
     /// The voters, the same at every scheduler.
     #[serde(rename = "voter")]
-    pub(crate) voters: Vec<VoterAt>,
+    pub(crate) voters: Vec<VoterAddress>,
     /// Where this voter writes what it must not forget.
     pub(crate) store: Option<PathBuf>,
     /// The tier is started for the very first time: a voter's file may be missing.
     #[serde(default)]
     pub(crate) found: bool,
     /// From a version's agreement until it is in force or whoever has not heard has stopped acting, in seconds.
-    #[serde(default = "four")]
+    #[serde(default = "default_bound_s")]
     pub(crate) bound_s: f64,
     /// How far a clock's rate may be off, as a part.
-    #[serde(default = "hundredth")]
+    #[serde(default = "default_drift")]
     pub(crate) drift: f64,
     /// Allowance for an agreement among voters, in seconds.
-    #[serde(default = "quarter")]
+    #[serde(default = "default_quarter_second")]
     pub(crate) delay_s: f64,
     /// Time between two renewals of the lease, in seconds.
-    #[serde(default = "quarter")]
+    #[serde(default = "default_quarter_second")]
     pub(crate) renew_s: f64,
     /// What to do without a lease.
     #[serde(default)]
-    pub(crate) on_lapse: OnLapse,
+    pub(crate) on_lapse: LapsePolicy,
     /// Where to write what was acted upon, for the checker; not written without it.
     pub(crate) history: Option<PathBuf>,
     /// For trials alone: this process's clock runs at this rate.
-    #[serde(default = "one")]
+    #[serde(default = "default_trial_clock")]
     pub(crate) trial_clock: f64,
 }
 
@@ -54,7 +54,7 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 #[serde(expecting = "struct VoterAt")]
-pub struct VoterAt {
+pub struct VoterAddress {
     /// Its scheduler's name.
     pub(crate) name: String,
     /// Where it listens for the tier.
@@ -64,7 +64,7 @@
 /// What a scheduler does whose lease has ended.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum OnLapse {
+pub enum LapsePolicy {
     /// It steps out of service until it has one again.
     #[default]
     Leave,
@@ -73,23 +73,23 @@
     Strict,
 }
 
-fn four() -> f64 {
+fn default_bound_s() -> f64 {
     4.0
 }
 
-fn hundredth() -> f64 {
+fn default_drift() -> f64 {
     0.01
 }
 
-fn quarter() -> f64 {
+fn default_quarter_second() -> f64 {
     0.25
 }
 
-fn one() -> f64 {
+fn default_trial_clock() -> f64 {
     1.0
 }
 
-impl Spec {
+impl TierConfig {
     /// The figures of the leases, or the key that cannot be kept.
     pub(crate) fn timing(&self) -> Result<LeaseTiming, (&'static str, String)> {
         let nanos = |key, seconds: f64| {
@@ -112,8 +112,8 @@
     /// The first key that cannot be worked with, and why.
     pub fn check(&self) -> Result<(), (String, String)> {
         let fault = |key: &str, reason: String| Err((key.to_string(), reason));
-        if self.key.len() < KEY {
-            return fault("key", format!("{} bytes; {KEY} at the least", self.key.len()));
+        if self.key.len() < MIN_KEY_BYTES {
+            return fault("key", format!("{} bytes; {MIN_KEY_BYTES} at the least", self.key.len()));
         }
         if self.voters.len().is_multiple_of(2) || self.voters.len() > 7 {
             return fault("voter", format!("{} voters; 1, 3, 5 or 7 can agree best", self.voters.len()));
@@ -129,7 +129,7 @@
     }
 }
 
-impl fmt::Display for Spec {
+impl fmt::Display for TierConfig {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let names: Vec<&str> = self.voters.iter().map(|v| &*v.name).collect();
         write!(f, "voters {}, bound {} s", names.join(", "), self.bound_s)?;
--- a/crates/tier/src/lease.rs
+++ b/crates/tier/src/lease.rs
@@ -2,7 +2,7 @@
 
 use crate::proposals::settle;
 use crate::voter::voter_hears;
-use crate::{Application, LOOK, On, OnLapse, more, random};
+use crate::{Application, LOOK, LapsePolicy, On, more, random};
 use loomlb_consensus::Nanos;
 use loomlb_consensus::document;
 use loomlb_consensus::history_check::HistoryEvent as Did;
@@ -106,7 +106,7 @@
         more(&on.counts.lapses);
         tracing::warn!("tier: the lease has ended: no majority of the voters answers");
     }
-    if on.spec.on_lapse == OnLapse::Strict {
+    if on.spec.on_lapse == LapsePolicy::Strict {
         enforce(on, around, holds);
     }
 }
@@ -116,7 +116,7 @@
 fn put_in_force(on: &On, around: &dyn Application) {
     let acting = on.holder.borrow().rules();
     let holds = on.holder.borrow().has_valid_lease(on.now());
-    enforce(on, around, holds || on.spec.on_lapse == OnLapse::Leave);
+    enforce(on, around, holds || on.spec.on_lapse == LapsePolicy::Leave);
     on.applied.set(acting);
     if let Some(acting) = acting {
         on.log(Did::Adopted(acting));
--- a/crates/tier/src/lib.rs
+++ b/crates/tier/src/lib.rs
@@ -8,18 +8,18 @@
 
 #![forbid(unsafe_code)]
 
+mod config;
 mod history;
 mod lease;
 mod link;
 mod proposals;
-mod spec;
 mod status;
 mod store_health;
 mod voter;
 mod voter_error;
 
+pub use config::{LapsePolicy, TierConfig, VoterAddress};
 pub use proposals::{order, proposed};
-pub use spec::{OnLapse, Spec, VoterAt};
 pub use status::state;
 
 use history::History;
@@ -75,7 +75,7 @@
 
 #[derive(Debug)]
 struct On {
-    spec: Spec,
+    spec: TierConfig,
     name: String,
     timing: LeaseTiming,
     /// This process, as no other is called.
@@ -206,7 +206,7 @@
 
 /// Opens what a tier needs: the listener of a voter and its file. `opening` limits how long the listener is tried.
 pub async fn open(
-    spec: Option<Spec>,
+    spec: Option<TierConfig>,
     name: &str,
     opening: &OpenRetry,
 ) -> io::Result<(Tier, Option<TcpListener>)> {
--- a/crates/tier/src/link.rs
+++ b/crates/tier/src/link.rs
@@ -1,7 +1,7 @@
 //! Links: each scheduler keeps one to every voter, opened anew when it breaks; a voter accepts them.
 
+use crate::config::VoterAddress;
 use crate::lease::{answered, compare};
-use crate::spec::VoterAt;
 use crate::voter::voter_hears;
 use crate::{Application, On, more};
 use loomlb_consensus::link_protocol::{self, Channel, GREETING_BYTES, LinkMessage, Nonce, PROTOCOL_VERSION};
@@ -66,7 +66,7 @@
 /// Keeps a link to a voter open for as long as the program runs.
 pub(crate) async fn link(on: Rc<On>, around: Rc<dyn Application>, voter: usize) {
     loop {
-        let VoterAt { name, at } = &on.spec.voters[voter];
+        let VoterAddress { name, at } = &on.spec.voters[voter];
         let opened = tokio::time::timeout(SILENT, async {
             let stream = loomlb_sockets::connect(*at, |_| {}).await?;
             let (mine, theirs) = greet(&stream).await?;
--- a/crates/tier/src/voter.rs
+++ b/crates/tier/src/voter.rs
@@ -2,8 +2,8 @@
 //! process that takes over its seat.
 
 use crate::On;
+use crate::config::TierConfig;
 use crate::link::accept;
-use crate::spec::Spec;
 use crate::voter_error::VoterError;
 use loomlb_consensus::Nanos;
 use loomlb_consensus::lease_grants::{LeaseGrants, ProcessId};
@@ -60,7 +60,7 @@
 
 /// Takes a voter's file and address.
 pub(crate) async fn vote_as(
-    spec: &Spec,
+    spec: &TierConfig,
     name: &str,
     number: u64,
     timing: LeaseTiming,
--- a/crates/tier/tests/proposals.rs
+++ b/crates/tier/tests/proposals.rs
@@ -4,7 +4,7 @@
 use loomlb_consensus::link_protocol::{self, GREETING_BYTES, LinkMessage};
 use loomlb_consensus::state::{Command, Document, ReplicatedState};
 use loomlb_consensus::worker_lists::{LeavingWorker, ListReport, ListSummary};
-use loomlb_tier::{Application, Spec};
+use loomlb_tier::{Application, TierConfig};
 use serde_json::{Value, json};
 use std::cell::Cell;
 use std::collections::BTreeSet;
@@ -105,7 +105,8 @@
                     }
                 });
             }
-            let spec: Spec = toml::from_str(&format!("key = \"{KEY}\"\nrenew_s = 0.25\n{voters}")).unwrap();
+            let spec: TierConfig =
+                toml::from_str(&format!("key = \"{KEY}\"\nrenew_s = 0.25\n{voters}")).unwrap();
             let (tier, listener) =
                 loomlb_tier::open(Some(spec), "s", &loomlb_sockets::OpenRetry::start()).await.unwrap();
             let around: Rc<dyn Application> = Rc::new(Idle);
--- a/src/operator.rs
+++ b/src/operator.rs
@@ -2,7 +2,7 @@
 
 use loomlb_config_file::{ConfigError, line_of_key};
 use loomlb_quota::Spec;
-use loomlb_tier::Spec as Tier;
+use loomlb_tier::TierConfig as Tier;
 use serde::Deserialize;
 use std::fmt;
 use std::path::Path;
