--- a/crates/scheduler/src/agreed.rs
+++ b/crates/scheduler/src/agreed.rs
@@ -17,7 +17,7 @@
 }
 
 impl Application for Around {
-    fn list(&self) -> ListReport {
+    fn worker_list(&self) -> ListReport {
         self.0.target_group.mine(self.0.clock.now())
     }
 
@@ -25,27 +25,27 @@
         self.0.config.settings()
     }
 
-    fn check(&self, settings: Value) -> Result<(), String> {
+    fn validate_settings(&self, settings: Value) -> Result<(), String> {
         self.0.config.with_settings(settings).map(|_| ())
     }
 
-    fn put_in_force(&self, settings: Value) -> Result<(), String> {
+    fn apply_settings(&self, settings: Value) -> Result<(), String> {
         self.0.config.with_settings(settings).and_then(|fresh| reload::put_in_force(&self.0, fresh))
     }
 
-    fn order(&self, worker: &str, out: bool) {
+    fn set_worker_offline(&self, worker: &str, out: bool) {
         control::agreed(&self.0, worker, out);
     }
 
-    fn leaving(&self, leaving: &LeavingWorker) -> bool {
+    fn learn_leaving_worker(&self, leaving: &LeavingWorker) -> bool {
         discovery::hearsay(&self.0, &leaving.host, leaving.born_ms)
     }
 
-    fn forget_leaving(&self) {
+    fn expire_leaving_workers(&self) {
         discovery::forget_hearsay(&self.0);
     }
 
-    fn ask_list_anew(&self) {
+    fn refetch_worker_list(&self) {
         self.0.target_group.ask_anew();
     }
 }
--- a/crates/tier/src/lease.rs
+++ b/crates/tier/src/lease.rs
@@ -24,7 +24,7 @@
     tokio::time::sleep(pause.mul_f64(random().unwrap_or(0) as f64 / u64::MAX as f64)).await;
     loop {
         look(on, around);
-        around.forget_leaving();
+        around.expire_leaving_workers();
         ask(on, around);
         settle(on, around, turn);
         turn += 1;
@@ -40,7 +40,7 @@
     let (number, acting) = on.holder.borrow_mut().start_renewal(on.now());
     let index = on.holder.borrow().state().index;
     // A look at every worker: once for all voters.
-    let list = around.list();
+    let list = around.worker_list();
     for voter in 0..on.boxes.len() {
         let word = LinkMessage::LeaseRequest { number, rules: acting, index, list: list.clone() };
         if on.number == Some(voter as u64 + 1) {
@@ -75,10 +75,10 @@
 
 /// What other schedulers have been told of the workers: whoever is behind asks discovery, and takes their word for a drain.
 pub(crate) fn compare(on: &On, around: &dyn Application, theirs: &ListSummary) {
-    let (now, mine) = (on.now(), around.list().version);
+    let (now, mine) = (on.now(), around.worker_list().version);
     on.lists.set((theirs.newest, theirs.oldest));
     for leaving in &theirs.leaving {
-        if around.leaving(leaving) {
+        if around.learn_leaving_worker(leaving) {
             more(&on.counts.hearsay);
         }
     }
@@ -89,7 +89,7 @@
     if now >= on.behind.get() + BEHIND {
         on.behind.set(now);
         more(&on.counts.asked_again);
-        around.ask_list_anew();
+        around.refetch_worker_list();
     }
 }
 
@@ -127,7 +127,7 @@
 fn enforce(on: &On, around: &dyn Application, agreed: bool) {
     let Some(body) = on.holder.borrow().effective_body() else { return };
     let body = if agreed { body } else { document::restrict_without_lease(&body) };
-    match around.put_in_force(body.settings_for(&around.settings())) {
+    match around.apply_settings(body.settings_for(&around.settings())) {
         Ok(()) => {
             on.careful.set(!agreed);
             *on.fault.borrow_mut() = None;
@@ -139,6 +139,6 @@
     }
     let before = on.out.replace(body.workers_out.clone());
     for host in before.symmetric_difference(&body.workers_out) {
-        around.order(host, body.workers_out.contains(host));
+        around.set_worker_offline(host, body.workers_out.contains(host));
     }
 }
--- a/crates/tier/src/lib.rs
+++ b/crates/tier/src/lib.rs
@@ -52,21 +52,21 @@
 /// What acts by the tier's rules: the process around it. The tier asks no more of it than this.
 pub trait Application {
     /// What it has been told of the workers.
-    fn list(&self) -> ListReport;
+    fn worker_list(&self) -> ListReport;
     /// The settings that are in force in it, its own keys included.
     fn settings(&self) -> Value;
     /// Why it could not act on these settings, by their key; it changes nothing.
-    fn check(&self, settings: Value) -> Result<(), String>;
+    fn validate_settings(&self, settings: Value) -> Result<(), String>;
     /// Puts these settings in force, all of them or nothing.
-    fn put_in_force(&self, settings: Value) -> Result<(), String>;
+    fn apply_settings(&self, settings: Value) -> Result<(), String>;
     /// Takes a worker out, or puts it back.
-    fn order(&self, worker: &str, out: bool);
+    fn set_worker_offline(&self, worker: &str, out: bool);
     /// Another scheduler was told that a worker is leaving; true if that is news here.
-    fn leaving(&self, leaving: &LeavingWorker) -> bool;
+    fn learn_leaving_worker(&self, leaving: &LeavingWorker) -> bool;
     /// Words of others on leaving workers that were not said again for a while are over.
-    fn forget_leaving(&self);
+    fn expire_leaving_workers(&self);
     /// Others have a newer list: it is asked for at once.
-    fn ask_list_anew(&self);
+    fn refetch_worker_list(&self);
 }
 
 /// The tier as this scheduler sees it; a clone is the same one.
--- a/crates/tier/src/proposals.rs
+++ b/crates/tier/src/proposals.rs
@@ -136,7 +136,7 @@
     };
     // A file is turned down whole before anybody hears of it.
     let whole = DocumentBody::new(&settings, BTreeSet::new()).settings_for(&around.settings());
-    if let Err(e) = around.check(whole) {
+    if let Err(e) = around.validate_settings(whole) {
         return (400, json!({"yes": false, "why": e}));
     }
     let (out, newest) = on.seen(|seen| {
@@ -157,7 +157,7 @@
     let Some(on) = &tier.0 else { return (404, Value::Null) };
     if out {
         // Nobody is harmed by fewer workers: here it is out at once.
-        around.order(host, true);
+        around.set_worker_offline(host, true);
         on.out.borrow_mut().insert(host.into());
     }
     let end = tokio::time::Instant::now() + CALL;
--- a/crates/tier/src/status.rs
+++ b/crates/tier/src/status.rs
@@ -26,7 +26,7 @@
         "coming": seen.pending.as_ref().map(|d| d.version), "workers_out": *on.out.borrow(),
         "settings": seen.active.as_ref().map(|d| &d.body.settings),
         "history": seen.history, "voter": vote,
-        "lists": {"mine": around.list().version, "newest": on.lists.get().0, "oldest": on.lists.get().1},
+        "lists": {"mine": around.worker_list().version, "newest": on.lists.get().0, "oldest": on.lists.get().1},
         "counts": {"lapses": on.counts.lapses.get(), "words_pushed_out": on.counts.crowded.get(),
             "link_faults": on.counts.faults.get(), "links": on.counts.links.get(),
             "history_unwritten": on.counts.unwritten.get(), "drains_by_hearsay": on.counts.hearsay.get(),
--- a/crates/tier/tests/proposals.rs
+++ b/crates/tier/tests/proposals.rs
@@ -19,24 +19,24 @@
 struct Idle;
 
 impl Application for Idle {
-    fn list(&self) -> ListReport {
+    fn worker_list(&self) -> ListReport {
         ListReport::default()
     }
     fn settings(&self) -> Value {
         json!({"tick": 1})
     }
-    fn check(&self, _: Value) -> Result<(), String> {
+    fn validate_settings(&self, _: Value) -> Result<(), String> {
         Ok(())
     }
-    fn put_in_force(&self, _: Value) -> Result<(), String> {
+    fn apply_settings(&self, _: Value) -> Result<(), String> {
         Ok(())
     }
-    fn order(&self, _: &str, _: bool) {}
-    fn leaving(&self, _: &LeavingWorker) -> bool {
+    fn set_worker_offline(&self, _: &str, _: bool) {}
+    fn learn_leaving_worker(&self, _: &LeavingWorker) -> bool {
         false
     }
-    fn forget_leaving(&self) {}
-    fn ask_list_anew(&self) {}
+    fn expire_leaving_workers(&self) {}
+    fn refetch_worker_list(&self) {}
 }
 
 /// What the stand-ins have heard.
