--- a/crates/scheduler/src/admit.rs
+++ b/crates/scheduler/src/admit.rs
@@ -80,7 +80,7 @@
     }
     let full = book.len() >= epoch.terms.max_open
         || book.body_bytes() + offer.job.body.len() > scheduler.config.body_bytes;
-    if full || scheduler.shutdown.service().refuses_jobs(now) || !scheduler.tier.may_act() {
+    if full || scheduler.shutdown.service().refuses_jobs(now) || !scheduler.tier.may_serve() {
         book.counters.turned_back += 1;
         return Err(Rejection::Unavailable(
             UNAVAILABLE_RETRY_AFTER.min(scheduler.epoch().settings.limits.max_retry_after),
--- a/crates/scheduler/src/agreed.rs
+++ b/crates/scheduler/src/agreed.rs
@@ -55,7 +55,7 @@
     let (s, text) = (Rc::clone(s), settings.to_string());
     spawn_local(async move {
         let (status, said) =
-            loomlb_tier::proposed(&s.tier, &Around(Rc::clone(&s)), text.as_bytes(), None).await;
+            loomlb_tier::propose_settings(&s.tier, &Around(Rc::clone(&s)), text.as_bytes(), None).await;
         if status < 300 {
             tracing::info!("configuration proposed to the tier: {said}");
         } else {
--- a/crates/scheduler/src/control.rs
+++ b/crates/scheduler/src/control.rs
@@ -162,22 +162,22 @@
         return no(404, "unknown worker");
     }
     if let AdminRequest::TierStatus | AdminRequest::ProposeSettings(_) = call {
-        if !s.tier.on() {
+        if !s.tier.is_enabled() {
             return no(404, "no tier is configured here");
         }
         let (status, body) = match call {
             AdminRequest::ProposeSettings(base) => {
-                loomlb_tier::proposed(&s.tier, &Around(Rc::clone(s)), &message.body, base).await
+                loomlb_tier::propose_settings(&s.tier, &Around(Rc::clone(s)), &message.body, base).await
             }
-            _ => (200, loomlb_tier::state(&s.tier, &Around(Rc::clone(s)))),
+            _ => (200, loomlb_tier::status(&s.tier, &Around(Rc::clone(s)))),
         };
         return Reply { status, body: format!("{body}\n"), allow: None };
     }
     if let AdminRequest::Offline(host) | AdminRequest::Online(host) = &call
-        && s.tier.on()
+        && s.tier.is_enabled()
     {
         let out = matches!(call, AdminRequest::Offline(_));
-        let (status, body) = loomlb_tier::order(&s.tier, &Around(Rc::clone(s)), host, out).await;
+        let (status, body) = loomlb_tier::set_worker_offline(&s.tier, &Around(Rc::clone(s)), host, out).await;
         return Reply { status, body: format!("{body}\n"), allow: None };
     }
     if call != AdminRequest::Ready {
@@ -192,7 +192,7 @@
         {
             no(503, "ending")
         }
-        AdminRequest::Ready if !s.tier.may_act() => no(503, "no lease of the tier"),
+        AdminRequest::Ready if !s.tier.may_serve() => no(503, "no lease of the tier"),
         AdminRequest::Ready if !s.upgrade.accepts() => no(503, s.upgrade.why_not()),
         _ => Reply { status: 200, body: state(s), allow: None },
     }
--- a/crates/scheduler/src/intake.rs
+++ b/crates/scheduler/src/intake.rs
@@ -461,7 +461,7 @@
     tracing::trace!("{} {path}", String::from_utf8_lossy(method));
     match path {
         HEALTH_PATH if method != b"GET" => return Some(Reply::text(405, "only GET is served here")),
-        HEALTH_PATH if !scheduler.shutdown.service().is_healthy() || !scheduler.tier.may_act() => {
+        HEALTH_PATH if !scheduler.shutdown.service().is_healthy() || !scheduler.tier.may_serve() => {
             return Some(Reply::text(503, "out of service"));
         }
         HEALTH_PATH => return Some(Reply::text(200, "ready")),
--- a/crates/scheduler/src/reload.rs
+++ b/crates/scheduler/src/reload.rs
@@ -56,7 +56,7 @@
 /// Reads the file, and puts all of it in force or nothing.
 fn take(s: &Rc<Scheduler>) -> Result<(), String> {
     let fresh = s.config.reload()?;
-    if s.tier.on() {
+    if s.tier.is_enabled() {
         // Where the tier agrees on settings, a file is a proposal, and only what is this scheduler's own is taken in here.
         s.target_group.follow_at(fresh.discovery);
         agreed::propose_settings(s, &fresh.settings());
--- a/crates/scheduler/src/send.rs
+++ b/crates/scheduler/src/send.rs
@@ -504,7 +504,7 @@
             }),
             same_incarnation: target.is_some_and(|target| target.same_life(chosen)),
             // The lease is checked last, as close to the write as possible.
-            may_act: scheduler.tier.acts(),
+            may_act: scheduler.tier.authorize_forward(),
         }
     }
 
--- a/crates/tier/src/lib.rs
+++ b/crates/tier/src/lib.rs
@@ -19,8 +19,8 @@
 mod voter_error;
 
 pub use config::{LapsePolicy, TierConfig, VoterAddress};
-pub use proposals::{order, proposed};
-pub use status::state;
+pub use proposals::{propose_settings, set_worker_offline};
+pub use status::status;
 
 use history::History;
 use link::Outbox;
@@ -179,19 +179,19 @@
 
 impl Tier {
     /// Whether the operator has a tier agree.
-    pub fn on(&self) -> bool {
+    pub fn is_enabled(&self) -> bool {
         self.0.is_some()
     }
 
     /// Whether this scheduler may serve now.
-    pub fn may_act(&self) -> bool {
+    pub fn may_serve(&self) -> bool {
         let Some(on) = &self.0 else { return true };
         // The strictest rules need no lease, once they are in force here.
         on.holds() || (on.careful.get() && on.fault.borrow().is_none())
     }
 
     /// Looked at immediately before the first byte of a forward, and written into the history.
-    pub fn acts(&self) -> bool {
+    pub fn authorize_forward(&self) -> bool {
         let Some(on) = &self.0 else { return true };
         if on.holds() {
             let left = on.holder.borrow().lease_expiry().unwrap_or(0).saturating_sub(on.now());
@@ -200,7 +200,7 @@
             }
             return true;
         }
-        self.may_act()
+        self.may_serve()
     }
 }
 
--- a/crates/tier/src/proposals.rs
+++ b/crates/tier/src/proposals.rs
@@ -123,7 +123,7 @@
 }
 
 /// Staff propose settings at the second address.
-pub async fn proposed(
+pub async fn propose_settings(
     tier: &Tier,
     around: &dyn Application,
     text: &[u8],
@@ -153,7 +153,12 @@
 }
 
 /// Staff order a worker out or back at the second address: it is so everywhere, or the call says that it is not yet.
-pub async fn order(tier: &Tier, around: &dyn Application, host: &str, out: bool) -> (u16, Value) {
+pub async fn set_worker_offline(
+    tier: &Tier,
+    around: &dyn Application,
+    host: &str,
+    out: bool,
+) -> (u16, Value) {
     let Some(on) = &tier.0 else { return (404, Value::Null) };
     if out {
         // Nobody is harmed by fewer workers: here it is out at once.
--- a/crates/tier/src/status.rs
+++ b/crates/tier/src/status.rs
@@ -4,7 +4,7 @@
 use serde_json::{Value, json};
 
 /// What staff see of the tier.
-pub fn state(tier: &Tier, around: &dyn Application) -> Value {
+pub fn status(tier: &Tier, around: &dyn Application) -> Value {
     let Some(on) = &tier.0 else { return Value::Null };
     let (holder, voter) = (on.holder.borrow(), on.voter.borrow());
     let health = on.store_health.borrow();
@@ -20,7 +20,7 @@
             "broken": v.agreement.has_failed(), "promises_to": holders})
     });
     json!({
-        "yes": true, "name": on.name, "acting": on.applied.get(), "may_act": tier.may_act(),
+        "yes": true, "name": on.name, "acting": on.applied.get(), "may_act": tier.may_serve(),
         "lease_left_s": left as f64 / 1e9, "fault": *on.fault.borrow(),
         "version": seen.active.as_ref().map(|d| d.version), "by": seen.active.as_ref().map(|d| &d.proposer),
         "coming": seen.pending.as_ref().map(|d| d.version), "workers_out": *on.out.borrow(),
--- a/crates/tier/tests/proposals.rs
+++ b/crates/tier/tests/proposals.rs
@@ -111,12 +111,12 @@
                 loomlb_tier::open(Some(spec), "s", &loomlb_sockets::OpenRetry::start()).await.unwrap();
             let around: Rc<dyn Application> = Rc::new(Idle);
             loomlb_tier::start(&tier, &around, listener);
-            while !tier.may_act() {
+            while !tier.may_serve() {
                 tokio::time::sleep(std::time::Duration::from_millis(5)).await;
             }
             let begun = std::time::Instant::now();
             let settings = json!({"tick": 2}).to_string();
-            let (status, said) = loomlb_tier::proposed(&tier, &Idle, settings.as_bytes(), None).await;
+            let (status, said) = loomlb_tier::propose_settings(&tier, &Idle, settings.as_bytes(), None).await;
             assert_eq!(status, 503, "{said}");
             // As often as renewals fit into the time that it took, the first one, and one that was on its way.
             let most = (begun.elapsed().as_secs_f64() / 0.25) as u32 + 2;
