--- a/crates/tier/src/link.rs
+++ b/crates/tier/src/link.rs
@@ -19,7 +19,7 @@
 /// Words that wait for a link; more push out the oldest, which is asked or said again anyway.
 pub(crate) const WAITING: usize = 256;
 /// Links that a voter holds.
-const LINKS: usize = 4096;
+const MAX_INBOUND_LINKS: usize = 4096;
 /// A link on which nothing comes for so long is opened anew, and a greeting takes no longer.
 const SILENT: Duration = Duration::from_secs(2);
 /// Pause before another try to open a link.
@@ -137,7 +137,7 @@
             }
         };
         retry.record_success();
-        if on.counts.links.get() >= LINKS {
+        if on.counts.links.get() >= MAX_INBOUND_LINKS {
             drop(stream);
             tokio::time::sleep(AGAIN).await;
             continue;
