--- a/crates/tier/src/lib.rs
+++ b/crates/tier/src/lib.rs
@@ -71,10 +71,10 @@
 
 /// The tier as this scheduler sees it; a clone is the same one.
 #[derive(Clone, Debug, Default)]
-pub struct Tier(Option<Rc<On>>);
+pub struct Tier(Option<Rc<Node>>);
 
 #[derive(Debug)]
-struct On {
+struct Node {
     spec: TierConfig,
     name: String,
     timing: LeaseTiming,
@@ -132,7 +132,7 @@
     now.tv_sec as Nanos * 1_000_000_000 + now.tv_nsec as Nanos
 }
 
-impl On {
+impl Node {
     fn now(&self) -> Nanos {
         (self.started.elapsed().as_nanos() as f64 * self.spec.trial_clock) as Nanos
     }
@@ -185,18 +185,18 @@
 
     /// Whether this scheduler may serve now.
     pub fn may_serve(&self) -> bool {
-        let Some(on) = &self.0 else { return true };
+        let Some(node) = &self.0 else { return true };
         // The strictest rules need no lease, once they are in force here.
-        on.holds() || (on.careful.get() && on.fault.borrow().is_none())
+        node.holds() || (node.careful.get() && node.fault.borrow().is_none())
     }
 
     /// Looked at immediately before the first byte of a forward, and written into the history.
     pub fn authorize_forward(&self) -> bool {
-        let Some(on) = &self.0 else { return true };
-        if on.holds() {
-            let left = on.holder.borrow().lease_expiry().unwrap_or(0).saturating_sub(on.now());
-            if let Some(acting) = on.applied.get() {
-                on.log(Did::Acted { rules: acting, lease_left: left });
+        let Some(node) = &self.0 else { return true };
+        if node.holds() {
+            let left = node.holder.borrow().lease_expiry().unwrap_or(0).saturating_sub(node.now());
+            if let Some(acting) = node.applied.get() {
+                node.log(Did::Acted { rules: acting, lease_left: left });
             }
             return true;
         }
@@ -224,7 +224,7 @@
     let (listener, voter) = seat.unzip();
     let history = spec.history.as_deref().map(History::open).transpose()?;
     Ok((
-        Tier(Some(Rc::new(On {
+        Tier(Some(Rc::new(Node {
             name: name.into(),
             timing,
             process: random()?,
@@ -274,15 +274,15 @@
 }
 
 /// Starts the links and the timers, where there is a tier.
-pub fn start(tier: &Tier, around: &Rc<dyn Application>, listener: Option<TcpListener>) {
-    let Some(on) = &tier.0 else { return };
+pub fn start(tier: &Tier, application: &Rc<dyn Application>, listener: Option<TcpListener>) {
+    let Some(node) = &tier.0 else { return };
     if let Some(listener) = listener {
-        voter::start(on, listener);
-    } else if let Some(number) = on.number {
-        spawn_local(voter::succeed(Rc::clone(on), number));
+        voter::start(node, listener);
+    } else if let Some(number) = node.number {
+        spawn_local(voter::succeed(Rc::clone(node), number));
     }
-    for voter in (0..on.boxes.len()).filter(|v| on.number != Some(*v as u64 + 1)) {
-        spawn_local(link::link(Rc::clone(on), Rc::clone(around), voter));
+    for voter in (0..node.boxes.len()).filter(|v| node.number != Some(*v as u64 + 1)) {
+        spawn_local(link::link(Rc::clone(node), Rc::clone(application), voter));
     }
-    spawn_local(lease::renew(Rc::clone(on), Rc::clone(around)));
+    spawn_local(lease::renew(Rc::clone(node), Rc::clone(application)));
 }
--- a/crates/tier/src/link.rs
+++ b/crates/tier/src/link.rs
@@ -3,7 +3,7 @@
 use crate::config::VoterAddress;
 use crate::lease::{answered, compare};
 use crate::voter::voter_hears;
-use crate::{Application, On, more};
+use crate::{Application, Node, more};
 use loomlb_consensus::link_protocol::{self, Channel, GREETING_BYTES, LinkMessage, Nonce, PROTOCOL_VERSION};
 use loomlb_sockets::{AcceptRetry, read_some, write_all};
 use std::cell::RefCell;
@@ -64,25 +64,25 @@
 }
 
 /// Keeps a link to a voter open for as long as the program runs.
-pub(crate) async fn link(on: Rc<On>, around: Rc<dyn Application>, voter: usize) {
+pub(crate) async fn link(node: Rc<Node>, application: Rc<dyn Application>, voter: usize) {
     loop {
-        let VoterAddress { name, at } = &on.spec.voters[voter];
+        let VoterAddress { name, at } = &node.spec.voters[voter];
         let opened = tokio::time::timeout(SILENT, async {
             let stream = loomlb_sockets::connect(*at, |_| {}).await?;
             let (mine, theirs) = greet(&stream).await?;
-            Ok::<_, io::Error>((stream, link_protocol::derive_channels(&on.spec.key, &mine, &theirs)))
+            Ok::<_, io::Error>((stream, link_protocol::derive_channels(&node.spec.key, &mine, &theirs)))
         });
         if let Ok(Ok((stream, (to, from)))) = opened.await {
             // What waited for the link that broke is asked anew, or too old to be of use.
-            on.boxes[voter].words.borrow_mut().clear();
+            node.boxes[voter].words.borrow_mut().clear();
             let (read, write) = stream.into_split();
-            on.hurry.notify_one();
+            node.hurry.notify_one();
             let ended = tokio::select! {
-                ended = hear_voter(&on, &*around, voter, read, from) => ended,
-                ended = tell_voter(&on, voter, write, to) => ended,
+                ended = hear_voter(&node, &*application, voter, read, from) => ended,
+                ended = tell_voter(&node, voter, write, to) => ended,
             };
             if let Err(e) = ended {
-                more(&on.counts.faults);
+                more(&node.counts.faults);
                 tracing::debug!("tier: the link to {name} at {at}: {e}");
             }
         }
@@ -91,8 +91,8 @@
 }
 
 async fn hear_voter(
-    on: &On,
-    around: &dyn Application,
+    node: &Node,
+    application: &dyn Application,
     voter: usize,
     from: OwnedReadHalf,
     mut channel: Channel,
@@ -102,31 +102,31 @@
         if let LinkMessage::LeaseResponse { number, granted: yes, newer_state: news, lists } =
             next(&from, &mut channel, &mut bytes).await?
         {
-            answered(on, around, voter, number, yes, news.map(|n| *n));
-            compare(on, around, &lists);
+            answered(node, application, voter, number, yes, news.map(|n| *n));
+            compare(node, application, &lists);
         }
     }
 }
 
-async fn tell_voter(on: &On, voter: usize, to: OwnedWriteHalf, mut channel: Channel) -> io::Result<()> {
+async fn tell_voter(node: &Node, voter: usize, to: OwnedWriteHalf, mut channel: Channel) -> io::Result<()> {
     let hello = LinkMessage::Hello {
         format: PROTOCOL_VERSION,
-        name: on.name.clone(),
-        process: on.process,
-        voter: on.number,
+        name: node.name.clone(),
+        process: node.process,
+        voter: node.number,
     };
     write_all(to.as_ref(), &channel.seal(&hello)).await?;
     loop {
-        let word = on.boxes[voter].words.borrow_mut().pop_front();
+        let word = node.boxes[voter].words.borrow_mut().pop_front();
         match word {
             Some(word) => write_all(to.as_ref(), &channel.seal(&word)).await?,
-            None => on.boxes[voter].more.notified().await,
+            None => node.boxes[voter].more.notified().await,
         }
     }
 }
 
 /// Accepts links at a voter for as long as the program runs.
-pub(crate) async fn accept(on: Rc<On>, listener: TcpListener) {
+pub(crate) async fn accept(node: Rc<Node>, listener: TcpListener) {
     let mut retry = AcceptRetry::default();
     loop {
         let (stream, from) = match listener.accept().await {
@@ -137,30 +137,30 @@
             }
         };
         retry.record_success();
-        if on.counts.links.get() >= MAX_INBOUND_LINKS {
+        if node.counts.links.get() >= MAX_INBOUND_LINKS {
             drop(stream);
             tokio::time::sleep(AGAIN).await;
             continue;
         }
-        let on = Rc::clone(&on);
+        let node = Rc::clone(&node);
         spawn_local(async move {
-            on.counts.links.set(on.counts.links.get() + 1);
-            if let Err(e) = called(&on, stream).await
+            node.counts.links.set(node.counts.links.get() + 1);
+            if let Err(e) = called(&node, stream).await
                 && e.kind() == io::ErrorKind::Other
             {
-                more(&on.counts.faults);
+                more(&node.counts.faults);
                 tracing::warn!("tier: {from}: {e}");
             }
-            on.counts.links.set(on.counts.links.get() - 1);
+            node.counts.links.set(node.counts.links.get() - 1);
         });
     }
 }
 
 /// A link that another scheduler has opened to this voter.
-async fn called(on: &On, stream: TcpStream) -> io::Result<()> {
+async fn called(node: &Node, stream: TcpStream) -> io::Result<()> {
     let greeted = tokio::time::timeout(SILENT, greet(&stream)).await;
     let (mine, theirs) = greeted.map_err(|_| io::Error::from(io::ErrorKind::TimedOut))??;
-    let (mut from, mut to) = link_protocol::derive_channels(&on.spec.key, &theirs, &mine);
+    let (mut from, mut to) = link_protocol::derive_channels(&node.spec.key, &theirs, &mine);
     let (read, write) = stream.into_split();
     let mut bytes = Vec::new();
     let (name, process, voter) = match next(&read, &mut from, &mut bytes).await? {
@@ -175,7 +175,7 @@
     let who = (name, process);
     loop {
         let word = next(&read, &mut from, &mut bytes).await?;
-        if let Some(reply) = voter_hears(on, &who, voter, word) {
+        if let Some(reply) = voter_hears(node, &who, voter, word) {
             let written = tokio::time::timeout(SILENT, write_all(write.as_ref(), &to.seal(&reply))).await;
             written.map_err(|_| io::Error::from(io::ErrorKind::TimedOut))??;
         }
--- a/crates/tier/src/proposals.rs
+++ b/crates/tier/src/proposals.rs
@@ -1,7 +1,7 @@
 //! Proposals: sent again until their outcome is known, and what staff are told of it.
 
 use crate::voter::voter_hears;
-use crate::{Application, LOOK, On, Tier, random};
+use crate::{Application, LOOK, Node, Tier, random};
 use loomlb_consensus::document::DocumentBody;
 use loomlb_consensus::link_protocol::LinkMessage;
 use loomlb_consensus::state::{Command, ProposalOutcome};
@@ -36,48 +36,48 @@
 }
 
 /// Sends this scheduler's proposals again until their outcome is known; proposes its own file where there is nothing yet.
-pub(crate) fn settle(on: &On, around: &dyn Application, turn: usize) {
-    let empty = on.holder.borrow().state().newest_version() == 0;
-    if empty && on.proposals.borrow().is_empty() {
-        let body = DocumentBody::new(&around.settings(), BTreeSet::new());
-        propose(on, 0, body);
+pub(crate) fn settle(node: &Node, application: &dyn Application, turn: usize) {
+    let empty = node.holder.borrow().state().newest_version() == 0;
+    if empty && node.proposals.borrow().is_empty() {
+        let body = DocumentBody::new(&application.settings(), BTreeSet::new());
+        propose(node, 0, body);
     }
-    let seen = on.holder.borrow();
-    let mut proposals = on.proposals.borrow_mut();
+    let seen = node.holder.borrow();
+    let mut proposals = node.proposals.borrow_mut();
     proposals.retain(|token, _| seen.state().outcome(*token).is_none());
     drop(seen);
     let waiting: Vec<Command> =
-        proposals.values_mut().filter_map(|p| p.due(on.now(), on.timing.renewal_interval)).collect();
+        proposals.values_mut().filter_map(|p| p.due(node.now(), node.timing.renewal_interval)).collect();
     drop(proposals);
-    let voter = turn % on.boxes.len();
+    let voter = turn % node.boxes.len();
     for command in waiting {
-        if on.number == Some(voter as u64 + 1) {
-            voter_hears(on, &(on.name.clone(), on.process), on.number, LinkMessage::Propose(command));
+        if node.number == Some(voter as u64 + 1) {
+            voter_hears(node, &(node.name.clone(), node.process), node.number, LinkMessage::Propose(command));
         } else {
-            on.put(voter, LinkMessage::Propose(command));
+            node.put(voter, LinkMessage::Propose(command));
         }
     }
 }
 
 /// Proposes a document; its token.
-fn propose(on: &On, base: Version, body: DocumentBody) -> Option<u64> {
+fn propose(node: &Node, base: Version, body: DocumentBody) -> Option<u64> {
     let token = random().ok()?;
-    let mut proposals = on.proposals.borrow_mut();
+    let mut proposals = node.proposals.borrow_mut();
     if proposals.len() >= PROPOSALS {
         return None;
     }
-    let command = Command::Propose { token, proposer: on.name.clone(), base_version: base, body };
+    let command = Command::Propose { token, proposer: node.name.clone(), base_version: base, body };
     proposals.insert(token, Waiting { command, said: None });
-    on.hurry.notify_one();
+    node.hurry.notify_one();
     Some(token)
 }
 
 /// What has become of a proposal, and whether its version is in force here, within a call's time.
-async fn outcome(on: &On, token: u64) -> Option<(ProposalOutcome, bool)> {
+async fn outcome(node: &Node, token: u64) -> Option<(ProposalOutcome, bool)> {
     let end = tokio::time::Instant::now() + CALL;
     loop {
         let (known, active) =
-            on.seen(|seen| (seen.outcome(token).cloned(), seen.active.as_ref().map_or(0, |d| d.version)));
+            node.seen(|seen| (seen.outcome(token).cloned(), seen.active.as_ref().map_or(0, |d| d.version)));
         let over = tokio::time::Instant::now() >= end;
         match known {
             Some(ProposalOutcome::Committed(version)) if version > active && !over => {}
@@ -86,12 +86,12 @@
             }
             Some(other) => return Some((other, true)),
             None if over => {
-                on.proposals.borrow_mut().remove(&token);
+                node.proposals.borrow_mut().remove(&token);
                 return None;
             }
             None => {}
         }
-        on.hurry.notify_one();
+        node.hurry.notify_one();
         tokio::time::sleep(LOOK).await;
     }
 }
@@ -125,29 +125,29 @@
 /// Staff propose settings at the second address.
 pub async fn propose_settings(
     tier: &Tier,
-    around: &dyn Application,
+    application: &dyn Application,
     text: &[u8],
     base: Option<Version>,
 ) -> (u16, Value) {
-    let Some(on) = &tier.0 else { return (404, Value::Null) };
+    let Some(node) = &tier.0 else { return (404, Value::Null) };
     let settings: Value = match serde_json::from_slice(text) {
         Ok(settings) => settings,
         Err(e) => return (400, json!({"yes": false, "why": format!("settings: {e}")})),
     };
     // A file is turned down whole before anybody hears of it.
-    let whole = DocumentBody::new(&settings, BTreeSet::new()).settings_for(&around.settings());
-    if let Err(e) = around.validate_settings(whole) {
+    let whole = DocumentBody::new(&settings, BTreeSet::new()).settings_for(&application.settings());
+    if let Err(e) = application.validate_settings(whole) {
         return (400, json!({"yes": false, "why": e}));
     }
-    let (out, newest) = on.seen(|seen| {
+    let (out, newest) = node.seen(|seen| {
         (
             seen.newest_document().map(|d| d.body.workers_out.clone()).unwrap_or_default(),
             seen.newest_version(),
         )
     });
     let base = base.unwrap_or(newest);
-    match propose(on, base, DocumentBody::new(&settings, out)) {
-        Some(token) => reply(outcome(on, token).await),
+    match propose(node, base, DocumentBody::new(&settings, out)) {
+        Some(token) => reply(outcome(node, token).await),
         None => (503, json!({"yes": false, "why": "too many proposals wait"})),
     }
 }
@@ -155,19 +155,19 @@
 /// Staff order a worker out or back at the second address: it is so everywhere, or the call says that it is not yet.
 pub async fn set_worker_offline(
     tier: &Tier,
-    around: &dyn Application,
+    application: &dyn Application,
     host: &str,
     out: bool,
 ) -> (u16, Value) {
-    let Some(on) = &tier.0 else { return (404, Value::Null) };
+    let Some(node) = &tier.0 else { return (404, Value::Null) };
     if out {
         // Nobody is harmed by fewer workers: here it is out at once.
-        around.set_worker_offline(host, true);
-        on.out.borrow_mut().insert(host.into());
+        application.set_worker_offline(host, true);
+        node.out.borrow_mut().insert(host.into());
     }
     let end = tokio::time::Instant::now() + CALL;
     loop {
-        let latest = on.seen(|seen| seen.newest_document().cloned());
+        let latest = node.seen(|seen| seen.newest_document().cloned());
         let Some(mut latest) = latest else { return reply(None) };
         let base = latest.version;
         let changes = if out {
@@ -175,10 +175,10 @@
         } else {
             latest.body.workers_out.remove(host)
         };
-        let found = match changes.then(|| propose(on, base, latest.body)) {
+        let found = match changes.then(|| propose(node, base, latest.body)) {
             None => Some((ProposalOutcome::Unchanged(base), true)),
             Some(None) => None,
-            Some(Some(token)) => outcome(on, token).await,
+            Some(Some(token)) => outcome(node, token).await,
         };
         match found {
             Some((ProposalOutcome::StaleBase(_), _)) if tokio::time::Instant::now() < end => {
--- a/crates/tier/src/voter.rs
+++ b/crates/tier/src/voter.rs
@@ -1,7 +1,7 @@
 //! The voter: its file, its promises, its part in the agreement, how it comes back after a failure of its file, and the
 //! process that takes over its seat.
 
-use crate::On;
+use crate::Node;
 use crate::config::TierConfig;
 use crate::link::accept;
 use crate::voter_error::VoterError;
@@ -41,11 +41,11 @@
 impl Voter {
     /// Reads what its file has acknowledged and starts over from that, as after a kill: what it promised is forgotten,
     /// so it grants nothing new until all of that has ended.
-    fn recover(&mut self, on: &On) -> Result<(), RaftNodeError> {
+    fn recover(&mut self, node: &Node) -> Result<(), RaftNodeError> {
         let loaded = self.log.recover()?;
-        let number = on.number.unwrap_or_default();
-        self.agreement = RaftNode::new(number, on.spec.voters.len() as u64, loaded)?;
-        self.promises = LeaseGrants::new(on.timing, on.now());
+        let number = node.number.unwrap_or_default();
+        self.agreement = RaftNode::new(number, node.spec.voters.len() as u64, loaded)?;
+        self.promises = LeaseGrants::new(node.timing, node.now());
         Ok(())
     }
 }
@@ -84,31 +84,31 @@
 }
 
 /// Starts the tasks of a voter that has its file and this listener.
-pub(crate) fn start(on: &Rc<On>, listener: TcpListener) {
-    let accepting = spawn_local(accept(Rc::clone(on), listener)).abort_handle();
-    if let Some(voter) = on.voter.borrow_mut().as_mut() {
+pub(crate) fn start(node: &Rc<Node>, listener: TcpListener) {
+    let accepting = spawn_local(accept(Rc::clone(node), listener)).abort_handle();
+    if let Some(voter) = node.voter.borrow_mut().as_mut() {
         voter.accepting = Some(accepting);
     }
-    spawn_local(vote(Rc::clone(on)));
+    spawn_local(vote(Rc::clone(node)));
 }
 
 /// Takes the seat of this scheduler once it is free: another process of it has ended, or its file can be opened.
-pub(crate) async fn succeed(on: Rc<On>, number: u64) {
+pub(crate) async fn succeed(node: Rc<Node>, number: u64) {
     let mut pause = SUCCEED;
     loop {
         tokio::time::sleep(pause).await;
         pause = SUCCEED;
-        match vote_as(&on.spec, &on.name, number, on.timing, on.now(), &OpenRetry::start()).await {
+        match vote_as(&node.spec, &node.name, number, node.timing, node.now(), &OpenRetry::start()).await {
             Ok((listener, voter)) => {
                 tracing::info!("tier: this process votes now");
-                on.store_health.borrow_mut().recovered(on.age());
-                *on.voter.borrow_mut() = Some(voter);
-                return start(&on, listener);
+                node.store_health.borrow_mut().recovered(node.age());
+                *node.voter.borrow_mut() = Some(voter);
+                return start(&node, listener);
             }
             Err(e) if e.is_held_elsewhere() => {}
             Err(e) if e.is_transient() => {
-                store_failed(&on, &io::Error::from(e));
-                pause = on.store_health.borrow().pause(on.age());
+                store_failed(&node, &io::Error::from(e));
+                pause = node.store_health.borrow().pause(node.age());
             }
             Err(e) => {
                 let e = io::Error::from(e);
@@ -119,21 +119,21 @@
 }
 
 /// Counts a failure that passes by itself, and tells of the first of a run.
-fn store_failed(on: &On, e: &io::Error) {
-    if on.store_health.borrow_mut().failed(on.age()) {
+fn store_failed(node: &Node, e: &io::Error) {
+    if node.store_health.borrow_mut().failed(node.age()) {
         tracing::error!("tier.store: {e}; this voter takes part no more until it can be written again");
     }
 }
 
 /// What this voter makes of a word, and its reply.
 pub(crate) fn voter_hears(
-    on: &On,
+    node: &Node,
     who: &ProcessId,
     voter: Option<u64>,
     word: LinkMessage,
 ) -> Option<LinkMessage> {
-    let now = on.now();
-    let mut held = on.voter.borrow_mut();
+    let now = node.now();
+    let mut held = node.voter.borrow_mut();
     let Voter { agreement, promises, lists, .. } = held.as_mut()?;
     let reply = match word {
         LinkMessage::LeaseRequest { number, rules: acting, index, list } => {
@@ -164,84 +164,84 @@
         }
         _ => None,
     };
-    turn(on, &mut held);
+    turn(node, &mut held);
     reply
 }
 
 /// Has the voter do what it has to, and sends what it has for others.
-fn turn(on: &On, held: &mut Option<Voter>) {
+fn turn(node: &Node, held: &mut Option<Voter>) {
     let Some(voter) = held else { return };
     match voter.agreement.process_pending(&mut voter.log) {
         Ok(messages) => {
             for message in messages {
-                on.put(message.to as usize - 1, LinkMessage::Raft(raft_node::encode_message(&message)));
+                node.put(message.to as usize - 1, LinkMessage::Raft(raft_node::encode_message(&message)));
             }
         }
-        Err(e) => failed(on, voter, e),
+        Err(e) => failed(node, voter, e),
     }
 }
 
 /// The voter takes part no more: until its file recovers, or for good.
-fn failed(on: &On, voter: &mut Voter, e: RaftNodeError) {
+fn failed(node: &Node, voter: &mut Voter, e: RaftNodeError) {
     voter.stopped = !e.is_transient();
     let e = io::Error::from(e);
     if voter.stopped {
         tracing::error!("tier.store: {e}; this voter takes part no more until it is started anew");
     } else {
-        store_failed(on, &e);
+        store_failed(node, &e);
     }
 }
 
 /// Has a voter whose file failed come back, once it is time for another attempt. False if its file is another process's
 /// by now, so that the seat is lost.
-fn try_to_recover(on: &On, voter: &mut Voter) -> bool {
-    if voter.stopped || !on.store_health.borrow().retry_is_due(on.age()) {
+fn try_to_recover(node: &Node, voter: &mut Voter) -> bool {
+    if voter.stopped || !node.store_health.borrow().retry_is_due(node.age()) {
         return true;
     }
-    match voter.recover(on) {
-        Ok(()) => on.store_health.borrow_mut().recovered(on.age()),
+    match voter.recover(node) {
+        Ok(()) => node.store_health.borrow_mut().recovered(node.age()),
         Err(RaftNodeError::Store(e @ StoreError::Taken { .. })) => {
             tracing::warn!("tier.store: {e}; waiting until it is free");
             return false;
         }
-        Err(e) => failed(on, voter, e),
+        Err(e) => failed(node, voter, e),
     }
     true
 }
 
 /// A voter's own time.
-pub(crate) async fn vote(on: Rc<On>) {
+pub(crate) async fn vote(node: Rc<Node>) {
     let mut ticks = tokio::time::interval(Duration::from_nanos(TICK_NANOS));
     ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     loop {
         ticks.tick().await;
-        let mut held = on.voter.borrow_mut();
+        let mut held = node.voter.borrow_mut();
         let Some(voter) = held.as_mut() else { return };
-        if voter.agreement.has_failed() && !try_to_recover(&on, voter) {
+        if voter.agreement.has_failed() && !try_to_recover(&node, voter) {
             *held = None;
-            if let Some(number) = on.number {
-                spawn_local(succeed(Rc::clone(&on), number));
+            if let Some(number) = node.number {
+                spawn_local(succeed(Rc::clone(&node), number));
             }
             return;
         }
-        if let Some(lasted) = on.store_health.borrow_mut().ended_run(on.age()) {
+        if let Some(lasted) = node.store_health.borrow_mut().ended_run(node.age()) {
             tracing::info!("tier.store: can be written again after {lasted:?}; this voter takes part");
         }
-        tick(&on, voter);
-        turn(&on, &mut held);
+        tick(&node, voter);
+        turn(&node, &mut held);
     }
 }
 
 /// Lets time pass in the agreement, and tells the leader what this voter is ready for.
-fn tick(on: &On, voter: &mut Voter) {
+fn tick(node: &Node, voter: &mut Voter) {
     let Voter { agreement, promises, .. } = voter;
     agreement.tick();
-    let ready = promises.ready_version(on.now(), agreement.state()).filter(|_| agreement.has_caught_up());
+    let ready = promises.ready_version(node.now(), agreement.state()).filter(|_| agreement.has_caught_up());
     if let Some(version) = ready {
         match agreement.leader_id() {
             0 => {}
-            leader if on.number == Some(leader) => agreement.record_ready(leader, version),
-            leader => on.put(leader as usize - 1, LinkMessage::Ready(version)),
+            leader if node.number == Some(leader) => agreement.record_ready(leader, version),
+            leader => node.put(leader as usize - 1, LinkMessage::Ready(version)),
         }
     }
 }
--- a/crates/tier/tests/proposals.rs
+++ b/crates/tier/tests/proposals.rs
@@ -109,8 +109,8 @@
                 toml::from_str(&format!("key = \"{KEY}\"\nrenew_s = 0.25\n{voters}")).unwrap();
             let (tier, listener) =
                 loomlb_tier::open(Some(spec), "s", &loomlb_sockets::OpenRetry::start()).await.unwrap();
-            let around: Rc<dyn Application> = Rc::new(Idle);
-            loomlb_tier::start(&tier, &around, listener);
+            let application: Rc<dyn Application> = Rc::new(Idle);
+            loomlb_tier::start(&tier, &application, listener);
             while !tier.may_serve() {
                 tokio::time::sleep(std::time::Duration::from_millis(5)).await;
             }
