--- a/crates/tier/src/lease.rs
+++ b/crates/tier/src/lease.rs
@@ -2,10 +2,10 @@
 
 use crate::proposals::settle;
 use crate::voter::voter_hears;
-use crate::{Application, LOOK, LapsePolicy, Node, more, random};
+use crate::{Application, LapsePolicy, Node, POLL_INTERVAL, increment, random_u64};
 use loomlb_consensus::Nanos;
 use loomlb_consensus::document;
-use loomlb_consensus::history_check::HistoryEvent as Did;
+use loomlb_consensus::history_check::HistoryEvent;
 use loomlb_consensus::link_protocol::LinkMessage;
 use loomlb_consensus::state::ReplicatedState;
 use loomlb_consensus::worker_lists::ListSummary;
@@ -21,7 +21,7 @@
     let pause = Duration::from_nanos(node.timing.renewal_interval);
     let mut turn = 0;
     // Schedulers that start in the same moment do not ask in the same moments ever after.
-    tokio::time::sleep(pause.mul_f64(random().unwrap_or(0) as f64 / u64::MAX as f64)).await;
+    tokio::time::sleep(pause.mul_f64(random_u64().unwrap_or(0) as f64 / u64::MAX as f64)).await;
     loop {
         look(node, application);
         application.expire_leaving_workers();
@@ -30,7 +30,7 @@
         turn += 1;
         tokio::select! {
             () = tokio::time::sleep(pause) => {}
-            () = node.hurry.notified() => tokio::time::sleep(LOOK).await,
+            () = node.renew_now.notified() => tokio::time::sleep(POLL_INTERVAL).await,
         }
     }
 }
@@ -41,18 +41,18 @@
     let index = node.holder.borrow().state().index;
     // A look at every worker: once for all voters.
     let list = application.worker_list();
-    for voter in 0..node.boxes.len() {
+    for voter in 0..node.outboxes.len() {
         let word = LinkMessage::LeaseRequest { number, rules: acting, index, list: list.clone() };
-        if node.number == Some(voter as u64 + 1) {
-            let who = (node.name.clone(), node.process);
+        if node.voter_id == Some(voter as u64 + 1) {
+            let who = (node.name.clone(), node.process_id);
             if let Some(LinkMessage::LeaseResponse { number, granted: yes, newer_state: news, lists }) =
-                voter_hears(node, &who, node.number, word)
+                voter_hears(node, &who, node.voter_id, word)
             {
                 answered(node, application, voter, number, yes, news.map(|n| *n));
                 compare(node, application, &lists);
             }
         } else {
-            node.put(voter, word);
+            node.enqueue(voter, word);
         }
     }
 }
@@ -68,7 +68,7 @@
     let changed = node.holder.borrow_mut().handle_response(node.now(), voter, number, yes, news);
     if changed {
         put_in_force(node, application);
-        node.hurry.notify_one();
+        node.renew_now.notify_one();
     }
     look(node, application);
 }
@@ -76,34 +76,34 @@
 /// What other schedulers have been told of the workers: whoever is behind asks discovery, and takes their word for a drain.
 pub(crate) fn compare(node: &Node, application: &dyn Application, theirs: &ListSummary) {
     let (now, mine) = (node.now(), application.worker_list().version);
-    node.lists.set((theirs.newest, theirs.oldest));
+    node.list_versions.set((theirs.newest, theirs.oldest));
     for leaving in &theirs.leaving {
         if application.learn_leaving_worker(leaving) {
-            more(&node.counts.hearsay);
+            increment(&node.counters.leaving_learned);
         }
     }
     if mine >= theirs.newest {
-        return node.behind.set(now);
+        return node.behind_since.set(now);
     }
     // News is on its way for a while; what does not come by itself is asked for, and not again and again.
-    if now >= node.behind.get() + BEHIND {
-        node.behind.set(now);
-        more(&node.counts.asked_again);
+    if now >= node.behind_since.get() + BEHIND {
+        node.behind_since.set(now);
+        increment(&node.counters.list_refetches);
         application.refetch_worker_list();
     }
 }
 
 /// Sees whether the lease has ended or begun since the last look.
 fn look(node: &Node, application: &dyn Application) {
-    let holds = node.holds();
-    if node.held.replace(holds) == holds {
+    let holds = node.has_lease();
+    if node.had_lease.replace(holds) == holds {
         return;
     }
-    node.log(if holds { Did::LeaseAcquired } else { Did::LeaseExpired });
+    node.record(if holds { HistoryEvent::LeaseAcquired } else { HistoryEvent::LeaseExpired });
     if holds {
         tracing::info!("tier: a lease on {:?}", node.applied.get());
     } else {
-        more(&node.counts.lapses);
+        increment(&node.counters.lapses);
         tracing::warn!("tier: the lease has ended: no majority of the voters answers");
     }
     if node.spec.on_lapse == LapsePolicy::Strict {
@@ -119,7 +119,7 @@
     enforce(node, application, holds || node.spec.on_lapse == LapsePolicy::Leave);
     node.applied.set(acting);
     if let Some(acting) = acting {
-        node.log(Did::Adopted(acting));
+        node.record(HistoryEvent::Adopted(acting));
         tracing::info!("tier: takes {acting:?}");
     }
 }
@@ -129,15 +129,15 @@
     let body = if agreed { body } else { document::restrict_without_lease(&body) };
     match application.apply_settings(body.settings_for(&application.settings())) {
         Ok(()) => {
-            node.careful.set(!agreed);
-            *node.fault.borrow_mut() = None;
+            node.strict_rules_in_force.set(!agreed);
+            *node.apply_error.borrow_mut() = None;
         }
         Err(e) => {
             tracing::error!("tier: what was agreed cannot be read by this build: {e}; out of service");
-            *node.fault.borrow_mut() = Some(e);
+            *node.apply_error.borrow_mut() = Some(e);
         }
     }
-    let before = node.out.replace(body.workers_out.clone());
+    let before = node.offline_workers.replace(body.workers_out.clone());
     for host in before.symmetric_difference(&body.workers_out) {
         application.set_worker_offline(host, body.workers_out.contains(host));
     }
--- a/crates/tier/src/lib.rs
+++ b/crates/tier/src/lib.rs
@@ -24,7 +24,7 @@
 
 use history::History;
 use link::Outbox;
-use loomlb_consensus::history_check::{HistoryEvent as Did, HistoryRecord};
+use loomlb_consensus::history_check::{HistoryEvent, HistoryRecord};
 use loomlb_consensus::lease_holder::LeaseHolder;
 use loomlb_consensus::link_protocol::LinkMessage;
 use loomlb_consensus::state::ReplicatedState;
@@ -47,7 +47,7 @@
 use voter_error::VoterError;
 
 /// Time between two looks at what a call or a change waits for.
-const LOOK: Duration = Duration::from_millis(10);
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 /// What acts by the tier's rules: the process around it. The tier asks no more of it than this.
 pub trait Application {
@@ -79,55 +79,55 @@
     name: String,
     timing: LeaseTiming,
     /// This process, as no other is called.
-    process: u64,
+    process_id: u64,
     started: Instant,
     /// This voter's number, from 1, if it is one.
-    number: Option<u64>,
+    voter_id: Option<u64>,
     voter: RefCell<Option<Voter>>,
     holder: RefCell<LeaseHolder>,
     /// What is in force in this process, and what of it staff have taken out.
     applied: Cell<Option<EffectiveRules>>,
-    out: RefCell<BTreeSet<String>>,
+    offline_workers: RefCell<BTreeSet<String>>,
     /// What was agreed and cannot be read here.
-    fault: RefCell<Option<String>>,
+    apply_error: RefCell<Option<String>>,
     /// The lease as it was last looked at.
-    held: Cell<bool>,
+    had_lease: Cell<bool>,
     /// The strictest rules are in force here, for want of a lease.
-    careful: Cell<bool>,
+    strict_rules_in_force: Cell<bool>,
     proposals: RefCell<BTreeMap<u64, Waiting>>,
-    boxes: Vec<Outbox>,
-    hurry: Notify,
+    outboxes: Vec<Outbox>,
+    renew_now: Notify,
     /// The newest and the oldest list in use, and since when this one is behind.
-    lists: Cell<(u64, u64)>,
-    behind: Cell<Nanos>,
+    list_versions: Cell<(u64, u64)>,
+    behind_since: Cell<Nanos>,
     history: RefCell<Option<History>>,
     store_health: RefCell<StoreHealth>,
-    counts: Counts,
+    counters: Counters,
 }
 
 #[derive(Debug, Default)]
-struct Counts {
+struct Counters {
     lapses: Cell<u64>,
-    crowded: Cell<u64>,
-    links: Cell<usize>,
-    faults: Cell<u64>,
-    unwritten: Cell<u64>,
-    hearsay: Cell<u64>,
-    asked_again: Cell<u64>,
+    messages_dropped: Cell<u64>,
+    open_links: Cell<usize>,
+    link_errors: Cell<u64>,
+    history_unwritten: Cell<u64>,
+    leaving_learned: Cell<u64>,
+    list_refetches: Cell<u64>,
 }
 
-fn more(count: &Cell<u64>) {
+fn increment(count: &Cell<u64>) {
     count.set(count.get() + 1);
 }
 
-fn random() -> io::Result<u64> {
+fn random_u64() -> io::Result<u64> {
     let mut bytes = [0; 8];
     getrandom::fill(&mut bytes).map_err(io::Error::other)?;
     Ok(u64::from_le_bytes(bytes))
 }
 
 /// The machine's monotonic clock: the same for all processes on it.
-fn machine() -> Nanos {
+fn monotonic_nanos() -> Nanos {
     let now = rustix::time::clock_gettime(rustix::time::ClockId::Monotonic);
     now.tv_sec as Nanos * 1_000_000_000 + now.tv_nsec as Nanos
 }
@@ -138,42 +138,46 @@
     }
 
     /// Time since this process started, by the machine's clock.
-    fn age(&self) -> Duration {
+    fn uptime(&self) -> Duration {
         self.started.elapsed()
     }
 
-    fn log(&self, event: Did) {
+    fn record(&self, event: HistoryEvent) {
         let mut history = self.history.borrow_mut();
         let Some(history) = history.as_mut() else { return };
-        let line =
-            HistoryRecord { at: machine(), scheduler: self.name.clone(), process: self.process, event };
+        let line = HistoryRecord {
+            at: monotonic_nanos(),
+            scheduler: self.name.clone(),
+            process: self.process_id,
+            event,
+        };
         if history.write(&line).is_err() {
-            more(&self.counts.unwritten);
+            increment(&self.counters.history_unwritten);
         }
     }
 
-    fn put(&self, voter: usize, word: LinkMessage) {
-        let Some(outbox) = self.boxes.get(voter) else { return };
-        let mut words = outbox.words.borrow_mut();
+    fn enqueue(&self, voter: usize, word: LinkMessage) {
+        let Some(outbox) = self.outboxes.get(voter) else { return };
+        let mut words = outbox.queue.borrow_mut();
         if words.len() >= link::WAITING {
             words.pop_front();
-            more(&self.counts.crowded);
+            increment(&self.counters.messages_dropped);
         }
         words.push_back(word);
-        outbox.more.notify_one();
+        outbox.queued.notify_one();
     }
 
     /// Something of what this scheduler knows to be agreed.
-    fn seen<T>(&self, of: impl FnOnce(&ReplicatedState) -> T) -> T {
+    fn read_state<T>(&self, of: impl FnOnce(&ReplicatedState) -> T) -> T {
         of(self.holder.borrow().state())
     }
 
     /// Whether a lease holds now on what is in force here.
-    fn holds(&self) -> bool {
+    fn has_lease(&self) -> bool {
         let holder = self.holder.borrow();
         holder.has_valid_lease(self.now())
             && holder.rules() == self.applied.get()
-            && self.fault.borrow().is_none()
+            && self.apply_error.borrow().is_none()
     }
 }
 
@@ -187,16 +191,16 @@
     pub fn may_serve(&self) -> bool {
         let Some(node) = &self.0 else { return true };
         // The strictest rules need no lease, once they are in force here.
-        node.holds() || (node.careful.get() && node.fault.borrow().is_none())
+        node.has_lease() || (node.strict_rules_in_force.get() && node.apply_error.borrow().is_none())
     }
 
     /// Looked at immediately before the first byte of a forward, and written into the history.
     pub fn authorize_forward(&self) -> bool {
         let Some(node) = &self.0 else { return true };
-        if node.holds() {
+        if node.has_lease() {
             let left = node.holder.borrow().lease_expiry().unwrap_or(0).saturating_sub(node.now());
             if let Some(acting) = node.applied.get() {
-                node.log(Did::Acted { rules: acting, lease_left: left });
+                node.record(HistoryEvent::Acted { rules: acting, lease_left: left });
             }
             return true;
         }
@@ -212,12 +216,12 @@
 ) -> io::Result<(Tier, Option<TcpListener>)> {
     let Some(spec) = spec else { return Ok((Tier::default(), None)) };
     let timing = spec.timing().map_err(|(key, why)| io::Error::other(format!("{key}: {why}")))?;
-    let number = spec.voters.iter().position(|v| v.name == name).map(|at| at as u64 + 1);
+    let voter_id = spec.voters.iter().position(|v| v.name == name).map(|at| at as u64 + 1);
     let started = Instant::now();
     let mut store_health = StoreHealth::default();
-    let seat = match number {
-        Some(number) => {
-            seat(vote_as(&spec, name, number, timing, 0, opening).await, name, &mut store_health)?
+    let seat = match voter_id {
+        Some(voter_id) => {
+            seat(vote_as(&spec, name, voter_id, timing, 0, opening).await, name, &mut store_health)?
         }
         None => None,
     };
@@ -227,24 +231,24 @@
         Tier(Some(Rc::new(Node {
             name: name.into(),
             timing,
-            process: random()?,
+            process_id: random_u64()?,
             started,
-            number,
+            voter_id,
             voter: RefCell::new(voter),
             holder: RefCell::new(LeaseHolder::new(timing, spec.voters.len())),
             applied: Cell::default(),
-            out: RefCell::default(),
-            fault: RefCell::default(),
-            held: Cell::new(false),
-            careful: Cell::new(false),
+            offline_workers: RefCell::default(),
+            apply_error: RefCell::default(),
+            had_lease: Cell::new(false),
+            strict_rules_in_force: Cell::new(false),
             proposals: RefCell::default(),
-            boxes: spec.voters.iter().map(|_| Outbox::default()).collect(),
-            hurry: Notify::new(),
-            lists: Cell::default(),
-            behind: Cell::new(Nanos::MAX / 2),
+            outboxes: spec.voters.iter().map(|_| Outbox::default()).collect(),
+            renew_now: Notify::new(),
+            list_versions: Cell::default(),
+            behind_since: Cell::new(Nanos::MAX / 2),
             history: RefCell::new(history),
             store_health: RefCell::new(store_health),
-            counts: Counts::default(),
+            counters: Counters::default(),
             spec,
         }))),
         listener,
@@ -278,10 +282,10 @@
     let Some(node) = &tier.0 else { return };
     if let Some(listener) = listener {
         voter::start(node, listener);
-    } else if let Some(number) = node.number {
-        spawn_local(voter::succeed(Rc::clone(node), number));
+    } else if let Some(voter_id) = node.voter_id {
+        spawn_local(voter::succeed(Rc::clone(node), voter_id));
     }
-    for voter in (0..node.boxes.len()).filter(|v| node.number != Some(*v as u64 + 1)) {
+    for voter in (0..node.outboxes.len()).filter(|v| node.voter_id != Some(*v as u64 + 1)) {
         spawn_local(link::link(Rc::clone(node), Rc::clone(application), voter));
     }
     spawn_local(lease::renew(Rc::clone(node), Rc::clone(application)));
--- a/crates/tier/src/link.rs
+++ b/crates/tier/src/link.rs
@@ -3,7 +3,7 @@
 use crate::config::VoterAddress;
 use crate::lease::{answered, compare};
 use crate::voter::voter_hears;
-use crate::{Application, Node, more};
+use crate::{Application, Node, increment};
 use loomlb_consensus::link_protocol::{self, Channel, GREETING_BYTES, LinkMessage, Nonce, PROTOCOL_VERSION};
 use loomlb_sockets::{AcceptRetry, read_some, write_all};
 use std::cell::RefCell;
@@ -28,8 +28,8 @@
 /// Words on their way to a voter.
 #[derive(Debug, Default)]
 pub(crate) struct Outbox {
-    pub(crate) words: RefCell<VecDeque<LinkMessage>>,
-    pub(crate) more: Notify,
+    pub(crate) queue: RefCell<VecDeque<LinkMessage>>,
+    pub(crate) queued: Notify,
 }
 
 /// The numbers that both ends say first.
@@ -74,15 +74,15 @@
         });
         if let Ok(Ok((stream, (to, from)))) = opened.await {
             // What waited for the link that broke is asked anew, or too old to be of use.
-            node.boxes[voter].words.borrow_mut().clear();
+            node.outboxes[voter].queue.borrow_mut().clear();
             let (read, write) = stream.into_split();
-            node.hurry.notify_one();
+            node.renew_now.notify_one();
             let ended = tokio::select! {
                 ended = hear_voter(&node, &*application, voter, read, from) => ended,
                 ended = tell_voter(&node, voter, write, to) => ended,
             };
             if let Err(e) = ended {
-                more(&node.counts.faults);
+                increment(&node.counters.link_errors);
                 tracing::debug!("tier: the link to {name} at {at}: {e}");
             }
         }
@@ -112,15 +112,15 @@
     let hello = LinkMessage::Hello {
         format: PROTOCOL_VERSION,
         name: node.name.clone(),
-        process: node.process,
-        voter: node.number,
+        process: node.process_id,
+        voter: node.voter_id,
     };
     write_all(to.as_ref(), &channel.seal(&hello)).await?;
     loop {
-        let word = node.boxes[voter].words.borrow_mut().pop_front();
+        let word = node.outboxes[voter].queue.borrow_mut().pop_front();
         match word {
             Some(word) => write_all(to.as_ref(), &channel.seal(&word)).await?,
-            None => node.boxes[voter].more.notified().await,
+            None => node.outboxes[voter].queued.notified().await,
         }
     }
 }
@@ -137,21 +137,21 @@
             }
         };
         retry.record_success();
-        if node.counts.links.get() >= MAX_INBOUND_LINKS {
+        if node.counters.open_links.get() >= MAX_INBOUND_LINKS {
             drop(stream);
             tokio::time::sleep(AGAIN).await;
             continue;
         }
         let node = Rc::clone(&node);
         spawn_local(async move {
-            node.counts.links.set(node.counts.links.get() + 1);
+            node.counters.open_links.set(node.counters.open_links.get() + 1);
             if let Err(e) = called(&node, stream).await
                 && e.kind() == io::ErrorKind::Other
             {
-                more(&node.counts.faults);
+                increment(&node.counters.link_errors);
                 tracing::warn!("tier: {from}: {e}");
             }
-            node.counts.links.set(node.counts.links.get() - 1);
+            node.counters.open_links.set(node.counters.open_links.get() - 1);
         });
     }
 }
--- a/crates/tier/src/proposals.rs
+++ b/crates/tier/src/proposals.rs
@@ -1,7 +1,7 @@
 //! Proposals: sent again until their outcome is known, and what staff are told of it.
 
 use crate::voter::voter_hears;
-use crate::{Application, LOOK, Node, Tier, random};
+use crate::{Application, Node, POLL_INTERVAL, Tier, random_u64};
 use loomlb_consensus::document::DocumentBody;
 use loomlb_consensus::link_protocol::LinkMessage;
 use loomlb_consensus::state::{Command, ProposalOutcome};
@@ -49,26 +49,31 @@
     let waiting: Vec<Command> =
         proposals.values_mut().filter_map(|p| p.due(node.now(), node.timing.renewal_interval)).collect();
     drop(proposals);
-    let voter = turn % node.boxes.len();
+    let voter = turn % node.outboxes.len();
     for command in waiting {
-        if node.number == Some(voter as u64 + 1) {
-            voter_hears(node, &(node.name.clone(), node.process), node.number, LinkMessage::Propose(command));
+        if node.voter_id == Some(voter as u64 + 1) {
+            voter_hears(
+                node,
+                &(node.name.clone(), node.process_id),
+                node.voter_id,
+                LinkMessage::Propose(command),
+            );
         } else {
-            node.put(voter, LinkMessage::Propose(command));
+            node.enqueue(voter, LinkMessage::Propose(command));
         }
     }
 }
 
 /// Proposes a document; its token.
 fn propose(node: &Node, base: Version, body: DocumentBody) -> Option<u64> {
-    let token = random().ok()?;
+    let token = random_u64().ok()?;
     let mut proposals = node.proposals.borrow_mut();
     if proposals.len() >= PROPOSALS {
         return None;
     }
     let command = Command::Propose { token, proposer: node.name.clone(), base_version: base, body };
     proposals.insert(token, Waiting { command, said: None });
-    node.hurry.notify_one();
+    node.renew_now.notify_one();
     Some(token)
 }
 
@@ -76,8 +81,8 @@
 async fn outcome(node: &Node, token: u64) -> Option<(ProposalOutcome, bool)> {
     let end = tokio::time::Instant::now() + CALL;
     loop {
-        let (known, active) =
-            node.seen(|seen| (seen.outcome(token).cloned(), seen.active.as_ref().map_or(0, |d| d.version)));
+        let (known, active) = node
+            .read_state(|seen| (seen.outcome(token).cloned(), seen.active.as_ref().map_or(0, |d| d.version)));
         let over = tokio::time::Instant::now() >= end;
         match known {
             Some(ProposalOutcome::Committed(version)) if version > active && !over => {}
@@ -91,8 +96,8 @@
             }
             None => {}
         }
-        node.hurry.notify_one();
-        tokio::time::sleep(LOOK).await;
+        node.renew_now.notify_one();
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
 
@@ -139,7 +144,7 @@
     if let Err(e) = application.validate_settings(whole) {
         return (400, json!({"yes": false, "why": e}));
     }
-    let (out, newest) = node.seen(|seen| {
+    let (out, newest) = node.read_state(|seen| {
         (
             seen.newest_document().map(|d| d.body.workers_out.clone()).unwrap_or_default(),
             seen.newest_version(),
@@ -163,11 +168,11 @@
     if out {
         // Nobody is harmed by fewer workers: here it is out at once.
         application.set_worker_offline(host, true);
-        node.out.borrow_mut().insert(host.into());
+        node.offline_workers.borrow_mut().insert(host.into());
     }
     let end = tokio::time::Instant::now() + CALL;
     loop {
-        let latest = node.seen(|seen| seen.newest_document().cloned());
+        let latest = node.read_state(|seen| seen.newest_document().cloned());
         let Some(mut latest) = latest else { return reply(None) };
         let base = latest.version;
         let changes = if out {
@@ -182,7 +187,7 @@
         };
         match found {
             Some((ProposalOutcome::StaleBase(_), _)) if tokio::time::Instant::now() < end => {
-                tokio::time::sleep(LOOK).await
+                tokio::time::sleep(POLL_INTERVAL).await
             }
             found => return reply(found),
         }
--- a/crates/tier/src/status.rs
+++ b/crates/tier/src/status.rs
@@ -21,16 +21,16 @@
     });
     json!({
         "yes": true, "name": node.name, "acting": node.applied.get(), "may_act": tier.may_serve(),
-        "lease_left_s": left as f64 / 1e9, "fault": *node.fault.borrow(),
+        "lease_left_s": left as f64 / 1e9, "fault": *node.apply_error.borrow(),
         "version": seen.active.as_ref().map(|d| d.version), "by": seen.active.as_ref().map(|d| &d.proposer),
-        "coming": seen.pending.as_ref().map(|d| d.version), "workers_out": *node.out.borrow(),
+        "coming": seen.pending.as_ref().map(|d| d.version), "workers_out": *node.offline_workers.borrow(),
         "settings": seen.active.as_ref().map(|d| &d.body.settings),
         "history": seen.history, "voter": vote,
-        "lists": {"mine": application.worker_list().version, "newest": node.lists.get().0, "oldest": node.lists.get().1},
-        "counts": {"lapses": node.counts.lapses.get(), "words_pushed_out": node.counts.crowded.get(),
-            "link_faults": node.counts.faults.get(), "links": node.counts.links.get(),
-            "history_unwritten": node.counts.unwritten.get(), "drains_by_hearsay": node.counts.hearsay.get(),
-            "lists_asked_anew": node.counts.asked_again.get(),
+        "lists": {"mine": application.worker_list().version, "newest": node.list_versions.get().0, "oldest": node.list_versions.get().1},
+        "counts": {"lapses": node.counters.lapses.get(), "words_pushed_out": node.counters.messages_dropped.get(),
+            "link_faults": node.counters.link_errors.get(), "links": node.counters.open_links.get(),
+            "history_unwritten": node.counters.history_unwritten.get(), "drains_by_hearsay": node.counters.leaving_learned.get(),
+            "lists_asked_anew": node.counters.list_refetches.get(),
             "store_failures": health.failures, "store_recoveries": health.recoveries},
     })
 }
--- a/crates/tier/src/voter.rs
+++ b/crates/tier/src/voter.rs
@@ -43,7 +43,7 @@
     /// so it grants nothing new until all of that has ended.
     fn recover(&mut self, node: &Node) -> Result<(), RaftNodeError> {
         let loaded = self.log.recover()?;
-        let number = node.number.unwrap_or_default();
+        let number = node.voter_id.unwrap_or_default();
         self.agreement = RaftNode::new(number, node.spec.voters.len() as u64, loaded)?;
         self.promises = LeaseGrants::new(node.timing, node.now());
         Ok(())
@@ -101,14 +101,14 @@
         match vote_as(&node.spec, &node.name, number, node.timing, node.now(), &OpenRetry::start()).await {
             Ok((listener, voter)) => {
                 tracing::info!("tier: this process votes now");
-                node.store_health.borrow_mut().recovered(node.age());
+                node.store_health.borrow_mut().recovered(node.uptime());
                 *node.voter.borrow_mut() = Some(voter);
                 return start(&node, listener);
             }
             Err(e) if e.is_held_elsewhere() => {}
             Err(e) if e.is_transient() => {
                 store_failed(&node, &io::Error::from(e));
-                pause = node.store_health.borrow().pause(node.age());
+                pause = node.store_health.borrow().pause(node.uptime());
             }
             Err(e) => {
                 let e = io::Error::from(e);
@@ -120,7 +120,7 @@
 
 /// Counts a failure that passes by itself, and tells of the first of a run.
 fn store_failed(node: &Node, e: &io::Error) {
-    if node.store_health.borrow_mut().failed(node.age()) {
+    if node.store_health.borrow_mut().failed(node.uptime()) {
         tracing::error!("tier.store: {e}; this voter takes part no more until it can be written again");
     }
 }
@@ -174,7 +174,7 @@
     match voter.agreement.process_pending(&mut voter.log) {
         Ok(messages) => {
             for message in messages {
-                node.put(message.to as usize - 1, LinkMessage::Raft(raft_node::encode_message(&message)));
+                node.enqueue(message.to as usize - 1, LinkMessage::Raft(raft_node::encode_message(&message)));
             }
         }
         Err(e) => failed(node, voter, e),
@@ -195,11 +195,11 @@
 /// Has a voter whose file failed come back, once it is time for another attempt. False if its file is another process's
 /// by now, so that the seat is lost.
 fn try_to_recover(node: &Node, voter: &mut Voter) -> bool {
-    if voter.stopped || !node.store_health.borrow().retry_is_due(node.age()) {
+    if voter.stopped || !node.store_health.borrow().retry_is_due(node.uptime()) {
         return true;
     }
     match voter.recover(node) {
-        Ok(()) => node.store_health.borrow_mut().recovered(node.age()),
+        Ok(()) => node.store_health.borrow_mut().recovered(node.uptime()),
         Err(RaftNodeError::Store(e @ StoreError::Taken { .. })) => {
             tracing::warn!("tier.store: {e}; waiting until it is free");
             return false;
@@ -219,12 +219,12 @@
         let Some(voter) = held.as_mut() else { return };
         if voter.agreement.has_failed() && !try_to_recover(&node, voter) {
             *held = None;
-            if let Some(number) = node.number {
+            if let Some(number) = node.voter_id {
                 spawn_local(succeed(Rc::clone(&node), number));
             }
             return;
         }
-        if let Some(lasted) = node.store_health.borrow_mut().ended_run(node.age()) {
+        if let Some(lasted) = node.store_health.borrow_mut().ended_run(node.uptime()) {
             tracing::info!("tier.store: can be written again after {lasted:?}; this voter takes part");
         }
         tick(&node, voter);
@@ -240,8 +240,8 @@
     if let Some(version) = ready {
         match agreement.leader_id() {
             0 => {}
-            leader if node.number == Some(leader) => agreement.record_ready(leader, version),
-            leader => node.put(leader as usize - 1, LinkMessage::Ready(version)),
+            leader if node.voter_id == Some(leader) => agreement.record_ready(leader, version),
+            leader => node.enqueue(leader as usize - 1, LinkMessage::Ready(version)),
         }
     }
 }
