--- a/crates/tier/src/lease.rs
+++ b/crates/tier/src/lease.rs
@@ -106,7 +106,7 @@
         increment(&node.counters.lapses);
         tracing::warn!("tier: the lease has ended: no majority of the voters answers");
     }
-    if node.spec.on_lapse == LapsePolicy::Strict {
+    if node.config.on_lapse == LapsePolicy::Strict {
         enforce(node, application, holds);
     }
 }
@@ -116,7 +116,7 @@
 fn put_in_force(node: &Node, application: &dyn Application) {
     let acting = node.holder.borrow().rules();
     let holds = node.holder.borrow().has_valid_lease(node.now());
-    enforce(node, application, holds || node.spec.on_lapse == LapsePolicy::Leave);
+    enforce(node, application, holds || node.config.on_lapse == LapsePolicy::Leave);
     node.applied.set(acting);
     if let Some(acting) = acting {
         node.record(HistoryEvent::Adopted(acting));
--- a/crates/tier/src/lib.rs
+++ b/crates/tier/src/lib.rs
@@ -75,7 +75,7 @@
 
 #[derive(Debug)]
 struct Node {
-    spec: TierConfig,
+    config: TierConfig,
     name: String,
     timing: LeaseTiming,
     /// This process, as no other is called.
@@ -134,7 +134,7 @@
 
 impl Node {
     fn now(&self) -> Nanos {
-        (self.started.elapsed().as_nanos() as f64 * self.spec.trial_clock) as Nanos
+        (self.started.elapsed().as_nanos() as f64 * self.config.trial_clock) as Nanos
     }
 
     /// Time since this process started, by the machine's clock.
@@ -210,23 +210,23 @@
 
 /// Opens what a tier needs: the listener of a voter and its file. `opening` limits how long the listener is tried.
 pub async fn open(
-    spec: Option<TierConfig>,
+    config: Option<TierConfig>,
     name: &str,
     opening: &OpenRetry,
 ) -> io::Result<(Tier, Option<TcpListener>)> {
-    let Some(spec) = spec else { return Ok((Tier::default(), None)) };
-    let timing = spec.timing().map_err(|(key, why)| io::Error::other(format!("{key}: {why}")))?;
-    let voter_id = spec.voters.iter().position(|v| v.name == name).map(|at| at as u64 + 1);
+    let Some(config) = config else { return Ok((Tier::default(), None)) };
+    let timing = config.timing().map_err(|(key, why)| io::Error::other(format!("{key}: {why}")))?;
+    let voter_id = config.voters.iter().position(|v| v.name == name).map(|at| at as u64 + 1);
     let started = Instant::now();
     let mut store_health = StoreHealth::default();
     let seat = match voter_id {
         Some(voter_id) => {
-            seat(vote_as(&spec, name, voter_id, timing, 0, opening).await, name, &mut store_health)?
+            seat(vote_as(&config, name, voter_id, timing, 0, opening).await, name, &mut store_health)?
         }
         None => None,
     };
     let (listener, voter) = seat.unzip();
-    let history = spec.history.as_deref().map(History::open).transpose()?;
+    let history = config.history.as_deref().map(History::open).transpose()?;
     Ok((
         Tier(Some(Rc::new(Node {
             name: name.into(),
@@ -235,21 +235,21 @@
             started,
             voter_id,
             voter: RefCell::new(voter),
-            holder: RefCell::new(LeaseHolder::new(timing, spec.voters.len())),
+            holder: RefCell::new(LeaseHolder::new(timing, config.voters.len())),
             applied: Cell::default(),
             offline_workers: RefCell::default(),
             apply_error: RefCell::default(),
             had_lease: Cell::new(false),
             strict_rules_in_force: Cell::new(false),
             proposals: RefCell::default(),
-            outboxes: spec.voters.iter().map(|_| Outbox::default()).collect(),
+            outboxes: config.voters.iter().map(|_| Outbox::default()).collect(),
             renew_now: Notify::new(),
             list_versions: Cell::default(),
             behind_since: Cell::new(Nanos::MAX / 2),
             history: RefCell::new(history),
             store_health: RefCell::new(store_health),
             counters: Counters::default(),
-            spec,
+            config,
         }))),
         listener,
     ))
--- a/crates/tier/src/link.rs
+++ b/crates/tier/src/link.rs
@@ -66,11 +66,11 @@
 /// Keeps a link to a voter open for as long as the program runs.
 pub(crate) async fn link(node: Rc<Node>, application: Rc<dyn Application>, voter: usize) {
     loop {
-        let VoterAddress { name, at } = &node.spec.voters[voter];
+        let VoterAddress { name, at } = &node.config.voters[voter];
         let opened = tokio::time::timeout(SILENT, async {
             let stream = loomlb_sockets::connect(*at, |_| {}).await?;
             let (mine, theirs) = greet(&stream).await?;
-            Ok::<_, io::Error>((stream, link_protocol::derive_channels(&node.spec.key, &mine, &theirs)))
+            Ok::<_, io::Error>((stream, link_protocol::derive_channels(&node.config.key, &mine, &theirs)))
         });
         if let Ok(Ok((stream, (to, from)))) = opened.await {
             // What waited for the link that broke is asked anew, or too old to be of use.
@@ -160,7 +160,7 @@
 async fn called(node: &Node, stream: TcpStream) -> io::Result<()> {
     let greeted = tokio::time::timeout(SILENT, greet(&stream)).await;
     let (mine, theirs) = greeted.map_err(|_| io::Error::from(io::ErrorKind::TimedOut))??;
-    let (mut from, mut to) = link_protocol::derive_channels(&node.spec.key, &theirs, &mine);
+    let (mut from, mut to) = link_protocol::derive_channels(&node.config.key, &theirs, &mine);
     let (read, write) = stream.into_split();
     let mut bytes = Vec::new();
     let (name, process, voter) = match next(&read, &mut from, &mut bytes).await? {
--- a/crates/tier/src/voter.rs
+++ b/crates/tier/src/voter.rs
@@ -44,7 +44,7 @@
     fn recover(&mut self, node: &Node) -> Result<(), RaftNodeError> {
         let loaded = self.log.recover()?;
         let number = node.voter_id.unwrap_or_default();
-        self.agreement = RaftNode::new(number, node.spec.voters.len() as u64, loaded)?;
+        self.agreement = RaftNode::new(number, node.config.voters.len() as u64, loaded)?;
         self.promises = LeaseGrants::new(node.timing, node.now());
         Ok(())
     }
@@ -60,7 +60,7 @@
 
 /// Takes a voter's file and address.
 pub(crate) async fn vote_as(
-    spec: &TierConfig,
+    config: &TierConfig,
     name: &str,
     number: u64,
     timing: LeaseTiming,
@@ -68,15 +68,15 @@
     opening: &OpenRetry,
 ) -> Result<(TcpListener, Voter), VoterError> {
     let missing = |key| VoterError::MissingKey { key, name: name.into() };
-    let at = spec.listen.ok_or_else(|| missing("listen"))?;
-    let store = spec.store.as_ref().ok_or_else(|| missing("store"))?;
-    let names: Vec<&str> = spec.voters.iter().map(|v| &*v.name).collect();
+    let at = config.listen.ok_or_else(|| missing("listen"))?;
+    let store = config.store.as_ref().ok_or_else(|| missing("store"))?;
+    let names: Vec<&str> = config.voters.iter().map(|v| &*v.name).collect();
     let owner = format!("{name} of {}", names.join(", "));
-    let (log, loaded) = LogFile::open(store, &owner, spec.found)?;
+    let (log, loaded) = LogFile::open(store, &owner, config.found)?;
     let bind = async || TcpListener::bind(at).await;
     let opened = opening.open("listen", at, OnAddressInUse::Fail, bind).await;
     let listener = opened.map_err(|e| VoterError::Listen { at, source: e.into() })?;
-    let agreement = RaftNode::new(number, spec.voters.len() as u64, loaded)?;
+    let agreement = RaftNode::new(number, config.voters.len() as u64, loaded)?;
     let promises = LeaseGrants::new(timing, now);
     let voter =
         Voter { agreement, promises, lists: ListReports::default(), log, accepting: None, stopped: false };
@@ -98,7 +98,7 @@
     loop {
         tokio::time::sleep(pause).await;
         pause = SUCCEED;
-        match vote_as(&node.spec, &node.name, number, node.timing, node.now(), &OpenRetry::start()).await {
+        match vote_as(&node.config, &node.name, number, node.timing, node.now(), &OpenRetry::start()).await {
             Ok((listener, voter)) => {
                 tracing::info!("tier: this process votes now");
                 node.store_health.borrow_mut().recovered(node.uptime());
