--- a/crates/sockets/src/accept_retry.rs
+++ b/crates/sockets/src/accept_retry.rs
@@ -1,4 +1,4 @@
-//! What follows a failed accept.
+//! Decides what to do after a failed accept.
 
 use crate::Backoff;
 use crate::error_kind::{AcceptErrorKind, classify_accept_error};
@@ -8,73 +8,77 @@
 #[cfg(test)]
 mod tests;
 
-/// Pause while descriptors or memory are used up, and the first one after what may last.
-const PAUSE: Duration = Duration::from_millis(10);
-/// The longest pause after what lasts.
-const LONGEST_PAUSE: Duration = Duration::from_millis(160);
-/// Connections in a row that may be gone before they were accepted; more of them are taken for a fault that lasts, so
-/// that accepting never fills a core.
-const GONE_IN_A_ROW: u32 = 64;
+/// Delay while descriptors or memory are exhausted, and first delay of the backoff after other errors.
+const INITIAL_BACKOFF: Duration = Duration::from_millis(10);
+/// Longest delay after repeated errors.
+const MAX_BACKOFF: Duration = Duration::from_millis(160);
+/// Connection errors in a row that are retried without delay. Further ones back off, so that a persistent error does not
+/// make the accept loop busy.
+const MAX_IMMEDIATE_RETRIES: u32 = 64;
 
 /// What to do after a failed accept.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AcceptAction {
-    /// Accept again at once.
+    /// Accept again without delay.
     RetryNow,
-    /// Close something, then accept again after this pause.
+    /// Close connections to release descriptors or memory, then accept again after this delay.
     ReleaseThenRetry(Duration),
-    /// Accept again after this pause.
+    /// Accept again after this delay.
     RetryAfter(Duration),
 }
 
-/// Counts the failed accepts of one listener, in a row.
+/// Retry state of one listener since its last successful accept.
 #[derive(Debug)]
 pub struct AcceptRetry {
-    gone: u32,
+    immediate_retries: u32,
     backoff: Backoff,
-    /// A line was logged for this row.
-    reported: bool,
+    /// Whether an error has been logged since the last successful accept.
+    logged: bool,
 }
 
 impl Default for AcceptRetry {
     fn default() -> Self {
-        AcceptRetry { gone: 0, backoff: Backoff::new(PAUSE, LONGEST_PAUSE), reported: false }
+        AcceptRetry {
+            immediate_retries: 0,
+            backoff: Backoff::new(INITIAL_BACKOFF, MAX_BACKOFF),
+            logged: false,
+        }
     }
 }
 
 impl AcceptRetry {
-    /// A connection was accepted.
+    /// Resets the state after a successful accept.
     pub fn record_success(&mut self) {
         *self = AcceptRetry::default();
     }
 
-    /// An accept has failed.
+    /// Records a failed accept and returns what to do next.
     pub fn record_error(&mut self, error: &io::Error) -> AcceptAction {
         match classify_accept_error(error) {
-            AcceptErrorKind::Connection if self.gone < GONE_IN_A_ROW => {
-                self.gone += 1;
+            AcceptErrorKind::Connection if self.immediate_retries < MAX_IMMEDIATE_RETRIES => {
+                self.immediate_retries += 1;
                 AcceptAction::RetryNow
             }
-            AcceptErrorKind::ResourceExhausted => AcceptAction::ReleaseThenRetry(PAUSE),
+            AcceptErrorKind::ResourceExhausted => AcceptAction::ReleaseThenRetry(INITIAL_BACKOFF),
             AcceptErrorKind::Connection | AcceptErrorKind::Other => {
-                AcceptAction::RetryAfter(self.backoff.pause())
+                AcceptAction::RetryAfter(self.backoff.next_delay())
             }
         }
     }
 
-    /// Waits as long as is meant after a failed accept, where there is nothing to close for room.
+    /// Records a failed accept and waits for the resulting delay. For callers that have no connections to close.
     pub async fn wait_after(&mut self, error: &io::Error) {
         match self.record_error(error) {
             AcceptAction::RetryNow => {}
-            AcceptAction::ReleaseThenRetry(pause) | AcceptAction::RetryAfter(pause) => {
-                tokio::time::sleep(pause).await
+            AcceptAction::ReleaseThenRetry(delay) | AcceptAction::RetryAfter(delay) => {
+                tokio::time::sleep(delay).await
             }
         }
     }
 
-    /// Whether this is the first one of a row to be logged: they come as fast as the pauses allow. Connections that were
-    /// gone are no fault of this process, and are not worth a line.
+    /// Whether to log the error: only the first one since the last successful accept, and none that is retried without
+    /// delay, because those are caused by the connecting client.
     pub fn should_log(&mut self, action: AcceptAction) -> bool {
-        action != AcceptAction::RetryNow && !std::mem::replace(&mut self.reported, true)
+        action != AcceptAction::RetryNow && !std::mem::replace(&mut self.logged, true)
     }
 }
--- a/crates/sockets/src/accept_retry/tests.rs
+++ b/crates/sockets/src/accept_retry/tests.rs
@@ -1,38 +1,41 @@
 use super::*;
 
-fn error(number: i32) -> io::Error {
-    io::Error::from_raw_os_error(number)
+fn error(errno: i32) -> io::Error {
+    io::Error::from_raw_os_error(errno)
 }
 
 #[test]
-fn connections_that_are_gone_pass_at_once_until_they_prove_to_last() {
+fn connection_errors_are_retried_without_delay_up_to_a_limit() {
     let mut retry = AcceptRetry::default();
-    for _ in 0..GONE_IN_A_ROW {
+    for _ in 0..MAX_IMMEDIATE_RETRIES {
         assert_eq!(retry.record_error(&error(libc::ECONNABORTED)), AcceptAction::RetryNow);
     }
-    assert_eq!(retry.record_error(&error(libc::ECONNABORTED)), AcceptAction::RetryAfter(PAUSE));
+    assert_eq!(retry.record_error(&error(libc::ECONNABORTED)), AcceptAction::RetryAfter(INITIAL_BACKOFF));
     retry.record_success();
     assert_eq!(retry.record_error(&error(libc::ECONNABORTED)), AcceptAction::RetryNow);
 }
 
 #[test]
-fn pauses_after_what_lasts_grow_to_their_bound() {
+fn delays_after_repeated_errors_grow_to_the_maximum() {
     let mut retry = AcceptRetry::default();
-    let pauses: Vec<u128> = (0..6)
+    let delays: Vec<u128> = (0..6)
         .map(|_| match retry.record_error(&error(libc::EINVAL)) {
-            AcceptAction::RetryAfter(pause) => pause.as_millis(),
+            AcceptAction::RetryAfter(delay) => delay.as_millis(),
             other => panic!("{other:?}"),
         })
         .collect();
-    assert_eq!(pauses, [10, 20, 40, 80, 160, 160]);
+    assert_eq!(delays, [10, 20, 40, 80, 160, 160]);
 }
 
 #[test]
-fn a_row_of_faults_is_worth_one_line_and_gone_connections_none() {
+fn repeated_errors_are_logged_once_and_connection_errors_never() {
     let mut retry = AcceptRetry::default();
-    let mut line = |number| {
-        let next = retry.record_error(&error(number));
-        retry.should_log(next)
+    let mut is_logged = |errno| {
+        let action = retry.record_error(&error(errno));
+        retry.should_log(action)
     };
-    assert_eq!([line(libc::ECONNABORTED), line(libc::EMFILE), line(libc::EMFILE)], [false, true, false]);
+    assert_eq!(
+        [is_logged(libc::ECONNABORTED), is_logged(libc::EMFILE), is_logged(libc::EMFILE)],
+        [false, true, false]
+    );
 }
--- a/crates/sockets/src/connect.rs
+++ b/crates/sockets/src/connect.rs
@@ -1,4 +1,4 @@
-//! Opening a connection in spite of what fails for a moment on this machine.
+//! Opens TCP connections and retries errors that are caused by this machine or by the network path.
 
 use crate::Backoff;
 use crate::error_kind::{ConnectErrorKind, classify_connect_error};
@@ -7,25 +7,25 @@
 use std::time::Duration;
 use tokio::net::TcpStream;
 
-/// The first pause before another try, and the longest.
-const FIRST_PAUSE: Duration = Duration::from_millis(2);
-const LONGEST_PAUSE: Duration = Duration::from_millis(50);
-/// Tries beyond the first where the way to the other side fails: it may be for a moment, and another side may be
-/// reachable while this one is not.
-const PATH_RETRIES: u32 = 3;
+const INITIAL_BACKOFF: Duration = Duration::from_millis(2);
+const MAX_BACKOFF: Duration = Duration::from_millis(50);
+/// Retries when the network path fails. Few, because another peer may be reachable while this one is not.
+const MAX_PATH_RETRIES: u32 = 3;
 
-/// Opens a connection. Nothing has been sent before it is up, so another try is always safe: faults of this machine are
-/// tried again for as long as the caller waits, those of the way there three times, those of the other side never.
-/// `observe` is told the fault before each pause, and none as each try begins: a caller whose time is over knows then
-/// what it was waiting for. Bounded by the caller's time limit.
+/// Opens a connection. Retrying is always safe because nothing is sent before the connection is established. Local errors
+/// are retried without limit, path errors a few times, and remote errors not at all. The caller sets the time limit by
+/// dropping the future.
+///
+/// `observe` is called with `None` at the start of each attempt and with the kind of the error before each backoff, so
+/// that after a timeout the caller knows what the call was waiting for.
 ///
 /// # Errors
-/// The last error of a try, if it is not this machine's.
+/// Returns the error of the last attempt, unless its kind is [`ConnectErrorKind::Local`].
 pub async fn connect(
     address: SocketAddr,
     mut observe: impl FnMut(Option<ConnectErrorKind>),
 ) -> io::Result<TcpStream> {
-    let mut backoff = Backoff::new(FIRST_PAUSE, LONGEST_PAUSE);
+    let mut backoff = Backoff::new(INITIAL_BACKOFF, MAX_BACKOFF);
     let mut path_retries = 0;
     loop {
         observe(None);
@@ -36,11 +36,11 @@
         let kind = classify_connect_error(&error);
         match kind {
             ConnectErrorKind::Remote => return Err(error),
-            ConnectErrorKind::Path if path_retries == PATH_RETRIES => return Err(error),
+            ConnectErrorKind::Path if path_retries == MAX_PATH_RETRIES => return Err(error),
             ConnectErrorKind::Path => path_retries += 1,
             ConnectErrorKind::Local => {}
         }
         observe(Some(kind));
-        tokio::time::sleep(backoff.pause()).await;
+        tokio::time::sleep(backoff.next_delay()).await;
     }
 }
--- a/crates/sockets/src/error_kind.rs
+++ b/crates/sockets/src/error_kind.rs
@@ -1,24 +1,24 @@
-//! What an error number of a socket call is evidence of, after accept(2), connect(2), socket(2), bind(2) and listen(2).
-//! Pure functions of the error.
+//! Classifies the errors of socket calls as documented in accept(2), connect(2), socket(2), bind(2) and listen(2). Pure
+//! functions of the error.
 
 use std::io;
 
 #[cfg(test)]
 mod tests;
 
-/// Whose fault it is that no connection was accepted.
+/// Cause of a failed accept.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AcceptErrorKind {
-    /// That of one connection, which is gone: the next can be accepted at once.
+    /// The pending connection failed; the next one can be accepted without delay.
     Connection,
-    /// This process or machine is short of descriptors or memory: closing something helps.
+    /// The process or the machine is out of descriptors or memory; closing connections helps.
     ResourceExhausted,
-    /// Something else; it may last.
+    /// Any other error, possibly persistent.
     Other,
 }
 
-/// Sorts the error of an accept. Linux passes pending network errors of the new connection on to accept, and accept(2)
-/// asks to treat them like `EAGAIN`; `EPERM` is a firewall's word on the one connection.
+/// Classifies the error of an accept. Linux passes pending network errors of the new connection to accept, and accept(2)
+/// advises to treat them like `EAGAIN`. `EPERM` means that a firewall rejected the connection.
 pub fn classify_accept_error(error: &io::Error) -> AcceptErrorKind {
     match error.raw_os_error() {
         Some(
@@ -36,30 +36,30 @@
             | libc::ENETUNREACH
             | libc::ETIMEDOUT,
         ) => AcceptErrorKind::Connection,
-        Some(number) if is_resource_exhaustion(number) => AcceptErrorKind::ResourceExhausted,
+        Some(errno) if is_resource_exhaustion(errno) => AcceptErrorKind::ResourceExhausted,
         _ => AcceptErrorKind::Other,
     }
 }
 
-/// Whose fault it is that no connection came up.
+/// Cause of a failed connect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectErrorKind {
-    /// This machine's, which says nothing about the other side: out of descriptors, memory or local ports, or
-    /// interrupted.
+    /// This machine is out of descriptors, memory or local ports, or the call was interrupted. Says nothing about the
+    /// remote side.
     Local,
-    /// The way there has failed, at this machine's routes or further on. It may be for a moment; if it lasts, the other
-    /// side cannot be used from here.
+    /// The network path failed, at a local route or further on. The error may be transient; if it persists, the remote
+    /// side cannot be reached from here.
     Path,
-    /// The other side's, or its silence.
+    /// The remote side refused the connection or did not respond.
     Remote,
 }
 
-/// Sorts the error of a connect, the creation of its socket included. `EAGAIN` stands for a want of local ports or of
-/// entries in the routing cache.
+/// Classifies the error of a connect, including the creation of its socket. `EAGAIN` means that no local port or no entry
+/// of the routing cache is free.
 pub fn classify_connect_error(error: &io::Error) -> ConnectErrorKind {
     match error.raw_os_error() {
         Some(libc::EADDRNOTAVAIL | libc::EADDRINUSE | libc::EAGAIN | libc::EINTR) => ConnectErrorKind::Local,
-        Some(number) if is_resource_exhaustion(number) => ConnectErrorKind::Local,
+        Some(errno) if is_resource_exhaustion(errno) => ConnectErrorKind::Local,
         Some(libc::ENETUNREACH | libc::ENETDOWN | libc::EHOSTUNREACH | libc::EHOSTDOWN) => {
             ConnectErrorKind::Path
         }
@@ -67,28 +67,28 @@
     }
 }
 
-/// Why a socket could not be opened, bound or put to listening.
+/// Cause of a failed socket, bind or listen call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OpenErrorKind {
-    /// Another socket has the address.
+    /// Another socket uses the address.
     AddressInUse,
-    /// No interface has the address, perhaps not yet.
+    /// No interface has the address, possibly not yet.
     AddressNotAvailable,
-    /// This process has as many descriptors as it may.
+    /// The process has reached its limit of open files.
     ProcessFileLimit,
-    /// The machine has as many files open as it can.
+    /// The machine has reached its limit of open files.
     SystemFileLimit,
-    /// The machine is short of memory for sockets.
+    /// The machine is out of memory for sockets.
     OutOfMemory,
-    /// A signal came in between.
+    /// A signal interrupted the call.
     Interrupted,
-    /// This process may not do that.
+    /// The process lacks the permission.
     PermissionDenied,
-    /// Something else.
+    /// Any other error.
     Other,
 }
 
-/// Sorts the error of socket, bind or listen.
+/// Classifies the error of socket, bind or listen.
 pub fn classify_open_error(error: &io::Error) -> OpenErrorKind {
     match error.raw_os_error() {
         Some(libc::EADDRINUSE) => OpenErrorKind::AddressInUse,
@@ -103,12 +103,12 @@
 }
 
 impl OpenErrorKind {
-    /// Whether it can pass by itself within seconds.
+    /// Whether a retry within seconds can succeed.
     pub fn is_transient(self) -> bool {
         !matches!(self, OpenErrorKind::PermissionDenied | OpenErrorKind::Other)
     }
 
-    /// A stable name, listed in docs/operate/errors.md.
+    /// Returns the stable error code, listed in docs/operate/errors.md.
     pub fn code(self) -> &'static str {
         match self {
             OpenErrorKind::AddressInUse => "socket-in-use",
@@ -122,26 +122,30 @@
         }
     }
 
-    /// What an operator can do.
+    /// Returns what an operator can do about the error.
     pub fn advice(self) -> &'static str {
         match self {
-            OpenErrorKind::AddressInUse => "end the process that has the address, or name another address",
-            OpenErrorKind::AddressNotAvailable => "name an address that an interface of this machine has",
-            OpenErrorKind::ProcessFileLimit => "raise the limit of open files of this process (ulimit -n)",
+            OpenErrorKind::AddressInUse => {
+                "stop the process that uses the address, or configure another address"
+            }
+            OpenErrorKind::AddressNotAvailable => {
+                "configure an address that an interface of this machine has"
+            }
+            OpenErrorKind::ProcessFileLimit => "raise the open file limit of this process (ulimit -n)",
             OpenErrorKind::SystemFileLimit => {
-                "end what holds so many files on this machine, or raise fs.file-max, then start again"
+                "stop the processes that keep many files open on this machine, or raise fs.file-max, then restart"
             }
-            OpenErrorKind::OutOfMemory => "the machine is short of memory: make room, then start again",
-            OpenErrorKind::Interrupted => "start again",
+            OpenErrorKind::OutOfMemory => "free memory on this machine, then restart",
+            OpenErrorKind::Interrupted => "restart",
             OpenErrorKind::PermissionDenied => {
-                "name a port above 1023, or give the process the right to this one; look at the firewall and the \
+                "configure a port above 1023, or allow the process to use this one; check the firewall and the \
                  container's rules"
             }
-            OpenErrorKind::Other => "look at the address and at the machine's network, then start again",
+            OpenErrorKind::Other => "check the address and the network of this machine, then restart",
         }
     }
 
-    /// All of them, for tests of the page that lists them.
+    /// All kinds, for the test that compares them with the documentation.
     pub const ALL: [OpenErrorKind; 8] = [
         OpenErrorKind::AddressInUse,
         OpenErrorKind::AddressNotAvailable,
@@ -154,7 +158,7 @@
     ];
 }
 
-/// Whether descriptors or memory are used up.
-fn is_resource_exhaustion(number: i32) -> bool {
-    matches!(number, libc::EMFILE | libc::ENFILE | libc::ENOBUFS | libc::ENOMEM)
+/// Whether the error errno means that descriptors or memory are exhausted.
+fn is_resource_exhaustion(errno: i32) -> bool {
+    matches!(errno, libc::EMFILE | libc::ENFILE | libc::ENOBUFS | libc::ENOMEM)
 }
--- a/crates/sockets/src/error_kind/tests.rs
+++ b/crates/sockets/src/error_kind/tests.rs
@@ -1,11 +1,11 @@
 use super::*;
 
-fn error(number: i32) -> io::Error {
-    io::Error::from_raw_os_error(number)
+fn error(errno: i32) -> io::Error {
+    io::Error::from_raw_os_error(errno)
 }
 
 #[test]
-fn only_a_want_of_descriptors_or_memory_calls_for_room_at_an_accept() {
+fn accept_errors_are_classified_by_errno() {
     let exhausted = [libc::EMFILE, libc::ENFILE, libc::ENOBUFS, libc::ENOMEM];
     let connection = [
         libc::ECONNABORTED,
@@ -22,19 +22,19 @@
         libc::ENETUNREACH,
         libc::ETIMEDOUT,
     ];
-    for number in 1..=133 {
-        let expected = match number {
-            number if exhausted.contains(&number) => AcceptErrorKind::ResourceExhausted,
-            number if connection.contains(&number) => AcceptErrorKind::Connection,
+    for errno in 1..=133 {
+        let expected = match errno {
+            errno if exhausted.contains(&errno) => AcceptErrorKind::ResourceExhausted,
+            errno if connection.contains(&errno) => AcceptErrorKind::Connection,
             _ => AcceptErrorKind::Other,
         };
-        assert_eq!(classify_accept_error(&error(number)), expected, "{}", error(number));
+        assert_eq!(classify_accept_error(&error(errno)), expected, "{}", error(errno));
     }
-    assert_eq!(classify_accept_error(&io::Error::other("no number")), AcceptErrorKind::Other);
+    assert_eq!(classify_accept_error(&io::Error::other("no errno")), AcceptErrorKind::Other);
 }
 
 #[test]
-fn a_worker_is_blamed_for_no_connect_that_failed_on_this_machine() {
+fn connect_errors_of_this_machine_are_not_classified_as_remote() {
     let local = [
         libc::EADDRNOTAVAIL,
         libc::EADDRINUSE,
@@ -46,13 +46,13 @@
         libc::ENOMEM,
     ];
     let path = [libc::ENETUNREACH, libc::ENETDOWN, libc::EHOSTUNREACH, libc::EHOSTDOWN];
-    for number in 1..=133 {
-        let expected = match number {
-            number if local.contains(&number) => ConnectErrorKind::Local,
-            number if path.contains(&number) => ConnectErrorKind::Path,
+    for errno in 1..=133 {
+        let expected = match errno {
+            errno if local.contains(&errno) => ConnectErrorKind::Local,
+            errno if path.contains(&errno) => ConnectErrorKind::Path,
             _ => ConnectErrorKind::Remote,
         };
-        assert_eq!(classify_connect_error(&error(number)), expected, "{}", error(number));
+        assert_eq!(classify_connect_error(&error(errno)), expected, "{}", error(errno));
     }
     for remote in [libc::ECONNREFUSED, libc::ETIMEDOUT, libc::ECONNRESET] {
         assert_eq!(classify_connect_error(&error(remote)), ConnectErrorKind::Remote);
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn an_operator_finds_the_code_and_the_advice_of_every_fault_on_the_page() {
+fn every_open_error_has_advice_and_its_code_is_documented() {
     let page = include_str!("../../../../docs/operate/errors.md");
     for kind in OpenErrorKind::ALL {
         assert!(page.contains(&format!("| `{}` |", kind.code())), "{kind:?}");
--- a/crates/sockets/src/lib.rs
+++ b/crates/sockets/src/lib.rs
@@ -1,8 +1,9 @@
-//! What a failed socket call means, in one place for all that open, accept, connect, read and write.
+//! Error classification and retries for socket calls.
 //!
-//! [`error_kind`] sorts error numbers by what they are evidence of. [`OpenRetry`] opens sockets at a start, [`AcceptRetry`]
-//! says what follows a failed accept, [`connect`] opens a connection, and [`read_some`] and [`write_all`] move bytes
-//! without relying on what a short read or write says about the kernel's buffers.
+//! [`error_kind`] classifies the errors of accept, connect and open calls. [`OpenRetry`] opens the sockets of a starting
+//! process, [`AcceptRetry`] decides what to do after a failed accept, [`connect()`] opens a connection, and [`read_some`]
+//! and [`write_all`] transfer bytes without taking a short read or write as a sign that the kernel's buffer is empty or
+//! full.
 
 #![forbid(unsafe_code)]
 
@@ -19,22 +20,22 @@
 
 use std::time::Duration;
 
-/// A pause that doubles each time, up to a bound.
+/// Exponential backoff: a delay that doubles up to a maximum.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Backoff {
-    next: Duration,
-    most: Duration,
+    next_delay: Duration,
+    max: Duration,
 }
 
 impl Backoff {
-    pub(crate) const fn new(first: Duration, most: Duration) -> Backoff {
-        Backoff { next: first, most }
+    pub(crate) const fn new(first: Duration, max: Duration) -> Backoff {
+        Backoff { next_delay: first, max }
     }
 
-    /// The pause that comes now.
-    pub(crate) fn pause(&mut self) -> Duration {
-        let pause = self.next;
-        self.next = (pause * 2).min(self.most);
-        pause
+    /// Returns the current delay and doubles the next one.
+    pub(crate) fn next_delay(&mut self) -> Duration {
+        let delay = self.next_delay;
+        self.next_delay = (delay * 2).min(self.max);
+        delay
     }
 }
--- a/crates/sockets/src/open_retry.rs
+++ b/crates/sockets/src/open_retry.rs
@@ -1,4 +1,4 @@
-//! Opening sockets at a start, in spite of what fails for a moment.
+//! Opens the sockets of a starting process and retries transient errors.
 
 use crate::Backoff;
 use crate::error_kind::{OpenErrorKind, classify_open_error};
@@ -10,24 +10,24 @@
 #[cfg(test)]
 mod tests;
 
-/// All sockets of a start together are tried for so long. A scheduler is to be ready within 10 s of its start.
-const LIMIT: Duration = Duration::from_secs(5);
-const FIRST_PAUSE: Duration = Duration::from_millis(10);
-const LONGEST_PAUSE: Duration = Duration::from_millis(250);
+/// Time limit for all sockets of one start together. A scheduler must be ready within 10 s of its start.
+const OPEN_TIMEOUT: Duration = Duration::from_secs(5);
+const INITIAL_BACKOFF: Duration = Duration::from_millis(10);
+const MAX_BACKOFF: Duration = Duration::from_millis(250);
 
 /// A socket that could not be opened.
 #[derive(Debug, thiserror::Error)]
 #[error("{key}: {address}: {source} ({attempts} tries). [{code}] {advice}", code = .kind.code(), advice = .kind.advice())]
 pub struct OpenError {
-    /// The key of the configuration that names the address.
+    /// The configuration key that sets the address.
     pub key: &'static str,
-    /// The address.
+    /// The address that could not be opened.
     pub address: String,
-    /// What the error means.
+    /// The class of the error.
     pub kind: OpenErrorKind,
-    /// How often it was tried.
+    /// Number of attempts.
     pub attempts: u32,
-    /// What the system says.
+    /// The error of the last attempt.
     pub source: io::Error,
 }
 
@@ -37,40 +37,40 @@
     }
 }
 
-/// What to do where another socket has the address.
+/// What to do when another socket uses the address.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OnAddressInUse {
-    /// It may be that of a process which is ending: try again.
+    /// Retry: the address may belong to a process that is shutting down.
     Retry,
-    /// The caller knows whose it is: report it at once.
+    /// Return the error at once: the caller knows which process uses the address.
     Fail,
 }
 
-/// Opens the sockets of one start, which share a time limit.
+/// Opens sockets, with one deadline for all sockets of a start.
 #[derive(Clone, Copy, Debug)]
 pub struct OpenRetry {
-    until: Instant,
+    deadline: Instant,
 }
 
 impl OpenRetry {
-    /// From now on.
+    /// Starts the time limit now.
     pub fn start() -> OpenRetry {
-        OpenRetry { until: Instant::now() + LIMIT }
+        OpenRetry { deadline: Instant::now() + OPEN_TIMEOUT }
     }
 
-    /// Opens a socket, again after a pause that grows for as long as the error is transient and the time is not over.
-    /// `key` and `address` name it in the error.
+    /// Opens a socket. Retries transient errors with exponential backoff until the deadline. `key` and `address` identify
+    /// the socket in the error.
     ///
     /// # Errors
-    /// The last error, with what it means.
+    /// Returns the error of the last attempt.
     pub async fn open<T>(
         &self,
         key: &'static str,
         address: impl Display,
-        in_use: OnAddressInUse,
+        on_address_in_use: OnAddressInUse,
         mut open: impl AsyncFnMut() -> io::Result<T>,
     ) -> Result<T, OpenError> {
-        let mut backoff = Backoff::new(FIRST_PAUSE, LONGEST_PAUSE);
+        let mut backoff = Backoff::new(INITIAL_BACKOFF, MAX_BACKOFF);
         let mut attempts = 0;
         loop {
             attempts += 1;
@@ -79,12 +79,13 @@
                 Err(source) => source,
             };
             let kind = classify_open_error(&source);
-            let reported = kind == OpenErrorKind::AddressInUse && in_use == OnAddressInUse::Fail;
-            let pause = backoff.pause();
-            if !kind.is_transient() || reported || Instant::now() + pause > self.until {
+            let fails_at_once =
+                kind == OpenErrorKind::AddressInUse && on_address_in_use == OnAddressInUse::Fail;
+            let delay = backoff.next_delay();
+            if !kind.is_transient() || fails_at_once || Instant::now() + delay > self.deadline {
                 return Err(OpenError { key, address: address.to_string(), kind, attempts, source });
             }
-            tokio::time::sleep(pause).await;
+            tokio::time::sleep(delay).await;
         }
     }
 }
--- a/crates/sockets/src/open_retry/tests.rs
+++ b/crates/sockets/src/open_retry/tests.rs
@@ -1,9 +1,9 @@
 use super::*;
 
-/// Fails with these numbers, one a try, then opens.
-fn failing(numbers: &'static [i32]) -> impl AsyncFnMut() -> io::Result<()> {
-    let mut left = numbers.iter().copied();
-    async move || left.next().map_or(Ok(()), |number| Err(io::Error::from_raw_os_error(number)))
+/// Fails with one of these error errnos per attempt, then succeeds.
+fn failing(errnos: &'static [i32]) -> impl AsyncFnMut() -> io::Result<()> {
+    let mut remaining = errnos.iter().copied();
+    async move || remaining.next().map_or(Ok(()), |errno| Err(io::Error::from_raw_os_error(errno)))
 }
 
 const TRANSIENT: [i32; 7] = [
@@ -17,44 +17,44 @@
 ];
 
 #[tokio::test(start_paused = true)]
-async fn what_fails_for_a_moment_is_opened_in_the_end() {
+async fn transient_errors_are_retried_until_the_socket_is_open() {
     let opened = OpenRetry::start().open("listen", "a:1", OnAddressInUse::Retry, failing(&TRANSIENT)).await;
     opened.unwrap();
 }
 
 #[tokio::test(start_paused = true)]
-async fn what_lasts_is_reported_within_the_limit_with_its_advice() {
-    for number in TRANSIENT {
-        let begun = Instant::now();
-        let always = async || Err::<(), _>(io::Error::from_raw_os_error(number));
+async fn persistent_errors_are_returned_with_advice_within_the_time_limit() {
+    for errno in TRANSIENT {
+        let start = Instant::now();
+        let always_fails = async || Err::<(), _>(io::Error::from_raw_os_error(errno));
         let error =
-            OpenRetry::start().open("listen", "a:1", OnAddressInUse::Retry, always).await.unwrap_err();
-        assert!(begun.elapsed() <= LIMIT, "{error}");
-        assert!(begun.elapsed() > LIMIT / 2, "{error}");
+            OpenRetry::start().open("listen", "a:1", OnAddressInUse::Retry, always_fails).await.unwrap_err();
+        assert!(start.elapsed() <= OPEN_TIMEOUT, "{error}");
+        assert!(start.elapsed() > OPEN_TIMEOUT / 2, "{error}");
         let text = error.to_string();
         assert!(text.starts_with("listen: a:1: ") && text.ends_with(error.kind.advice()), "{text}");
     }
 }
 
 #[tokio::test(start_paused = true)]
-async fn what_no_retry_helps_is_reported_at_once() {
+async fn errors_that_are_not_retried_are_returned_after_one_attempt() {
     let retry = OpenRetry::start();
-    for (numbers, in_use) in [
+    for (errnos, on_address_in_use) in [
         (&[libc::EACCES], OnAddressInUse::Retry),
         (&[libc::EAFNOSUPPORT], OnAddressInUse::Retry),
         (&[libc::EADDRINUSE], OnAddressInUse::Fail),
     ] {
-        let error = retry.open("listen", "a:1", in_use, failing(numbers)).await.unwrap_err();
+        let error = retry.open("listen", "a:1", on_address_in_use, failing(errnos)).await.unwrap_err();
         assert_eq!(error.attempts, 1, "{error}");
     }
 }
 
 #[tokio::test(start_paused = true)]
-async fn the_sockets_of_one_start_share_one_limit() {
-    let (begun, retry) = (Instant::now(), OpenRetry::start());
+async fn the_sockets_of_one_start_share_the_time_limit() {
+    let (start, retry) = (Instant::now(), OpenRetry::start());
     for _ in 0..4 {
-        let always = async || Err::<(), _>(io::Error::from_raw_os_error(libc::ENFILE));
-        retry.open("listen", "a:1", OnAddressInUse::Retry, always).await.unwrap_err();
+        let always_fails = async || Err::<(), _>(io::Error::from_raw_os_error(libc::ENFILE));
+        retry.open("listen", "a:1", OnAddressInUse::Retry, always_fails).await.unwrap_err();
     }
-    assert!(begun.elapsed() <= LIMIT);
+    assert!(start.elapsed() <= OPEN_TIMEOUT);
 }
--- a/crates/sockets/src/transfer.rs
+++ b/crates/sockets/src/transfer.rs
@@ -1,38 +1,38 @@
-//! Reads and writes of connections that go on after a short one.
+//! Reads and writes that continue after a short read or write.
 //!
-//! The runtime's own `AsyncRead` takes a short read for a sign that the kernel's buffer is empty, as epoll(7) lets it,
-//! and waits for the next edge. Where something between the program and the kernel shortens a read, no edge follows for
-//! what is there already, and the connection stands still until its time is over. Here the kernel alone says that
-//! nothing is left, at the price of one more read a wait. The same holds for writes, at no price.
+//! Tokio's `AsyncRead` takes a short read as a sign that the kernel's buffer is empty, as epoll(7) allows, and waits for
+//! the next edge. If something between the program and the kernel shortens a read, no edge follows for the bytes that
+//! are already there, and the connection stalls until it times out. These functions wait only after the kernel has
+//! returned `EAGAIN`, which costs one more read per wait.
 
 use bytes::BufMut;
 use std::io;
 use tokio::net::TcpStream;
 
-/// Whether a read or write has failed for this moment alone: nothing is there yet, or a signal came in between.
+/// Whether a read or write can be retried as it is: it would block, or a signal interrupted it.
 pub fn is_retryable(error: &io::Error) -> bool {
     matches!(error.kind(), io::ErrorKind::WouldBlock | io::ErrorKind::Interrupted)
 }
 
-/// Waits for more bytes and appends them; 0 if the other side has closed. Loses nothing when dropped half-way.
+/// Waits for bytes and appends them to the buffer. Returns 0 if the remote side has closed the connection. Cancel safe.
 ///
 /// # Errors
-/// What the kernel says of a connection that is broken.
+/// Returns the error of a broken connection.
 pub async fn read_some(stream: &TcpStream, buffer: &mut impl BufMut) -> io::Result<usize> {
     loop {
         stream.readable().await?;
         match stream.try_read_buf(buffer) {
-            // Other tasks get their turn even where each read is interrupted.
+            // Yields to other tasks even if every read is interrupted.
             Err(error) if is_retryable(&error) => tokio::task::consume_budget().await,
-            read => return read,
+            result => return result,
         }
     }
 }
 
-/// Writes all of it, or fails with at least one byte unwritten.
+/// Writes all bytes.
 ///
 /// # Errors
-/// What the kernel says of a connection that is broken.
+/// Returns the error of a broken connection; at least one byte has then not been written.
 pub async fn write_all(stream: &TcpStream, mut bytes: &[u8]) -> io::Result<()> {
     while !bytes.is_empty() {
         stream.writable().await?;
