--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -1,8 +1,8 @@
-//! What staff order of a running scheduler, as pure cores: no input or output, no clock, time passed in as nanoseconds.
+//! Administration of a running scheduler, as pure logic: no I/O and no clock; time is passed in as nanoseconds.
 //!
-//! [`request`] reads what is asked at the second address, [`overrides`] holds which workers are out by hand, and [`lifecycle`]
-//! is the one state of the whole scheduler: in service, draining, or ending. The front that carries the calls is in the
-//! scheduler, as it speaks that crate's HTTP.
+//! [`request`] parses requests to the admin address, [`overrides`] records which workers an operator has taken offline, and
+//! [`lifecycle`] holds the state of the scheduler: serving, draining or shutting down. The admin server is part of the
+//! scheduler crate, because it uses that crate's HTTP code.
 
 #![forbid(unsafe_code)]
 
@@ -10,5 +10,5 @@
 pub mod overrides;
 pub mod request;
 
-/// A point in time or a span, in nanoseconds.
+/// A point in time or a duration, in nanoseconds.
 pub type Nanos = u64;
--- a/crates/control/src/overrides.rs
+++ b/crates/control/src/overrides.rs
@@ -1,35 +1,35 @@
-//! Orders: which workers staff have taken out of use, whatever discovery lists meanwhile.
+//! Workers that an operator has taken offline, independent of what discovery lists.
 
 use super::Nanos;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Orders kept at most. One more would need as many workers taken out at once.
+/// Limit of the overrides kept; further workers cannot be taken offline.
 const MAX_OVERRIDES: usize = 100_000;
 
-/// What was ordered of a worker last.
+/// The latest override of a worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum WorkerOverride {
-    /// Out since then, on the scheduler's own clock.
+    /// Offline since this time of the scheduler's clock.
     #[serde(rename = "Out")]
     Offline(Nanos),
-    /// Out since the first time, back since the second.
+    /// Taken offline at the first time and restored at the second.
     #[serde(rename = "Back")]
     Restored(Nanos, Nanos),
 }
 
-/// What the orders make of a worker that discovery lists.
+/// State of a listed worker after overrides.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EffectiveState {
-    /// It is as listed.
+    /// The worker's listed state applies.
     AsListed,
-    /// It counts as draining.
+    /// The worker counts as draining.
     Offline,
-    /// It is as listed, but has started anew then at the latest.
+    /// The worker's listed state applies, but its start is this time.
     StartedAt(Nanos),
 }
 
-/// All orders that are in force, by the workers' names.
+/// The overrides in force, by worker name.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WorkerOverrides {
     #[serde(rename = "by_host")]
@@ -37,44 +37,49 @@
 }
 
 impl WorkerOverrides {
-    /// Takes a worker out; true if that changes anything. Out is a state: a second order leaves the first.
-    pub fn take_offline(&mut self, host: &str, now: Nanos) -> bool {
-        if self.is_offline(host) || self.by_worker.len() >= MAX_OVERRIDES {
+    /// Takes a worker offline. Returns whether that changed anything: a worker that is offline already keeps its time.
+    pub fn take_offline(&mut self, worker: &str, now: Nanos) -> bool {
+        if self.is_offline(worker) || self.by_worker.len() >= MAX_OVERRIDES {
             return false;
         }
-        self.by_worker.insert(host.to_string(), WorkerOverride::Offline(now));
+        self.by_worker.insert(worker.to_string(), WorkerOverride::Offline(now));
         true
     }
 
-    /// Puts a worker back; true if it was out.
-    pub fn restore(&mut self, host: &str, now: Nanos) -> bool {
-        let Some(WorkerOverride::Offline(since)) = self.by_worker.get(host).copied() else { return false };
-        self.by_worker.insert(host.to_string(), WorkerOverride::Restored(since, now));
+    /// Puts a worker back online. Returns whether it was offline.
+    pub fn restore(&mut self, worker: &str, now: Nanos) -> bool {
+        let Some(WorkerOverride::Offline(since)) = self.by_worker.get(worker).copied() else { return false };
+        self.by_worker.insert(worker.to_string(), WorkerOverride::Restored(since, now));
         true
     }
 
-    /// Whether a worker is out.
-    pub fn is_offline(&self, host: &str) -> bool {
-        matches!(self.by_worker.get(host), Some(WorkerOverride::Offline(_)))
+    /// Whether a worker is offline.
+    pub fn is_offline(&self, worker: &str) -> bool {
+        matches!(self.by_worker.get(worker), Some(WorkerOverride::Offline(_)))
     }
 
-    /// Workers that are out.
+    /// Returns the names of the workers that are offline.
     pub fn offline_workers(&self) -> impl Iterator<Item = &str> {
-        self.by_worker.iter().filter(|o| matches!(o.1, WorkerOverride::Offline(_))).map(|o| &**o.0)
+        self.by_worker
+            .iter()
+            .filter(|entry| matches!(entry.1, WorkerOverride::Offline(_)))
+            .map(|entry| &**entry.0)
     }
 
-    /// What the orders make of a worker that discovery lists with this start. A worker is restarted while it is out, and
-    /// the list says so late: until it names a start since the order, the return itself counts as the start.
-    pub fn effective_state(&self, host: &str, started: Nanos) -> EffectiveState {
-        match self.by_worker.get(host) {
+    /// Returns the state of a worker that discovery lists with this start time. Workers are usually restarted while they
+    /// are offline, and the list shows the new start late. Until it does, the time of the restore counts as the start.
+    pub fn effective_state(&self, worker: &str, started: Nanos) -> EffectiveState {
+        match self.by_worker.get(worker) {
             None => EffectiveState::AsListed,
             Some(WorkerOverride::Offline(_)) => EffectiveState::Offline,
-            Some(WorkerOverride::Restored(out, _)) if started > *out => EffectiveState::AsListed,
-            Some(WorkerOverride::Restored(_, back)) => EffectiveState::StartedAt(*back),
+            Some(WorkerOverride::Restored(offline_since, _)) if started > *offline_since => {
+                EffectiveState::AsListed
+            }
+            Some(WorkerOverride::Restored(_, restored_at)) => EffectiveState::StartedAt(*restored_at),
         }
     }
 
-    /// When a worker was last ordered out or back; 0 without orders.
+    /// Returns the time of the latest change, or 0 if there are no overrides.
     pub fn latest_change(&self) -> Nanos {
         let changed_at = |entry: &WorkerOverride| match entry {
             WorkerOverride::Offline(at) | WorkerOverride::Restored(_, at) => *at,
@@ -82,10 +87,10 @@
         self.by_worker.values().map(changed_at).max().unwrap_or(0)
     }
 
-    /// Forgets returns older than `span`, after which no worker is cold any more.
+    /// Removes overrides of workers that were restored at least `span` ago: by then no restarted worker is cold.
     pub fn forget_restored(&mut self, now: Nanos, span: Nanos) {
         self.by_worker.retain(
-            |_, o| !matches!(o, WorkerOverride::Restored(_, back) if now >= back.saturating_add(span)),
+            |_, entry| !matches!(entry, WorkerOverride::Restored(_, restored_at) if now >= restored_at.saturating_add(span)),
         );
     }
 }
@@ -96,17 +101,17 @@
     use proptest::prelude::*;
 
     #[test]
-    fn a_return_is_a_start_until_discovery_names_one_since_the_order() {
+    fn a_restore_counts_as_the_start_until_discovery_lists_a_later_one() {
         let mut overrides = WorkerOverrides::default();
         assert_eq!(overrides.effective_state("a", 5), EffectiveState::AsListed);
-        assert!(!overrides.restore("a", 90), "it was not out");
+        assert!(!overrides.restore("a", 90), "it was not offline");
         assert!(overrides.take_offline("a", 100));
         assert!(!overrides.take_offline("a", 110));
         assert_eq!(
             (overrides.effective_state("a", 5), overrides.effective_state("a", 500)),
             (EffectiveState::Offline, EffectiveState::Offline)
         );
-        assert!(overrides.restore("a", 200), "two calls out need one call back");
+        assert!(overrides.restore("a", 200), "one restore suffices after two take_offline calls");
         assert_eq!(overrides.effective_state("a", 5), EffectiveState::StartedAt(200));
         assert_eq!(overrides.effective_state("a", 150), EffectiveState::AsListed);
         overrides.forget_restored(250, 100);
@@ -116,21 +121,21 @@
     }
 
     proptest! {
-        /// Whatever is ordered in whatever order, the last call of a worker decides, and no other worker is touched.
+        /// For any sequence of changes, the latest change of a worker decides its state and affects no other worker.
         #[test]
-        fn the_last_order_of_a_worker_decides(calls in prop::collection::vec((0usize..3, any::<bool>()), 0..40)) {
-            let hosts = ["a", "b", "c"];
-            let (mut overrides, mut last) = (WorkerOverrides::default(), [false; 3]);
-            for (at, (host, out)) in calls.into_iter().enumerate() {
+        fn the_latest_change_of_a_worker_decides(changes in prop::collection::vec((0usize..3, any::<bool>()), 0..40)) {
+            let workers = ["a", "b", "c"];
+            let (mut overrides, mut expected_offline) = (WorkerOverrides::default(), [false; 3]);
+            for (at, (worker, offline)) in changes.into_iter().enumerate() {
                 let now = at as Nanos + 1;
-                let changed = if out { overrides.take_offline(hosts[host], now) } else { overrides.restore(hosts[host], now) };
-                prop_assert_eq!(changed, last[host] != out);
-                last[host] = out;
-                // Ageing never lifts an order.
+                let changed = if offline { overrides.take_offline(workers[worker], now) } else { overrides.restore(workers[worker], now) };
+                prop_assert_eq!(changed, expected_offline[worker] != offline);
+                expected_offline[worker] = offline;
+                // Expiry never brings an offline worker back.
                 overrides.forget_restored(Nanos::MAX, 1);
-                for (name, out) in hosts.iter().zip(last) {
-                    prop_assert_eq!(overrides.is_offline(name), out);
-                    prop_assert_eq!(overrides.effective_state(name, Nanos::MAX) == EffectiveState::Offline, out);
+                for (name, offline) in workers.iter().zip(expected_offline) {
+                    prop_assert_eq!(overrides.is_offline(name), offline);
+                    prop_assert_eq!(overrides.effective_state(name, Nanos::MAX) == EffectiveState::Offline, offline);
                 }
             }
         }
--- a/crates/control/src/request.rs
+++ b/crates/control/src/request.rs
@@ -1,37 +1,37 @@
-//! Calls at the second address: what a method and a path ask for.
+//! Requests to the admin address, parsed from method and path.
 
-/// What a caller wants.
+/// A request to the admin address.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum AdminRequest {
-    /// Whether this process is ready to serve.
+    /// Reports whether this process is ready to serve.
     Ready,
-    /// Nothing more to this worker.
+    /// Takes this worker offline: it gets no more jobs.
     Offline(String),
-    /// This worker may serve again.
+    /// Puts this worker back online.
     Online(String),
-    /// Drain.
+    /// Drains this scheduler.
     OutOfService,
-    /// Take clients again.
+    /// Ends the drain: clients are accepted again.
     InService,
-    /// What the tier has agreed on.
+    /// Reports the status of the tier.
     TierStatus,
-    /// New settings for the whole tier, in the body; the version that they are meant to follow, if that is named.
+    /// Proposes the settings in the body to the tier, based on this version if the path names one.
     ProposeSettings(Option<u64>),
 }
 
-/// Why a call is none.
+/// Why a request is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestError {
-    /// The path cannot be read (400).
+    /// The path is malformed (400).
     Malformed,
-    /// Nothing is at this path (404).
+    /// The path does not exist (404).
     NotFound,
-    /// The path takes this method alone (405).
+    /// The path supports only this method (405).
     MethodNotAllowed(&'static str),
 }
 
 impl AdminRequest {
-    /// Reads a call. The worker's id is percent-decoded, and taken whole.
+    /// Parses a request. The worker's id in the path is percent-decoded.
     pub fn parse(method: &[u8], path: &[u8]) -> Result<AdminRequest, RequestError> {
         let path = std::str::from_utf8(path).map_err(|_| RequestError::Malformed)?;
         let path = path.split('?').next().unwrap_or_default();
@@ -58,22 +58,22 @@
     }
 }
 
-/// Undoes percent-encoding; a cut or false escape, or what is no UTF-8, is malformed.
+/// Decodes percent-encoding. Incomplete or invalid escapes and invalid UTF-8 are malformed.
 fn percent_decode(text: &str) -> Result<String, RequestError> {
-    let mut out = Vec::with_capacity(text.len());
+    let mut decoded = Vec::with_capacity(text.len());
     let mut bytes = text.bytes();
     while let Some(byte) = bytes.next() {
-        out.push(match byte {
+        decoded.push(match byte {
             b'%' => {
                 let mut digit = || bytes.next().and_then(|b| char::from(b).to_digit(16));
                 let (high, low) =
                     (digit().ok_or(RequestError::Malformed)?, digit().ok_or(RequestError::Malformed)?);
                 (high * 16 + low) as u8
             }
-            plain => plain,
+            literal => literal,
         });
     }
-    String::from_utf8(out).map_err(|_| RequestError::Malformed)
+    String::from_utf8(decoded).map_err(|_| RequestError::Malformed)
 }
 
 #[cfg(test)]
@@ -81,7 +81,7 @@
     use super::*;
 
     #[test]
-    fn calls_are_read_whole_and_faults_named() {
+    fn valid_requests_are_parsed_and_invalid_ones_rejected() {
         let parse = |text: &str| {
             let (method, path) = text.split_once(' ').unwrap();
             AdminRequest::parse(method.as_bytes(), path.as_bytes())
--- a/crates/control/tests/shutdown_margin.rs
+++ b/crates/control/tests/shutdown_margin.rs
@@ -1,24 +1,28 @@
-//! The time that is kept free before the platform may kill a process, whatever the clients' deadlines are.
+//! The margin between the last answer of a shutdown and the platform's kill, for various client deadlines.
 
 use loomlb_control::Nanos;
 use loomlb_control::lifecycle::Lifecycle;
 
 const MS: Nanos = 1_000_000;
-/// What the platform waits beyond the longest deadline.
-const NOTICE: Nanos = 700 * MS;
-/// For so long a process may be held up between its clock and its write.
-const HELD_UP: Nanos = 150 * MS;
+/// The platform waits this long in addition to the longest client deadline.
+const KILL_GRACE: Nanos = 700 * MS;
+/// A process can stall this long between reading the clock and writing the answer.
+const STALL: Nanos = 150 * MS;
 
 #[test]
-fn answers_are_out_before_an_early_kill_though_the_process_is_held_up() {
-    for longest in [5, 50, 200, 500, 800, 1_000, 3_000, 60_000] {
-        for alone in [false, true] {
-            let mut lifecycle = Lifecycle::new(longest * MS, alone);
+fn the_last_answer_is_sent_before_the_kill_even_if_the_process_stalls() {
+    for longest_wait in [5, 50, 200, 500, 800, 1_000, 3_000, 60_000] {
+        for is_only_scheduler in [false, true] {
+            let mut lifecycle = Lifecycle::new(longest_wait * MS, is_only_scheduler);
             lifecycle.start_shutdown(0);
-            let kill = NOTICE + (longest * MS).min(3_000 * MS);
-            let (closing, answer_by) = (lifecycle.closes_at().unwrap(), lifecycle.answer_deadline().unwrap());
-            assert!(answer_by + HELD_UP < kill, "{longest} ms: answered by {answer_by} of {kill}");
-            assert!(closing < answer_by, "{longest} ms: what is taken last has some time");
+            let kill = KILL_GRACE + (longest_wait * MS).min(3_000 * MS);
+            let (closes_at, answer_deadline) =
+                (lifecycle.closes_at().unwrap(), lifecycle.answer_deadline().unwrap());
+            assert!(
+                answer_deadline + STALL < kill,
+                "{longest_wait} ms: answer deadline {answer_deadline}, kill at {kill}"
+            );
+            assert!(closes_at < answer_deadline, "{longest_wait} ms: the job accepted last has no time left");
         }
     }
 }
