--- a/crates/hot-restart/src/lib.rs
+++ b/crates/hot-restart/src/lib.rs
@@ -1,7 +1,8 @@
-//! Replacing the process: two processes that are one scheduler while the one takes over from the other.
+//! Hot restart: a new process takes over from a running process of the same scheduler without dropping connections.
 //!
-//! [`message`] is what they say, with its framing; [`state_machine`] says who accepts when, whatever dies on the way. Both are
-//! pure: no input or output, no clock. [`link`] carries the words, and descriptors with them, over a Unix socket.
+//! [`message`] defines the messages between the two processes and their framing, and [`state_machine`] decides which
+//! process accepts connections, even if either of them dies. Both are pure: no I/O and no clock. [`link`] carries the
+//! messages, with file descriptors attached, over a Unix socket.
 
 #![forbid(unsafe_code)]
 
@@ -9,5 +10,5 @@
 pub mod message;
 pub mod state_machine;
 
-/// A point in time or a span, in nanoseconds.
+/// A point in time or a duration, in nanoseconds.
 pub type Nanos = u64;
--- a/crates/hot-restart/src/link.rs
+++ b/crates/hot-restart/src/link.rs
@@ -1,4 +1,4 @@
-//! The link: words, and descriptors with them, over a Unix socket.
+//! The link between two processes: messages with attached file descriptors over a Unix socket.
 
 use super::message::{FrameDecoder, FrameError, RestartMessage};
 use rustix::net::{
@@ -14,27 +14,27 @@
 use tokio::net::UnixStream;
 use tokio::sync::Notify;
 
-/// Words that may wait to be written: a partner that reads nothing is as good as gone.
+/// Messages that can be queued; beyond that the other process counts as dead and the link is closed.
 const MAX_QUEUED_MESSAGES: usize = 8192;
-/// Bytes read at once.
 const READ_BUFFER_BYTES: usize = 64 << 10;
-/// Descriptors that may come with one read.
 const MAX_DESCRIPTORS_PER_READ: usize = 64;
 
-/// One side of a link. One task reads, another writes; words are queued from anywhere.
+/// One side of a link. One task receives and one runs the writer; any task can queue messages.
 #[derive(Debug)]
 pub struct Link {
     stream: UnixStream,
     outgoing: RefCell<VecDeque<(Vec<u8>, Option<OwnedFd>)>>,
-    message_queued: Notify,
-    progress: Notify,
+    /// Notified when a message is queued or the link is closed.
+    queued: Notify,
+    /// Notified when the queue is empty or the link is closed.
+    drained: Notify,
     closed: Cell<bool>,
 }
 
-/// What has been read and not been taken as a word yet.
+/// Received bytes and descriptors that have not been returned as messages yet.
 #[derive(Debug, Default)]
 pub struct ReceiveBuffer {
-    frames: FrameDecoder,
+    decoder: FrameDecoder,
     descriptors: VecDeque<OwnedFd>,
 }
 
@@ -43,67 +43,67 @@
 }
 
 impl Link {
-    /// A link over a connection.
+    /// Creates a link over a connection.
     pub fn new(stream: UnixStream) -> Link {
         Link {
             stream,
             outgoing: RefCell::default(),
-            message_queued: Notify::new(),
-            progress: Notify::new(),
+            queued: Notify::new(),
+            drained: Notify::new(),
             closed: Cell::new(false),
         }
     }
 
-    /// Whether the link is broken or closed.
+    /// Whether the link is closed or broken.
     pub fn is_closed(&self) -> bool {
         self.closed.get()
     }
 
-    /// Ends the link: nothing more is written, and [`Link::run_writer`] returns.
+    /// Closes the link: queued messages are discarded, and [`Link::run_writer`] returns.
     pub fn close(&self) {
         self.closed.set(true);
         self.outgoing.borrow_mut().clear();
-        self.message_queued.notify_one();
-        self.progress.notify_waiters();
+        self.queued.notify_one();
+        self.drained.notify_waiters();
     }
 
-    /// Queues a word. A link that cannot take it is over; the descriptor is closed then.
-    pub fn send(&self, word: &RestartMessage, descriptor: Option<OwnedFd>) {
+    /// Queues a message. Closes the link and the descriptor if the message is too long or the queue is full.
+    pub fn send(&self, message: &RestartMessage, descriptor: Option<OwnedFd>) {
         if self.is_closed() {
             return;
         }
-        match word.encode(descriptor.is_some()) {
+        match message.encode(descriptor.is_some()) {
             Ok(frame) if self.outgoing.borrow().len() < MAX_QUEUED_MESSAGES => {
                 self.outgoing.borrow_mut().push_back((frame, descriptor));
-                self.message_queued.notify_one();
+                self.queued.notify_one();
             }
             _ => self.close(),
         }
     }
 
-    /// Waits until the link is over.
+    /// Waits until the link is closed.
     pub async fn wait_closed(&self) {
         while !self.is_closed() {
-            self.progress.notified().await;
+            self.drained.notified().await;
         }
     }
 
-    /// Waits until all that was queued is written.
+    /// Waits until all queued messages are written or the link is closed.
     pub async fn wait_flushed(&self) {
         while !self.is_closed() && !self.outgoing.borrow().is_empty() {
-            self.progress.notified().await;
+            self.drained.notified().await;
         }
     }
 
-    /// Writes what is queued, until the link is over.
+    /// Writes queued messages until the link is closed.
     pub async fn run_writer(&self) {
         while !self.is_closed() {
             let Some((frame, descriptor)) = self.outgoing.borrow_mut().pop_front() else {
-                self.progress.notify_waiters();
-                self.message_queued.notified().await;
+                self.drained.notify_waiters();
+                self.queued.notified().await;
                 continue;
             };
-            // In the queue while it is under way, so that nobody takes the link for flushed.
+            // A placeholder stays in the queue while the message is written, so that the link does not count as flushed.
             self.outgoing.borrow_mut().push_front((Vec::new(), None));
             if self.write_frame(&frame, descriptor).await.is_err() {
                 return self.close();
@@ -119,15 +119,15 @@
             let sent = self.stream.try_io(Interest::WRITABLE, || {
                 let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(1))];
                 let mut control = SendAncillaryBuffer::new(&mut space);
-                let with: Vec<_> = descriptor.iter().map(AsFd::as_fd).collect();
-                if !with.is_empty() {
-                    control.push(SendAncillaryMessage::ScmRights(&with));
+                let descriptors: Vec<_> = descriptor.iter().map(AsFd::as_fd).collect();
+                if !descriptors.is_empty() {
+                    control.push(SendAncillaryMessage::ScmRights(&descriptors));
                 }
                 let parts = [IoSlice::new(&frame[written..])];
                 Ok(sendmsg(&self.stream, &parts, &mut control, SendFlags::NOSIGNAL)?)
             });
             match sent {
-                // With the first byte the descriptor has gone, and ours is closed.
+                // The descriptor is sent with the first byte; this process closes its copy.
                 Ok(n) => (written, descriptor) = (written + n, None),
                 Err(e) if matches!(e.kind(), io::ErrorKind::WouldBlock | io::ErrorKind::Interrupted) => {}
                 Err(e) => return Err(e),
@@ -136,34 +136,37 @@
         Ok(())
     }
 
-    /// The next word, with its descriptor; an error once the link is broken or what comes is no word. Loses nothing when
-    /// dropped half-way.
-    pub async fn receive(&self, inbox: &mut ReceiveBuffer) -> io::Result<(RestartMessage, Option<OwnedFd>)> {
+    /// Receives the next message with its descriptor. Returns an error if the link is broken or the bytes are no message.
+    /// Cancel safe.
+    pub async fn receive(&self, buffer: &mut ReceiveBuffer) -> io::Result<(RestartMessage, Option<OwnedFd>)> {
         loop {
-            if let Some((word, with)) = inbox.frames.next_message().map_err(invalid_data)? {
-                let descriptor = if with { inbox.descriptors.pop_front() } else { None };
-                if with && descriptor.is_none() {
-                    return Err(io::Error::new(io::ErrorKind::InvalidData, "a descriptor is missing"));
+            if let Some((message, has_descriptor)) = buffer.decoder.next_message().map_err(invalid_data)? {
+                let descriptor = if has_descriptor { buffer.descriptors.pop_front() } else { None };
+                if has_descriptor && descriptor.is_none() {
+                    return Err(io::Error::new(
+                        io::ErrorKind::InvalidData,
+                        "a message arrived without its file descriptor",
+                    ));
                 }
-                return Ok((word, descriptor));
+                return Ok((message, descriptor));
             }
             self.stream.readable().await?;
-            let mut piece = vec![0; READ_BUFFER_BYTES];
+            let mut chunk = vec![0; READ_BUFFER_BYTES];
             let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(MAX_DESCRIPTORS_PER_READ))];
             let read = self.stream.try_io(Interest::READABLE, || {
                 let mut control = RecvAncillaryBuffer::new(&mut space);
-                let mut parts = [IoSliceMut::new(&mut piece)];
+                let mut parts = [IoSliceMut::new(&mut chunk)];
                 let read = recvmsg(&self.stream, &mut parts, &mut control, RecvFlags::CMSG_CLOEXEC)?;
-                for message in control.drain() {
-                    if let RecvAncillaryMessage::ScmRights(came) = message {
-                        inbox.descriptors.extend(came);
+                for control_message in control.drain() {
+                    if let RecvAncillaryMessage::ScmRights(received) = control_message {
+                        buffer.descriptors.extend(received);
                     }
                 }
                 Ok(read.bytes)
             });
             match read {
                 Ok(0) => return Err(io::ErrorKind::UnexpectedEof.into()),
-                Ok(n) => inbox.frames.push(&piece[..n]),
+                Ok(n) => buffer.decoder.push(&chunk[..n]),
                 Err(e) if matches!(e.kind(), io::ErrorKind::WouldBlock | io::ErrorKind::Interrupted) => {}
                 Err(e) => return Err(e),
             }
@@ -178,44 +181,44 @@
     use std::net::{TcpListener, TcpStream};
 
     #[tokio::test]
-    async fn descriptors_arrive_with_their_words_and_a_closed_side_ends_the_link() {
+    async fn descriptors_arrive_with_their_messages_and_closing_one_side_breaks_the_link() {
         let (a, b) = UnixStream::pair().unwrap();
         let (a, b) = (Link::new(a), Link::new(b));
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let mut clients = Vec::new();
-        let word = |i: usize| RestartMessage::TargetConnection { host: format!("t{i}"), since: i as u64 };
-        // A long word between them, so that writes and reads are cut anywhere.
-        let long = RestartMessage::Refused("x".repeat(1 << 20));
+        let message = |i: usize| RestartMessage::TargetConnection { host: format!("t{i}"), since: i as u64 };
+        // Long messages in between split reads and writes at arbitrary places.
+        let long_message = RestartMessage::Refused("x".repeat(1 << 20));
         for i in 0..40 {
             clients.push(TcpStream::connect(listener.local_addr().unwrap()).unwrap());
             let (served, _) = listener.accept().unwrap();
-            a.send(&word(i), Some(served.into()));
+            a.send(&message(i), Some(served.into()));
             if i % 8 == 0 {
-                a.send(&long, None);
+                a.send(&long_message, None);
             }
         }
         let reading = async {
-            let mut inbox = ReceiveBuffer::default();
+            let mut buffer = ReceiveBuffer::default();
             for (i, client) in clients.iter_mut().enumerate() {
-                let (said, descriptor) = b.receive(&mut inbox).await.unwrap();
-                assert_eq!(said, word(i));
+                let (received, descriptor) = b.receive(&mut buffer).await.unwrap();
+                assert_eq!(received, message(i));
                 let mut stream = TcpStream::from(descriptor.unwrap());
                 stream.write_all(&[i as u8]).unwrap();
                 let mut byte = [0];
                 client.read_exact(&mut byte).unwrap();
-                assert_eq!(byte[0], i as u8, "the descriptor of another word");
+                assert_eq!(byte[0], i as u8, "the descriptor belongs to another message");
                 if i % 8 == 0 {
-                    assert_eq!(b.receive(&mut inbox).await.unwrap().0, long);
+                    assert_eq!(b.receive(&mut buffer).await.unwrap().0, long_message);
                 }
             }
-            inbox
+            buffer
         };
         let writing = async {
             tokio::select! { () = a.run_writer() => {}, () = a.wait_flushed() => {} }
         };
-        let (mut inbox, ()) = tokio::join!(reading, writing);
+        let (mut buffer, ()) = tokio::join!(reading, writing);
         drop(a);
-        assert!(b.receive(&mut inbox).await.is_err());
+        assert!(b.receive(&mut buffer).await.is_err());
         b.close();
         b.send(&RestartMessage::Bye, None);
         assert!(b.is_closed());
--- a/crates/hot-restart/src/message.rs
+++ b/crates/hot-restart/src/message.rs
@@ -1,78 +1,78 @@
-//! The words between two processes, and their framing: a length of four bytes, a mark whether a descriptor comes with the
-//! word, and the word as JSON.
+//! Messages between the two processes of a hot restart and their framing: a length of four bytes in little-endian order, a
+//! byte that is 1 if a file descriptor is attached, and the message as JSON.
 
 use super::Nanos;
 use serde::{Deserialize, Serialize};
 
-/// The version of the words. Another one is refused: its process starts from the configuration.
+/// Version of the protocol. A successor with another version is refused and starts from its configuration.
 pub const PROTOCOL_VERSION: u32 = 1;
-/// The longest word, in bytes: the snapshot of 10,000 workers takes some 5 MB.
+/// Longest message. The snapshot of 10,000 workers has about 5 MB.
 pub const MAX_MESSAGE_BYTES: usize = 32 << 20;
 const HEADER_BYTES: usize = 5;
 
-/// What one process says to the other.
+/// A message from one process to the other.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum RestartMessage {
-    /// The new process is there, and speaks this version.
+    /// Sent first by the successor.
     #[serde(rename = "Hello")]
     Hello {
-        /// See [`PROTOCOL_VERSION`].
+        /// Protocol version of the successor, see [`PROTOCOL_VERSION`].
         #[serde(rename = "version")]
         version: u32,
     },
-    /// The old process gives nothing, and why.
+    /// The predecessor refuses to hand over, for this reason.
     #[serde(rename = "Refused")]
     Refused(String),
-    /// All that the old process knows; the peers' socket comes with it, if there is one.
+    /// The state of the predecessor. The socket for messages to peers is attached, if there is one.
     #[serde(rename = "Snapshot")]
     Snapshot(serde_json::Value),
-    /// The new process is ready to accept.
+    /// The successor is ready to accept connections.
     #[serde(rename = "Ready")]
     Ready,
-    /// The old process accepts no more.
+    /// The predecessor has stopped accepting connections.
     #[serde(rename = "Committed")]
     Committed,
-    /// An idle connection of a client or of call-backs, with its descriptor.
+    /// An idle connection of a client or of a worker that calls back. Its descriptor is attached.
     #[serde(rename = "Client")]
     ClientConnection {
-        /// Its last request was a call-back.
+        /// Whether the last request on it was a call-back.
         #[serde(rename = "calls_back")]
         calls_back: bool,
-        /// It has said nothing yet.
+        /// Whether no request has been received on it yet.
         #[serde(rename = "fresh")]
         fresh: bool,
     },
-    /// An idle connection to a target, with its descriptor.
+    /// An idle connection to a target. Its descriptor is attached.
     #[serde(rename = "Target")]
     TargetConnection {
-        /// The target's name.
+        /// Name of the target.
         #[serde(rename = "host")]
         host: String,
-        /// Since when it is idle, on the sender's clock, which its snapshot relates to the machine's.
+        /// Time since when it is idle, on the sender's clock. The snapshot relates that clock to the machine's.
         #[serde(rename = "since")]
         since: Nanos,
     },
-    /// What the sender holds now.
+    /// Resources that the sender uses now.
     #[serde(rename = "Holds")]
     Usage(ResourceUsage),
-    /// Something to be done by whoever can, and to be answered under the same number.
+    /// A request that the receiver handles if it can; the response has the same number.
     #[serde(rename = "Ask")]
     Request(u64, ForwardedRequest),
-    /// The answer: whether it was for the other process.
+    /// The response: whether the responding process has handled the request.
     #[serde(rename = "Answer")]
     Response(u64, bool),
-    /// The sender has nothing more to say, and ends.
+    /// The sender is done and exits.
     #[serde(rename = "Bye")]
     Bye,
 }
 
-/// What a process holds.
+/// Resources that a process uses.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ResourceUsage {
-    /// Slots at targets, by their names.
+    /// Slots used at targets, by target name.
     #[serde(rename = "slots")]
     pub slots: Vec<(String, f64)>,
-    /// Connections at its listener.
+    /// Connections accepted by its listener.
     #[serde(rename = "inbound")]
     pub inbound: usize,
     /// Connections to targets.
@@ -80,64 +80,66 @@
     pub outbound: usize,
 }
 
-/// What is passed on.
+/// A request that one process forwards to the other.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ForwardedRequest {
-    /// The body of a call-back for a flow that the sender does not have.
+    /// Body of a call-back for a flow that the sender does not have.
     #[serde(rename = "CallBack")]
     CallBack(String),
-    /// Method and path of a call of staff, which the sender has carried out on its side.
+    /// Method and path of an admin request that the sender has already applied to itself.
     #[serde(rename = "Order")]
     Admin(String, String),
 }
 
-/// Why what came is no word.
+/// Why a message cannot be encoded or decoded.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum FrameError {
-    /// Longer than [`MAX_MESSAGE_BYTES`].
+    /// The message is longer than [`MAX_MESSAGE_BYTES`].
     TooLong,
-    /// No word of this version.
+    /// The bytes are no message of this protocol version; contains the error of the JSON library.
     Unknown(String),
 }
 
 impl RestartMessage {
-    /// The word in its frame; an error if it is too long for one.
+    /// Returns the message in its frame, marked if a descriptor is attached.
     pub fn encode(&self, with_descriptor: bool) -> Result<Vec<u8>, FrameError> {
-        let text = serde_json::to_vec(self).map_err(|e| FrameError::Unknown(e.to_string()))?;
-        if text.len() > MAX_MESSAGE_BYTES {
+        let payload = serde_json::to_vec(self).map_err(|e| FrameError::Unknown(e.to_string()))?;
+        if payload.len() > MAX_MESSAGE_BYTES {
             return Err(FrameError::TooLong);
         }
-        let mut out = Vec::with_capacity(HEADER_BYTES + text.len());
-        out.extend_from_slice(&(text.len() as u32).to_le_bytes());
-        out.push(u8::from(with_descriptor));
-        out.extend_from_slice(&text);
-        Ok(out)
+        let mut frame = Vec::with_capacity(HEADER_BYTES + payload.len());
+        frame.extend_from_slice(&(payload.len() as u32).to_le_bytes());
+        frame.push(u8::from(with_descriptor));
+        frame.extend_from_slice(&payload);
+        Ok(frame)
     }
 }
 
-/// Puts words together from pieces of any size.
+/// Decodes messages from chunks of any size.
 #[derive(Debug, Default)]
 pub struct FrameDecoder {
     buffer: Vec<u8>,
 }
 
 impl FrameDecoder {
-    /// Takes in a piece.
-    pub fn push(&mut self, piece: &[u8]) {
-        self.buffer.extend_from_slice(piece);
+    /// Appends received bytes.
+    pub fn push(&mut self, chunk: &[u8]) {
+        self.buffer.extend_from_slice(chunk);
     }
 
-    /// The next word, and whether a descriptor comes with it; none until it is whole.
+    /// Returns the next message and whether a descriptor is attached to it, or `None` until the message is complete.
     pub fn next_message(&mut self) -> Result<Option<(RestartMessage, bool)>, FrameError> {
-        let Some(&[a, b, c, d, mark]) = self.buffer.first_chunk::<HEADER_BYTES>() else { return Ok(None) };
+        let Some(&[a, b, c, d, has_descriptor]) = self.buffer.first_chunk::<HEADER_BYTES>() else {
+            return Ok(None);
+        };
         let length = u32::from_le_bytes([a, b, c, d]) as usize;
         if length > MAX_MESSAGE_BYTES {
             return Err(FrameError::TooLong);
         }
-        let Some(text) = self.buffer.get(HEADER_BYTES..HEADER_BYTES + length) else { return Ok(None) };
-        let word = serde_json::from_slice(text).map_err(|e| FrameError::Unknown(e.to_string()))?;
+        let Some(payload) = self.buffer.get(HEADER_BYTES..HEADER_BYTES + length) else { return Ok(None) };
+        let message = serde_json::from_slice(payload).map_err(|e| FrameError::Unknown(e.to_string()))?;
         self.buffer.drain(..HEADER_BYTES + length);
-        Ok(Some((word, mark == 1)))
+        Ok(Some((message, has_descriptor == 1)))
     }
 }
 
@@ -146,28 +148,31 @@
     use super::*;
 
     #[test]
-    fn words_come_whole_from_pieces_of_any_size_and_strange_ones_are_refused() {
-        let words = [
+    fn messages_are_decoded_from_chunks_of_any_size_and_invalid_ones_are_rejected() {
+        let messages = [
             (RestartMessage::Hello { version: PROTOCOL_VERSION }, false),
             (RestartMessage::ClientConnection { calls_back: true, fresh: false }, true),
             (RestartMessage::Request(7, ForwardedRequest::CallBack("{\"id\":\"é\"}".into())), false),
         ];
-        let bytes: Vec<u8> = words.iter().flat_map(|(w, fd)| w.encode(*fd).unwrap()).collect();
+        let bytes: Vec<u8> = messages
+            .iter()
+            .flat_map(|(message, has_descriptor)| message.encode(*has_descriptor).unwrap())
+            .collect();
         for size in 1..bytes.len() {
-            let (mut frames, mut came) = (FrameDecoder::default(), Vec::new());
-            for piece in bytes.chunks(size) {
-                frames.push(piece);
-                while let Some(word) = frames.next_message().unwrap() {
-                    came.push(word);
+            let (mut decoder, mut decoded) = (FrameDecoder::default(), Vec::new());
+            for chunk in bytes.chunks(size) {
+                decoder.push(chunk);
+                while let Some(message) = decoder.next_message().unwrap() {
+                    decoded.push(message);
                 }
             }
-            assert_eq!(came, words, "pieces of {size}");
+            assert_eq!(decoded, messages, "chunks of {size} bytes");
         }
-        let mut frames = FrameDecoder::default();
-        frames.push(&[0xff; 5]);
-        assert_eq!(frames.next_message(), Err(FrameError::TooLong));
-        let mut frames = FrameDecoder::default();
-        frames.push(b"\x06\0\0\0\0\"Wave\"");
-        assert!(matches!(frames.next_message(), Err(FrameError::Unknown(_))));
+        let mut decoder = FrameDecoder::default();
+        decoder.push(&[0xff; 5]);
+        assert_eq!(decoder.next_message(), Err(FrameError::TooLong));
+        let mut decoder = FrameDecoder::default();
+        decoder.push(b"\x06\0\0\0\0\"Wave\"");
+        assert!(matches!(decoder.next_message(), Err(FrameError::Unknown(_))));
     }
 }
--- a/crates/hot-restart/src/state_machine.rs
+++ b/crates/hot-restart/src/state_machine.rs
@@ -1,31 +1,32 @@
-//! Who accepts when. Two machines, one in each process; the only way from the one to the other is the commit point.
+//! State machines of the predecessor and the successor. The commit is the only point at which accepting connections moves
+//! from one process to the other.
 
 use super::message::PROTOCOL_VERSION;
 
-/// The process that runs, as its successor comes and goes.
+/// State of the running process.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub enum Predecessor {
-    /// It serves, and no successor is there.
+    /// Serving without a successor.
     #[default]
     Serving,
-    /// A successor has its snapshot; it still serves.
+    /// Still serving; a successor has been sent the snapshot.
     SnapshotSent,
-    /// The successor accepts; what was taken here is finished here.
+    /// The successor accepts connections; this process finishes the jobs that it has accepted.
     HandedOver,
 }
 
-/// What the old process has to do.
+/// What the predecessor has to do next.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PredecessorAction {
     /// Nothing.
     Nothing,
     /// Send the snapshot.
     SendSnapshot,
-    /// Refuse, for this reason.
+    /// Refuse the successor for this reason.
     Refuse(&'static str),
-    /// Stop accepting, then say that it is committed, then pass on what is idle.
+    /// Stop accepting connections, then send the commit, then pass on idle connections.
     Commit,
-    /// Accept again: the successor is gone.
+    /// Accept connections again, because the successor has died.
     Resume,
 }
 
@@ -35,7 +36,7 @@
         self != Predecessor::HandedOver
     }
 
-    /// A process says hello.
+    /// Handles the hello of a new process that speaks this protocol version.
     pub fn on_hello(&mut self, version: u32) -> PredecessorAction {
         if version != PROTOCOL_VERSION {
             return PredecessorAction::Refuse("another version");
@@ -47,7 +48,7 @@
         PredecessorAction::SendSnapshot
     }
 
-    /// The successor is ready.
+    /// Handles the message that the successor is ready.
     pub fn on_ready(&mut self) -> PredecessorAction {
         if *self != Predecessor::SnapshotSent {
             return PredecessorAction::Nothing;
@@ -56,7 +57,7 @@
         PredecessorAction::Commit
     }
 
-    /// The link to the successor is broken.
+    /// Handles the loss of the link to the successor.
     pub fn on_link_lost(&mut self) -> PredecessorAction {
         match std::mem::take(self) {
             Predecessor::HandedOver => PredecessorAction::Resume,
@@ -65,15 +66,15 @@
     }
 }
 
-/// The process that starts.
+/// State of the starting process.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub enum Successor {
-    /// It has said hello.
+    /// The hello is sent; the snapshot has not been restored yet.
     #[default]
     AwaitingSnapshot,
-    /// It has restored the snapshot and said that it is ready.
+    /// The snapshot is restored and the ready message is sent; waiting for the commit.
     Ready,
-    /// It accepts.
+    /// Accepting connections.
     Serving,
 }
 
@@ -83,16 +84,17 @@
         self == Successor::Serving
     }
 
-    /// The snapshot is restored; whether the old process is to be told.
+    /// Handles the completed restore of the snapshot. Returns whether to tell the predecessor.
     pub fn on_restored(&mut self) -> bool {
-        let tells = *self == Successor::AwaitingSnapshot;
-        if tells {
+        let is_first_restore = *self == Successor::AwaitingSnapshot;
+        if is_first_restore {
             *self = Successor::Ready;
         }
-        tells
+        is_first_restore
     }
 
-    /// The old process has committed, refuses, is silent, is gone, or was never there: from here on this one accepts.
+    /// Starts accepting connections: the predecessor has committed, has refused, does not respond, has died, or did not
+    /// exist.
     pub fn start_serving(&mut self) {
         *self = Successor::Serving;
     }
@@ -111,114 +113,117 @@
         Committed,
     }
 
-    /// Two processes and what is under way between them.
+    /// Both processes and the messages in flight between them.
     #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-    struct World {
+    struct System {
         predecessor: Option<Predecessor>,
         successor: Option<Successor>,
         to_predecessor: VecDeque<TestMessage>,
         to_successor: VecDeque<TestMessage>,
-        /// Whether each side has yet to notice that the other is dead.
-        predecessor_notices: bool,
-        successor_notices: bool,
+        /// The other process has died, and this one has not noticed it yet.
+        predecessor_must_notice: bool,
+        successor_must_notice: bool,
     }
 
-    fn steps(w: &World) -> Vec<World> {
-        let mut all = Vec::new();
-        let mut step = |change: &dyn Fn(&mut World)| {
-            let mut next = w.clone();
+    fn next_states(system: &System) -> Vec<System> {
+        let mut next_states = Vec::new();
+        let mut step = |change: &dyn Fn(&mut System)| {
+            let mut next = system.clone();
             change(&mut next);
-            all.push(next);
+            next_states.push(next);
         };
-        if w.predecessor.is_some() && !w.to_predecessor.is_empty() {
-            step(&|n| {
-                let (said, predecessor) = (n.to_predecessor.pop_front(), n.predecessor.as_mut().unwrap());
-                match said {
+        if system.predecessor.is_some() && !system.to_predecessor.is_empty() {
+            step(&|next| {
+                let (message, predecessor) =
+                    (next.to_predecessor.pop_front(), next.predecessor.as_mut().unwrap());
+                match message {
                     Some(TestMessage::Hello)
                         if predecessor.on_hello(PROTOCOL_VERSION) == PredecessorAction::SendSnapshot =>
                     {
-                        n.to_successor.push_back(TestMessage::Snapshot)
+                        next.to_successor.push_back(TestMessage::Snapshot)
                     }
                     Some(TestMessage::Ready) if predecessor.on_ready() == PredecessorAction::Commit => {
-                        n.to_successor.push_back(TestMessage::Committed)
+                        next.to_successor.push_back(TestMessage::Committed)
                     }
                     _ => {}
                 }
             });
         }
-        if w.successor.is_some() && !w.to_successor.is_empty() {
-            step(&|n| {
-                let (said, successor) = (n.to_successor.pop_front(), n.successor.as_mut().unwrap());
-                match said {
+        if system.successor.is_some() && !system.to_successor.is_empty() {
+            step(&|next| {
+                let (message, successor) = (next.to_successor.pop_front(), next.successor.as_mut().unwrap());
+                match message {
                     Some(TestMessage::Snapshot) if successor.on_restored() => {
-                        n.to_predecessor.push_back(TestMessage::Ready)
+                        next.to_predecessor.push_back(TestMessage::Ready)
                     }
                     Some(TestMessage::Committed) => successor.start_serving(),
                     _ => {}
                 }
             });
         }
-        if w.successor.is_some() && w.successor != Some(Successor::Serving) {
-            // Its patience with a silent partner is over.
-            step(&|n| n.successor.as_mut().unwrap().start_serving());
+        if system.successor.is_some() && system.successor != Some(Successor::Serving) {
+            // It stops waiting for a predecessor that does not respond.
+            step(&|next| next.successor.as_mut().unwrap().start_serving());
         }
-        if w.predecessor.is_some() {
-            step(&|n| (n.predecessor, n.successor_notices) = (None, true));
+        if system.predecessor.is_some() {
+            step(&|next| (next.predecessor, next.successor_must_notice) = (None, true));
         }
-        if w.successor.is_some() {
-            step(&|n| (n.successor, n.predecessor_notices) = (None, true));
+        if system.successor.is_some() {
+            step(&|next| (next.successor, next.predecessor_must_notice) = (None, true));
         }
-        // A break is seen after what was said before it.
-        if w.predecessor_notices && w.predecessor.is_some() && w.to_predecessor.is_empty() {
-            step(&|n| {
-                n.predecessor.as_mut().unwrap().on_link_lost();
-                n.predecessor_notices = false;
+        // The loss of the link is noticed after all earlier messages have been received.
+        if system.predecessor_must_notice && system.predecessor.is_some() && system.to_predecessor.is_empty()
+        {
+            step(&|next| {
+                next.predecessor.as_mut().unwrap().on_link_lost();
+                next.predecessor_must_notice = false;
             });
         }
-        if w.successor_notices && w.successor.is_some() && w.to_successor.is_empty() {
-            step(&|n| {
-                n.successor.as_mut().unwrap().start_serving();
-                n.successor_notices = false;
+        if system.successor_must_notice && system.successor.is_some() && system.to_successor.is_empty() {
+            step(&|next| {
+                next.successor.as_mut().unwrap().start_serving();
+                next.successor_must_notice = false;
             });
         }
-        all
+        next_states
     }
 
-    /// Every order of words, silences and deaths: nobody accepts only while a word or a break is on its way to one that
-    /// will, and once both have heard everything exactly one of two live ones has committed.
+    /// Explores every order of messages, timeouts and deaths. A live process accepts connections unless a message or the
+    /// loss of the link is still on its way, and after a commit the successor serves or is about to.
     #[test]
-    fn someone_accepts_in_every_order_of_words_and_deaths() {
-        let start = World {
+    fn a_process_accepts_connections_in_every_order_of_messages_and_deaths() {
+        let start = System {
             predecessor: Some(Predecessor::default()),
             successor: Some(Successor::default()),
             to_predecessor: VecDeque::from([TestMessage::Hello]),
             to_successor: VecDeque::new(),
-            predecessor_notices: false,
-            successor_notices: false,
+            predecessor_must_notice: false,
+            successor_must_notice: false,
         };
-        let (mut seen, mut todo) = (HashSet::from([start.clone()]), vec![start]);
-        while let Some(world) = todo.pop() {
-            let accepts = world.predecessor.is_some_and(Predecessor::accepts_connections)
-                || world.successor.is_some_and(Successor::accepts_connections);
-            let pending =
-                !world.to_successor.is_empty() || world.predecessor_notices || world.successor_notices;
-            let alive = world.predecessor.is_some() || world.successor.is_some();
-            assert!(accepts || pending || !alive, "nobody accepts: {world:?}");
-            if world.predecessor == Some(Predecessor::HandedOver) && world.successor.is_some() {
-                let committing = world.to_successor.contains(&TestMessage::Committed);
-                assert!(world.successor == Some(Successor::Serving) || committing, "{world:?}");
+        let (mut explored, mut pending_states) = (HashSet::from([start.clone()]), vec![start]);
+        while let Some(system) = pending_states.pop() {
+            let accepts = system.predecessor.is_some_and(Predecessor::accepts_connections)
+                || system.successor.is_some_and(Successor::accepts_connections);
+            let pending = !system.to_successor.is_empty()
+                || system.predecessor_must_notice
+                || system.successor_must_notice;
+            let alive = system.predecessor.is_some() || system.successor.is_some();
+            assert!(accepts || pending || !alive, "no process accepts connections: {system:?}");
+            if system.predecessor == Some(Predecessor::HandedOver) && system.successor.is_some() {
+                let committing = system.to_successor.contains(&TestMessage::Committed);
+                assert!(system.successor == Some(Successor::Serving) || committing, "{system:?}");
             }
-            for next in steps(&world) {
-                if seen.insert(next.clone()) {
-                    todo.push(next);
+            for next in next_states(&system) {
+                if explored.insert(next.clone()) {
+                    pending_states.push(next);
                 }
             }
         }
-        assert!(seen.len() > 30, "{} worlds", seen.len());
+        assert!(explored.len() > 30, "only {} states explored", explored.len());
     }
 
     #[test]
-    fn one_successor_at_a_time_and_of_this_version() {
+    fn only_one_successor_of_the_same_version_is_served_at_a_time() {
         let mut predecessor = Predecessor::default();
         assert_eq!(predecessor.on_hello(PROTOCOL_VERSION + 1), PredecessorAction::Refuse("another version"));
         assert_eq!(
--- a/crates/hot-restart/tests/pins.rs
+++ b/crates/hot-restart/tests/pins.rs
@@ -1,5 +1,5 @@
-//! Pins of the hot restart: every message between predecessor and successor in its frame. The snapshot's own JSON is pinned
-//! at the root, where it is captured from the program. `tests/golden/mod.rs` there says how to record all anew.
+//! Golden test of the hot restart protocol: every message in its frame. The JSON of the snapshot has a golden file at the
+//! workspace root, where it is captured from the program. `tests/golden/mod.rs` there explains how to record the files again.
 
 #[path = "../../../tests/golden/mod.rs"]
 mod golden;
@@ -9,7 +9,7 @@
 };
 
 fn messages() -> Vec<(RestartMessage, bool)> {
-    let holds = ResourceUsage { slots: vec![("s-00000001".into(), 1.5)], inbound: 2, outbound: 3 };
+    let usage = ResourceUsage { slots: vec![("s-00000001".into(), 1.5)], inbound: 2, outbound: 3 };
     vec![
         (RestartMessage::Hello { version: PROTOCOL_VERSION }, false),
         (RestartMessage::Refused("another upgrade is under way".into()), false),
@@ -20,7 +20,7 @@
         (RestartMessage::ClientConnection { calls_back: true, fresh: false }, true),
         (RestartMessage::TargetConnection { host: "s-00000001".into(), since: u64::MAX }, true),
         (RestartMessage::Usage(ResourceUsage::default()), false),
-        (RestartMessage::Usage(holds), false),
+        (RestartMessage::Usage(usage), false),
         (RestartMessage::Request(7, ForwardedRequest::CallBack(r#"{"id":"a1"}"#.into())), false),
         (
             RestartMessage::Request(8, ForwardedRequest::Admin("PUT".into(), "/control/in-service".into())),
@@ -32,15 +32,15 @@
 }
 
 #[test]
-fn messages_of_a_hot_restart_keep_their_bytes_and_are_read_as_the_same() {
-    let (mut text, mut frames, mut read) = (String::new(), FrameDecoder::default(), Vec::new());
+fn messages_keep_their_bytes_and_decode_to_the_same_messages() {
+    let (mut text, mut decoder, mut decoded) = (String::new(), FrameDecoder::default(), Vec::new());
     for (message, with_descriptor) in messages() {
         let frame = message.encode(with_descriptor).unwrap();
-        frames.push(&frame);
-        read.extend(frames.next_message().unwrap());
-        let (head, payload) = frame.split_at(5);
-        text += &format!("{} {}\n", golden::hex(head), golden::visible(payload));
+        decoder.push(&frame);
+        decoded.extend(decoder.next_message().unwrap());
+        let (header, payload) = frame.split_at(5);
+        text += &format!("{} {}\n", golden::hex(header), golden::visible(payload));
     }
     golden::check("messages.txt", text.as_bytes());
-    assert_eq!(read, messages());
+    assert_eq!(decoded, messages());
 }
