--- a/crates/tier/src/history.rs
+++ b/crates/tier/src/history.rs
@@ -1,5 +1,5 @@
-//! The file of what this process acted upon, for the checker: a line of JSON each. Processes of the same scheduler may
-//! append to one file at the same time.
+//! History for the consistency checker: the events of this process, one JSON object per line. Several processes of the same
+//! scheduler may append to one file.
 
 use loomlb_consensus::history_check::HistoryRecord;
 use std::fs::File;
@@ -7,20 +7,20 @@
 use std::os::unix::fs::FileExt;
 use std::path::{Path, PathBuf};
 
-/// Bytes that a process writes at the most.
+/// Limit of what one process writes.
 const MAX_BYTES: usize = 64 << 20;
 
-/// A line that is not in the file; it is counted and left out.
+/// Why a line was not written.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum HistoryError {
-    /// The process has written as much as it may.
-    #[error("the history holds {MAX_BYTES} bytes of this process")]
+    /// The process has reached its limit.
+    #[error("the history limit of {MAX_BYTES} bytes per process is reached")]
     Full,
-    /// Writing failed.
-    #[error("the history: {0}")]
+    /// Opening or writing the file failed.
+    #[error("cannot write the history: {0}")]
     Write(#[from] io::Error),
-    /// The line has no form as JSON.
-    #[error("the history: {0}")]
+    /// The line cannot be encoded as JSON.
+    #[error("cannot encode a line of the history: {0}")]
     Encode(#[from] serde_json::Error),
 }
 
@@ -28,29 +28,30 @@
 #[derive(Debug)]
 pub(crate) struct History {
     path: PathBuf,
-    /// None while the disk has not let it be created.
+    /// `None` until the file can be opened.
     file: Option<File>,
     written: usize,
-    /// The file may end in a part of a line, as after a write that failed or a process that was killed.
-    torn: bool,
+    /// Whether the file may end in a partial line, after a failed write or a killed process.
+    may_end_in_partial_line: bool,
 }
 
 impl History {
-    /// Opens the file, or creates it. On a disk that is full or fails it is tried again at every line.
+    /// Opens or creates the file. If the disk is full or fails, every write tries again to open it.
     pub(crate) fn open(path: &Path) -> io::Result<History> {
-        let mut history = History { path: path.into(), file: None, written: 0, torn: false };
+        let mut history =
+            History { path: path.into(), file: None, written: 0, may_end_in_partial_line: false };
         match history.open_file() {
             Err(e) if !is_disk_failure(&e) => Err(e),
             _ => Ok(history),
         }
     }
 
-    /// Adds a line. After an error a part of it may be in the file; the next line starts behind it on its own.
+    /// Appends a line. After an error part of it may be in the file; the next write then starts a new line.
     pub(crate) fn write(&mut self, line: &HistoryRecord) -> Result<(), HistoryError> {
         if self.file.is_none() {
             self.open_file()?;
         }
-        let mut text = if self.torn { vec![b'\n'] } else { Vec::new() };
+        let mut text = if self.may_end_in_partial_line { vec![b'\n'] } else { Vec::new() };
         serde_json::to_writer(&mut text, line)?;
         text.push(b'\n');
         if self.written + text.len() > MAX_BYTES {
@@ -59,22 +60,22 @@
         let Some(file) = &mut self.file else {
             return Err(HistoryError::Write(io::ErrorKind::NotFound.into()));
         };
-        self.torn = true;
+        self.may_end_in_partial_line = true;
         file.write_all(&text)?;
-        self.torn = false;
+        self.may_end_in_partial_line = false;
         self.written += text.len();
         Ok(())
     }
 
     fn open_file(&mut self) -> io::Result<()> {
         let file = File::options().create(true).read(true).append(true).open(&self.path)?;
-        self.torn = !ends_in_newline(&file)?;
+        self.may_end_in_partial_line = !ends_in_newline(&file)?;
         self.file = Some(file);
         Ok(())
     }
 }
 
-/// The disk is full or fails, which may pass; any other error is one of the path or its rights.
+/// Whether the disk is full or fails, which may be transient. Other errors are caused by the path or its permissions.
 fn is_disk_failure(e: &io::Error) -> bool {
     let is_input_output_error = e.raw_os_error() == Some(rustix::io::Errno::IO.raw_os_error());
     let kind = e.kind();
--- a/crates/tier/src/history/tests.rs
+++ b/crates/tier/src/history/tests.rs
@@ -1,4 +1,4 @@
-//! Lines that follow one that was not written to its end.
+//! Lines that are written after a partial line.
 
 use super::*;
 use loomlb_consensus::history_check::HistoryEvent;
@@ -13,17 +13,18 @@
 }
 
 #[test]
-fn a_line_cut_at_any_byte_by_a_kill_costs_no_other_line() {
+fn a_partial_line_of_a_killed_process_corrupts_no_other_line() {
     let directory = tempfile::tempdir().unwrap();
     let path = directory.path().join("history");
     History::open(&path).unwrap().write(&line(1)).unwrap();
-    let whole = std::fs::read(&path).unwrap();
-    for cut in 0..=whole.len() {
-        std::fs::write(&path, [&whole[..], &whole[..cut]].concat()).unwrap();
+    let complete_line = std::fs::read(&path).unwrap();
+    for cut in 0..=complete_line.len() {
+        std::fs::write(&path, [&complete_line[..], &complete_line[..cut]].concat()).unwrap();
         let mut history = History::open(&path).unwrap();
         history.write(&line(2)).unwrap();
         history.write(&line(3)).unwrap();
-        let complete = if cut + 1 >= whole.len() { vec![line(1), line(1)] } else { vec![line(1)] };
-        assert_eq!(lines(&path), [complete, vec![line(2), line(3)]].concat(), "cut at {cut}");
+        let earlier_lines =
+            if cut + 1 >= complete_line.len() { vec![line(1), line(1)] } else { vec![line(1)] };
+        assert_eq!(lines(&path), [earlier_lines, vec![line(2), line(3)]].concat(), "cut at {cut}");
     }
 }
