--- a/crates/tier/src/config.rs
+++ b/crates/tier/src/config.rs
@@ -1,4 +1,4 @@
-//! What the operator file says of the tier.
+//! Configuration of the tier in the operator file.
 
 use loomlb_consensus::Nanos;
 use loomlb_consensus::timing::{LeaseTiming, TimingConfig};
@@ -8,68 +8,69 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// The shortest key.
 const MIN_KEY_BYTES: usize = 16;
 
-/// The operator file's words on the tier.
+/// The `[tier]` table of the operator file.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 #[serde(expecting = "struct Spec")]
 pub struct TierConfig {
-    /// What all schedulers of the tier know and nobody else does.
+    /// Shared secret of the schedulers of the tier.
     pub(crate) key: String,
-    /// Where this voter listens for the others.
+    /// Address on which this voter accepts links.
     pub(crate) listen: Option<SocketAddr>,
-    /// The voters, the same at every scheduler.
+    /// The voters. Must be the same at every scheduler.
     #[serde(rename = "voter")]
     pub(crate) voters: Vec<VoterAddress>,
-    /// Where this voter writes what it must not forget.
+    /// Path of this voter's log.
     pub(crate) store: Option<PathBuf>,
-    /// The tier is started for the very first time: a voter's file may be missing.
+    /// The tier is started for the first time: voters may create their logs.
     #[serde(default)]
     pub(crate) found: bool,
-    /// From a version's agreement until it is in force or whoever has not heard has stopped acting, in seconds.
+    /// Longest time from the agreement on a version until every scheduler has applied it or has stopped serving, in
+    /// seconds.
     #[serde(default = "default_bound_s")]
     pub(crate) bound_s: f64,
-    /// How far a clock's rate may be off, as a part.
+    /// Largest error of a clock's rate, as a fraction.
     #[serde(default = "default_drift")]
     pub(crate) drift: f64,
-    /// Allowance for an agreement among voters, in seconds.
+    /// Time allowed for an agreement among the voters, in seconds.
     #[serde(default = "default_quarter_second")]
     pub(crate) delay_s: f64,
-    /// Time between two renewals of the lease, in seconds.
+    /// Interval of lease renewals, in seconds.
     #[serde(default = "default_quarter_second")]
     pub(crate) renew_s: f64,
-    /// What to do without a lease.
+    /// Behaviour without a lease.
     #[serde(default)]
     pub(crate) on_lapse: LapsePolicy,
-    /// Where to write what was acted upon, for the checker; not written without it.
+    /// Path of the history for the consistency checker. Without it no history is written.
     pub(crate) history: Option<PathBuf>,
-    /// For trials alone: this process's clock runs at this rate.
+    /// Rate of this process's clock, for tests of clock drift.
     #[serde(default = "default_trial_clock")]
     pub(crate) trial_clock: f64,
 }
 
-/// A voter as the operator names it.
+/// Name and address of a voter.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 #[serde(expecting = "struct VoterAt")]
 pub struct VoterAddress {
-    /// Its scheduler's name.
+    /// Name of its scheduler.
     pub(crate) name: String,
-    /// Where it listens for the tier.
-    pub(crate) at: SocketAddr,
+    /// Address on which it accepts links.
+    #[serde(rename = "at")]
+    pub(crate) address: SocketAddr,
 }
 
-/// What a scheduler does whose lease has ended.
+/// What a scheduler does after its lease has expired.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum LapsePolicy {
-    /// It steps out of service until it has one again.
+    /// It stops serving until it has a lease again.
     #[default]
     Leave,
-    /// It goes on by the strictest rules that there can be: each job once at most. Workers that staff have taken out
-    /// meanwhile it cannot know of.
+    /// It continues with the strictest rules, which run each job at most once. It does not learn of workers that are taken
+    /// offline meanwhile.
     Strict,
 }
 
@@ -90,40 +91,40 @@
 }
 
 impl TierConfig {
-    /// The figures of the leases, or the key that cannot be kept.
+    /// Derives the timing of leases. The error names the invalid key and the reason.
     pub(crate) fn timing(&self) -> Result<LeaseTiming, (&'static str, String)> {
-        let nanos = |key, seconds: f64| {
-            let fits = (0.0..=86_400.0).contains(&seconds);
-            if fits {
+        let to_nanos = |key, seconds: f64| {
+            let is_in_range = (0.0..=86_400.0).contains(&seconds);
+            if is_in_range {
                 Ok((seconds * 1e9) as Nanos)
             } else {
-                Err((key, format!("{seconds}: from 0 to 86400 s")))
+                Err((key, format!("{seconds} s, must be from 0 to 86400 s")))
             }
         };
         let terms = TimingConfig {
-            bound: nanos("bound_s", self.bound_s)?,
+            bound: to_nanos("bound_s", self.bound_s)?,
             clock_drift: self.drift,
-            voter_delay: nanos("delay_s", self.delay_s)?,
-            renewal_interval: nanos("renew_s", self.renew_s)?,
+            voter_delay: to_nanos("delay_s", self.delay_s)?,
+            renewal_interval: to_nanos("renew_s", self.renew_s)?,
         };
         terms.derive()
     }
 
-    /// The first key that cannot be worked with, and why.
+    /// Checks the configuration. The error names the first invalid key and the reason.
     pub fn check(&self) -> Result<(), (String, String)> {
-        let fault = |key: &str, reason: String| Err((key.to_string(), reason));
+        let invalid = |key: &str, reason: String| Err((key.to_string(), reason));
         if self.key.len() < MIN_KEY_BYTES {
-            return fault("key", format!("{} bytes; {MIN_KEY_BYTES} at the least", self.key.len()));
+            return invalid("key", format!("{} bytes, must be at least {MIN_KEY_BYTES}", self.key.len()));
         }
         if self.voters.len().is_multiple_of(2) || self.voters.len() > 7 {
-            return fault("voter", format!("{} voters; 1, 3, 5 or 7 can agree best", self.voters.len()));
+            return invalid("voter", format!("{} voters, must be 1, 3, 5 or 7", self.voters.len()));
         }
         let names: BTreeSet<&str> = self.voters.iter().map(|v| &*v.name).collect();
         if names.len() < self.voters.len() {
-            return fault("voter", "a name stands there twice".into());
+            return invalid("voter", "two voters have the same name".into());
         }
         if !(0.5..=2.0).contains(&self.trial_clock) {
-            return fault("trial_clock", format!("{}: a rate from 0.5 to 2", self.trial_clock));
+            return invalid("trial_clock", format!("{}, must be a rate from 0.5 to 2", self.trial_clock));
         }
         self.timing().map(|_| ()).map_err(|(key, reason)| (key.into(), reason))
     }
--- a/crates/tier/src/lease.rs
+++ b/crates/tier/src/lease.rs
@@ -1,7 +1,7 @@
-//! The lease: asked for again and again, and what it lets this process act on.
+//! The lease: renewed periodically, and the rules that it allows this process to apply.
 
-use crate::proposals::settle;
-use crate::voter::voter_hears;
+use crate::proposals::resend_proposals;
+use crate::voter::handle_message;
 use crate::{Application, LapsePolicy, Node, POLL_INTERVAL, increment, random_u64};
 use loomlb_consensus::Nanos;
 use loomlb_consensus::document;
@@ -12,119 +12,130 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// A list that is behind another scheduler's for so long is asked for anew, in nanoseconds.
-const BEHIND: Nanos = 1_500_000_000;
+/// A worker list that has been older than another scheduler's for this long is requested from discovery again, in
+/// nanoseconds.
+const LIST_REFETCH_AFTER: Nanos = 1_500_000_000;
 
-/// Renews the lease for as long as the program runs, and sees when it has ended.
-pub(crate) async fn renew(node: Rc<Node>, application: Rc<dyn Application>) {
+/// Renews the lease and detects its expiry until the program ends.
+pub(crate) async fn run_renewals(node: Rc<Node>, application: Rc<dyn Application>) {
     let (node, application) = (&*node, &*application);
-    let pause = Duration::from_nanos(node.timing.renewal_interval);
-    let mut turn = 0;
-    // Schedulers that start in the same moment do not ask in the same moments ever after.
-    tokio::time::sleep(pause.mul_f64(random_u64().unwrap_or(0) as f64 / u64::MAX as f64)).await;
+    let interval = Duration::from_nanos(node.timing.renewal_interval);
+    let mut round = 0;
+    // A random delay, so that schedulers that start at the same time do not renew at the same time.
+    tokio::time::sleep(interval.mul_f64(random_u64().unwrap_or(0) as f64 / u64::MAX as f64)).await;
     loop {
-        look(node, application);
+        update_lease_state(node, application);
         application.expire_leaving_workers();
-        ask(node, application);
-        settle(node, application, turn);
-        turn += 1;
+        request_lease(node, application);
+        resend_proposals(node, application, round);
+        round += 1;
         tokio::select! {
-            () = tokio::time::sleep(pause) => {}
+            () = tokio::time::sleep(interval) => {}
             () = node.renew_now.notified() => tokio::time::sleep(POLL_INTERVAL).await,
         }
     }
 }
 
-/// Asks all voters.
-fn ask(node: &Node, application: &dyn Application) {
-    let (number, acting) = node.holder.borrow_mut().start_renewal(node.now());
+/// Requests the lease from all voters.
+fn request_lease(node: &Node, application: &dyn Application) {
+    let (number, rules) = node.holder.borrow_mut().start_renewal(node.now());
     let index = node.holder.borrow().state().index;
-    // A look at every worker: once for all voters.
+    // Built once, because it iterates over all workers.
     let list = application.worker_list();
     for voter in 0..node.outboxes.len() {
-        let word = LinkMessage::LeaseRequest { number, rules: acting, index, list: list.clone() };
+        let message = LinkMessage::LeaseRequest { number, rules, index, list: list.clone() };
         if node.voter_id == Some(voter as u64 + 1) {
-            let who = (node.name.clone(), node.process_id);
-            if let Some(LinkMessage::LeaseResponse { number, granted: yes, newer_state: news, lists }) =
-                voter_hears(node, &who, node.voter_id, word)
+            let sender = (node.name.clone(), node.process_id);
+            if let Some(LinkMessage::LeaseResponse { number, granted, newer_state, lists }) =
+                handle_message(node, &sender, node.voter_id, message)
             {
-                answered(node, application, voter, number, yes, news.map(|n| *n));
-                compare(node, application, &lists);
+                handle_lease_response(
+                    node,
+                    application,
+                    voter,
+                    number,
+                    granted,
+                    newer_state.map(|state| *state),
+                );
+                handle_lists(node, application, &lists);
             }
         } else {
-            node.enqueue(voter, word);
+            node.enqueue(voter, message);
         }
     }
 }
 
-pub(crate) fn answered(
+/// Handles the response of a voter to a lease request.
+pub(crate) fn handle_lease_response(
     node: &Node,
     application: &dyn Application,
     voter: usize,
     number: u64,
-    yes: bool,
-    news: Option<ReplicatedState>,
+    granted: bool,
+    newer_state: Option<ReplicatedState>,
 ) {
-    let changed = node.holder.borrow_mut().handle_response(node.now(), voter, number, yes, news);
+    let changed = node.holder.borrow_mut().handle_response(node.now(), voter, number, granted, newer_state);
     if changed {
-        put_in_force(node, application);
+        apply_agreed_state(node, application);
         node.renew_now.notify_one();
     }
-    look(node, application);
+    update_lease_state(node, application);
 }
 
-/// What other schedulers have been told of the workers: whoever is behind asks discovery, and takes their word for a drain.
-pub(crate) fn compare(node: &Node, application: &dyn Application, theirs: &ListSummary) {
-    let (now, mine) = (node.now(), application.worker_list().version);
-    node.list_versions.set((theirs.newest, theirs.oldest));
-    for leaving in &theirs.leaving {
+/// Compares the worker lists of all schedulers with that of this one. Adopts leaving workers, and requests the list from
+/// discovery if this one stays outdated.
+pub(crate) fn handle_lists(node: &Node, application: &dyn Application, all_lists: &ListSummary) {
+    let (now, own_version) = (node.now(), application.worker_list().version);
+    node.list_versions.set((all_lists.newest, all_lists.oldest));
+    for leaving in &all_lists.leaving {
         if application.learn_leaving_worker(leaving) {
             increment(&node.counters.leaving_learned);
         }
     }
-    if mine >= theirs.newest {
-        return node.behind_since.set(now);
+    if own_version >= all_lists.newest {
+        return node.list_current_at.set(now);
     }
-    // News is on its way for a while; what does not come by itself is asked for, and not again and again.
-    if now >= node.behind_since.get() + BEHIND {
-        node.behind_since.set(now);
+    // A newer list usually arrives by itself after a short time. Otherwise it is requested, at most once per interval.
+    if now >= node.list_current_at.get() + LIST_REFETCH_AFTER {
+        node.list_current_at.set(now);
         increment(&node.counters.list_refetches);
         application.refetch_worker_list();
     }
 }
 
-/// Sees whether the lease has ended or begun since the last look.
-fn look(node: &Node, application: &dyn Application) {
-    let holds = node.has_lease();
-    if node.had_lease.replace(holds) == holds {
+/// Detects whether the lease was acquired or has expired since the last check.
+fn update_lease_state(node: &Node, application: &dyn Application) {
+    let has_lease = node.has_lease();
+    if node.had_lease.replace(has_lease) == has_lease {
         return;
     }
-    node.record(if holds { HistoryEvent::LeaseAcquired } else { HistoryEvent::LeaseExpired });
-    if holds {
-        tracing::info!("tier: a lease on {:?}", node.applied.get());
+    node.record(if has_lease { HistoryEvent::LeaseAcquired } else { HistoryEvent::LeaseExpired });
+    if has_lease {
+        tracing::info!(rules = ?node.applied.get(), "tier: lease acquired");
     } else {
         increment(&node.counters.lapses);
-        tracing::warn!("tier: the lease has ended: no majority of the voters answers");
+        tracing::warn!("tier: lease expired: no majority of the voters has renewed it");
     }
     if node.config.on_lapse == LapsePolicy::Strict {
-        enforce(node, application, holds);
+        apply_rules(node, application, has_lease);
     }
 }
 
-/// Puts in force what this scheduler acts on from now on. Another act on what was before is not possible meanwhile, as
-/// all is done on one thread.
-fn put_in_force(node: &Node, application: &dyn Application) {
-    let acting = node.holder.borrow().rules();
-    let holds = node.holder.borrow().has_valid_lease(node.now());
-    enforce(node, application, holds || node.config.on_lapse == LapsePolicy::Leave);
-    node.applied.set(acting);
-    if let Some(acting) = acting {
-        node.record(HistoryEvent::Adopted(acting));
-        tracing::info!("tier: takes {acting:?}");
+/// Applies the rules that this scheduler has learned of. Nothing can be forwarded under the previous rules meanwhile,
+/// because everything runs on one thread.
+fn apply_agreed_state(node: &Node, application: &dyn Application) {
+    let rules = node.holder.borrow().rules();
+    let has_lease = node.holder.borrow().has_valid_lease(node.now());
+    apply_rules(node, application, has_lease || node.config.on_lapse == LapsePolicy::Leave);
+    node.applied.set(rules);
+    if let Some(rules) = rules {
+        node.record(HistoryEvent::Adopted(rules));
+        tracing::info!(?rules, "tier: rules applied");
     }
 }
 
-fn enforce(node: &Node, application: &dyn Application, agreed: bool) {
+/// Applies the agreed settings and offline workers, or the strictest form of the settings if `agreed` is false.
+fn apply_rules(node: &Node, application: &dyn Application, agreed: bool) {
     let Some(body) = node.holder.borrow().effective_body() else { return };
     let body = if agreed { body } else { document::restrict_without_lease(&body) };
     match application.apply_settings(body.settings_for(&application.settings())) {
@@ -133,12 +144,12 @@
             *node.apply_error.borrow_mut() = None;
         }
         Err(e) => {
-            tracing::error!("tier: what was agreed cannot be read by this build: {e}; out of service");
+            tracing::error!("tier: this build cannot apply the agreed settings: {e}; out of service");
             *node.apply_error.borrow_mut() = Some(e);
         }
     }
     let before = node.offline_workers.replace(body.workers_out.clone());
-    for host in before.symmetric_difference(&body.workers_out) {
-        application.set_worker_offline(host, body.workers_out.contains(host));
+    for worker in before.symmetric_difference(&body.workers_out) {
+        application.set_worker_offline(worker, body.workers_out.contains(worker));
     }
 }
--- a/crates/tier/src/lib.rs
+++ b/crates/tier/src/lib.rs
@@ -1,10 +1,10 @@
-//! Tier: what the schedulers have agreed on, where the operator has them agree. Off otherwise: nothing is opened, asked or
+//! The tier: schedulers that agree on settings and on workers taken offline. Without a configured tier nothing is opened or
 //! sent.
 //!
-//! What may be acted on, and for how long, is decided in `loomlb-consensus`. Here are the sockets, the file and the timers
-//! around it: a link to each voter, on which this scheduler asks for its lease and a voter sends what voters tell each
-//! other; at a voter the listener for those links; and the way of a version into force. What acts by the rules is an
-//! [`Application`], of which the tier knows no more than that.
+//! `loomlb-consensus` decides which version of the settings a scheduler may use and for how long. This crate adds the
+//! sockets, the voter's log file and the timers: a link to each voter, on which a scheduler renews its lease and voters
+//! exchange their messages; the listener of a voter; and applying an agreed version to the running process, which is
+//! represented by the trait [`Application`].
 
 #![forbid(unsafe_code)]
 
@@ -32,7 +32,7 @@
 use loomlb_consensus::worker_lists::{LeavingWorker, ListReport};
 use loomlb_consensus::{EffectiveRules, Nanos};
 use loomlb_sockets::OpenRetry;
-use proposals::Waiting;
+use proposals::PendingProposal;
 use serde_json::Value;
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet};
@@ -43,63 +43,68 @@
 use tokio::net::TcpListener;
 use tokio::sync::Notify;
 use tokio::task::spawn_local;
-use voter::{Voter, vote_as};
+use voter::{Voter, open_voter};
 use voter_error::VoterError;
 
-/// Time between two looks at what a call or a change waits for.
+/// Time between two checks of a condition that an admin request waits for.
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// What acts by the tier's rules: the process around it. The tier asks no more of it than this.
+/// The process that applies what the tier has agreed on.
 pub trait Application {
-    /// What it has been told of the workers.
+    /// Returns the version of its worker list and the workers that the list shows as leaving.
     fn worker_list(&self) -> ListReport;
-    /// The settings that are in force in it, its own keys included.
+    /// Returns the settings in force, including the keys that each scheduler sets for itself.
     fn settings(&self) -> Value;
-    /// Why it could not act on these settings, by their key; it changes nothing.
+    /// Checks settings without applying them. The error names the invalid key.
     fn validate_settings(&self, settings: Value) -> Result<(), String>;
-    /// Puts these settings in force, all of them or nothing.
+    /// Applies settings, either completely or not at all.
     fn apply_settings(&self, settings: Value) -> Result<(), String>;
-    /// Takes a worker out, or puts it back.
-    fn set_worker_offline(&self, worker: &str, out: bool);
-    /// Another scheduler was told that a worker is leaving; true if that is news here.
+    /// Takes a worker offline or puts it back online.
+    fn set_worker_offline(&self, worker: &str, offline: bool);
+    /// Records that another scheduler's list shows a worker as leaving. Returns whether that was unknown.
     fn learn_leaving_worker(&self, leaving: &LeavingWorker) -> bool;
-    /// Words of others on leaving workers that were not said again for a while are over.
+    /// Removes reports of leaving workers that have not been repeated for a while.
     fn expire_leaving_workers(&self);
-    /// Others have a newer list: it is asked for at once.
+    /// Requests the worker list from discovery, because another scheduler has a newer one.
     fn refetch_worker_list(&self);
 }
 
-/// The tier as this scheduler sees it; a clone is the same one.
+/// Handle to the tier; clones share the same state.
 #[derive(Clone, Debug, Default)]
 pub struct Tier(Option<Rc<Node>>);
 
+/// State of this process in the tier.
 #[derive(Debug)]
 struct Node {
     config: TierConfig,
     name: String,
     timing: LeaseTiming,
-    /// This process, as no other is called.
+    /// Random number that identifies this process.
     process_id: u64,
     started: Instant,
-    /// This voter's number, from 1, if it is one.
+    /// Id of this scheduler as a voter, from 1, if it is configured as one.
     voter_id: Option<u64>,
+    /// The voter, unless another process of this scheduler votes or its log cannot be opened.
     voter: RefCell<Option<Voter>>,
     holder: RefCell<LeaseHolder>,
-    /// What is in force in this process, and what of it staff have taken out.
+    /// The rules that are applied in this process.
     applied: Cell<Option<EffectiveRules>>,
+    /// The workers that are taken offline in this process.
     offline_workers: RefCell<BTreeSet<String>>,
-    /// What was agreed and cannot be read here.
+    /// Why the agreed settings could not be applied.
     apply_error: RefCell<Option<String>>,
-    /// The lease as it was last looked at.
+    /// Whether there was a lease at the last check.
     had_lease: Cell<bool>,
-    /// The strictest rules are in force here, for want of a lease.
+    /// Whether the strictest rules are in force because there is no lease.
     strict_rules_in_force: Cell<bool>,
-    proposals: RefCell<BTreeMap<u64, Waiting>>,
+    proposals: RefCell<BTreeMap<u64, PendingProposal>>,
     outboxes: Vec<Outbox>,
+    /// Notified to renew the lease before the next interval.
     renew_now: Notify,
-    /// The newest and the oldest list in use, and since when this one is behind.
+    /// The newest and the oldest version of the worker list among all schedulers.
     list_versions: Cell<(u64, u64)>,
-    behind_since: Cell<Nanos>,
+    /// Time of the last check at which the list of this scheduler was current, or of the last refetch.
+    list_current_at: Cell<Nanos>,
     history: RefCell<Option<History>>,
     store_health: RefCell<StoreHealth>,
     counters: Counters,
@@ -126,22 +131,24 @@
     Ok(u64::from_le_bytes(bytes))
 }
 
-/// The machine's monotonic clock: the same for all processes on it.
+/// Returns the time of the machine's monotonic clock, which all its processes share.
 fn monotonic_nanos() -> Nanos {
     let now = rustix::time::clock_gettime(rustix::time::ClockId::Monotonic);
     now.tv_sec as Nanos * 1_000_000_000 + now.tv_nsec as Nanos
 }
 
 impl Node {
+    /// Time since this process started, scaled by the configured `trial_clock`.
     fn now(&self) -> Nanos {
         (self.started.elapsed().as_nanos() as f64 * self.config.trial_clock) as Nanos
     }
 
-    /// Time since this process started, by the machine's clock.
+    /// Time since this process started.
     fn uptime(&self) -> Duration {
         self.started.elapsed()
     }
 
+    /// Appends an event to the history, if one is configured.
     fn record(&self, event: HistoryEvent) {
         let mut history = self.history.borrow_mut();
         let Some(history) = history.as_mut() else { return };
@@ -156,23 +163,24 @@
         }
     }
 
-    fn enqueue(&self, voter: usize, word: LinkMessage) {
+    /// Queues a message to a voter. A full queue drops its oldest message.
+    fn enqueue(&self, voter: usize, message: LinkMessage) {
         let Some(outbox) = self.outboxes.get(voter) else { return };
-        let mut words = outbox.queue.borrow_mut();
-        if words.len() >= link::WAITING {
-            words.pop_front();
+        let mut queue = outbox.queue.borrow_mut();
+        if queue.len() >= link::MAX_QUEUED_MESSAGES {
+            queue.pop_front();
             increment(&self.counters.messages_dropped);
         }
-        words.push_back(word);
+        queue.push_back(message);
         outbox.queued.notify_one();
     }
 
-    /// Something of what this scheduler knows to be agreed.
-    fn read_state<T>(&self, of: impl FnOnce(&ReplicatedState) -> T) -> T {
-        of(self.holder.borrow().state())
+    /// Reads from the agreed state that this scheduler knows.
+    fn read_state<T>(&self, read: impl FnOnce(&ReplicatedState) -> T) -> T {
+        read(self.holder.borrow().state())
     }
 
-    /// Whether a lease holds now on what is in force here.
+    /// Whether this process holds a lease on the rules that are applied.
     fn has_lease(&self) -> bool {
         let holder = self.holder.borrow();
         holder.has_valid_lease(self.now())
@@ -182,7 +190,7 @@
 }
 
 impl Tier {
-    /// Whether the operator has a tier agree.
+    /// Whether a tier is configured.
     pub fn is_enabled(&self) -> bool {
         self.0.is_some()
     }
@@ -190,17 +198,17 @@
     /// Whether this scheduler may serve now.
     pub fn may_serve(&self) -> bool {
         let Some(node) = &self.0 else { return true };
-        // The strictest rules need no lease, once they are in force here.
+        // The strictest rules need no lease once they are in force.
         node.has_lease() || (node.strict_rules_in_force.get() && node.apply_error.borrow().is_none())
     }
 
-    /// Looked at immediately before the first byte of a forward, and written into the history.
+    /// Whether a forward may be sent now. Must be called immediately before its first byte; recorded in the history.
     pub fn authorize_forward(&self) -> bool {
         let Some(node) = &self.0 else { return true };
         if node.has_lease() {
-            let left = node.holder.borrow().lease_expiry().unwrap_or(0).saturating_sub(node.now());
-            if let Some(acting) = node.applied.get() {
-                node.record(HistoryEvent::Acted { rules: acting, lease_left: left });
+            let lease_left = node.holder.borrow().lease_expiry().unwrap_or(0).saturating_sub(node.now());
+            if let Some(rules) = node.applied.get() {
+                node.record(HistoryEvent::Acted { rules, lease_left });
             }
             return true;
         }
@@ -208,7 +216,8 @@
     }
 }
 
-/// Opens what a tier needs: the listener of a voter and its file. `opening` limits how long the listener is tried.
+/// Opens the tier: the log and the listener if this scheduler is a voter, and the history. `opening` limits the time of
+/// retries.
 pub async fn open(
     config: Option<TierConfig>,
     name: &str,
@@ -219,13 +228,15 @@
     let voter_id = config.voters.iter().position(|v| v.name == name).map(|at| at as u64 + 1);
     let started = Instant::now();
     let mut store_health = StoreHealth::default();
-    let seat = match voter_id {
-        Some(voter_id) => {
-            seat(vote_as(&config, name, voter_id, timing, 0, opening).await, name, &mut store_health)?
-        }
+    let voter_start = match voter_id {
+        Some(voter_id) => initial_voter(
+            open_voter(&config, name, voter_id, timing, 0, opening).await,
+            name,
+            &mut store_health,
+        )?,
         None => None,
     };
-    let (listener, voter) = seat.unzip();
+    let (listener, voter) = voter_start.unzip();
     let history = config.history.as_deref().map(History::open).transpose()?;
     Ok((
         Tier(Some(Rc::new(Node {
@@ -245,7 +256,7 @@
             outboxes: config.voters.iter().map(|_| Outbox::default()).collect(),
             renew_now: Notify::new(),
             list_versions: Cell::default(),
-            behind_since: Cell::new(Nanos::MAX / 2),
+            list_current_at: Cell::new(Nanos::MAX / 2),
             history: RefCell::new(history),
             store_health: RefCell::new(store_health),
             counters: Counters::default(),
@@ -255,38 +266,41 @@
     ))
 }
 
-/// What a voter starts with; none while another process of its scheduler votes, or its file cannot be opened for a
-/// reason that passes by itself. It serves by the leases of the other voters meanwhile.
-fn seat(
-    taken: Result<(TcpListener, Voter), VoterError>,
+/// Returns the listener and the voter, or `None` while another process of this scheduler votes or the log cannot be opened
+/// because of a transient error. Meanwhile this scheduler gets its lease from the other voters.
+fn initial_voter(
+    opened: Result<(TcpListener, Voter), VoterError>,
     name: &str,
     store_health: &mut StoreHealth,
 ) -> io::Result<Option<(TcpListener, Voter)>> {
-    match taken {
-        Ok(seat) => Ok(Some(seat)),
-        Err(e) if e.is_held_elsewhere() => {
-            tracing::warn!("tier: {}; another process of {name:?} votes", io::Error::from(e));
+    match opened {
+        Ok(voter_start) => Ok(Some(voter_start)),
+        Err(e) if e.is_held_by_another_process() => {
+            tracing::warn!(
+                "tier: {}; not voting because another process of {name:?} does",
+                io::Error::from(e)
+            );
             Ok(None)
         }
         Err(e) if e.is_transient() => {
-            store_health.failed(Duration::ZERO);
-            tracing::error!("tier: {}; serving without a vote until it passes", io::Error::from(e));
+            store_health.record_failure(Duration::ZERO);
+            tracing::error!("tier: {}; not voting until the error is resolved", io::Error::from(e));
             Ok(None)
         }
         Err(e) => Err(e.into()),
     }
 }
 
-/// Starts the links and the timers, where there is a tier.
+/// Starts the tasks of the tier, if one is configured.
 pub fn start(tier: &Tier, application: &Rc<dyn Application>, listener: Option<TcpListener>) {
     let Some(node) = &tier.0 else { return };
     if let Some(listener) = listener {
         voter::start(node, listener);
     } else if let Some(voter_id) = node.voter_id {
-        spawn_local(voter::succeed(Rc::clone(node), voter_id));
+        spawn_local(voter::take_over_vote(Rc::clone(node), voter_id));
     }
     for voter in (0..node.outboxes.len()).filter(|v| node.voter_id != Some(*v as u64 + 1)) {
-        spawn_local(link::link(Rc::clone(node), Rc::clone(application), voter));
+        spawn_local(link::maintain_link(Rc::clone(node), Rc::clone(application), voter));
     }
-    spawn_local(lease::renew(Rc::clone(node), Rc::clone(application)));
+    spawn_local(lease::run_renewals(Rc::clone(node), Rc::clone(application)));
 }
--- a/crates/tier/src/proposals.rs
+++ b/crates/tier/src/proposals.rs
@@ -1,6 +1,6 @@
-//! Proposals: sent again until their outcome is known, and what staff are told of it.
+//! Proposals: sent again until their outcome is known, and the replies to operators.
 
-use crate::voter::voter_hears;
+use crate::voter::handle_message;
 use crate::{Application, Node, POLL_INTERVAL, Tier, random_u64};
 use loomlb_consensus::document::DocumentBody;
 use loomlb_consensus::link_protocol::LinkMessage;
@@ -10,49 +10,52 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// A call at the second address waits so long for its version to be in force.
-const CALL: Duration = Duration::from_millis(900);
-/// Proposals of this scheduler that wait for their outcome.
-const PROPOSALS: usize = 64;
+/// Longest time that an admin request waits for its version to be in force.
+const REQUEST_TIMEOUT: Duration = Duration::from_millis(900);
+/// Limit of proposals of this scheduler without an outcome.
+const MAX_PENDING_PROPOSALS: usize = 64;
 
 /// A proposal without an outcome.
 #[derive(Debug)]
-pub(crate) struct Waiting {
+pub(crate) struct PendingProposal {
     command: Command,
-    /// When it was said last.
-    said: Option<Nanos>,
+    /// Time of the last send.
+    last_sent: Option<Nanos>,
 }
 
-impl Waiting {
-    /// The proposal, if it is to be said now. Each time that a voter hears it is an entry of the log with the whole document,
-    /// so it is not said again with every question of who waits for it.
-    fn due(&mut self, now: Nanos, pause: Nanos) -> Option<Command> {
-        if self.said.is_some_and(|said| now < said + pause) {
+impl PendingProposal {
+    /// Returns the proposal if it is due and marks it as sent. It is sent once per interval, however often the lease is
+    /// renewed meanwhile, because each copy that a voter receives becomes a log entry with the whole document.
+    fn take_due(&mut self, now: Nanos, interval: Nanos) -> Option<Command> {
+        if self.last_sent.is_some_and(|last_sent| now < last_sent + interval) {
             return None;
         }
-        self.said = Some(now);
+        self.last_sent = Some(now);
         Some(self.command.clone())
     }
 }
 
-/// Sends this scheduler's proposals again until their outcome is known; proposes its own file where there is nothing yet.
-pub(crate) fn settle(node: &Node, application: &dyn Application, turn: usize) {
-    let empty = node.holder.borrow().state().newest_version() == 0;
-    if empty && node.proposals.borrow().is_empty() {
+/// Sends the proposals that are due and drops those whose outcome is known. Proposes the settings of this scheduler if
+/// nothing has been agreed on yet.
+pub(crate) fn resend_proposals(node: &Node, application: &dyn Application, round: usize) {
+    let nothing_agreed = node.holder.borrow().state().newest_version() == 0;
+    if nothing_agreed && node.proposals.borrow().is_empty() {
         let body = DocumentBody::new(&application.settings(), BTreeSet::new());
-        propose(node, 0, body);
+        add_proposal(node, 0, body);
     }
-    let seen = node.holder.borrow();
+    let holder = node.holder.borrow();
     let mut proposals = node.proposals.borrow_mut();
-    proposals.retain(|token, _| seen.state().outcome(*token).is_none());
-    drop(seen);
-    let waiting: Vec<Command> =
-        proposals.values_mut().filter_map(|p| p.due(node.now(), node.timing.renewal_interval)).collect();
+    proposals.retain(|token, _| holder.state().outcome(*token).is_none());
+    drop(holder);
+    let due_commands: Vec<Command> = proposals
+        .values_mut()
+        .filter_map(|proposal| proposal.take_due(node.now(), node.timing.renewal_interval))
+        .collect();
     drop(proposals);
-    let voter = turn % node.outboxes.len();
-    for command in waiting {
+    let voter = round % node.outboxes.len();
+    for command in due_commands {
         if node.voter_id == Some(voter as u64 + 1) {
-            voter_hears(
+            handle_message(
                 node,
                 &(node.name.clone(), node.process_id),
                 node.voter_id,
@@ -64,33 +67,34 @@
     }
 }
 
-/// Proposes a document; its token.
-fn propose(node: &Node, base: Version, body: DocumentBody) -> Option<u64> {
+/// Adds a proposal. Returns its token, or `None` without randomness or at the limit of proposals.
+fn add_proposal(node: &Node, base: Version, body: DocumentBody) -> Option<u64> {
     let token = random_u64().ok()?;
     let mut proposals = node.proposals.borrow_mut();
-    if proposals.len() >= PROPOSALS {
+    if proposals.len() >= MAX_PENDING_PROPOSALS {
         return None;
     }
     let command = Command::Propose { token, proposer: node.name.clone(), base_version: base, body };
-    proposals.insert(token, Waiting { command, said: None });
+    proposals.insert(token, PendingProposal { command, last_sent: None });
     node.renew_now.notify_one();
     Some(token)
 }
 
-/// What has become of a proposal, and whether its version is in force here, within a call's time.
-async fn outcome(node: &Node, token: u64) -> Option<(ProposalOutcome, bool)> {
-    let end = tokio::time::Instant::now() + CALL;
+/// Waits up to [`REQUEST_TIMEOUT`] for the outcome of a proposal. Returns it and whether its version is in force here.
+async fn wait_for_outcome(node: &Node, token: u64) -> Option<(ProposalOutcome, bool)> {
+    let deadline = tokio::time::Instant::now() + REQUEST_TIMEOUT;
     loop {
-        let (known, active) = node
-            .read_state(|seen| (seen.outcome(token).cloned(), seen.active.as_ref().map_or(0, |d| d.version)));
-        let over = tokio::time::Instant::now() >= end;
-        match known {
-            Some(ProposalOutcome::Committed(version)) if version > active && !over => {}
+        let (outcome, active) = node.read_state(|state| {
+            (state.outcome(token).cloned(), state.active.as_ref().map_or(0, |document| document.version))
+        });
+        let timed_out = tokio::time::Instant::now() >= deadline;
+        match outcome {
+            Some(ProposalOutcome::Committed(version)) if version > active && !timed_out => {}
             Some(ProposalOutcome::Committed(version)) => {
                 return Some((ProposalOutcome::Committed(version), version <= active));
             }
             Some(other) => return Some((other, true)),
-            None if over => {
+            None if timed_out => {
                 node.proposals.borrow_mut().remove(&token);
                 return None;
             }
@@ -101,9 +105,9 @@
     }
 }
 
-/// The status and the words for what has become of a proposal.
-fn reply(found: Option<(ProposalOutcome, bool)>) -> (u16, Value) {
-    match found {
+/// Returns the HTTP status and body for the outcome of a proposal.
+fn outcome_reply(outcome: Option<(ProposalOutcome, bool)>) -> (u16, Value) {
+    match outcome {
         Some((ProposalOutcome::Committed(version), true)) => {
             (200, json!({"yes": true, "version": version, "in_force": true}))
         }
@@ -127,69 +131,70 @@
     }
 }
 
-/// Staff propose settings at the second address.
+/// Handles an admin request that proposes settings. Returns the HTTP status and body.
 pub async fn propose_settings(
     tier: &Tier,
     application: &dyn Application,
-    text: &[u8],
+    settings_json: &[u8],
     base: Option<Version>,
 ) -> (u16, Value) {
     let Some(node) = &tier.0 else { return (404, Value::Null) };
-    let settings: Value = match serde_json::from_slice(text) {
+    let settings: Value = match serde_json::from_slice(settings_json) {
         Ok(settings) => settings,
         Err(e) => return (400, json!({"yes": false, "why": format!("settings: {e}")})),
     };
-    // A file is turned down whole before anybody hears of it.
-    let whole = DocumentBody::new(&settings, BTreeSet::new()).settings_for(&application.settings());
-    if let Err(e) = application.validate_settings(whole) {
+    // Invalid settings are rejected before anything is proposed.
+    let full_settings = DocumentBody::new(&settings, BTreeSet::new()).settings_for(&application.settings());
+    if let Err(e) = application.validate_settings(full_settings) {
         return (400, json!({"yes": false, "why": e}));
     }
-    let (out, newest) = node.read_state(|seen| {
+    let (out, newest) = node.read_state(|state| {
         (
-            seen.newest_document().map(|d| d.body.workers_out.clone()).unwrap_or_default(),
-            seen.newest_version(),
+            state.newest_document().map(|document| document.body.workers_out.clone()).unwrap_or_default(),
+            state.newest_version(),
         )
     });
     let base = base.unwrap_or(newest);
-    match propose(node, base, DocumentBody::new(&settings, out)) {
-        Some(token) => reply(outcome(node, token).await),
+    match add_proposal(node, base, DocumentBody::new(&settings, out)) {
+        Some(token) => outcome_reply(wait_for_outcome(node, token).await),
         None => (503, json!({"yes": false, "why": "too many proposals wait"})),
     }
 }
 
-/// Staff order a worker out or back at the second address: it is so everywhere, or the call says that it is not yet.
+/// Handles an admin request that takes a worker offline or puts it back online in the whole tier. Returns the HTTP status
+/// and body, which says whether the change is in force.
 pub async fn set_worker_offline(
     tier: &Tier,
     application: &dyn Application,
-    host: &str,
-    out: bool,
+    worker: &str,
+    offline: bool,
 ) -> (u16, Value) {
     let Some(node) = &tier.0 else { return (404, Value::Null) };
-    if out {
-        // Nobody is harmed by fewer workers: here it is out at once.
-        application.set_worker_offline(host, true);
-        node.offline_workers.borrow_mut().insert(host.into());
+    if offline {
+        // Using fewer workers is always safe, so this scheduler stops using the worker at once.
+        application.set_worker_offline(worker, true);
+        node.offline_workers.borrow_mut().insert(worker.into());
     }
-    let end = tokio::time::Instant::now() + CALL;
+    let deadline = tokio::time::Instant::now() + REQUEST_TIMEOUT;
     loop {
-        let latest = node.read_state(|seen| seen.newest_document().cloned());
-        let Some(mut latest) = latest else { return reply(None) };
+        let latest = node.read_state(|state| state.newest_document().cloned());
+        let Some(mut latest) = latest else { return outcome_reply(None) };
         let base = latest.version;
-        let changes = if out {
-            latest.body.workers_out.insert(host.into())
+        let is_change = if offline {
+            latest.body.workers_out.insert(worker.into())
         } else {
-            latest.body.workers_out.remove(host)
+            latest.body.workers_out.remove(worker)
         };
-        let found = match changes.then(|| propose(node, base, latest.body)) {
+        let outcome = match is_change.then(|| add_proposal(node, base, latest.body)) {
             None => Some((ProposalOutcome::Unchanged(base), true)),
             Some(None) => None,
-            Some(Some(token)) => outcome(node, token).await,
+            Some(Some(token)) => wait_for_outcome(node, token).await,
         };
-        match found {
-            Some((ProposalOutcome::StaleBase(_), _)) if tokio::time::Instant::now() < end => {
+        match outcome {
+            Some((ProposalOutcome::StaleBase(_), _)) if tokio::time::Instant::now() < deadline => {
                 tokio::time::sleep(POLL_INTERVAL).await
             }
-            found => return reply(found),
+            outcome => return outcome_reply(outcome),
         }
     }
 }
--- a/crates/tier/src/voter_error.rs
+++ b/crates/tier/src/voter_error.rs
@@ -1,61 +1,62 @@
-//! Why a process cannot take its scheduler's seat among the voters, or had to leave it.
+//! Errors at the start of a voter.
 
 use loomlb_consensus::raft_node_error::RaftNodeError;
 use loomlb_consensus::store_error::StoreError;
 use std::io;
 use std::net::SocketAddr;
 
-/// An error of a voter's start.
+/// Why this process cannot become the voter of its scheduler.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum VoterError {
-    /// The operator file lacks a key that a voter needs.
-    #[error("{key}: missing, and {name:?} is a voter")]
+    /// The operator file lacks a key that is required for voters.
+    #[error("{key}: missing, but required because {name:?} is a voter")]
     MissingKey {
-        /// The key, within `[tier]`.
+        /// The key in `[tier]`.
         key: &'static str,
-        /// The scheduler.
+        /// Name of the scheduler.
         name: String,
     },
-    /// The voter's address cannot be listened on.
-    #[error("tier.listen: {at}: {source}")]
+    /// The listener of the voter cannot be opened.
+    #[error("tier.listen: {address}: {source}")]
     Listen {
-        /// The address.
-        at: SocketAddr,
-        /// What the system says.
+        /// Address of the listener.
+        address: SocketAddr,
+        /// The error of the operating system.
         source: io::Error,
     },
-    /// Its store or what it holds.
+    /// The store or its contents are unusable.
     #[error(transparent)]
-    Agreement(#[from] RaftNodeError),
+    RaftNode(#[from] RaftNodeError),
 }
 
 impl From<StoreError> for VoterError {
     fn from(e: StoreError) -> VoterError {
-        VoterError::Agreement(e.into())
+        VoterError::RaftNode(e.into())
     }
 }
 
 impl VoterError {
-    /// Whether an earlier process of the same scheduler has the file or the address: it votes until it ends.
-    pub(crate) fn is_held_elsewhere(&self) -> bool {
+    /// Whether another process uses the store or the address, usually an earlier process of this scheduler, which votes
+    /// until it ends.
+    pub(crate) fn is_held_by_another_process(&self) -> bool {
         match self {
-            VoterError::Agreement(RaftNodeError::Store(StoreError::Taken { .. })) => true,
+            VoterError::RaftNode(RaftNodeError::Store(StoreError::Taken { .. })) => true,
             VoterError::Listen { source, .. } => source.kind() == io::ErrorKind::AddrInUse,
             _ => false,
         }
     }
 
-    /// Whether a later attempt may succeed though nobody changes the configuration or the file.
+    /// Whether a later attempt can succeed without a change to the configuration or the store.
     pub(crate) fn is_transient(&self) -> bool {
         match self {
             VoterError::MissingKey { .. } => false,
             VoterError::Listen { source, .. } => is_out_of_resources(source),
-            VoterError::Agreement(e) => e.is_transient(),
+            VoterError::RaftNode(e) => e.is_transient(),
         }
     }
 }
 
-/// Descriptors or memory have run out.
+/// Whether descriptors or memory are exhausted.
 fn is_out_of_resources(e: &io::Error) -> bool {
     use rustix::io::Errno;
     let errno = Errno::from_io_error(e);
@@ -65,7 +66,7 @@
 impl From<VoterError> for io::Error {
     fn from(e: VoterError) -> io::Error {
         match e {
-            VoterError::Agreement(e) => e.into(),
+            VoterError::RaftNode(e) => e.into(),
             other => io::Error::other(other),
         }
     }
--- a/crates/tier/tests/proposals.rs
+++ b/crates/tier/tests/proposals.rs
@@ -1,4 +1,4 @@
-//! What a scheduler says to the voters, heard by stand-ins that never agree.
+//! Messages of a scheduler to its voters, received by fake voters that never agree on anything.
 
 use loomlb_consensus::document::DocumentBody;
 use loomlb_consensus::link_protocol::{self, GREETING_BYTES, LinkMessage};
@@ -15,10 +15,10 @@
 
 const KEY: &str = "a key of sixteen bytes";
 
-/// A process that takes whatever it is told.
-struct Idle;
+/// An application that accepts everything and does nothing.
+struct NoopApplication;
 
-impl Application for Idle {
+impl Application for NoopApplication {
     fn worker_list(&self) -> ListReport {
         ListReport::default()
     }
@@ -39,42 +39,43 @@
     fn refetch_worker_list(&self) {}
 }
 
-/// What the stand-ins have heard.
+/// Messages that the fake voters have received.
 #[derive(Default)]
-struct Heard {
-    questions: Cell<u32>,
+struct Received {
+    lease_requests: Cell<u32>,
     proposals: Cell<u32>,
 }
 
-/// A voter that promises all, has a document, and agrees on nothing.
-async fn voter(mut stream: TcpStream, heard: Rc<Heard>) -> std::io::Result<()> {
-    let mine = [7; 16];
-    stream.write_all(&link_protocol::greeting(&mine)).await?;
-    let mut first = [0; GREETING_BYTES];
-    stream.read_exact(&mut first).await?;
-    let theirs = link_protocol::parse_greeting(&first).expect("a greeting");
-    let (mut from, mut to) = link_protocol::derive_channels(KEY, &theirs, &mine);
+/// A voter that grants every lease, has one document, and agrees on no proposal.
+async fn fake_voter(mut stream: TcpStream, received: Rc<Received>) -> std::io::Result<()> {
+    let local_nonce = [7; 16];
+    stream.write_all(&link_protocol::greeting(&local_nonce)).await?;
+    let mut greeting = [0; GREETING_BYTES];
+    stream.read_exact(&mut greeting).await?;
+    let remote_nonce = link_protocol::parse_greeting(&greeting).expect("a greeting");
+    let (mut receive_channel, mut send_channel) =
+        link_protocol::derive_channels(KEY, &remote_nonce, &local_nonce);
     let body = DocumentBody::new(&json!({"tick": 1}), BTreeSet::new());
     let active = Some(Document { version: 1, proposer: "a".into(), body });
     let state = ReplicatedState { index: 1, active, ..ReplicatedState::default() };
     let mut bytes = Vec::new();
     loop {
-        while let Some(word) = from.open(&mut bytes).expect("a sound word") {
-            match word {
+        while let Some(message) = receive_channel.open(&mut bytes).expect("a valid message") {
+            match message {
                 LinkMessage::LeaseRequest { number, index, .. } => {
-                    heard.questions.set(heard.questions.get() + 1);
-                    let news = (index < 1).then(|| Box::new(state.clone()));
+                    received.lease_requests.set(received.lease_requests.get() + 1);
+                    let newer_state = (index < 1).then(|| Box::new(state.clone()));
                     let answer = LinkMessage::LeaseResponse {
                         number,
                         granted: true,
-                        newer_state: news,
+                        newer_state,
                         lists: ListSummary::default(),
                     };
-                    stream.write_all(&to.seal(&answer)).await?;
+                    stream.write_all(&send_channel.seal(&answer)).await?;
                 }
-                // Not the file that it proposed before it knew of a document.
+                // Not counted: the settings that the scheduler proposed before it knew of a document.
                 LinkMessage::Propose(Command::Propose { body, .. }) if body.settings["tick"] == 2 => {
-                    heard.proposals.set(heard.proposals.get() + 1);
+                    received.proposals.set(received.proposals.get() + 1);
                 }
                 _ => {}
             }
@@ -85,23 +86,23 @@
     }
 }
 
-/// Each time that a proposal is said it is an entry of the voters' log with the whole document in it. Who waits for its
-/// outcome asks often, and says the proposal itself no more often than it renews its lease.
+/// Every copy of a proposal is an entry with the whole document in the voters' log. A request that waits for its outcome
+/// renews the lease often, but must not repeat the proposal more often than the renewal interval.
 #[tokio::test(flavor = "current_thread")]
-async fn a_proposal_without_an_outcome_is_said_again_at_the_renewals_pace_and_no_faster() {
+async fn a_proposal_without_an_outcome_is_sent_once_per_renewal_interval() {
     let local = LocalSet::new();
     local
         .run_until(async {
-            let heard = Rc::new(Heard::default());
+            let received = Rc::new(Received::default());
             let mut voters = String::new();
             for n in 0..3 {
                 let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
                 voters +=
                     &format!("[[voter]]\nname = \"v{n}\"\nat = \"{}\"\n", listener.local_addr().unwrap());
-                let heard = Rc::clone(&heard);
+                let received = Rc::clone(&received);
                 spawn_local(async move {
                     while let Ok((stream, _)) = listener.accept().await {
-                        spawn_local(voter(stream, Rc::clone(&heard)));
+                        spawn_local(fake_voter(stream, Rc::clone(&received)));
                     }
                 });
             }
@@ -109,20 +110,24 @@
                 toml::from_str(&format!("key = \"{KEY}\"\nrenew_s = 0.25\n{voters}")).unwrap();
             let (tier, listener) =
                 loomlb_tier::open(Some(spec), "s", &loomlb_sockets::OpenRetry::start()).await.unwrap();
-            let application: Rc<dyn Application> = Rc::new(Idle);
+            let application: Rc<dyn Application> = Rc::new(NoopApplication);
             loomlb_tier::start(&tier, &application, listener);
             while !tier.may_serve() {
                 tokio::time::sleep(std::time::Duration::from_millis(5)).await;
             }
-            let begun = std::time::Instant::now();
+            let start = std::time::Instant::now();
             let settings = json!({"tick": 2}).to_string();
-            let (status, said) = loomlb_tier::propose_settings(&tier, &Idle, settings.as_bytes(), None).await;
-            assert_eq!(status, 503, "{said}");
-            // As often as renewals fit into the time that it took, the first one, and one that was on its way.
-            let most = (begun.elapsed().as_secs_f64() / 0.25) as u32 + 2;
-            let (proposals, questions) = (heard.proposals.get(), heard.questions.get());
-            assert!((2..=most).contains(&proposals), "said {proposals} times, {most} at the most");
-            assert!(questions > 3 * most, "{questions} questions: who waits asks often");
+            let (status, reply) =
+                loomlb_tier::propose_settings(&tier, &NoopApplication, settings.as_bytes(), None).await;
+            assert_eq!(status, 503, "{reply}");
+            // One per interval in the elapsed time, plus the first one and one in flight.
+            let max_proposals = (start.elapsed().as_secs_f64() / 0.25) as u32 + 2;
+            let (proposals, lease_requests) = (received.proposals.get(), received.lease_requests.get());
+            assert!(
+                (2..=max_proposals).contains(&proposals),
+                "sent {proposals} times, expected 2 to {max_proposals}"
+            );
+            assert!(lease_requests > 3 * max_proposals, "only {lease_requests} lease requests while waiting");
         })
         .await;
 }
--- a/tests/cli.rs
+++ b/tests/cli.rs
@@ -72,7 +72,7 @@
     2: loomlb: operator file: FILE: line 3: log.level: "loud": a level is off, error, warn, info, debug or trace
     2: loomlb: operator file: FILE: line 1: unclosed table, expected `]`
     2: loomlb: operator file: FILE: line 3: tier.bound_s: 1.2 s is too short for these values of delay_s, renew_s and drift: must be at least 1.531 s
-    2: loomlb: operator file: FILE: line 3: tier.key: 5 bytes; 16 at the least
-    2: loomlb: operator file: FILE: line 3: tier.voter: 0 voters; 1, 3, 5 or 7 can agree best
+    2: loomlb: operator file: FILE: line 3: tier.key: 5 bytes, must be at least 16
+    2: loomlb: operator file: FILE: line 3: tier.voter: 0 voters, must be 1, 3, 5 or 7
     "#);
 }
