--- a/crates/control/src/lifecycle.rs
+++ b/crates/control/src/lifecycle.rs
@@ -110,10 +110,10 @@
 
     /// Returns the time from which jobs are refused and idle connections are closed.
     ///
-    /// During a shutdown clients keep using their connections, and no other scheduler may be able to serve them, for
-    /// example while a peer restarts too. Jobs are therefore accepted for half of the longest wait; the other half is left
-    /// to the jobs accepted last. An only scheduler accepts jobs until the last possible moment, because a job that it
-    /// refuses is lost as well as one that does not finish in time.
+    /// During a shutdown clients keep using their connections, and other schedulers may be unable to serve them, for
+    /// example while a peer restarts too. Jobs are therefore accepted for the grace time and half of the longest wait; the
+    /// other half is left to the jobs accepted last. An only scheduler accepts jobs until the last possible moment: a job
+    /// that it refuses is lost just like a job that does not finish in time.
     pub fn closes_at(&self) -> Option<Nanos> {
         match self.state {
             LifecycleState::Serving => None,
--- a/crates/sockets/src/error_kind.rs
+++ b/crates/sockets/src/error_kind.rs
@@ -158,7 +158,7 @@
     ];
 }
 
-/// Whether the error errno means that descriptors or memory are exhausted.
+/// Whether an error number means that descriptors or memory are exhausted.
 fn is_resource_exhaustion(errno: i32) -> bool {
     matches!(errno, libc::EMFILE | libc::ENFILE | libc::ENOBUFS | libc::ENOMEM)
 }
--- a/crates/sockets/src/open_retry.rs
+++ b/crates/sockets/src/open_retry.rs
@@ -17,7 +17,7 @@
 
 /// A socket that could not be opened.
 #[derive(Debug, thiserror::Error)]
-#[error("{key}: {address}: {source} ({attempts} tries). [{code}] {advice}", code = .kind.code(), advice = .kind.advice())]
+#[error("{key}: {address}: {source} ({attempts} attempts). [{code}] {advice}", code = .kind.code(), advice = .kind.advice())]
 pub struct OpenError {
     /// The configuration key that sets the address.
     pub key: &'static str,
--- a/crates/sockets/src/open_retry/tests.rs
+++ b/crates/sockets/src/open_retry/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// Fails with one of these error errnos per attempt, then succeeds.
+/// Fails with one of these error numbers per attempt, then succeeds.
 fn failing(errnos: &'static [i32]) -> impl AsyncFnMut() -> io::Result<()> {
     let mut remaining = errnos.iter().copied();
     async move || remaining.next().map_or(Ok(()), |errno| Err(io::Error::from_raw_os_error(errno)))
