--- a/crates/scheduler/src/control.rs
+++ b/crates/scheduler/src/control.rs
@@ -5,9 +5,9 @@
 use super::http::{Connection, Message, MessageKind, ReadError, encode_response};
 use super::tier_application::TierApplication;
 use super::{Scheduler, discovery, upgrade};
-use loomlb_control::call::{self, Call};
-use loomlb_control::service::State;
-use loomlb_hot_restart::words::Ask;
+use loomlb_control::lifecycle::LifecycleState;
+use loomlb_control::request::{self, AdminRequest};
+use loomlb_hot_restart::message::ForwardedRequest;
 use loomlb_sockets::AcceptRetry;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -80,11 +80,11 @@
         let stream = match listener.accept().await {
             Ok((stream, _)) => stream,
             Err(e) => {
-                retry.pause(&e).await;
+                retry.wait_after(&e).await;
                 continue;
             }
         };
-        retry.accepted();
+        retry.record_success();
         while connections.open.get() >= MAX_CONNECTIONS {
             let oldest = connections.evictable.borrow_mut().pop_first();
             if let Some((_, evicted)) = oldest {
@@ -146,32 +146,32 @@
 /// Takes a worker offline or puts it back online, as the tier has agreed.
 pub fn apply_agreed_order(scheduler: &Rc<Scheduler>, host: &str, offline: bool) {
     let host = host.to_string();
-    execute(scheduler, &if offline { Call::Offline(host) } else { Call::Online(host) });
+    execute(scheduler, &if offline { AdminRequest::Offline(host) } else { AdminRequest::Online(host) });
 }
 
 /// Executes a call and returns the reply to it.
 async fn handle(scheduler: &Rc<Scheduler>, message: &Message) -> Reply {
-    let call = match Call::read(&message.method, &message.path) {
+    let call = match AdminRequest::parse(&message.method, &message.path) {
         Ok(call) => call,
-        Err(call::Fault::Malformed) => return refusal(400, "malformed path"),
-        Err(call::Fault::Unknown) => return refusal(404, "unknown path"),
-        Err(call::Fault::Method(allowed_method)) => {
+        Err(request::RequestError::Malformed) => return refusal(400, "malformed path"),
+        Err(request::RequestError::NotFound) => return refusal(404, "unknown path"),
+        Err(request::RequestError::MethodNotAllowed(allowed_method)) => {
             return Reply { allow: Some(allowed_method), ..refusal(405, "wrong method") };
         }
     };
-    if let Call::Offline(host) | Call::Online(host) = &call
+    if let AdminRequest::Offline(host) | AdminRequest::Online(host) = &call
         && !scheduler.target_group.contains(host)
-        && !scheduler.orders.borrow().is_out(host)
+        && !scheduler.orders.borrow().is_offline(host)
     {
         return refusal(404, "unknown worker");
     }
-    if let Call::Tier | Call::Propose(_) = call {
-        if !scheduler.tier.on() {
+    if let AdminRequest::TierStatus | AdminRequest::ProposeSettings(_) = call {
+        if !scheduler.tier.is_enabled() {
             return refusal(404, "no tier is configured here");
         }
         let (status, body) = match call {
-            Call::Propose(base) => {
-                loomlb_tier::proposed(
+            AdminRequest::ProposeSettings(base) => {
+                loomlb_tier::propose_settings(
                     &scheduler.tier,
                     &TierApplication(Rc::clone(scheduler)),
                     &message.body,
@@ -179,43 +179,59 @@
                 )
                 .await
             }
-            _ => (200, loomlb_tier::state(&scheduler.tier, &TierApplication(Rc::clone(scheduler)))),
+            _ => (200, loomlb_tier::status(&scheduler.tier, &TierApplication(Rc::clone(scheduler)))),
         };
         return Reply { status, body: format!("{body}\n"), allow: None };
     }
-    if let Call::Offline(host) | Call::Online(host) = &call
-        && scheduler.tier.on()
+    if let AdminRequest::Offline(host) | AdminRequest::Online(host) = &call
+        && scheduler.tier.is_enabled()
     {
-        let out = matches!(call, Call::Offline(_));
-        let (status, body) =
-            loomlb_tier::order(&scheduler.tier, &TierApplication(Rc::clone(scheduler)), host, out).await;
+        let out = matches!(call, AdminRequest::Offline(_));
+        let (status, body) = loomlb_tier::set_worker_offline(
+            &scheduler.tier,
+            &TierApplication(Rc::clone(scheduler)),
+            host,
+            out,
+        )
+        .await;
         return Reply { status, body: format!("{body}\n"), allow: None };
     }
-    if call != Call::Ready {
+    if call != AdminRequest::Ready {
         execute(scheduler, &call);
         let text = |bytes: &[u8]| String::from_utf8_lossy(bytes).into_owned();
-        upgrade::query_others(scheduler, &Ask::Order(text(&message.method), text(&message.path)), None).await;
+        upgrade::query_others(
+            scheduler,
+            &ForwardedRequest::Admin(text(&message.method), text(&message.path)),
+            None,
+        )
+        .await;
     }
     let service = scheduler.shutdown.service();
     match &call {
-        Call::Ready | Call::OutOfService | Call::InService if service.ending() => refusal(503, "ending"),
-        Call::Ready if !scheduler.tier.may_act() => refusal(503, "no lease of the tier"),
-        Call::Ready if !scheduler.upgrade.accepts() => refusal(503, scheduler.upgrade.not_accepting_reason()),
+        AdminRequest::Ready | AdminRequest::OutOfService | AdminRequest::InService
+            if service.is_shutting_down() =>
+        {
+            refusal(503, "ending")
+        }
+        AdminRequest::Ready if !scheduler.tier.may_serve() => refusal(503, "no lease of the tier"),
+        AdminRequest::Ready if !scheduler.upgrade.accepts() => {
+            refusal(503, scheduler.upgrade.not_accepting_reason())
+        }
         _ => Reply { status: 200, body: status_body(scheduler), allow: None },
     }
 }
 
 /// Executes a call in this process.
-fn execute(scheduler: &Rc<Scheduler>, call: &Call) {
+fn execute(scheduler: &Rc<Scheduler>, call: &AdminRequest) {
     let now = scheduler.clock.now();
     let changed = match call {
-        Call::Ready | Call::Tier | Call::Propose(_) => false,
-        Call::OutOfService => scheduler.shutdown.update_service(|service| service.drain(now)),
-        Call::InService => scheduler.shutdown.update_service(|service| service.resume()),
-        Call::Offline(host) => scheduler.orders.borrow_mut().offline(host, now),
-        Call::Online(host) => scheduler.orders.borrow_mut().online(host, now),
+        AdminRequest::Ready | AdminRequest::TierStatus | AdminRequest::ProposeSettings(_) => false,
+        AdminRequest::OutOfService => scheduler.shutdown.update_service(|service| service.start_drain(now)),
+        AdminRequest::InService => scheduler.shutdown.update_service(|service| service.end_drain()),
+        AdminRequest::Offline(host) => scheduler.orders.borrow_mut().take_offline(host, now),
+        AdminRequest::Online(host) => scheduler.orders.borrow_mut().restore(host, now),
     };
-    if let Call::Offline(host) | Call::Online(host) = call
+    if let AdminRequest::Offline(host) | AdminRequest::Online(host) = call
         && changed
     {
         discovery::apply_order(scheduler, host);
@@ -225,7 +241,7 @@
 
 /// Executes a call that another process of this scheduler received.
 pub fn execute_relayed(scheduler: &Rc<Scheduler>, method: &str, path: &str) {
-    if let Ok(call) = Call::read(method.as_bytes(), path.as_bytes()) {
+    if let Ok(call) = AdminRequest::parse(method.as_bytes(), path.as_bytes()) {
         execute(scheduler, &call);
     }
 }
@@ -233,12 +249,12 @@
 /// Returns the body of a positive reply.
 fn status_body(scheduler: &Scheduler) -> String {
     let service = match scheduler.shutdown.service().state() {
-        State::In => "in",
-        State::Draining(_) => "draining",
-        State::Ending(_) => "ending",
+        LifecycleState::Serving => "in",
+        LifecycleState::Draining(_) => "draining",
+        LifecycleState::ShuttingDown(_) => "ending",
     };
     let orders = scheduler.orders.borrow();
-    let out: Vec<&str> = orders.out().collect();
+    let out: Vec<&str> = orders.offline_workers().collect();
     let flows = scheduler.book.borrow().unanswered();
     format!(
         "{}\n",
--- a/crates/scheduler/src/discovery.rs
+++ b/crates/scheduler/src/discovery.rs
@@ -4,7 +4,7 @@
 use super::worker_starts::{Incarnation, WorkerStarts};
 use super::{Scheduler, route};
 use loomlb_consensus::worker_lists::{LeavingWorker, ListReport, MAX_LEAVING_WORKERS};
-use loomlb_control::orders::{Effect, Orders};
+use loomlb_control::overrides::{EffectiveState, WorkerOverrides};
 use loomlb_policy::raw_settings::SettingNames;
 use loomlb_policy::{CellId, Event, ListKind, Nanos, Worker, WorkerId, WorkerState};
 use serde::{Deserialize, Serialize};
@@ -206,16 +206,16 @@
 }
 
 /// Combines the listed state of a target with peers' reports and operators' orders.
-fn effective_state(orders: &Orders, target: &Target) -> Worker {
+fn effective_state(orders: &WorkerOverrides, target: &Target) -> Worker {
     let mut listed = target.listed.clone();
     if target.peer_report.is_some() && listed.state == WorkerState::Ready {
         listed.state = WorkerState::Draining;
     }
-    match orders.effect(&target.host, listed.started_at) {
-        Effect::AsListed => listed,
-        Effect::Out if listed.state == WorkerState::Removed => listed,
-        Effect::Out => Worker { state: WorkerState::Draining, ..listed },
-        Effect::Started(started) => Worker { started_at: started, ..listed },
+    match orders.effective_state(&target.host, listed.started_at) {
+        EffectiveState::AsListed => listed,
+        EffectiveState::Offline if listed.state == WorkerState::Removed => listed,
+        EffectiveState::Offline => Worker { state: WorkerState::Draining, ..listed },
+        EffectiveState::StartedAt(started) => Worker { started_at: started, ..listed },
     }
 }
 
@@ -369,10 +369,10 @@
         entries.push(effective_state(&scheduler.orders.borrow(), &target));
         targets.insert(id, target);
     }
-    scheduler
-        .orders
-        .borrow_mut()
-        .age(now, scheduler.settings().policy.obligations.warm_up_time.saturating_add(LEFT_RETENTION));
+    scheduler.orders.borrow_mut().forget_restored(
+        now,
+        scheduler.settings().policy.obligations.warm_up_time.saturating_add(LEFT_RETENTION),
+    );
     let expired =
         targets.extract_if(|_, target| target.leaving_since.is_some_and(|at| now >= at + LEFT_RETENTION));
     starts.record_departures(now, expired.map(|(_, target)| (target.host.to_string(), target.incarnation())));
--- a/crates/scheduler/src/lib.rs
+++ b/crates/scheduler/src/lib.rs
@@ -32,9 +32,9 @@
 pub mod worker_starts;
 
 use config::Config;
-use loomlb_control::orders::Orders;
+use loomlb_control::overrides::WorkerOverrides;
 use loomlb_policy::{Dispatcher, Event};
-use loomlb_sockets::{AddressInUse, OpenRetry};
+use loomlb_sockets::{OnAddressInUse, OpenRetry};
 use std::cell::RefCell;
 use std::io;
 use std::net::SocketAddr;
@@ -65,7 +65,7 @@
     /// The other schedulers.
     pub peers: peers::Peers,
     /// Operators' orders on workers.
-    pub orders: RefCell<Orders>,
+    pub orders: RefCell<WorkerOverrides>,
     /// Connections of clients.
     pub listener: intake::Listener,
     /// Whether the scheduler is in service, draining or shutting down.
@@ -89,7 +89,7 @@
 pub fn serve(
     config: Config,
     quota_source: quotas::QuotaSource,
-    tier: Option<loomlb_tier::Spec>,
+    tier: Option<loomlb_tier::TierConfig>,
 ) -> io::Result<()> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     LocalSet::new().block_on(&runtime, run(config, quota_source, tier))
@@ -98,7 +98,7 @@
 async fn run(
     config: Config,
     quota_source: quotas::QuotaSource,
-    tier: Option<loomlb_tier::Spec>,
+    tier: Option<loomlb_tier::TierConfig>,
 ) -> io::Result<()> {
     // First of all, as a signal without a handler would end the process.
     let (hangup, signals) = (reload::install_sighup_handler()?, shutdown::Signals::new()?);
@@ -181,7 +181,7 @@
 /// Opens a listener. Retries while the address is in use, as a process that is shutting down may still have it.
 async fn listen(open_retry: &OpenRetry, key: &'static str, address: SocketAddr) -> io::Result<TcpListener> {
     let bind = async || TcpListener::bind(address).await;
-    Ok(open_retry.open(key, address, AddressInUse::Retry, bind).await?)
+    Ok(open_retry.open(key, address, OnAddressInUse::Retry, bind).await?)
 }
 
 /// Handles a timer that is due.
--- a/crates/scheduler/src/peers.rs
+++ b/crates/scheduler/src/peers.rs
@@ -3,7 +3,7 @@
 use super::{Scheduler, route};
 use crate::config::Config;
 use loomlb_policy::{Event, PeerId, Recipient};
-use loomlb_sockets::{AddressInUse, OpenRetry};
+use loomlb_sockets::{OnAddressInUse, OpenRetry};
 use std::cell::OnceCell;
 use std::io;
 use std::net::SocketAddr;
@@ -37,7 +37,7 @@
             return Ok(Peers::default());
         };
         // With an inherited listening socket the address belongs to the predecessor for as long as that runs.
-        let in_use = if config.inherited_fd.is_some() { AddressInUse::Report } else { AddressInUse::Retry };
+        let in_use = if config.inherited_fd.is_some() { OnAddressInUse::Fail } else { OnAddressInUse::Retry };
         let bind = async || UdpSocket::bind(address).await;
         let socket = match received {
             Some(descriptor) => UdpSocket::from_std(descriptor.into())?,
--- a/crates/scheduler/src/reload.rs
+++ b/crates/scheduler/src/reload.rs
@@ -56,7 +56,7 @@
 /// Reads the configuration and activates all of it or nothing.
 fn reload(scheduler: &Rc<Scheduler>) -> Result<(), String> {
     let reloaded = scheduler.config.reload()?;
-    if scheduler.tier.on() {
+    if scheduler.tier.is_enabled() {
         // With a tier the settings are proposed to it, and only the address of discovery applies at once.
         scheduler.target_group.set_address(reloaded.discovery);
         tier_application::propose_settings(scheduler, &reloaded.settings_json());
@@ -76,7 +76,7 @@
     drop(book);
     let changed = origins.iter().filter(|start| **start != ClassOrigin::Kept).count();
     scheduler.pool.set_keepalive(next.network.keepalive);
-    scheduler.shutdown.update_service(|service| service.patience(next.longest_client_timeout()));
+    scheduler.shutdown.update_service(|service| service.set_longest_wait(next.longest_client_timeout()));
     scheduler.quotas.add_classes(&next.latency_objectives());
     let settings = Box::new(next.policy.clone());
     *scheduler.settings.borrow_mut() = Rc::new(next);
--- a/crates/scheduler/src/send.rs
+++ b/crates/scheduler/src/send.rs
@@ -6,7 +6,7 @@
 use super::timers::TimerEvent;
 use super::{Scheduler, relay, route};
 use loomlb_policy::{AttemptResult, Event, LoadReport, LoadReporting, Nanos, Outcome, RequestId, WorkerId};
-use loomlb_sockets::faults::ConnectFault;
+use loomlb_sockets::error_kind::ConnectErrorKind;
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
 use std::os::fd::OwnedFd;
@@ -274,9 +274,9 @@
     let permit = scheduler.pool.count_connection();
     let timeout = Duration::from_nanos(scheduler.settings().network.dial_timeout);
     let local_fault = Cell::new(false);
-    let progress = |fault: Option<ConnectFault>| {
+    let progress = |fault: Option<ConnectErrorKind>| {
         scheduler.book.borrow_mut().counters.dials_again += u64::from(fault.is_some());
-        local_fault.set(fault == Some(ConnectFault::Local));
+        local_fault.set(fault == Some(ConnectErrorKind::Local));
         observe(local_fault.get());
     };
     let connected = tokio::time::timeout(timeout, loomlb_sockets::connect(target.dial, progress)).await;
@@ -500,11 +500,11 @@
                 .zip(repeat_window)
                 .map(|(first, window)| (first + window).saturating_sub(margin)),
             target_accepts_jobs: target.as_ref().is_some_and(|target| {
-                target.accepts_new_jobs() && !scheduler.orders.borrow().is_out(&target.host)
+                target.accepts_new_jobs() && !scheduler.orders.borrow().is_offline(&target.host)
             }),
             same_incarnation: target.is_some_and(|target| target.is_same_incarnation(chosen)),
             // The lease is checked last, as close to the write as possible.
-            may_act: scheduler.tier.acts(),
+            may_act: scheduler.tier.authorize_forward(),
         }
     }
 
@@ -538,8 +538,9 @@
     if connection.http.has_input() {
         scheduler.pool.duplicate_answer_at.set(Some(scheduler.clock.now()));
     }
-    let stays =
-        |target: Target| target.leaving_since.is_none() && !scheduler.orders.borrow().is_out(&target.host);
+    let stays = |target: Target| {
+        target.leaving_since.is_none() && !scheduler.orders.borrow().is_offline(&target.host)
+    };
     let stays = scheduler.target_group.target(worker).is_some_and(stays);
     if answer.keep_alive && !connection.http.has_input() && stays {
         // After a handover the successor process sends the next jobs, so it gets the connection.
--- a/crates/scheduler/src/shutdown.rs
+++ b/crates/scheduler/src/shutdown.rs
@@ -1,7 +1,7 @@
 //! Shutdown: from SIGTERM to the end of the process, without losing accepted flows.
 
 use super::{Scheduler, upgrade};
-use loomlb_control::service::Service;
+use loomlb_control::lifecycle::Lifecycle;
 use loomlb_policy::Nanos;
 use std::cell::Cell;
 use std::io;
@@ -16,7 +16,7 @@
 /// The service state with notifications of its changes.
 #[derive(Debug)]
 pub struct Shutdown {
-    service: Cell<Service>,
+    service: Cell<Lifecycle>,
     service_changed: Notify,
     /// Notifies idle connections that they must close.
     pub close_idle: Notify,
@@ -26,17 +26,17 @@
     /// Creates the state for a scheduler whose clients wait for at most `longest`; `alone` if no other
     /// scheduler serves them.
     pub fn new(longest: Nanos, alone: bool) -> Self {
-        let service = Cell::new(Service::new(longest, alone));
+        let service = Cell::new(Lifecycle::new(longest, alone));
         Shutdown { service, service_changed: Notify::new(), close_idle: Notify::new() }
     }
 
     /// Returns the current service state.
-    pub fn service(&self) -> Service {
+    pub fn service(&self) -> Lifecycle {
         self.service.get()
     }
 
     /// Changes the service state and wakes the tasks that depend on it.
-    pub fn update_service<T>(&self, update: impl FnOnce(&mut Service) -> T) -> T {
+    pub fn update_service<T>(&self, update: impl FnOnce(&mut Lifecycle) -> T) -> T {
         let mut service = self.service.get();
         let result = update(&mut service);
         self.service.set(service);
@@ -48,7 +48,7 @@
 /// Closes idle connections while no new flows are accepted: at the end of the program and of a drain period.
 pub async fn close_idle(scheduler: Rc<Scheduler>) {
     loop {
-        match scheduler.shutdown.service().closing() {
+        match scheduler.shutdown.service().closes_at() {
             None => scheduler.shutdown.service_changed.notified().await,
             Some(at) if scheduler.clock.now() < at => tokio::select! {
                 () = scheduler.shutdown.service_changed.notified() => {}
@@ -101,7 +101,7 @@
         }
     }
     let now = scheduler.clock.now();
-    scheduler.shutdown.update_service(|service| service.end(now));
+    scheduler.shutdown.update_service(|service| service.start_shutdown(now));
     tracing::info!("asked to end, {} flows to finish", scheduler.book.borrow().unanswered());
     loop {
         let finished = || {
@@ -115,7 +115,7 @@
         if upgrade::is_finished(scheduler) {
             return upgrade::wait_until_finished(scheduler).await;
         }
-        if scheduler.shutdown.service().refusing(scheduler.clock.now()) && finished() {
+        if scheduler.shutdown.service().refuses_jobs(scheduler.clock.now()) && finished() {
             // Reads and answers what the kernel has received by now.
             tokio::time::sleep(Duration::from_millis(20)).await;
             if finished() && connections_closed() {
@@ -128,5 +128,5 @@
 
 /// Returns whether the time limit for answering all flows has passed.
 fn answer_time_over(scheduler: &Scheduler) -> bool {
-    scheduler.shutdown.service().answer_by().is_some_and(|by| scheduler.clock.now() >= by)
+    scheduler.shutdown.service().answer_deadline().is_some_and(|by| scheduler.clock.now() >= by)
 }
--- a/crates/scheduler/src/tier_application.rs
+++ b/crates/scheduler/src/tier_application.rs
@@ -18,7 +18,7 @@
 }
 
 impl Application for TierApplication {
-    fn list(&self) -> ListReport {
+    fn worker_list(&self) -> ListReport {
         self.0.target_group.report_to_peers(self.0.clock.now())
     }
 
@@ -26,27 +26,27 @@
         self.0.config.settings_json()
     }
 
-    fn check(&self, settings: Value) -> Result<(), String> {
+    fn validate_settings(&self, settings: Value) -> Result<(), String> {
         self.0.config.with_settings(settings).map(|_| ())
     }
 
-    fn put_in_force(&self, settings: Value) -> Result<(), String> {
+    fn apply_settings(&self, settings: Value) -> Result<(), String> {
         self.0.config.with_settings(settings).and_then(|reloaded| reload::activate(&self.0, reloaded))
     }
 
-    fn order(&self, worker: &str, out: bool) {
+    fn set_worker_offline(&self, worker: &str, out: bool) {
         control::apply_agreed_order(&self.0, worker, out);
     }
 
-    fn leaving(&self, leaving: &LeavingWorker) -> bool {
+    fn learn_leaving_worker(&self, leaving: &LeavingWorker) -> bool {
         discovery::record_peer_report(&self.0, &leaving.host, leaving.born_ms)
     }
 
-    fn forget_leaving(&self) {
+    fn expire_leaving_workers(&self) {
         discovery::expire_peer_reports(&self.0);
     }
 
-    fn ask_list_anew(&self) {
+    fn refetch_worker_list(&self) {
         self.0.target_group.request_full_list();
     }
 }
@@ -55,7 +55,7 @@
 pub fn propose_settings(scheduler: &Rc<Scheduler>, settings: &Value) {
     let (scheduler, text) = (Rc::clone(scheduler), settings.to_string());
     spawn_local(async move {
-        let (status, reply) = loomlb_tier::proposed(
+        let (status, reply) = loomlb_tier::propose_settings(
             &scheduler.tier,
             &TierApplication(Rc::clone(&scheduler)),
             text.as_bytes(),
--- a/crates/scheduler/src/upgrade.rs
+++ b/crates/scheduler/src/upgrade.rs
@@ -7,12 +7,12 @@
 use super::discovery::{self, worker_id};
 use super::relay::{self, CallBackResult};
 use super::{Scheduler, control, intake, route};
-use loomlb_hot_restart::link::{Inbox, Link};
-use loomlb_hot_restart::machine::{Act, New, Old};
-use loomlb_hot_restart::words::{Ask, Holds, VERSION, Word};
+use loomlb_hot_restart::link::{Link, ReceiveBuffer};
+use loomlb_hot_restart::message::{ForwardedRequest, PROTOCOL_VERSION, ResourceUsage, RestartMessage};
+use loomlb_hot_restart::state_machine::{self, PredecessorAction, Successor};
 use loomlb_policy::{Event, Message, Nanos, SlotUsage as Held, WorkerId, ZoneId};
-use loomlb_sockets::faults::{ConnectFault, connect_fault};
-use loomlb_sockets::{AcceptRetry, AddressInUse, OpenRetry};
+use loomlb_sockets::error_kind::{ConnectErrorKind, classify_connect_error};
+use loomlb_sockets::{AcceptRetry, OnAddressInUse, OpenRetry};
 use serde::Deserialize;
 use snapshot::Snapshot;
 use std::cell::{Cell, RefCell};
@@ -46,7 +46,7 @@
     /// Whether it is the successor of this process, not its predecessor.
     is_successor: bool,
     /// The resources that it holds, as last reported.
-    holds: RefCell<Holds>,
+    holds: RefCell<ResourceUsage>,
 }
 
 impl OtherProcess {
@@ -63,14 +63,17 @@
         fresh: bool,
     ) {
         scheduler.book.borrow_mut().counters.passed_on += 1;
-        self.link.say(&Word::Client { calls_back, fresh }, Some(descriptor));
+        self.link.send(&RestartMessage::ClientConnection { calls_back, fresh }, Some(descriptor));
     }
 
     /// Hands over an idle connection to a target.
     pub fn hand_over_target(&self, scheduler: &Scheduler, to: WorkerId, descriptor: OwnedFd, since: Nanos) {
         if let Some(target) = scheduler.target_group.target(to) {
             scheduler.book.borrow_mut().counters.passed_on += 1;
-            self.link.say(&Word::Target { host: target.host.to_string(), since }, Some(descriptor));
+            self.link.send(
+                &RestartMessage::TargetConnection { host: target.host.to_string(), since },
+                Some(descriptor),
+            );
         }
     }
 }
@@ -81,9 +84,9 @@
     /// The socket at which successors connect; none if hot restarts are not available.
     path: Option<PathBuf>,
     /// The state of a handover to a successor.
-    as_predecessor: Cell<Old>,
+    as_predecessor: Cell<state_machine::Predecessor>,
     /// The state of a takeover from a predecessor.
-    as_successor: Cell<New>,
+    as_successor: Cell<Successor>,
     /// The processes with which this one has a link.
     processes: RefCell<Vec<Rc<OtherProcess>>>,
     /// Notifies the accept loop that [`Upgrade::accepts`] may have changed.
@@ -103,9 +106,9 @@
 impl Upgrade {
     /// Creates the state for a process with or without a predecessor.
     pub fn new(config: &Config, takes_over: bool) -> Upgrade {
-        let mut state = New::default();
+        let mut state = Successor::default();
         if !takes_over {
-            state.alone();
+            state.start_serving();
         }
         Upgrade {
             path: socket_path(config),
@@ -123,25 +126,25 @@
 
     /// Returns whether this process accepts connections and communicates with peers.
     pub fn accepts(&self) -> bool {
-        self.as_predecessor.get().accepts() && self.as_successor.get().accepts()
+        self.as_predecessor.get().accepts_connections() && self.as_successor.get().accepts_connections()
     }
 
     /// Returns why this process does not accept connections.
     pub fn not_accepting_reason(&self) -> &'static str {
-        if self.as_successor.get().accepts() { "handed over" } else { "starting" }
+        if self.as_successor.get().accepts_connections() { "handed over" } else { "starting" }
     }
 
     /// Returns the process that takes idle connections over, if this one has handed over.
     pub fn successor(&self) -> Option<Rc<OtherProcess>> {
-        if self.as_predecessor.get().accepts() {
+        if self.as_predecessor.get().accepts_connections() {
             return None;
         }
-        self.processes.borrow().iter().find(|p| p.is_successor && !p.link.over()).cloned()
+        self.processes.borrow().iter().find(|p| p.is_successor && !p.link.is_closed()).cloned()
     }
 
     /// Returns the connections of the other processes, which count against the same limits.
-    pub fn held_by_others(&self) -> Holds {
-        let mut all = Holds::default();
+    pub fn held_by_others(&self) -> ResourceUsage {
+        let mut all = ResourceUsage::default();
         for process in &*self.processes.borrow() {
             let holds = process.holds.borrow();
             (all.inbound, all.outbound) = (all.inbound + holds.inbound, all.outbound + holds.outbound);
@@ -150,7 +153,7 @@
     }
 
     /// Changes the state of a handover to a successor.
-    fn update_predecessor_state<T>(&self, update: impl FnOnce(&mut Old) -> T) -> T {
+    fn update_predecessor_state<T>(&self, update: impl FnOnce(&mut state_machine::Predecessor) -> T) -> T {
         let mut state = self.as_predecessor.get();
         let result = update(&mut state);
         self.as_predecessor.set(state);
@@ -171,7 +174,7 @@
 /// The predecessor, with its snapshot.
 pub struct Predecessor {
     link: Link,
-    inbox: Inbox,
+    inbox: ReceiveBuffer,
     snapshot: Snapshot,
     peer_socket: Option<OwnedFd>,
 }
@@ -210,18 +213,18 @@
 /// Sends the greeting and waits for the snapshot.
 async fn request_snapshot(path: &Path) -> io::Result<Predecessor> {
     let link = Link::new(connect(path).await?);
-    link.say(&Word::Hello { version: VERSION }, None);
-    let mut inbox = Inbox::default();
+    link.send(&RestartMessage::Hello { version: PROTOCOL_VERSION }, None);
+    let mut inbox = ReceiveBuffer::default();
     let (message, peer_socket) = tokio::select! {
-        received = link.hear(&mut inbox) => received?,
-        () = link.write() => return Err(io::ErrorKind::BrokenPipe.into()),
+        received = link.receive(&mut inbox) => received?,
+        () = link.run_writer() => return Err(io::ErrorKind::BrokenPipe.into()),
     };
     match message {
-        Word::Snapshot(value) => {
+        RestartMessage::Snapshot(value) => {
             let snapshot = Snapshot::deserialize(value).map_err(io::Error::other)?;
             Ok(Predecessor { link, inbox, snapshot, peer_socket })
         }
-        Word::Refused(reason) => Err(io::Error::other(format!("refused: {reason}"))),
+        RestartMessage::Refused(reason) => Err(io::Error::other(format!("refused: {reason}"))),
         _ => Err(io::Error::other("unexpected message")),
     }
 }
@@ -230,7 +233,9 @@
 async fn connect(path: &Path) -> io::Result<UnixStream> {
     loop {
         match UnixStream::connect(path).await {
-            Err(e) if connect_fault(&e) == ConnectFault::Local => tokio::time::sleep(POLL_INTERVAL).await,
+            Err(e) if classify_connect_error(&e) == ConnectErrorKind::Local => {
+                tokio::time::sleep(POLL_INTERVAL).await
+            }
             connected => return connected,
         }
     }
@@ -245,15 +250,15 @@
     snapshot.restore(scheduler);
     let process = OtherProcess::new(link, false);
     let mut state = scheduler.upgrade.as_successor.get();
-    if state.restored() {
-        process.link.say(&Word::Ready, None);
+    if state.on_restored() {
+        process.link.send(&RestartMessage::Ready, None);
     }
     scheduler.upgrade.as_successor.set(state);
     start_link(scheduler, &process, inbox);
     let scheduler = Rc::clone(scheduler);
     spawn_local(async move {
         tokio::time::sleep(MESSAGE_TIMEOUT).await;
-        if !scheduler.upgrade.as_successor.get().accepts() {
+        if !scheduler.upgrade.as_successor.get().accepts_connections() {
             tracing::warn!(
                 "upgrade: the predecessor has not handed over in time; accepting connections beside it"
             );
@@ -265,7 +270,7 @@
 /// Starts to accept connections in this process.
 fn start_accepting(scheduler: &Rc<Scheduler>) {
     let mut state = scheduler.upgrade.as_successor.get();
-    state.alone();
+    state.start_serving();
     scheduler.upgrade.as_successor.set(state);
     scheduler.upgrade.accepting_changed.notify_one();
     open_socket(scheduler);
@@ -283,7 +288,7 @@
 /// Binds the socket for successors and serves the processes that connect to it.
 async fn serve_successors(scheduler: Rc<Scheduler>, path: PathBuf) {
     let bind = async || bind_in_place(&path);
-    let opened = OpenRetry::start().open("upgrade", path.display(), AddressInUse::Retry, bind).await;
+    let opened = OpenRetry::start().open("upgrade", path.display(), OnAddressInUse::Retry, bind).await;
     let listener = match opened {
         Ok(listener) => listener,
         Err(e) => {
@@ -294,10 +299,10 @@
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
-                retry.accepted();
+                retry.record_success();
                 spawn_local(greet_successor(Rc::clone(&scheduler), Link::new(stream)));
             }
-            Err(e) => retry.pause(&e).await,
+            Err(e) => retry.wait_after(&e).await,
         }
     }
 }
@@ -314,32 +319,32 @@
 
 /// Handles the greeting of a starting process.
 async fn greet_successor(scheduler: Rc<Scheduler>, link: Link) {
-    let mut inbox = Inbox::default();
-    let Ok(Ok((Word::Hello { version }, _))) =
-        tokio::time::timeout(MESSAGE_TIMEOUT, link.hear(&mut inbox)).await
+    let mut inbox = ReceiveBuffer::default();
+    let Ok(Ok((RestartMessage::Hello { version }, _))) =
+        tokio::time::timeout(MESSAGE_TIMEOUT, link.receive(&mut inbox)).await
     else {
         return;
     };
-    match scheduler.upgrade.update_predecessor_state(|state| state.hello(version)) {
-        Act::Offer => {
+    match scheduler.upgrade.update_predecessor_state(|state| state.on_hello(version)) {
+        PredecessorAction::SendSnapshot => {
             let process = OtherProcess::new(link, true);
             match serde_json::to_value(Snapshot::of(&scheduler)) {
                 Ok(value) => {
                     tracing::info!("upgrade: sending a snapshot to a successor");
-                    process.link.say(&Word::Snapshot(value), scheduler.peers.descriptor());
+                    process.link.send(&RestartMessage::Snapshot(value), scheduler.peers.descriptor());
                     start_link(&scheduler, &process, inbox);
                 }
                 Err(e) => {
                     tracing::error!("upgrade: the snapshot cannot be encoded: {e}");
-                    scheduler.upgrade.update_predecessor_state(Old::broken);
+                    scheduler.upgrade.update_predecessor_state(state_machine::Predecessor::on_link_lost);
                 }
             }
         }
-        Act::Refuse(reason) => {
+        PredecessorAction::Refuse(reason) => {
             tracing::warn!("upgrade: refused a successor: {reason}");
-            link.say(&Word::Refused(reason.into()), None);
+            link.send(&RestartMessage::Refused(reason.into()), None);
             let _ = tokio::time::timeout(ANSWER_TIMEOUT, async {
-                tokio::select! { () = link.write() => {}, () = link.flushed() => {} }
+                tokio::select! { () = link.run_writer() => {}, () = link.wait_flushed() => {} }
             })
             .await;
         }
@@ -348,14 +353,14 @@
 }
 
 /// Starts the tasks that communicate with another process until the link closes.
-fn start_link(scheduler: &Rc<Scheduler>, process: &Rc<OtherProcess>, inbox: Inbox) {
+fn start_link(scheduler: &Rc<Scheduler>, process: &Rc<OtherProcess>, inbox: ReceiveBuffer) {
     scheduler.upgrade.processes.borrow_mut().push(Rc::clone(process));
     let writer = Rc::clone(process);
-    spawn_local(async move { writer.link.write().await });
+    spawn_local(async move { writer.link.run_writer().await });
     let (reporter, receiver) = (Rc::clone(scheduler), Rc::clone(process));
     spawn_local(async move {
-        while !receiver.link.over() {
-            receiver.link.say(&Word::Holds(local_holds(&reporter)), None);
+        while !receiver.link.is_closed() {
+            receiver.link.send(&RestartMessage::Usage(local_holds(&reporter)), None);
             tokio::time::sleep(HOLDS_INTERVAL).await;
         }
     });
@@ -363,9 +368,9 @@
 }
 
 /// Returns the resources that this process holds.
-fn local_holds(scheduler: &Scheduler) -> Holds {
+fn local_holds(scheduler: &Scheduler) -> ResourceUsage {
     let held = scheduler.book.borrow().slots_by_host();
-    Holds {
+    ResourceUsage {
         slots: held.into_iter().map(|(host, slots)| (host.to_string(), slots)).collect(),
         inbound: scheduler.listener.connection_count(),
         outbound: scheduler.pool.open_count(),
@@ -373,10 +378,10 @@
 }
 
 /// Handles the messages of another process until the link closes.
-async fn receive_messages(scheduler: Rc<Scheduler>, process: Rc<OtherProcess>, mut inbox: Inbox) {
+async fn receive_messages(scheduler: Rc<Scheduler>, process: Rc<OtherProcess>, mut inbox: ReceiveBuffer) {
     let error = loop {
-        match process.link.hear(&mut inbox).await {
-            Ok((Word::Bye, _)) => break None,
+        match process.link.receive(&mut inbox).await {
+            Ok((RestartMessage::Bye, _)) => break None,
             Ok((message, descriptor)) => handle_message(&scheduler, &process, message, descriptor),
             Err(e) => break Some(e),
         }
@@ -386,7 +391,8 @@
     clear_holds(&scheduler);
     if process.is_successor {
         if !scheduler.upgrade.goodbye_sent.get()
-            && scheduler.upgrade.update_predecessor_state(Old::broken) == Act::Resume
+            && scheduler.upgrade.update_predecessor_state(state_machine::Predecessor::on_link_lost)
+                == PredecessorAction::Resume
         {
             tracing::error!("upgrade: lost the successor; accepting connections again");
             open_socket(&scheduler);
@@ -398,7 +404,7 @@
         None => tracing::info!("upgrade: the predecessor has finished"),
         Some(e) => tracing::warn!("upgrade: lost the predecessor: {e}"),
     }
-    if !scheduler.upgrade.as_successor.get().accepts() {
+    if !scheduler.upgrade.as_successor.get().accepts_connections() {
         start_accepting(&scheduler);
     }
 }
@@ -407,33 +413,36 @@
 fn handle_message(
     scheduler: &Rc<Scheduler>,
     process: &Rc<OtherProcess>,
-    message: Word,
+    message: RestartMessage,
     descriptor: Option<OwnedFd>,
 ) {
     match (message, descriptor) {
-        (Word::Ready, _)
+        (RestartMessage::Ready, _)
             if process.is_successor
-                && scheduler.upgrade.update_predecessor_state(Old::ready) == Act::Commit =>
+                && scheduler.upgrade.update_predecessor_state(state_machine::Predecessor::on_ready)
+                    == PredecessorAction::Commit =>
         {
             tracing::info!("upgrade: handed over, {} flows to finish", scheduler.book.borrow().unanswered());
             scheduler.upgrade.accepting_changed.notify_one();
-            process.link.say(&Word::Committed, None);
+            process.link.send(&RestartMessage::Committed, None);
             for (to, descriptor, since) in scheduler.pool.take_all_idle() {
                 process.hand_over_target(scheduler, to, descriptor, since);
             }
             scheduler.upgrade.hand_over_idle.notify_waiters();
         }
-        (Word::Committed, _) if !process.is_successor && !scheduler.upgrade.as_successor.get().accepts() => {
+        (RestartMessage::Committed, _)
+            if !process.is_successor && !scheduler.upgrade.as_successor.get().accepts_connections() =>
+        {
             tracing::info!("upgrade: taken over from the predecessor");
             start_accepting(scheduler);
         }
-        (Word::Client { calls_back, fresh }, Some(descriptor)) => {
+        (RestartMessage::ClientConnection { calls_back, fresh }, Some(descriptor)) => {
             match intake::adopt(scheduler, descriptor, calls_back, fresh) {
                 Ok(()) => scheduler.book.borrow_mut().counters.adopted += 1,
                 Err(e) => tracing::warn!("upgrade: cannot take over a client's connection: {e}"),
             }
         }
-        (Word::Target { host, since }, Some(descriptor)) => {
+        (RestartMessage::TargetConnection { host, since }, Some(descriptor)) => {
             let stream = std::net::TcpStream::from(descriptor);
             let stream = stream.set_nonblocking(true).and_then(|()| TcpStream::from_std(stream));
             if let Ok(stream) = stream
@@ -443,14 +452,14 @@
                 scheduler.pool.adopt(worker_id(&host), stream, since.min(scheduler.clock.now()));
             }
         }
-        (Word::Holds(holds), _) => report_holds(scheduler, process, holds),
-        (Word::Ask(number, ask), _) => {
+        (RestartMessage::Usage(holds), _) => report_holds(scheduler, process, holds),
+        (RestartMessage::Request(number, ask), _) => {
             let accepted = match &ask {
-                Ask::Order(method, path) => {
+                ForwardedRequest::Admin(method, path) => {
                     control::execute_relayed(scheduler, method, path);
                     false
                 }
-                Ask::CallBack(body) => {
+                ForwardedRequest::CallBack(body) => {
                     relay::handle_call_back(scheduler, body.as_bytes()) == CallBackResult::Accepted
                 }
             };
@@ -458,10 +467,10 @@
             spawn_local(async move {
                 let accepted =
                     accepted || self::query_others(&scheduler, &ask, Some(&process)).await == Some(true);
-                process.link.say(&Word::Answer(number, accepted), None);
+                process.link.send(&RestartMessage::Response(number, accepted), None);
             });
         }
-        (Word::Answer(number, accepted), _) => {
+        (RestartMessage::Response(number, accepted), _) => {
             let sender = scheduler.upgrade.queries.borrow_mut().remove(&number);
             // The query may have timed out.
             sender.into_iter().for_each(|sender| _ = sender.send(accepted));
@@ -472,7 +481,7 @@
 
 /// Reports the slots that another process holds to the module, as messages of a peer with this scheduler's
 /// own number.
-fn report_holds(scheduler: &Rc<Scheduler>, process: &OtherProcess, holds: Holds) {
+fn report_holds(scheduler: &Rc<Scheduler>, process: &OtherProcess, holds: ResourceUsage) {
     let me = scheduler.settings().policy.own_id;
     let previous = process.holds.replace(holds);
     let current = process.holds.borrow().clone();
@@ -501,7 +510,7 @@
 /// none did and at least one did not answer.
 pub async fn query_others(
     scheduler: &Rc<Scheduler>,
-    ask: &Ask,
+    ask: &ForwardedRequest,
     except: Option<&Rc<OtherProcess>>,
 ) -> Option<bool> {
     let others = scheduler.upgrade.processes.borrow().clone();
@@ -514,7 +523,7 @@
         let number = scheduler.upgrade.next_number.replace(scheduler.upgrade.next_number.get() + 1);
         let (sender, receiver) = oneshot::channel();
         scheduler.upgrade.queries.borrow_mut().insert(number, sender);
-        process.link.say(&Word::Ask(number, ask.clone()), None);
+        process.link.send(&RestartMessage::Request(number, ask.clone()), None);
         answers.push((number, process, receiver));
     }
     let mut result = Some(false);
@@ -523,7 +532,7 @@
         let answer = tokio::select! {
             biased;
             answer = tokio::time::timeout(ANSWER_TIMEOUT, receiver) => answer.ok().and_then(Result::ok),
-            () = process.link.ended() => Some(false),
+            () = process.link.wait_closed() => Some(false),
         };
         scheduler.upgrade.queries.borrow_mut().remove(&number);
         match answer {
@@ -539,7 +548,7 @@
 /// answer, so that the target should repeat it.
 pub async fn relay_call_back(scheduler: &Rc<Scheduler>, body: &[u8]) -> bool {
     let accepted = match std::str::from_utf8(body) {
-        Ok(body) => query_others(scheduler, &Ask::CallBack(body.into()), None).await,
+        Ok(body) => query_others(scheduler, &ForwardedRequest::CallBack(body.into()), None).await,
         Err(_) => Some(false),
     };
     let mut book = scheduler.book.borrow_mut();
@@ -569,8 +578,8 @@
     }
     scheduler.upgrade.goodbye_sent.set(true);
     if let Some(successor) = scheduler.upgrade.successor() {
-        successor.link.say(&Word::Bye, None);
-        let _ = tokio::time::timeout(ANSWER_TIMEOUT, successor.link.flushed()).await;
+        successor.link.send(&RestartMessage::Bye, None);
+        let _ = tokio::time::timeout(ANSWER_TIMEOUT, successor.link.wait_flushed()).await;
     }
     tracing::info!("upgrade: finished");
 }
--- a/crates/scheduler/src/upgrade/snapshot.rs
+++ b/crates/scheduler/src/upgrade/snapshot.rs
@@ -12,8 +12,8 @@
 use super::super::clock::{Clock, ClockOffset, nanos_from_millis};
 use super::super::discovery::{self, EndpointList, TargetGroup};
 use super::super::worker_starts::WorkerStarts;
-use loomlb_control::orders::Orders;
-use loomlb_control::service::State;
+use loomlb_control::lifecycle::LifecycleState;
+use loomlb_control::overrides::WorkerOverrides;
 use loomlb_policy::raw_settings::SettingNames;
 use loomlb_policy::{LearnedState, Nanos, WorkerId};
 use serde::{Deserialize, Serialize};
@@ -32,8 +32,8 @@
     kinds: Vec<String>,
     zones: Vec<String>,
     carried: LearnedState,
-    orders: Orders,
-    service: State,
+    orders: WorkerOverrides,
+    service: LifecycleState,
     list: EndpointList,
     /// The address of discovery, if a reload has changed it.
     discovery: Option<SocketAddr>,
@@ -75,7 +75,7 @@
 
     /// Returns the latest time at which an event in the snapshot happened.
     fn latest_event(&self) -> Nanos {
-        self.carried.latest_event().max(self.orders.latest()).max(self.service.since())
+        self.carried.latest_event().max(self.orders.latest_change()).max(self.service.since())
     }
 
     /// Restores the snapshot in a scheduler that starts.
--- a/crates/scheduler/src/upgrade/snapshot/tests.rs
+++ b/crates/scheduler/src/upgrade/snapshot/tests.rs
@@ -16,8 +16,8 @@
     kinds: Vec<String>,
     zones: Vec<String>,
     carried: LearnedState,
-    orders: Orders,
-    service: State,
+    orders: WorkerOverrides,
+    service: LifecycleState,
     list: EndpointList,
     discovery: Option<SocketAddr>,
 }
@@ -39,7 +39,7 @@
 #[test]
 fn the_clock_of_a_successor_of_the_previous_build_starts_no_earlier_than_the_latest_event() {
     let mut snapshot = previous_build();
-    snapshot.service = State::Draining(super::super::super::clock::Clock::default().now() + HOUR);
+    snapshot.service = LifecycleState::Draining(super::super::super::clock::Clock::default().now() + HOUR);
     let now = snapshot.clock().now();
     assert!(now >= snapshot.latest_event() && now < snapshot.latest_event() + HOUR);
 }
@@ -60,5 +60,5 @@
     let encoded = serde_json::to_value(&snapshot).unwrap();
     assert!(encoded.get("clock").is_some() && encoded.get("worker_starts").is_some());
     let decoded: PreviousBuild = serde_json::from_value(encoded).unwrap();
-    assert_eq!(decoded.service, State::Draining(DRAINING_SINCE));
+    assert_eq!(decoded.service, LifecycleState::Draining(DRAINING_SINCE));
 }
