--- a/crates/emulator/src/clients.rs
+++ b/crates/emulator/src/clients.rs
@@ -51,7 +51,7 @@
         };
         let again = {
             let world = stage.world.borrow();
-            clients::again(&world.day, &mut stage.habits.borrow_mut(), request.class, tries, outcome)
+            clients::again(&world.scenario, &mut stage.habits.borrow_mut(), request.class, tries, outcome)
         };
         match again.filter(|wait| stage.now() + wait < leaves && !stage.stop.asked()) {
             Some(wait) => tokio::time::sleep(Duration::from_nanos(wait)).await,
@@ -66,7 +66,7 @@
         }
     };
     let (now, world) = (stage.now(), stage.world.borrow());
-    stage.collector.borrow_mut().ended(&world.day, &request, now, tries, end);
+    stage.collector.borrow_mut().ended(&world.scenario, &request, now, tries, end);
 }
 
 /// One try; none if its client left early.
@@ -79,9 +79,9 @@
     };
     let (early, last) = {
         let world = stage.world.borrow();
-        let early = request.patience < ms(world.day.classes[request.class].deadline_ms);
-        let grace = if early { 0 } else { ms(world.day.terms.answer_grace_ms) };
-        stage.tries.borrow_mut().insert(id, sent(&world.day, request));
+        let early = request.patience < ms(world.scenario.classes[request.class].deadline_ms);
+        let grace = if early { 0 } else { ms(world.scenario.terms.answer_grace_ms) };
+        stage.tries.borrow_mut().insert(id, sent(&world.scenario, request));
         (early, leaves + grace + if early { 0 } else { stage.options.slack.as_nanos() as Nanos })
     };
     let wait = Duration::from_nanos(last.saturating_sub(stage.now()));
@@ -99,7 +99,7 @@
 
 async fn exchange(stage: &Rc<Stage>, request: &Request, id: u64, s: usize) -> Outcome {
     let at = stage.schedulers[s].listen;
-    let class_end = request.at + ms(stage.world.borrow().day.classes[request.class].deadline_ms);
+    let class_end = request.at + ms(stage.world.borrow().scenario.classes[request.class].deadline_ms);
     let mut taken = false;
     // A kept connection may have been closed in this very moment: then the request goes out once more on a new one.
     for fresh in [false, true] {
@@ -149,8 +149,8 @@
 
 fn message(stage: &Stage, request: &Request, id: u64, at: std::net::SocketAddr, left: Nanos) -> Http<Body> {
     let world = stage.world.borrow();
-    let class = &world.day.classes[request.class];
-    let sent = sent(&world.day, request);
+    let class = &world.scenario.classes[request.class];
+    let sent = sent(&world.scenario, request);
     let mut headers = vec![
         ("X-Correlation-Id", format!("{id:016x}")),
         ("X-Service-Class", class.name.clone()),
@@ -161,7 +161,7 @@
         headers.push(("X-Weight-Hint", (hint / 1000).to_string()));
     }
     if let Some(tenant) = request.tenant {
-        headers.push(("X-Account", world.day.tenants[tenant].name.clone()));
+        headers.push(("X-Account", world.scenario.tenants[tenant].name.clone()));
     }
     if let Some(key) = sent.key {
         headers.push(("Idempotency-Key", key));
--- a/crates/emulator/src/peers.rs
+++ b/crates/emulator/src/peers.rs
@@ -76,7 +76,7 @@
         stage.counts.borrow_mut().too_long += u64::from(length > MAX);
         let (lost, after) = {
             let (world, mut delays) = (stage.world.borrow(), stage.delays.borrow_mut());
-            let network = &world.day.network;
+            let network = &world.scenario.network;
             (delays.chance(network.peer_loss), delays.within(network.peer_ms))
         };
         if lost || !stage.world.borrow_mut().peers_reachable(i, j) {
--- a/crates/emulator/src/schedulers.rs
+++ b/crates/emulator/src/schedulers.rs
@@ -100,7 +100,7 @@
     let (me, known) = (&stage.schedulers[s], agent::whole(stage, s));
     let world = stage.world.borrow();
     let seed = stage.front.borrow_mut().bits();
-    let talk = world.day.schedulers.talk;
+    let talk = world.scenario.schedulers.talk;
     let config = json!({
         "name": format!("n{s}"), "listen": me.listen.to_string(),
         "discovery": stage.agents[s].at.get().to_string(), "seed": format!("{seed:016x}"),
@@ -108,9 +108,9 @@
         "peer_listen": talk.then(|| me.peer_listen.to_string()),
         "peers": if talk { me.peers.iter().map(SocketAddr::to_string).collect() } else { Vec::new() },
         "known": known,
-        "settings": settings::words(&world.day, s, stage.arrivals.borrow().tenant_rates()),
+        "settings": settings::words(&world.scenario, s, stage.arrivals.borrow().tenant_rates()),
     });
-    if let Some(quota) = &world.day.quota {
+    if let Some(quota) = &world.scenario.quota {
         let text = toml::to_string(&Operator { quota }).map_err(io::Error::other)?;
         std::fs::write(operator(&me.file), text)?;
     }
@@ -148,7 +148,7 @@
     if !stage.options.show_logs {
         command.stdout(Stdio::null()).stderr(Stdio::null());
     }
-    if stage.world.borrow().day.quota.is_some() {
+    if stage.world.borrow().scenario.quota.is_some() {
         command.env("LOOMLB_OPERATOR", operator(&me.file));
     }
     let named = |e: io::Error| io::Error::new(e.kind(), format!("{}: {e}", program.to_string_lossy()));
@@ -205,7 +205,7 @@
     let now = stage.now();
     let notice = {
         let world = stage.world.borrow();
-        ms(stage.front.borrow_mut().within(world.day.schedulers.notice_ms))
+        ms(stage.front.borrow_mut().within(world.scenario.schedulers.notice_ms))
     };
     me.seen_until.set(me.seen_until.get().min(now + notice));
     let end = match (me.orderly.get(), me.overran.get()) {
@@ -218,7 +218,7 @@
     if stage.over.get() {
         return;
     }
-    let restart = stage.world.borrow().day.schedulers.restart_ms;
+    let restart = stage.world.borrow().scenario.schedulers.restart_ms;
     tokio::time::sleep(Duration::from_nanos(ms(restart))).await;
     if stage.over.get() || start(&stage, s).await.is_err() {
         return;
@@ -262,7 +262,7 @@
     me.asked.set(stage.now());
     me.seen_until.set(stage.now() + STILL);
     send(stage, s, Unix::TERM);
-    let longest = stage.world.borrow().day.classes.iter().map(|c| c.deadline_ms).fold(0.0, f64::max);
+    let longest = stage.world.borrow().scenario.classes.iter().map(|c| c.deadline_ms).fold(0.0, f64::max);
     let limit = NOTICE + Duration::from_nanos(ms(longest)).min(LONGEST);
     let (stage, run) = (Rc::clone(stage), me.run.get());
     spawn_local(async move {
--- a/crates/emulator/src/stage.rs
+++ b/crates/emulator/src/stage.rs
@@ -5,9 +5,9 @@
 use hdrhistogram::Histogram;
 use loomlb_policy::Nanos;
 use loomlb_simulation::clients::{Arrivals, Request};
-use loomlb_simulation::day::Day;
 use loomlb_simulation::figures::{Collector, Figures};
 use loomlb_simulation::referee::{Breach, Seen};
+use loomlb_simulation::scenario::Scenario;
 use loomlb_simulation::seed::Stream;
 use loomlb_simulation::world::{Counters, Deed, World, secs};
 use rustc_hash::FxHashMap;
@@ -224,14 +224,14 @@
     pub(crate) fn stir(&self) {
         self.wake.notify_one();
     }
-    pub(crate) fn day(&self) -> Day {
-        self.world.borrow().day.clone()
+    pub(crate) fn day(&self) -> Scenario {
+        self.world.borrow().scenario.clone()
     }
 }
 
 /// Plays a day on sockets; `tell` hears of it once a second. The runtime is this call's own.
 pub fn run(
-    day: &Day,
+    day: &Scenario,
     seed: u64,
     options: Options,
     stop: Stop,
@@ -242,7 +242,7 @@
 }
 
 async fn play(
-    day: Day,
+    day: Scenario,
     seed: u64,
     options: Options,
     stop: Stop,
@@ -319,7 +319,7 @@
 fn live(stage: &Stage, second: u64, at: Nanos) -> Live {
     let world = stage.world.borrow();
     let at = at as f64 / 1e9;
-    let on = |t: &&loomlb_simulation::day::Trouble| at >= t.at_s && at < t.at_s + t.for_s.max(1.0);
+    let on = |t: &&loomlb_simulation::scenario::Trouble| at >= t.at_s && at < t.at_s + t.for_s.max(1.0);
     Live {
         second,
         listen: stage.schedulers.iter().map(|s| s.listen.to_string()).collect(),
@@ -327,7 +327,7 @@
         seen: world.referee.seen,
         breaches: world.referee.count,
         workers_up: (0..world.workers()).filter(|w| !world.silent(*w) && !world.down(*w)).count(),
-        troubles: world.day.troubles.iter().filter(on).map(|t| t.kind.name()).collect(),
+        troubles: world.scenario.troubles.iter().filter(on).map(|t| t.kind.name()).collect(),
     }
 }
 
@@ -408,7 +408,7 @@
 }
 
 /// A request's worker and class as the clients think of it.
-pub(crate) fn sent(day: &Day, request: &Request) -> Sent {
+pub(crate) fn sent(day: &Scenario, request: &Request) -> Sent {
     let class = &day.classes[request.class];
     let key = class.effect.keyed().then(|| format!("key-{:x}", request.number));
     Sent {
--- a/crates/emulator/src/workers.rs
+++ b/crates/emulator/src/workers.rs
@@ -233,8 +233,8 @@
     hasher.write(id.as_bytes());
     let request = hasher.finish() | 1 << 63;
     let mut world = stage.world.borrow_mut();
-    let class = world.day.classes.iter().position(|c| path.split('/').nth(1) == Some(&c.name))?;
-    let work = world.day.classes[class].work_ms * 1e6;
+    let class = world.scenario.classes.iter().position(|c| path.split('/').nth(1) == Some(&c.name))?;
+    let work = world.scenario.classes[class].work_ms * 1e6;
     world.referee.guest(request, class);
     drop(world);
     let sent =
--- a/crates/lab/src/capacity/probe.rs
+++ b/crates/lab/src/capacity/probe.rs
@@ -5,7 +5,7 @@
     LoadReport, LoadReporting, Nanos, Outcome, Request, RequestId, Settings, Tenant, TenantId, Worker,
     WorkerId,
 };
-use loomlb_simulation::Day;
+use loomlb_simulation::Scenario;
 use loomlb_simulation::settings::entry;
 use loomlb_simulation::world::{Entry, Health, World};
 use serde_json::Value;
@@ -136,7 +136,7 @@
     let text = format!(
         "name = \"capacity\"\nabout = \"A list.\"\nseconds = 1\n[fleet]\nworkers = {workers}\nzones = 27\n[schedulers]\ncount = 1\n[load]\npart = 0.5\n"
     );
-    let day = Day::read(&text).map_err(|e| e.to_string())?;
+    let day = Scenario::read(&text).map_err(|e| e.to_string())?;
     Ok(World::new(day, 1, 0))
 }
 
--- a/crates/lab/src/days.rs
+++ b/crates/lab/src/days.rs
@@ -1,6 +1,6 @@
 //! Day files: those that ship with the laboratory, and those of a user.
 
-use loomlb_simulation::Day;
+use loomlb_simulation::Scenario;
 use std::path::Path;
 
 macro_rules! shipped {
@@ -44,7 +44,7 @@
 ];
 
 /// Reads a day: a file, or one that ships by its name (`calm` or `calm.toml`).
-pub fn load(name: &Path) -> Result<Day, String> {
+pub fn load(name: &Path) -> Result<Scenario, String> {
     let text = match std::fs::read_to_string(name) {
         Ok(text) => text,
         Err(e) => {
@@ -63,5 +63,5 @@
             }
         }
     };
-    Day::read(&text).map_err(|e| format!("{}: {e}", name.display()))
+    Scenario::read(&text).map_err(|e| format!("{}: {e}", name.display()))
 }
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -8,7 +8,7 @@
 use loomlb_lab::baselines::{Baseline, Idea};
 use loomlb_lab::processes::{self, Schedule};
 use loomlb_lab::{capacity, days, fleet, scale, tables, trial};
-use loomlb_simulation::Day;
+use loomlb_simulation::Scenario;
 use loomlb_simulation::simulate::{self, Decider};
 use rayon::prelude::*;
 use std::ffi::OsString;
@@ -335,7 +335,7 @@
     }
 }
 
-fn play(day: &Day, seed: u64, threads: usize, policy: Policy) -> simulate::Played {
+fn play(day: &Scenario, seed: u64, threads: usize, policy: Policy) -> simulate::Played {
     match policy.idea() {
         None => simulate::run(day, seed, threads),
         Some(idea) => simulate::run_with(day, seed, threads, &|set, seed| -> Box<dyn Decider> {
@@ -360,10 +360,10 @@
     } else {
         args.days.clone()
     };
-    let days = named.iter().map(|d| days::load(d)).collect::<Result<Vec<Day>, String>>()?;
+    let days = named.iter().map(|d| days::load(d)).collect::<Result<Vec<Scenario>, String>>()?;
     let policies =
         [Policy::Module, Policy::LeastInFlight, Policy::TwoChoices, Policy::RoundRobin, Policy::Random];
-    let pairs: Vec<(&Day, Policy)> = days.iter().flat_map(|d| policies.map(|p| (d, p))).collect();
+    let pairs: Vec<(&Scenario, Policy)> = days.iter().flat_map(|d| policies.map(|p| (d, p))).collect();
     let bar = indicatif::ProgressBar::new(pairs.len() as u64 * args.seeds);
     let compared: Vec<Compared> = pairs
         .par_iter()
@@ -578,7 +578,7 @@
 const DEMO: &str = include_str!("../days/demo.toml");
 
 fn demo(args: &Demo) -> Result<ExitCode, String> {
-    let mut day = Day::read(DEMO).map_err(|e| e.to_string())?;
+    let mut day = Scenario::read(DEMO).map_err(|e| e.to_string())?;
     day.seconds = args.seconds;
     // Troubles lie where they do in the day of 20 s.
     for t in &mut day.troubles {
@@ -639,7 +639,7 @@
         }
         Command::Days => {
             for (name, text) in days::SHIPPED {
-                match loomlb_simulation::Day::read(text) {
+                match loomlb_simulation::Scenario::read(text) {
                     Ok(day) => println!("{name:18} {}", day.about),
                     Err(e) => println!("{name:18} {e}"),
                 }
--- a/crates/lab/src/tables.rs
+++ b/crates/lab/src/tables.rs
@@ -1,6 +1,6 @@
 //! Tables for people.
 
-use loomlb_simulation::Day;
+use loomlb_simulation::Scenario;
 use loomlb_simulation::simulate::Played;
 use std::fmt::Write;
 
@@ -23,7 +23,7 @@
 }
 
 /// The figures of a day on sockets.
-pub fn emulated(day: &Day, seed: u64, p: &loomlb_emulator::Played) -> String {
+pub fn emulated(day: &Scenario, seed: u64, p: &loomlb_emulator::Played) -> String {
     let row = |a: &str, b: String| vec![a.to_string(), b];
     let mut rows = vec![
         row("taken", p.taken.to_string()),
@@ -66,7 +66,7 @@
 }
 
 /// The figures of a day in virtual time.
-pub fn played(day: &Day, seed: u64, p: &Played) -> String {
+pub fn played(day: &Scenario, seed: u64, p: &Played) -> String {
     let f = &p.figures;
     let mut out = format!(
         "{} (seed {seed}): {} workers, {} schedulers, {:.0} requests a second for {} s\n",
--- a/crates/lab/tests/days.rs
+++ b/crates/lab/tests/days.rs
@@ -3,15 +3,15 @@
 use loomlb_lab::baselines::{Baseline, Idea};
 use loomlb_lab::days::SHIPPED;
 use loomlb_simulation::simulate::{self, Decider, Played};
-use loomlb_simulation::{Day, TroubleKind};
+use loomlb_simulation::{Scenario, TroubleKind};
 use std::process::Command;
 
-fn day(name: &str) -> Day {
-    Day::read(SHIPPED.iter().find(|d| d.0 == name).unwrap().1).unwrap()
+fn day(name: &str) -> Scenario {
+    Scenario::read(SHIPPED.iter().find(|d| d.0 == name).unwrap().1).unwrap()
 }
 
 /// A day as a textbook policy decides it.
-fn textbook(day: &Day, seed: u64, threads: usize, idea: Idea) -> Played {
+fn textbook(day: &Scenario, seed: u64, threads: usize, idea: Idea) -> Played {
     let make = move |set, seed| -> Box<dyn Decider> { Box::new(Baseline::new(idea, set, seed)) };
     simulate::run_with(day, seed, threads, &make)
 }
@@ -21,7 +21,7 @@
 fn each_day_that_ships_does_what_it_says_without_a_breach() {
     let mut kinds = Vec::new();
     for (name, text) in SHIPPED.iter().filter(|d| d.0 != "huge") {
-        let mut day = Day::read(text).unwrap_or_else(|e| panic!("{name}: {e}"));
+        let mut day = Scenario::read(text).unwrap_or_else(|e| panic!("{name}: {e}"));
         assert_eq!(&day.name, name);
         if *name == "large" {
             // A debug build plays a tenth of it, in size and in time.
--- a/crates/simulation/src/clients.rs
+++ b/crates/simulation/src/clients.rs
@@ -1,6 +1,6 @@
 //! Clients: when requests arrive and what they are, and what a client does with an answer.
 
-use crate::day::{Backoff, Day, Effect, Shape, TroubleKind};
+use crate::scenario::{Backoff, Effect, Scenario, Shape, TroubleKind};
 use crate::seed::{Stream, Streams};
 use loomlb_policy::Nanos;
 
@@ -36,7 +36,7 @@
     pub in_share: bool,
 }
 
-/// The stream of requests of a day, in the order of time.
+/// The stream of requests of a scenario, in the order of time.
 #[derive(Debug)]
 pub struct Arrivals {
     when: Stream,
@@ -63,17 +63,20 @@
 }
 
 impl Arrivals {
-    /// The arrivals of a day whose fleet can do `capacity` nanoseconds of work in a nanosecond.
-    pub fn new(day: &Day, streams: &Streams, capacity: f64) -> Self {
-        let rate = day.load.rate_per_s.unwrap_or_else(|| {
-            let shares: f64 = day.classes.iter().map(|c| c.share).sum();
-            let work: f64 =
-                day.classes.iter().map(|c| c.share / shares * c.work_ms / 1e3 * mean_cores(&c.slots)).sum();
-            day.load.part.unwrap_or(0.6) * capacity / work.max(1e-9)
+    /// The arrivals of a scenario whose fleet can do `capacity` nanoseconds of work in a nanosecond.
+    pub fn new(scenario: &Scenario, streams: &Streams, capacity: f64) -> Self {
+        let rate = scenario.load.rate_per_s.unwrap_or_else(|| {
+            let shares: f64 = scenario.classes.iter().map(|c| c.share).sum();
+            let work: f64 = scenario
+                .classes
+                .iter()
+                .map(|c| c.share / shares * c.work_ms / 1e3 * mean_cores(&c.slots))
+                .sum();
+            scenario.load.part.unwrap_or(0.6) * capacity / work.max(1e-9)
         });
-        let shares: f64 = day.tenants.iter().map(|t| t.share).sum();
+        let shares: f64 = scenario.tenants.iter().map(|t| t.share).sum();
         // Shares are of what the fleet can do, with some room kept; without a word on it 70 % is taken to be in use.
-        let able = rate / day.load.part.unwrap_or(0.7).max(0.1) * SHARED;
+        let able = rate / scenario.load.part.unwrap_or(0.7).max(0.1) * SHARED;
         Arrivals {
             when: streams.named("arrivals"),
             what: streams.named("classes"),
@@ -81,13 +84,13 @@
             subject: streams.named("subjects"),
             habits: streams.named("habits"),
             hints: streams.named("hints"),
-            popular: popular(day),
+            popular: popular(scenario),
             rate,
             at: 0.0,
             number: 0,
-            end: day.seconds,
-            tenant_rate: day.tenants.iter().map(|t| t.share / shares * able).collect(),
-            buckets: day.tenants.iter().map(|t| (BUCKET_S * t.share / shares * able, 0.0)).collect(),
+            end: scenario.seconds,
+            tenant_rate: scenario.tenants.iter().map(|t| t.share / shares * able).collect(),
+            buckets: scenario.tenants.iter().map(|t| (BUCKET_S * t.share / shares * able, 0.0)).collect(),
             burst: 0,
             heavy: 0,
             slow: 0,
@@ -105,20 +108,20 @@
     }
 
     /// The rate at a moment, whether a burst is on, and the tenants' parts of it.
-    fn rate_at(&self, day: &Day, at: f64) -> (f64, bool, Vec<f64>) {
-        let wave = match day.load.shape {
+    fn rate_at(&self, scenario: &Scenario, at: f64) -> (f64, bool, Vec<f64>) {
+        let wave = match scenario.load.shape {
             Shape::Steady => 1.0,
-            Shape::Wave => 1.0 + day.load.swing * (at / day.seconds * std::f64::consts::TAU).sin(),
+            Shape::Wave => 1.0 + scenario.load.swing * (at / scenario.seconds * std::f64::consts::TAU).sin(),
         };
-        let mut weights: Vec<f64> = day.tenants.iter().map(|t| t.share * t.usage).collect();
+        let mut weights: Vec<f64> = scenario.tenants.iter().map(|t| t.share * t.usage).collect();
         let usual: f64 = weights.iter().sum();
         let (mut all, mut on) = (wave, false);
-        for t in &day.troubles {
+        for t in &scenario.troubles {
             if t.kind != TroubleKind::Burst || at < t.at_s || at >= t.at_s + t.for_s {
                 continue;
             }
             on = true;
-            let tenant = t.tenant.as_ref().and_then(|n| day.tenants.iter().position(|x| x.name == *n));
+            let tenant = t.tenant.as_ref().and_then(|n| scenario.tenants.iter().position(|x| x.name == *n));
             match tenant {
                 Some(tenant) => weights[tenant] *= t.size.unwrap_or(2.0),
                 None => all *= t.size.unwrap_or(2.0),
@@ -148,33 +151,33 @@
         self.popular.partition_point(|p| *p < at).min(subjects - 1) as u64
     }
 
-    /// The next request; none once the day's time is over.
-    pub fn next(&mut self, day: &Day) -> Option<Request> {
-        let (rate, _, _) = self.rate_at(day, self.at);
+    /// The next request; none once the scenario's time is over.
+    pub fn next(&mut self, scenario: &Scenario) -> Option<Request> {
+        let (rate, _, _) = self.rate_at(scenario, self.at);
         self.at += self.when.exponential() / rate.max(1e-9);
         if self.at >= self.end {
             return None;
         }
-        let (_, burst, weights) = self.rate_at(day, self.at);
+        let (_, burst, weights) = self.rate_at(scenario, self.at);
         self.burst += u64::from(burst);
         self.number += 1;
-        let shares: Vec<f64> = day.classes.iter().map(|c| c.share).collect();
+        let shares: Vec<f64> = scenario.classes.iter().map(|c| c.share).collect();
         let class = self.what.pick(&shares);
-        let c = &day.classes[class];
+        let c = &scenario.classes[class];
         let slots = 1 << self.what.pick(&c.slots);
         let tenant = self.what.pick(&weights);
-        let tenant = (!day.tenants.is_empty()).then_some(tenant);
+        let tenant = (!scenario.tenants.is_empty()).then_some(tenant);
         let in_share = tenant.is_none_or(|t| self.in_share(t));
         let mut work = c.work_ms * 1e6 * self.work.log_normal(c.cv);
         let (heavy, slow, hasty) = (self.habits.unit(), self.habits.unit(), self.habits.unit());
         let early = self.habits.unit();
         let mut read = 0;
-        for (i, t) in day.troubles.iter().enumerate() {
+        for (i, t) in scenario.troubles.iter().enumerate() {
             if self.at < t.at_s || self.at >= t.at_s + t.for_s {
                 continue;
             }
             match t.kind {
-                TroubleKind::HeavyTail if class == i % day.classes.len() && heavy < t.part => {
+                TroubleKind::HeavyTail if class == i % scenario.classes.len() && heavy < t.part => {
                     work *= t.size.unwrap_or(15.0);
                     self.heavy += 1;
                 }
@@ -186,16 +189,17 @@
             }
         }
         let deadline = c.deadline_ms * 1e6;
-        let patience = if hasty < day.clients.impatient { deadline * (0.02 + 0.3 * early) } else { deadline };
+        let patience =
+            if hasty < scenario.clients.impatient { deadline * (0.02 + 0.3 * early) } else { deadline };
         Some(Request {
             number: self.number,
             at: (self.at * 1e9) as Nanos,
             class,
             tenant,
-            subject: (day.load.subjects > 0).then(|| self.about(day.load.subjects)),
+            subject: (scenario.load.subjects > 0).then(|| self.about(scenario.load.subjects)),
             slots,
             work,
-            hint: day.load.hints.map(|cv| (work * self.hints.log_normal(cv)) as u64),
+            hint: scenario.load.hints.map(|cv| (work * self.hints.log_normal(cv)) as u64),
             patience: patience as Nanos,
             slow: read,
             in_share,
@@ -203,12 +207,12 @@
     }
 }
 
-/// What falls on a day's subjects up to each by Zipf's law, as a part of all.
-fn popular(day: &Day) -> Vec<f64> {
-    if day.load.skew == 0.0 {
+/// What falls on a scenario's subjects up to each by Zipf's law, as a part of all.
+fn popular(scenario: &Scenario) -> Vec<f64> {
+    if scenario.load.skew == 0.0 {
         return Vec::new();
     }
-    let weights = (1..=day.load.subjects).map(|i| (i as f64).powf(-day.load.skew));
+    let weights = (1..=scenario.load.subjects).map(|i| (i as f64).powf(-scenario.load.skew));
     let sums: Vec<f64> = weights
         .scan(0.0, |sum, w| {
             *sum += w;
@@ -239,20 +243,26 @@
 }
 
 /// Whether and when a client tries again after its try number `tries` (from 1): in nanoseconds from now.
-pub fn again(day: &Day, rng: &mut Stream, class: usize, tries: u32, outcome: Outcome) -> Option<Nanos> {
-    let (honours, jitter) = (rng.chance(day.clients.honour), rng.within([0.8, 1.2]));
-    if outcome == Outcome::Served || tries > day.clients.retries {
+pub fn again(
+    scenario: &Scenario,
+    rng: &mut Stream,
+    class: usize,
+    tries: u32,
+    outcome: Outcome,
+) -> Option<Nanos> {
+    let (honours, jitter) = (rng.chance(scenario.clients.honour), rng.within([0.8, 1.2]));
+    if outcome == Outcome::Served || tries > scenario.clients.retries {
         return None;
     }
     let free = match outcome {
         Outcome::Refused(_) | Outcome::Unreachable => true,
-        _ => day.classes[class].effect == Effect::Safe,
+        _ => scenario.classes[class].effect == Effect::Safe,
     };
     if !free {
         return None;
     }
-    let base = day.clients.backoff_ms * 1e6;
-    let wait = match day.clients.backoff {
+    let base = scenario.clients.backoff_ms * 1e6;
+    let wait = match scenario.clients.backoff {
         Backoff::AtOnce => 0.0,
         Backoff::Fixed => base,
         Backoff::Exponential => base * f64::from(1u32 << (tries - 1).min(16)),
--- a/crates/simulation/src/figures.rs
+++ b/crates/simulation/src/figures.rs
@@ -1,7 +1,7 @@
-//! The figures of a day: what became of the requests, as their clients saw it.
+//! The figures of a scenario: what became of the requests, as their clients saw it.
 
 use crate::clients::Request;
-use crate::day::Day;
+use crate::scenario::Scenario;
 use hdrhistogram::Histogram;
 use loomlb_policy::Nanos;
 use serde::Serialize;
@@ -24,7 +24,7 @@
     Left,
 }
 
-/// Collects figures while a day runs.
+/// Collects figures while a scenario runs.
 #[derive(Debug)]
 pub struct Collector {
     requests: u64,
@@ -44,7 +44,7 @@
     work: Vec<Vec<[f64; 2]>>,
 }
 
-/// The figures of a day.
+/// The figures of a scenario.
 #[derive(Clone, Debug, Serialize)]
 pub struct Figures {
     /// Requests that clients made, retries not counted.
@@ -67,7 +67,7 @@
     pub service: f64,
     /// The same in the worst 10 s.
     pub worst_window: f64,
-    /// The same by class, in the day's order.
+    /// The same by class, in the scenario's order.
     pub classes: Vec<f64>,
     /// The same by tenant.
     pub tenants: Vec<f64>,
@@ -80,8 +80,8 @@
 }
 
 impl Collector {
-    /// For a day.
-    pub fn new(day: &Day) -> Self {
+    /// For a scenario.
+    pub fn new(scenario: &Scenario) -> Self {
         Collector {
             requests: 0,
             served: 0,
@@ -93,18 +93,18 @@
             tries: 0,
             latency: Histogram::new_with_bounds(1, 3_600_000_000, 3)
                 .unwrap_or_else(|_| unreachable!("fixed bounds")),
-            classes: vec![[0.0; 2]; day.classes.len()],
-            tenants: vec![[0.0; 2]; day.tenants.len()],
-            seconds: vec![[0.0; 2]; day.seconds.ceil() as usize + 1],
-            work: vec![vec![[0.0; 2]; day.seconds.ceil() as usize + 1]; day.tenants.len()],
+            classes: vec![[0.0; 2]; scenario.classes.len()],
+            tenants: vec![[0.0; 2]; scenario.tenants.len()],
+            seconds: vec![[0.0; 2]; scenario.seconds.ceil() as usize + 1],
+            work: vec![vec![[0.0; 2]; scenario.seconds.ceil() as usize + 1]; scenario.tenants.len()],
         }
     }
 
     /// A request has ended at `at`, after so many tries.
-    pub fn ended(&mut self, day: &Day, request: &Request, at: Nanos, tries: u32, end: Final) {
+    pub fn ended(&mut self, scenario: &Scenario, request: &Request, at: Nanos, tries: u32, end: Final) {
         self.requests += 1;
         self.tries += u64::from(tries);
-        let class = &day.classes[request.class];
+        let class = &scenario.classes[request.class];
         let taken = at.saturating_sub(request.at);
         let wanted = class.aim_ms * 1e6 + class.stretch * request.work;
         let in_time = end == Final::Served && taken as f64 <= wanted.min(class.deadline_ms * 1e6);
@@ -119,7 +119,7 @@
         if end == Final::Served {
             self.latency.saturating_record((taken / 1000).max(1));
         }
-        let share = if request.in_share { 1.0 } else { day.terms.over_share_worth };
+        let share = if request.in_share { 1.0 } else { scenario.terms.over_share_worth };
         let worth = class.worth * request.work / 1e9 * f64::from(request.slots) * share;
         let earned = if in_time { worth } else { 0.0 };
         let second = (request.at / 1_000_000_000) as usize;
--- a/crates/simulation/src/lib.rs
+++ b/crates/simulation/src/lib.rs
@@ -1,22 +1,22 @@
 //! The platform as a model: workers, discovery, network, clients and troubles, without input or output.
 //!
-//! A [`day::Day`] says what is played, a [`world::World`] plays the workers' side of it, [`clients`] make the
+//! A [`scenario::Scenario`] says what is played, a [`world::World`] plays the workers' side of it, [`clients`] make the
 //! requests, and the [`referee::Referee`] watches what must never go wrong. Two hosts drive them: [`simulate`] in
 //! virtual time, with any number of schedulers in one process, and the emulator on loopback sockets. Times are
-//! nanoseconds from the start of the day. All random numbers come from named streams of one seed ([`seed`]).
+//! nanoseconds from the start of the scenario. All random numbers come from named streams of one seed ([`seed`]).
 #![forbid(unsafe_code)]
 
 pub mod clients;
-pub mod day;
 pub mod figures;
 pub mod referee;
+pub mod scenario;
 pub mod seed;
 pub mod settings;
 pub mod simulate;
 pub mod worker;
 pub mod world;
 
-pub use day::{ConfigError, Day, TroubleKind};
 pub use figures::Figures;
 pub use referee::{Breach, Referee, Rule};
+pub use scenario::{ConfigError, Scenario, TroubleKind};
 pub use world::World;
--- a/crates/simulation/src/referee.rs
+++ b/crates/simulation/src/referee.rs
@@ -4,7 +4,7 @@
 //! attempt, a job started, an answer went out) and reports breaches, each with the whole story of its request. It
 //! knows nothing of why a scheduler did what it did.
 
-use crate::day::{Day, Effect};
+use crate::scenario::{Effect, Scenario};
 use loomlb_policy::Nanos;
 use rustc_hash::{FxHashMap, FxHashSet};
 use serde::Serialize;
@@ -19,7 +19,7 @@
 const GONE: Nanos = 100_000_000;
 const GONE_BY_CHANCE: u64 = 2;
 /// A request that waited for its first attempt when its client went is not sent this long after that; over a quarter of
-/// those that waited fail the day.
+/// those that waited fail the scenario.
 const GONE_WAITING: Nanos = 300_000_000;
 
 /// A rule of the platform.
@@ -72,7 +72,7 @@
 pub struct Breach {
     /// Which rule.
     pub rule: Rule,
-    /// When, in nanoseconds of the day.
+    /// When, in nanoseconds of the scenario.
     pub at: Nanos,
     /// The request (one try of it); 0 where it concerns none.
     pub request: u64,
@@ -220,7 +220,7 @@
     pub void: u64,
 }
 
-/// The referee of a day.
+/// The referee of a scenario.
 #[derive(Debug)]
 pub struct Referee {
     effects: Vec<(Effect, Nanos)>,
@@ -245,14 +245,14 @@
 }
 
 impl Referee {
-    /// For a day. `slack` is what the host adds to every time limit, in nanoseconds: 0 in virtual time.
-    pub fn new(day: &Day, slack: Nanos) -> Self {
+    /// For a scenario. `slack` is what the host adds to every time limit, in nanoseconds: 0 in virtual time.
+    pub fn new(scenario: &Scenario, slack: Nanos) -> Self {
         let ms = |x: f64| (x * 1e6) as Nanos;
         Referee {
-            effects: day.classes.iter().map(|c| (c.effect, ms(c.window_ms))).collect(),
-            answer_grace: ms(day.terms.answer_grace_ms) + slack,
-            drain_grace: ms(day.terms.drain_grace_ms) + slack,
-            second_copies: day.terms.second_copies,
+            effects: scenario.classes.iter().map(|c| (c.effect, ms(c.window_ms))).collect(),
+            answer_grace: ms(scenario.terms.answer_grace_ms) + slack,
+            drain_grace: ms(scenario.terms.drain_grace_ms) + slack,
+            second_copies: scenario.terms.second_copies,
             slack,
             for_gone: 0,
             left_waiting: (0, 0),
@@ -473,14 +473,14 @@
         self.tidy(request);
     }
 
-    /// A request that is none of the day's clients': its attempts are followed, and no answer is owed.
+    /// A request that is none of the scenario's clients': its attempts are followed, and no answer is owed.
     pub fn guest(&mut self, request: u64, class: usize) {
         let story = self.open.entry(request).or_default();
         (story.class, story.void) = (class, true);
     }
 
     /// A client's connection ended without an answer. A scheduler that was killed owes none; one that runs has lost
-    /// the request, and that shows at the end of the day.
+    /// the request, and that shows at the end of the scenario.
     pub fn unread(&mut self, at: Nanos, request: u64, scheduler: usize) {
         self.fact(request, at, Fact::Broke { scheduler });
     }
@@ -555,7 +555,7 @@
         self.open.values().filter(|s| s.taken && !s.answered && !s.void).count()
     }
 
-    /// The day is over: what is not answered now never will be.
+    /// The scenario is over: what is not answered now never will be.
     pub fn finish(&mut self, at: Nanos) {
         let (waited, sent) = self.left_waiting;
         if sent * 4 > waited {
--- a/crates/simulation/src/day.rs
+++ b/crates/simulation/src/scenario.rs
@@ -1,6 +1,6 @@
-//! A day: everything that a run of the model is made of, read from a file and checked.
+//! A scenario: everything that a run of the model is made of, read from a file and checked.
 //!
-//! All times in a day file say their unit in the key (`_s`, `_ms`). A key that is unknown, of the wrong type or
+//! All times in a scenario file say their unit in the key (`_s`, `_ms`). A key that is unknown, of the wrong type or
 //! impossible is refused with its line and a reason; nothing is silently cut to fit.
 
 use loomlb_config_file::line_of_key;
@@ -9,16 +9,17 @@
 
 pub use loomlb_config_file::ConfigError;
 
-/// A day of the platform.
+/// A scenario of the platform.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
-pub struct Day {
+#[serde(expecting = "struct Day")]
+pub struct Scenario {
     /// Its name.
     pub name: String,
     /// What it shows, in a sentence.
     #[serde(default)]
     pub about: String,
-    /// Seconds in which requests arrive; then the day runs on until all are answered.
+    /// Seconds in which requests arrive; then the scenario runs on until all are answered.
     pub seconds: f64,
     /// Shortest time between two moments at which a scheduler acts, in milliseconds (virtual time only).
     #[serde(default = "two")]
@@ -69,7 +70,7 @@
     true
 }
 
-/// The workers of a day.
+/// The workers of a scenario.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Fleet {
@@ -159,7 +160,7 @@
     /// Connections that a worker holds, for each core.
     #[serde(default = "connections")]
     pub connections_per_core: f64,
-    /// Share of requests that fail on a calm day.
+    /// Share of requests that fail on a calm scenario.
     #[serde(default)]
     pub error_rate: f64,
 }
@@ -202,7 +203,7 @@
     vec![kind("four-core", 0.53, 4.0, [0.85, 1.1]), kind("five-core", 0.47, 5.0, [0.64, 0.86])]
 }
 
-/// The schedulers of a day.
+/// The schedulers of a scenario.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Schedulers {
@@ -255,14 +256,14 @@
     2000
 }
 
-/// How the rate moves over the day.
+/// How the rate moves over the scenario.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Serialize, PartialEq, Eq)]
 #[serde(rename_all = "snake_case")]
 pub enum Shape {
     /// The same throughout.
     #[default]
     Steady,
-    /// One wave over the day.
+    /// One wave over the scenario.
     Wave,
 }
 
@@ -647,7 +648,7 @@
         TroubleKind::StuckConnection,
     ];
 
-    /// Its name, as a day file has it.
+    /// Its name, as a scenario file has it.
     pub fn name(self) -> &'static str {
         match self {
             TroubleKind::Vanish => "vanish",
@@ -672,13 +673,13 @@
     }
 }
 
-impl Day {
-    /// Reads a day file.
-    pub fn read(text: &str) -> Result<Day, ConfigError> {
-        let day: Day = loomlb_config_file::parse(text)?;
-        let checked = day.check();
+impl Scenario {
+    /// Reads a scenario file.
+    pub fn read(text: &str) -> Result<Scenario, ConfigError> {
+        let scenario: Scenario = loomlb_config_file::parse(text)?;
+        let checked = scenario.check();
         checked.map_err(|(key, reason)| ConfigError { line: line_of_key(text, &key), key, reason })?;
-        Ok(day)
+        Ok(scenario)
     }
 
     /// The first key that asks for the impossible, and why it does.
--- a/crates/simulation/src/seed.rs
+++ b/crates/simulation/src/seed.rs
@@ -7,7 +7,7 @@
 use rand_chacha::ChaCha8Rng;
 use rand_distr::{Distribution, Exp1, LogNormal, StandardNormal};
 
-/// The source of all streams of a day.
+/// The source of all streams of a scenario.
 #[derive(Clone, Copy, Debug)]
 pub struct Streams(u64);
 
--- a/crates/simulation/src/settings.rs
+++ b/crates/simulation/src/settings.rs
@@ -1,23 +1,23 @@
 //! What a scheduler is told at its start, in the platform's words, and the list's entries.
 
-use crate::day::{Day, Effect, Mode, Queue};
+use crate::scenario::{Effect, Mode, Queue, Scenario};
 use crate::world::{Entry, Health, World};
 use loomlb_policy::raw_settings::{RawSettings, SettingNames};
 use loomlb_policy::{CellId, Settings, Worker, WorkerId, WorkerState};
 use serde_json::{Value, json};
 
 /// The name of a zone: the one of a fleet in one place, or one of several by its number.
-pub fn zone(day: &Day, number: usize) -> String {
-    if day.fleet.zones <= 1 { "here".into() } else { format!("here-{}", number % day.fleet.zones) }
+pub fn zone(scenario: &Scenario, number: usize) -> String {
+    if scenario.fleet.zones <= 1 { "here".into() } else { format!("here-{}", number % scenario.fleet.zones) }
 }
 
 fn ns(ms: f64) -> u64 {
     (ms * 1e6) as u64
 }
 
-/// The settings of one scheduler of a day, as the platform words them. `tenant_rates` are requests a second.
-pub fn words(day: &Day, scheduler: usize, tenant_rates: &[f64]) -> Value {
-    let classes: Vec<Value> = day
+/// The settings of one scheduler of a scenario, as the platform words them. `tenant_rates` are requests a second.
+pub fn words(scenario: &Scenario, scheduler: usize, tenant_rates: &[f64]) -> Value {
+    let classes: Vec<Value> = scenario
         .classes
         .iter()
         .map(|c| {
@@ -31,61 +31,61 @@
                 "effect": effect, "group": group, "repeat_window": ns(c.window_ms), "stream": false})
         })
         .collect();
-    let shares: f64 = day.tenants.iter().map(|t| t.share).sum();
-    let tenants: Vec<Value> = day
+    let shares: f64 = scenario.tenants.iter().map(|t| t.share).sum();
+    let tenants: Vec<Value> = scenario
         .tenants
         .iter()
         .zip(tenant_rates)
         .map(|(t, rate)| json!({"name": t.name, "quota_rps": rate, "share": t.share / shares}))
         .collect();
-    let kinds: Vec<&str> = day.fleet.kinds.iter().map(|k| k.name.as_str()).collect();
-    let coldest = day.fleet.kinds.iter().map(|k| k.cold_from).fold(1.0, f64::min);
-    let cold = day.fleet.kinds.iter().map(|k| k.cold_s).fold(0.0, f64::max);
-    let zones: Vec<String> = (0..day.fleet.zones).map(|z| zone(day, z)).collect();
-    let how = match (day.reports.on, day.reports.by_probe) {
+    let kinds: Vec<&str> = scenario.fleet.kinds.iter().map(|k| k.name.as_str()).collect();
+    let coldest = scenario.fleet.kinds.iter().map(|k| k.cold_from).fold(1.0, f64::min);
+    let cold = scenario.fleet.kinds.iter().map(|k| k.cold_s).fold(0.0, f64::max);
+    let zones: Vec<String> = (0..scenario.fleet.zones).map(|z| zone(scenario, z)).collect();
+    let how = match (scenario.reports.on, scenario.reports.by_probe) {
         (false, _) => "off",
         (true, false) => "inline",
         (true, true) => "on_probe",
     };
-    let order = match day.fleet.queue {
+    let order = match scenario.fleet.queue {
         Queue::Fifo => "fifo",
         Queue::Backfill => "backfill",
         Queue::Priority => "priority",
     };
     json!({
-        "balancers": day.schedulers.count, "rank": scheduler, "my_zone": zone(day, scheduler), "zones": zones, "kinds": kinds,
-        "classes": classes, "tenants": tenants, "over_share_worth": day.terms.over_share_worth, "worth_by": "work",
-        "registry_mode": if day.discovery.mode == Mode::Poll { "subscribe" } else { "automatic" },
-        "weights": if day.discovery.weights_ms > 0.0 { "live" } else { "off" }, "tick": ns(day.tick_ms),
+        "balancers": scenario.schedulers.count, "rank": scheduler, "my_zone": zone(scenario, scheduler), "zones": zones, "kinds": kinds,
+        "classes": classes, "tenants": tenants, "over_share_worth": scenario.terms.over_share_worth, "worth_by": "work",
+        "registry_mode": if scenario.discovery.mode == Mode::Poll { "subscribe" } else { "automatic" },
+        "weights": if scenario.discovery.weights_ms > 0.0 { "live" } else { "off" }, "tick": ns(scenario.tick_ms),
         "load_report": {"how": how, "fields": ["rif", "rate", "x0"]},
         "ceilings": {
-            "cancel": true, "dial_timeout": ns(day.network.dial_ms), "keepalive": ns(day.network.idle_s * 1e3),
-            "max_attempts": day.terms.max_attempts, "max_open": 20_000, "streams_per_conn": 1,
-            "max_retry_after": ns(day.terms.max_retry_after_ms), "retry_after": day.terms.max_retry_after_ms > 0.0,
-            "may_tell": day.schedulers.talk, "probing": day.schedulers.probes,
-            "second_copies": day.terms.second_copies,
+            "cancel": true, "dial_timeout": ns(scenario.network.dial_ms), "keepalive": ns(scenario.network.idle_s * 1e3),
+            "max_attempts": scenario.terms.max_attempts, "max_open": 20_000, "streams_per_conn": 1,
+            "max_retry_after": ns(scenario.terms.max_retry_after_ms), "retry_after": scenario.terms.max_retry_after_ms > 0.0,
+            "may_tell": scenario.schedulers.talk, "probing": scenario.schedulers.probes,
+            "second_copies": scenario.terms.second_copies,
         },
         "obligations": {
-            "cold": ns(cold * 1e3), "cold_from": coldest, "drain_grace": ns(day.terms.drain_grace_ms),
-            "must_ask_in": 10_000_000_000u64, "overload_factor": day.terms.fall_multiple,
-            "overload_for": ns(day.terms.fall_ms), "grace_to_answer": ns(day.terms.answer_grace_ms),
+            "cold": ns(cold * 1e3), "cold_from": coldest, "drain_grace": ns(scenario.terms.drain_grace_ms),
+            "must_ask_in": 10_000_000_000u64, "overload_factor": scenario.terms.fall_multiple,
+            "overload_for": ns(scenario.terms.fall_ms), "grace_to_answer": ns(scenario.terms.answer_grace_ms),
         },
-        "penalties": {"waste": 0.02, "late_fail": 0.064, "peer": 0.0086, "probe": day.terms.probe_price,
-            "handshake": 0.02, "cross_zone": day.terms.cross_price},
+        "penalties": {"waste": 0.02, "late_fail": 0.064, "peer": 0.0086, "probe": scenario.terms.probe_price,
+            "handshake": 0.02, "cross_zone": scenario.terms.cross_price},
         "extra": {
-            "class_kind": vec![-1; day.classes.len()],
-            "class_stretch": day.classes.iter().map(|c| c.stretch).collect::<Vec<f64>>(),
-            "class_priority": day.classes.iter().map(|c| c.priority).collect::<Vec<i32>>(),
-            "progress": ns(day.terms.progress_ms), "tells_start": true, "queue_order": order,
+            "class_kind": vec![-1; scenario.classes.len()],
+            "class_stretch": scenario.classes.iter().map(|c| c.stretch).collect::<Vec<f64>>(),
+            "class_priority": scenario.classes.iter().map(|c| c.priority).collect::<Vec<i32>>(),
+            "progress": ns(scenario.terms.progress_ms), "tells_start": true, "queue_order": order,
             "report_x0": "free slots",
         },
     })
 }
 
 /// The same as the decision module takes it.
-pub fn settings(day: &Day, scheduler: usize, tenant_rates: &[f64]) -> (Settings, SettingNames) {
+pub fn settings(scenario: &Scenario, scheduler: usize, tenant_rates: &[f64]) -> (Settings, SettingNames) {
     // The words are made above, so a key that does not fit is a fault of this file; a test reads them all.
-    serde_json::from_value::<RawSettings>(words(day, scheduler, tenant_rates))
+    serde_json::from_value::<RawSettings>(words(scenario, scheduler, tenant_rates))
         .unwrap_or_default()
         .to_settings()
 }
@@ -106,13 +106,13 @@
         ..Worker::new(id)
     };
     names.with_zone_and_kind(
-        &zone(&world.day, entry.worker),
-        &world.day.fleet.kinds[world.kind(entry.worker)].name,
+        &zone(&world.scenario, entry.worker),
+        &world.scenario.fleet.kinds[world.kind(entry.worker)].name,
         worker,
     )
 }
 
-/// An entry of the list in discovery's form. `epoch_ms` is the Unix time of the day's start, in milliseconds.
+/// An entry of the list in discovery's form. `epoch_ms` is the Unix time of the scenario's start, in milliseconds.
 pub fn entry(world: &World, entry: &Entry, dial: &str, epoch_ms: u64) -> Value {
     let health = match entry.health {
         Health::Active => "active",
@@ -120,7 +120,7 @@
         Health::Left => "left",
     };
     let born = if entry.born == 0 { 0 } else { epoch_ms + entry.born / 1_000_000 };
-    json!({"host": World::name(entry.worker), "dial": dial, "site": zone(&world.day, entry.worker),
-        "class": world.day.fleet.kinds[world.kind(entry.worker)].name, "block": world.cell(entry.worker),
+    json!({"host": World::name(entry.worker), "dial": dial, "site": zone(&world.scenario, entry.worker),
+        "class": world.scenario.fleet.kinds[world.kind(entry.worker)].name, "block": world.cell(entry.worker),
         "health": health, "share": entry.weight, "born_ms": born})
 }
--- a/crates/simulation/src/simulate.rs
+++ b/crates/simulation/src/simulate.rs
@@ -5,9 +5,9 @@
 //! every event and action is the same for any number of threads.
 
 use crate::clients::{self, Arrivals, Outcome as Try, Request};
-use crate::day::Day;
 use crate::figures::{Collector, Figures, Final};
 use crate::referee::{Answered, Breach, End, Seen};
+use crate::scenario::Scenario;
 use crate::seed::Stream;
 use crate::settings;
 use crate::world::{Attempt, Counters, Deed, Dial, Reply, Signal, Word, World, ms};
@@ -30,7 +30,7 @@
 const TERM_KILL: Nanos = 700_000_000;
 /// Of that deadline no more than this counts.
 const TERM_LONGEST: Nanos = 3_000_000_000;
-/// After the last arrival a day runs on for so long at most.
+/// After the last arrival a scenario runs on for so long at most.
 const TAIL: Nanos = 120_000_000_000;
 /// Fewer events than this in a tick are not worth the threads.
 const WORTH_THREADS: usize = 16;
@@ -55,7 +55,7 @@
     Box::new(Dispatcher::new(settings, seed))
 }
 
-/// What a day came to.
+/// What a scenario came to.
 #[derive(Clone, Debug, Serialize)]
 pub struct Played {
     /// The figures.
@@ -78,7 +78,7 @@
     pub work_s: f64,
     /// See `work_s`.
     pub wasted: f64,
-    /// Length of the day until all was over, in seconds.
+    /// Length of the scenario until all was over, in seconds.
     pub length_s: f64,
     /// A digest over every event and action with its time.
     pub digest: String,
@@ -145,7 +145,7 @@
 
 struct Node {
     decider: Box<dyn Decider>,
-    /// Nested quotas, where the day has them, and the mean seconds of each class's jobs.
+    /// Nested quotas, where the scenario has them, and the mean seconds of each class's jobs.
     quota: Option<Quota>,
     mean: Vec<f64>,
     names: SettingNames,
@@ -200,17 +200,17 @@
     drawn: bool,
 }
 
-/// Plays a day in virtual time with the decision module; on so many threads, 0 for one.
-pub fn run(day: &Day, seed: u64, threads: usize) -> Played {
-    run_with(day, seed, threads, &module)
+/// Plays a scenario in virtual time with the decision module; on so many threads, 0 for one.
+pub fn run(scenario: &Scenario, seed: u64, threads: usize) -> Played {
+    run_with(scenario, seed, threads, &module)
 }
 
-/// Plays a day in virtual time with deciders of any make.
-pub fn run_with(day: &Day, seed: u64, threads: usize, make: &Maker) -> Played {
-    let world = World::new(day.clone(), seed, 0);
+/// Plays a scenario in virtual time with deciders of any make.
+pub fn run_with(scenario: &Scenario, seed: u64, threads: usize, make: &Maker) -> Played {
+    let world = World::new(scenario.clone(), seed, 0);
     let streams = world.streams();
-    let arrivals = Arrivals::new(day, &streams, world.capacity());
-    let threads = if day.schedulers.count > 1 { threads } else { 0 };
+    let arrivals = Arrivals::new(scenario, &streams, world.capacity());
+    let threads = if scenario.schedulers.count > 1 { threads } else { 0 };
     let pool =
         (threads > 1).then(|| rayon::ThreadPoolBuilder::new().num_threads(threads).build().ok()).flatten();
     let mut host = Host {
@@ -226,7 +226,7 @@
         now: 0,
         words: Slab::new(),
         datagrams: Slab::new(),
-        collector: Collector::new(day),
+        collector: Collector::new(scenario),
         delays: streams.named("delays"),
         front: streams.named("front"),
         habits: streams.named("retries"),
@@ -237,13 +237,13 @@
         drawn: false,
         world,
     };
-    for s in 0..day.schedulers.count {
+    for s in 0..scenario.schedulers.count {
         let node = host.fresh(s);
         host.nodes.push(node);
         host.tell_list(s, ListKind::Persisted);
     }
     host.push(0, Due::Next);
-    host.play(day);
+    host.play(scenario);
     let world = &mut host.world;
     world.referee.finish(host.now);
     let workers = (0..world.workers()).map(|w| world.worker(w));
@@ -282,21 +282,21 @@
     }
 
     fn delay(&mut self, mean_ms: f64) -> Nanos {
-        ms(mean_ms * self.delays.log_normal(self.world.day.network.jitter)).max(1)
+        ms(mean_ms * self.delays.log_normal(self.world.scenario.network.jitter)).max(1)
     }
     /// One way between a scheduler and a worker.
     fn way(&mut self, s: usize, w: usize) -> Nanos {
-        let network = &self.world.day.network;
+        let network = &self.world.scenario.network;
         let near = self.world.zone(s) == self.world.zone(w);
         self.delay(if near { network.one_way_ms } else { network.cross_ms })
     }
     /// One way to discovery, which is near to all.
     fn way_to_list(&mut self) -> Nanos {
-        self.delay(self.world.day.network.one_way_ms)
+        self.delay(self.world.scenario.network.one_way_ms)
     }
 
-    fn play(&mut self, day: &Day) {
-        let end = crate::world::secs(day.seconds) + TAIL;
+    fn play(&mut self, scenario: &Scenario) {
+        let end = crate::world::secs(scenario.seconds) + TAIL;
         loop {
             let mine = self.queue.peek().map(|Reverse((at, _, _))| *at);
             let theirs = self.world.next();
@@ -324,13 +324,14 @@
     // ---- schedulers
 
     fn fresh(&mut self, s: usize) -> Node {
-        let (settings, names) = settings::settings(&self.world.day, s, self.arrivals.tenant_rates());
-        let part = 1.0 / self.world.day.schedulers.count as f64;
-        let quota = self.world.day.quota.clone().and_then(|spec| Quota::new(spec.part(part), self.now).ok());
+        let (settings, names) = settings::settings(&self.world.scenario, s, self.arrivals.tenant_rates());
+        let part = 1.0 / self.world.scenario.schedulers.count as f64;
+        let quota =
+            self.world.scenario.quota.clone().and_then(|spec| Quota::new(spec.part(part), self.now).ok());
         Node {
             decider: (self.make)(settings, self.restarts.bits()),
             quota,
-            mean: self.world.day.classes.iter().map(|c| c.aim_ms / 1e3).collect(),
+            mean: self.world.scenario.classes.iter().map(|c| c.aim_ms / 1e3).collect(),
             names,
             up: true,
             seen_until: Nanos::MAX,
@@ -358,7 +359,7 @@
         }
         self.nodes[s].inbox.push(event);
         if self.ticking.is_none() {
-            let tick = ms(self.world.day.tick_ms).max(1);
+            let tick = ms(self.world.scenario.tick_ms).max(1);
             let at = (self.now / tick + 1) * tick;
             self.ticking = Some(at);
             self.push(at, Due::Tick);
@@ -426,7 +427,7 @@
             }
             Action::Refuse { id, retry_after } => {
                 self.mark(33, &[me, id.0, retry_after]);
-                let retry_after = retry_after.min(ms(self.world.day.terms.max_retry_after_ms));
+                let retry_after = retry_after.min(ms(self.world.scenario.terms.max_retry_after_ms));
                 self.answer(s, id.0, Answered::Refused, Try::Refused(retry_after));
             }
             Action::Fail(id) => {
@@ -446,7 +447,7 @@
                 let w = worker.0 as usize - 1;
                 let back = self.way(s, w) + self.way(s, w);
                 let up = !self.world.silent(worker.0 as usize - 1);
-                let after = if up { back } else { ms(self.world.day.network.dial_ms) };
+                let after = if up { back } else { ms(self.world.scenario.network.dial_ms) };
                 self.push(self.now + after, Due::Probed(s, run, worker.0 as usize - 1, up));
             }
             Action::CloseIdleConnections(worker) => {
@@ -477,8 +478,8 @@
     }
 
     fn tell(&mut self, s: usize, peer: usize, bytes: &[u8]) {
-        let lost = self.delays.chance(self.world.day.network.peer_loss);
-        let after = ms(self.delays.within(self.world.day.network.peer_ms));
+        let lost = self.delays.chance(self.world.scenario.network.peer_loss);
+        let after = ms(self.delays.within(self.world.scenario.network.peer_ms));
         if lost || !self.world.peers_reachable(s, peer) {
             return;
         }
@@ -490,7 +491,7 @@
     /// One send of a decider.
     fn forward(&mut self, s: usize, id: u64, w: usize, timeout: Nanos) {
         let (now, run) = (self.now, self.nodes[s].run);
-        let most = self.world.day.terms.max_attempts as usize;
+        let most = self.world.scenario.terms.max_attempts as usize;
         let Some(flow) = self.nodes[s].flows.get_mut(&id) else { return };
         let n = flow.forwards.len() as u32;
         let barred = flow.answered || flow.forwards.len() >= most;
@@ -507,7 +508,7 @@
             return self.end(s, id, n, Outcome::NotSent, None);
         }
         self.push(until, Due::Timeout(s, run, id, n));
-        let keep = crate::world::secs(self.world.day.network.idle_s) * 3 / 4;
+        let keep = crate::world::secs(self.world.scenario.network.idle_s) * 3 / 4;
         let idle = self.nodes[s].pool.get_mut(&w).and_then(|p| {
             let last = p.pop();
             last.filter(|since| *since + keep > now).map(|_| true).or(last.map(|_| false))
@@ -533,7 +534,7 @@
             }
             Dial::Refused => self.push(now + way, Due::End(s, run, id, n, code(Outcome::NoConnection))),
             Dial::Nothing => {
-                let dial = ms(self.world.day.network.dial_ms);
+                let dial = ms(self.world.scenario.network.dial_ms);
                 self.push(now + dial, Due::End(s, run, id, n, code(Outcome::NoConnection)));
             }
         }
@@ -634,7 +635,7 @@
         let Some(flow) = self.nodes[s].flows.get_mut(&id).filter(|f| !f.answered) else { return };
         flow.answered = true;
         self.world.referee.answered(self.now, id, answered);
-        let way = self.delay(self.world.day.network.client_ms);
+        let way = self.delay(self.world.scenario.network.client_ms);
         let code = match said {
             Try::Served => 0,
             Try::Failed => 1,
@@ -758,7 +759,7 @@
     }
 
     fn ends_by(&self, asked: Nanos) -> Nanos {
-        let longest = self.world.day.classes.iter().map(|c| c.deadline_ms).fold(0.0, f64::max);
+        let longest = self.world.scenario.classes.iter().map(|c| c.deadline_ms).fold(0.0, f64::max);
         asked + TERM_KILL + ms(longest).min(TERM_LONGEST)
     }
 
@@ -793,7 +794,7 @@
             return;
         }
         let now = self.now;
-        let notice = ms(self.front.within(self.world.day.schedulers.notice_ms));
+        let notice = ms(self.front.within(self.world.scenario.schedulers.notice_ms));
         let node = &mut self.nodes[s];
         node.up = false;
         node.run += 1;
@@ -807,10 +808,10 @@
         self.world.referee.scheduler_ended(now, s, end);
         self.world.forget_scheduler(now, s);
         for id in flows {
-            let way = self.delay(self.world.day.network.client_ms);
+            let way = self.delay(self.world.scenario.network.client_ms);
             self.push(now + way, Due::Answer(id, 2));
         }
-        let restart = ms(self.world.day.schedulers.restart_ms);
+        let restart = ms(self.world.scenario.schedulers.restart_ms);
         self.push(now + restart, Due::Start(s));
     }
 
@@ -829,8 +830,8 @@
             self.clients.insert(number, Client { request, tries: 0, at: None, leaves, answered: false });
             self.try_now(number);
         }
-        let day = &self.world.day;
-        match self.arrivals.next(day) {
+        let scenario = &self.world.scenario;
+        match self.arrivals.next(scenario) {
             Some(request) => {
                 let at = request.at;
                 self.upcoming = Some(request);
@@ -844,7 +845,7 @@
         let now = self.now;
         // The front offers what it has not noticed to be dead.
         let seen: Vec<usize> = (0..self.nodes.len()).filter(|s| now < self.nodes[*s].seen_until).collect();
-        let way = self.delay(self.world.day.network.client_ms);
+        let way = self.delay(self.world.scenario.network.client_ms);
         let chosen = seen.get(self.front.below(seen.len())).copied();
         let Some(client) = self.clients.get_mut(&number) else { return };
         client.tries += 1;
@@ -866,12 +867,12 @@
     fn reach(&mut self, id: u64, s: usize, run: u32) {
         let now = self.now;
         if !self.nodes[s].up || self.nodes[s].run != run {
-            let way = self.delay(self.world.day.network.client_ms);
+            let way = self.delay(self.world.scenario.network.client_ms);
             return self.push(now + way, Due::Answer(id, 2));
         }
         let Some(client) = self.clients.get(&(id >> 4)) else { return };
         let r = &client.request;
-        let class_end = r.at + ms(self.world.day.classes[r.class].deadline_ms);
+        let class_end = r.at + ms(self.world.scenario.classes[r.class].deadline_ms);
         let by = self.nodes[s].ending.map_or(class_end, |at| class_end.min(self.ends_by(at) - 200_000_000));
         // A process that ends answers sooner, which says nothing of its client.
         let (remaining, within) = (class_end.saturating_sub(now), by.saturating_sub(now));
@@ -881,7 +882,7 @@
         let (mut holding, mut in_share) = (None, None);
         let mean = self.nodes[s].mean[class];
         if let Some(quota) = &mut self.nodes[s].quota {
-            let tenant = tenant.map_or("", |t| self.world.day.tenants[t].name.as_str());
+            let tenant = tenant.map_or("", |t| self.world.scenario.tenants[t].name.as_str());
             let size = f64::from(slots.max(1));
             let ask = Ask { slots: size, work: mean * size, retry: false, spread: id };
             match quota.admit(now, tenant, &ask) {
@@ -891,8 +892,8 @@
                 Verdict::Unknown => in_share = Some(false),
                 Verdict::Refused(refusal) => {
                     self.world.referee.answered(now, id, Answered::Refused);
-                    let after = refusal.after.min(ms(self.world.day.terms.max_retry_after_ms));
-                    let way = self.delay(self.world.day.network.client_ms);
+                    let after = refusal.after.min(ms(self.world.scenario.terms.max_retry_after_ms));
+                    let way = self.delay(self.world.scenario.network.client_ms);
                     return self.push(now + way, Due::Answer(id, 3 + after as usize));
                 }
             }
@@ -940,7 +941,7 @@
         };
         client.answered = true;
         let (class, tries, leaves) = (client.request.class, client.tries, client.leaves);
-        let again = clients::again(&self.world.day, &mut self.habits, class, tries, said);
+        let again = clients::again(&self.world.scenario, &mut self.habits, class, tries, said);
         match again.filter(|wait| now + wait < leaves) {
             Some(wait) => self.push(now + wait, Due::Try(number)),
             None => {
@@ -957,7 +958,7 @@
 
     fn finish(&mut self, number: u64, end: Final) {
         if let Some(client) = self.clients.remove(&number) {
-            self.collector.ended(&self.world.day, &client.request, self.now, client.tries, end);
+            self.collector.ended(&self.world.scenario, &client.request, self.now, client.tries, end);
         }
     }
 
@@ -966,8 +967,9 @@
         let (number, now) = (id >> 4, self.now);
         let Some(client) = self.clients.get(&number) else { return };
         let (id, answered, at) = (number << 4 | u64::from(client.tries), client.answered, client.at);
-        let early = client.request.patience < ms(self.world.day.classes[client.request.class].deadline_ms);
-        let grace = ms(self.world.day.terms.answer_grace_ms);
+        let early =
+            client.request.patience < ms(self.world.scenario.classes[client.request.class].deadline_ms);
+        let grace = ms(self.world.scenario.terms.answer_grace_ms);
         if !early && now < client.leaves + grace && !answered {
             // An answer may be a little late on its way: it is waited for, and the referee says whether it was.
             return self.push(client.leaves + grace, Due::Leave(id));
--- a/crates/simulation/src/world.rs
+++ b/crates/simulation/src/world.rs
@@ -5,8 +5,8 @@
 //! list, a signal for a scheduler. It keeps no socket and reads no clock, and the referee hangs on it, so that both
 //! hosts are judged by the same facts.
 
-use crate::day::{Day, Queue, TroubleKind};
 use crate::referee::{Ended, Referee};
+use crate::scenario::{Queue, Scenario, TroubleKind};
 use crate::seed::{Stream, Streams};
 use crate::worker::{Job, Said, Spec, Worker};
 use loomlb_policy::{Nanos, QueueOrder};
@@ -308,11 +308,11 @@
     Weights,
 }
 
-/// The world of a day.
+/// The world of a scenario.
 #[derive(Debug)]
 pub struct World {
-    /// The day.
-    pub day: Day,
+    /// The scenario.
+    pub scenario: Scenario,
     /// The referee.
     pub referee: Referee,
     /// What the troubles did.
@@ -351,23 +351,23 @@
 }
 
 impl World {
-    /// The world at the start of a day: all workers are warm and listed. `slack` is what the host adds to every
+    /// The world at the start of a scenario: all workers are warm and listed. `slack` is what the host adds to every
     /// limit of the referee, in nanoseconds.
-    pub fn new(day: Day, seed: u64, slack: Nanos) -> World {
+    pub fn new(scenario: Scenario, seed: u64, slack: Nanos) -> World {
         let streams = Streams::new(seed);
         let (mut kinds, mut build) = (streams.named("kinds"), streams.named("workers"));
-        let shares: Vec<f64> = day.fleet.kinds.iter().map(|k| k.share).collect();
-        let stations: Vec<Station> = (0..day.fleet.workers)
+        let shares: Vec<f64> = scenario.fleet.kinds.iter().map(|k| k.share).collect();
+        let stations: Vec<Station> = (0..scenario.fleet.workers)
             .map(|i| {
                 let kind = kinds.pick(&shares);
-                let k = &day.fleet.kinds[kind];
+                let k = &scenario.fleet.kinds[kind];
                 let slots = (k.cores * build.within(k.slots_per_core)).round().max(1.0);
                 let spec = Spec {
                     cores: k.cores,
                     slots: slots as u32,
                     queue: (k.cores * build.within(k.queue_per_core)).round() as usize,
                     speed: build.within(k.speed),
-                    order: match day.fleet.queue {
+                    order: match scenario.fleet.queue {
                         Queue::Fifo => QueueOrder::Fifo,
                         Queue::Backfill => QueueOrder::Backfill,
                         Queue::Priority => QueueOrder::Priority,
@@ -376,16 +376,16 @@
                     thrash_at: k.thrash_at,
                     cold_from: k.cold_from,
                     cold: secs(k.cold_s),
-                    progress: ms(day.terms.progress_ms),
+                    progress: ms(scenario.terms.progress_ms),
                     cancel_stops_running: k.cancel_stops_running,
                     connections: (k.cores * k.connections_per_core) as usize,
-                    fall_multiple: day.terms.fall_multiple,
-                    fall: ms(day.terms.fall_ms),
+                    fall_multiple: scenario.terms.fall_multiple,
+                    fall: ms(scenario.terms.fall_ms),
                 };
                 Station {
                     worker: Worker::new(spec, 0, 0),
                     kind,
-                    cell: i / day.fleet.cell_size,
+                    cell: i / scenario.fleet.cell_size,
                     health: Health::Active,
                     born: 0,
                     silent: false,
@@ -409,11 +409,11 @@
                 born: 0,
             })
             .collect();
-        let schedulers = day.schedulers.count;
+        let schedulers = scenario.schedulers.count;
         let known: BTreeMap<usize, (Entry, Nanos)> =
             listed.iter().map(|e| (e.worker, (e.clone(), 0))).collect();
         let mut world = World {
-            referee: Referee::new(&day, slack),
+            referee: Referee::new(&scenario, slack),
             counters: Counters::default(),
             stations,
             jobs: FxHashMap::default(),
@@ -424,13 +424,13 @@
             said: Vec::new(),
             cells: vec![
                 FxHashMap::default();
-                day.fleet.workers.div_ceil(day.fleet.cell_size).max(day.fleet.zones)
+                scenario.fleet.workers.div_ceil(scenario.fleet.cell_size).max(scenario.fleet.zones)
             ],
             rng: streams.named("errors"),
             news_rng: streams.named("news"),
             report_rng: streams.named("reports"),
             stuck_rng: streams.named("stuck"),
-            chosen: vec![Vec::new(); day.troubles.len()],
+            chosen: vec![Vec::new(); scenario.troubles.len()],
             listed,
             told: vec![known; schedulers],
             waiting_news: vec![Vec::new(); schedulers],
@@ -444,25 +444,25 @@
             cut_zones: FxHashSet::default(),
             cut_peers: FxHashSet::default(),
             streams,
-            day,
+            scenario,
         };
         world.schedule();
         world
     }
 
     fn schedule(&mut self) {
-        let period = self.day.reports.period_ms;
-        if self.day.reports.on {
+        let period = self.scenario.reports.period_ms;
+        if self.scenario.reports.on {
             for w in 0..self.stations.len() {
                 let first = ms(period * self.report_rng.unit());
                 self.push(first, Due::Measure(w));
             }
         }
-        for i in 0..self.day.troubles.len() {
-            self.push(secs(self.day.troubles[i].at_s), Due::Begin(i));
+        for i in 0..self.scenario.troubles.len() {
+            self.push(secs(self.scenario.troubles[i].at_s), Due::Begin(i));
         }
-        if self.day.discovery.weights_ms > 0.0 {
-            self.push(ms(self.day.discovery.weights_ms), Due::Weights);
+        if self.scenario.discovery.weights_ms > 0.0 {
+            self.push(ms(self.scenario.discovery.weights_ms), Due::Weights);
         }
     }
 
@@ -471,7 +471,7 @@
         self.queue.push(Reverse((at, self.pushed, due)));
     }
 
-    /// The streams of the day.
+    /// The streams of the scenario.
     pub fn streams(&self) -> Streams {
         self.streams
     }
@@ -488,7 +488,7 @@
     pub fn worker(&self, worker: usize) -> &Worker {
         &self.stations[worker].worker
     }
-    /// The kind of a worker, by its place in the day.
+    /// The kind of a worker, by its place in the scenario.
     pub fn kind(&self, worker: usize) -> usize {
         self.stations[worker].kind
     }
@@ -507,7 +507,7 @@
     /// A scheduler's call for the list has reached discovery, which handles one after the other: when it is done, or when
     /// it fails because its turn would come too late.
     pub fn list_call(&mut self, at: Nanos) -> Result<Nanos, Nanos> {
-        let (call, wait) = (ms(self.day.discovery.call_ms), ms(self.day.discovery.wait_ms));
+        let (call, wait) = (ms(self.scenario.discovery.call_ms), ms(self.scenario.discovery.wait_ms));
         let begins = at.max(self.list_busy);
         if begins - at > wait {
             self.counters.list_calls_failed += 1;
@@ -536,12 +536,16 @@
     }
     /// The zone of a worker or a scheduler by its number.
     pub fn zone(&self, machine: usize) -> usize {
-        machine % self.day.fleet.zones.max(1)
+        machine % self.scenario.fleet.zones.max(1)
     }
     /// The workers that drop repeats of a class's requests beside one: the number of its cell, or of its zone.
     fn group(&self, class: usize, w: usize) -> usize {
-        let by_zone = |c: &crate::day::Class| c.effect == crate::day::Effect::KeyedByZone;
-        if self.day.classes.get(class).is_some_and(by_zone) { self.zone(w) } else { self.stations[w].cell }
+        let by_zone = |c: &crate::scenario::Class| c.effect == crate::scenario::Effect::KeyedByZone;
+        if self.scenario.classes.get(class).is_some_and(by_zone) {
+            self.zone(w)
+        } else {
+            self.stations[w].cell
+        }
     }
     /// Whether words get through between two schedulers.
     pub fn peers_reachable(&mut self, a: usize, b: usize) -> bool {
@@ -672,7 +676,7 @@
         }
         self.counters.connections += 1;
         self.stations[w].connections += 1;
-        self.burden(now, w, self.day.network.handshake_ms);
+        self.burden(now, w, self.scenario.network.handshake_ms);
         Dial::Up
     }
 
@@ -694,7 +698,7 @@
             return None;
         }
         self.counters.probes += 1;
-        self.burden(now, w, self.day.network.probe_ms);
+        self.burden(now, w, self.scenario.network.probe_ms);
         Some(self.load(now, w).unwrap_or_default())
     }
 
@@ -730,7 +734,7 @@
         let station = &mut self.stations[w];
         // A cold worker is judged by the mean work of what it is sent: nobody is told what a job really costs, and a
         // rule that a single job of ten times its mean can break is none that a scheduler could keep.
-        let mean = self.day.classes.get(attempt.class).map_or(attempt.work, |c| c.work_ms * 1e6);
+        let mean = self.scenario.classes.get(attempt.class).map_or(attempt.work, |c| c.work_ms * 1e6);
         let load = mean * f64::from(attempt.slots);
         if let Some(push) = station.worker.received(now, load, informed) {
             self.referee.fell_over(now, w, &push);
@@ -747,11 +751,12 @@
             return Reply::Error;
         }
         let station = &mut self.stations[w];
-        let priority = self.day.classes.get(attempt.class).map_or(0, |c| c.priority);
+        let priority = self.scenario.classes.get(attempt.class).map_or(0, |c| c.priority);
         let slots = attempt.slots.min(station.worker.spec.slots);
         // A repeat that its cell knows again costs little: the first run's result is handed out.
         let mut work = if known_again { 1e6 } else { attempt.work };
-        if let (Some(keeps), Some(subject), false) = (self.day.fleet.keeps, attempt.subject, known_again) {
+        if let (Some(keeps), Some(subject), false) = (self.scenario.fleet.keeps, attempt.subject, known_again)
+        {
             let at = station.kept.iter().position(|s| *s == subject);
             if at.and_then(|at| station.kept.remove(at)).is_none() {
                 work += keeps.fetch * mean;
@@ -780,7 +785,7 @@
     }
 
     fn known_again(&mut self, now: Nanos, attempt: &Attempt, cell: usize) -> bool {
-        let Some(class) = self.day.classes.get(attempt.class) else { return false };
+        let Some(class) = self.scenario.classes.get(attempt.class) else { return false };
         if !class.effect.keyed() {
             return false;
         }
@@ -843,9 +848,9 @@
     // ---- reports
 
     fn measure(&mut self, at: Nanos, w: usize) {
-        let period = ms(self.day.reports.period_ms);
+        let period = ms(self.scenario.reports.period_ms);
         self.bring_up(at, w);
-        let noise = self.day.reports.noise;
+        let noise = self.scenario.reports.noise;
         let wobble = 1.0 + noise * self.report_rng.normal();
         let station = &mut self.stations[w];
         let spec = &station.worker.spec;
@@ -864,16 +869,16 @@
 
     /// The load that a worker reports now with the end of an attempt.
     pub fn report(&mut self, now: Nanos, w: usize) -> Option<Report> {
-        if self.day.reports.by_probe { None } else { self.load(now, w) }
+        if self.scenario.reports.by_probe { None } else { self.load(now, w) }
     }
 
     /// The load that a worker knows of itself now, as late as it tells it.
     fn load(&mut self, now: Nanos, w: usize) -> Option<Report> {
-        if !self.day.reports.on {
+        if !self.scenario.reports.on {
             return None;
         }
         self.counters.late_reports += u64::from(self.late > 0);
-        let until = now.checked_sub(ms(self.day.reports.delay_ms) + self.late)?;
+        let until = now.checked_sub(ms(self.scenario.reports.delay_ms) + self.late)?;
         self.stations[w].reports.iter().rev().find(|(at, _)| *at <= until).map(|(_, r)| *r)
     }
 
@@ -881,7 +886,7 @@
 
     /// A worker's state has changed; the list notices later.
     fn changed(&mut self, at: Nanos, w: usize, after: Option<Nanos>) {
-        let notice = after.unwrap_or_else(|| ms(self.news_rng.within(self.day.discovery.notice_ms)));
+        let notice = after.unwrap_or_else(|| ms(self.news_rng.within(self.scenario.discovery.notice_ms)));
         self.push(at + notice, Due::Notice(w));
     }
 
@@ -894,7 +899,7 @@
         }
         self.listed[w] = entry;
         for s in 0..self.told.len() {
-            let spread = ms(self.day.discovery.spread_ms * self.news_rng.unit());
+            let spread = ms(self.scenario.discovery.spread_ms * self.news_rng.unit());
             self.push(at + spread, Due::Tell(s, w));
         }
     }
@@ -923,7 +928,7 @@
     }
 
     fn weights(&mut self, at: Nanos) {
-        self.push(at + ms(self.day.discovery.weights_ms), Due::Weights);
+        self.push(at + ms(self.scenario.discovery.weights_ms), Due::Weights);
         for (w, entry) in self.listed.iter_mut().enumerate() {
             let worker = &self.stations[w].worker;
             entry.weight = worker.spec.cores / (1.0 + worker.held() as f64 / worker.spec.cores);
@@ -945,9 +950,9 @@
     // ---- troubles
 
     fn begin(&mut self, at: Nanos, i: usize) {
-        let t = self.day.troubles[i].clone();
+        let t = self.scenario.troubles[i].clone();
         let mut rng = self.streams.numbered(t.kind.name(), i as u64);
-        let (workers, schedulers) = (self.stations.len(), self.day.schedulers.count);
+        let (workers, schedulers) = (self.stations.len(), self.scenario.schedulers.count);
         let end = at + secs(t.for_s);
         self.chosen[i] = match t.kind {
             TroubleKind::Vanish
@@ -956,7 +961,7 @@
             | TroubleKind::Pauses
             | TroubleKind::Drain
             | TroubleKind::Partition => rng.some(t.part, workers),
-            TroubleKind::ZoneCut => vec![rng.below(self.day.fleet.zones)],
+            TroubleKind::ZoneCut => vec![rng.below(self.scenario.fleet.zones)],
             TroubleKind::RollingRestart => (0..workers).collect(),
             TroubleKind::SchedulerKill | TroubleKind::SchedulerTerm => rng.some(t.part, schedulers),
             _ => Vec::new(),
@@ -1040,7 +1045,7 @@
     }
 
     fn stroke(&mut self, at: Nanos, i: usize) {
-        let t = self.day.troubles[i].clone();
+        let t = self.scenario.troubles[i].clone();
         match t.kind {
             TroubleKind::Pauses => {
                 let until = at + ms(t.size.unwrap_or(90.0));
@@ -1067,7 +1072,7 @@
     }
 
     fn end(&mut self, at: Nanos, i: usize) {
-        let t = self.day.troubles[i].clone();
+        let t = self.scenario.troubles[i].clone();
         match t.kind {
             TroubleKind::FastErrors => {
                 for w in self.chosen[i].clone() {
--- a/crates/simulation/tests/pins.rs
+++ b/crates/simulation/tests/pins.rs
@@ -1,29 +1,29 @@
-//! Pins of the day files: every key with its default, every name that a key may have, and what is said of a faulty one.
+//! Pins of the scenario files: every key with its default, every name that a key may have, and what is said of a faulty one.
 //! `tests/golden/mod.rs` at the root says how to record them anew.
 
 #[path = "../../../tests/golden/mod.rs"]
 mod golden;
 
-use loomlb_simulation::Day;
+use loomlb_simulation::Scenario;
 use std::fmt::Write;
 
-/// The least that a day has.
+/// The least that a scenario has.
 const LEAST: &str = "name = \"least\"\nseconds = 10\n[fleet]\nworkers = 3\n[load]\npart = 0.5\n";
 
 #[test]
 fn keys_and_their_defaults_stay() {
-    let day = Day::read(LEAST).unwrap();
-    let mut text = serde_json::to_string_pretty(&day).unwrap() + "\n";
+    let scenario = Scenario::read(LEAST).unwrap();
+    let mut text = serde_json::to_string_pretty(&scenario).unwrap() + "\n";
     // What is not there by default, with the defaults of its own keys.
     let more = "[fleet.keeps]\nper_slot = 2\nfetch = 0.5\n[[trouble]]\nkind = \"vanish\"\nat_s = 1\nfor_s = 1\n\
         [[class]]\nname = \"c\"\nwork_ms = 100\naim_ms = 500\ndeadline_ms = 1000\neffect = \"safe\"\n\
         [[tenant]]\nname = \"t\"\nshare = 1.0\n";
-    let day = Day::read(&format!("{LEAST}{more}")).unwrap();
+    let scenario = Scenario::read(&format!("{LEAST}{more}")).unwrap();
     for part in [
-        serde_json::to_string_pretty(&day.fleet.keeps),
-        serde_json::to_string_pretty(&day.troubles),
-        serde_json::to_string_pretty(&day.classes),
-        serde_json::to_string_pretty(&day.tenants),
+        serde_json::to_string_pretty(&scenario.fleet.keeps),
+        serde_json::to_string_pretty(&scenario.troubles),
+        serde_json::to_string_pretty(&scenario.classes),
+        serde_json::to_string_pretty(&scenario.tenants),
     ] {
         text += &(part.unwrap() + "\n");
     }
@@ -35,7 +35,7 @@
 fn keys_and_names_stay() {
     let trouble = |kind: &str| format!("{LEAST}[[trouble]]\nkind = \"{kind}\"\nat_s = 1\nfor_s = 1\n");
     let class = "[[class]]\nname = \"c\"\nwork_ms = 100\naim_ms = 500\ndeadline_ms = 1000\n";
-    let mut days = vec![
+    let mut scenarios = vec![
         format!("novel = 1\n{LEAST}"),
         LEAST.replace("workers = 3", "workers = 3\nnovel = 1"),
         LEAST.replace("workers = 3", "workers = 3\nqueue = \"novel\""),
@@ -53,18 +53,18 @@
         String::new(),
     ];
     for (part, key) in [("discovery", "mode"), ("clients", "backoff"), ("schedulers", "talk")] {
-        days.push(format!("{LEAST}[{part}]\n{key} = \"novel\"\n"));
+        scenarios.push(format!("{LEAST}[{part}]\n{key} = \"novel\"\n"));
     }
     for key in ["shape", "hints", "skew", "swing", "subjects"] {
-        days.push(format!("{LEAST}{key} = \"novel\"\n"));
+        scenarios.push(format!("{LEAST}{key} = \"novel\"\n"));
     }
     for part in ["schedulers", "clients", "network", "reports", "discovery", "terms"] {
-        days.push(format!("{LEAST}[{part}]\nnovel = 1\n"));
+        scenarios.push(format!("{LEAST}[{part}]\nnovel = 1\n"));
     }
     let mut text = String::new();
-    for day in days {
-        let said = Day::read(&day).map_or_else(|fault| fault.to_string(), |_| "taken".into());
-        writeln!(text, "{}: {said}", golden::visible(day.as_bytes()).replace('\n', "")).unwrap();
+    for scenario in scenarios {
+        let said = Scenario::read(&scenario).map_or_else(|fault| fault.to_string(), |_| "taken".into());
+        writeln!(text, "{}: {said}", golden::visible(scenario.as_bytes()).replace('\n', "")).unwrap();
     }
     golden::check("faults.txt", text.as_bytes());
 }
--- a/crates/simulation/tests/referee.rs
+++ b/crates/simulation/tests/referee.rs
@@ -6,7 +6,7 @@
 };
 use loomlb_simulation::referee::{Answered, End, Ended as HowEnded, Referee, Rule};
 use loomlb_simulation::simulate::{self, Decider};
-use loomlb_simulation::{Day, TroubleKind};
+use loomlb_simulation::{Scenario, TroubleKind};
 use std::collections::BTreeMap;
 
 /// The one fault of a scheduler; without it the same scheduler breaks no rule.
@@ -117,12 +117,12 @@
     }
 }
 
-fn day(troubles: &str) -> Day {
+fn scenario(troubles: &str) -> Scenario {
     let text = format!(
         "name = \"faults\"\nseconds = 12\n[fleet]\nworkers = 12\ncell_size = 4\n[schedulers]\ncount = 2\nrestart_ms = 300\n\
          [load]\npart = 0.4\n[discovery]\nnotice_ms = [100, 300]\n[terms]\nsecond_copies = false\n{troubles}"
     );
-    Day::read(&text).unwrap()
+    Scenario::read(&text).unwrap()
 }
 
 const TROUBLES: &str = "[[trouble]]\nkind = \"fast_errors\"\nat_s = 1\nfor_s = 6\npart = 0.4\n\
@@ -133,7 +133,7 @@
     let make = move |set: Settings, _: u64| -> Box<dyn Decider> {
         Box::new(Plain { fault, set, workers: BTreeMap::new(), jobs: BTreeMap::new(), turn: 0, now: 0 })
     };
-    let played = simulate::run_with(&day(troubles), 5, 0, &make);
+    let played = simulate::run_with(&scenario(troubles), 5, 0, &make);
     let mut rules: Vec<Rule> = played.first.iter().map(|b| b.rule).collect();
     rules.sort();
     rules.dedup();
@@ -161,10 +161,10 @@
 /// What the virtual host itself never does, and a host on sockets may see: told to the referee directly.
 #[test]
 fn second_answers_late_repeats_and_made_up_results_are_caught() {
-    let day = day("");
+    let scenario = scenario("");
     let ms = 1_000_000;
     let seen = |tell: &dyn Fn(&mut Referee)| {
-        let mut referee = Referee::new(&day, 0);
+        let mut referee = Referee::new(&scenario, 0);
         referee.taken(0, 1, 0, 1, 5_000 * ms);
         tell(&mut referee);
         referee.breaches.iter().map(|b| b.rule).collect::<Vec<_>>()
@@ -212,11 +212,11 @@
 /// than a quarter may be sent on.
 #[test]
 fn attempts_for_clients_that_have_gone_are_caught() {
-    let day = day("");
+    let scenario = scenario("");
     let ms = 1_000_000;
     // Requests whose clients leave at 100 ms, each sent before or not, and then after so long.
     let seen = |slack: Nanos, sent_before: bool, after: &[Nanos], quiet: u64| {
-        let mut referee = Referee::new(&day, slack);
+        let mut referee = Referee::new(&scenario, slack);
         for n in 0..after.len() as u64 + quiet {
             referee.taken(0, 1 + n, 0, 0, 5_000 * ms);
             if sent_before {
@@ -246,7 +246,7 @@
 /// The counters that tell whether a trouble did what its name says start at nothing.
 #[test]
 fn a_calm_day_moves_no_counter_of_any_trouble() {
-    let played = simulate::run(&day(""), 3, 0);
+    let played = simulate::run(&scenario(""), 3, 0);
     for kind in TroubleKind::ALL {
         assert_eq!(played.counters.of(kind), 0, "{}", kind.name());
     }
--- a/crates/simulation/tests/day.rs
+++ b/crates/simulation/tests/scenario.rs
@@ -1,14 +1,14 @@
-//! A day file that asks for the impossible is refused with its line and a reason.
+//! A scenario file that asks for the impossible is refused with its line and a reason.
 
 use loomlb_policy::raw_settings::RawSettings;
-use loomlb_simulation::Day;
+use loomlb_simulation::Scenario;
 use loomlb_simulation::settings;
 
 const GOOD: &str = "name = \"d\"\nseconds = 10\n\n[fleet]\nworkers = 4\n\n[load]\npart = 0.5\n";
 
 #[test]
 fn a_faulty_day_is_named_by_line_key_and_reason() {
-    assert!(Day::read(GOOD).is_ok());
+    assert!(Scenario::read(GOOD).is_ok());
     let cases = [
         ("workers = 4", "workers = 0", "line 5: fleet.workers: a fleet has 1 to 100000 workers"),
         ("workers = 4", "workers = -4", "line 5: invalid value: integer `-4`, expected usize"),
@@ -41,7 +41,7 @@
         ),
     ];
     for (old, new, wanted) in cases {
-        let said = Day::read(&GOOD.replace(old, new)).unwrap_err().to_string();
+        let said = Scenario::read(&GOOD.replace(old, new)).unwrap_err().to_string();
         assert!(said.starts_with(wanted), "{new:?}: {said}");
     }
 }
@@ -49,9 +49,9 @@
 /// The settings are made as words and read by the one parser that the scheduler uses: nothing gets lost between.
 #[test]
 fn the_words_of_a_day_are_the_settings_that_the_module_reads() {
-    let day = Day::read(&format!("{GOOD}[[tenant]]\nname = \"t\"\nshare = 1\n")).unwrap();
-    assert!(serde_json::from_value::<RawSettings>(settings::words(&day, 0, &[9.0])).is_ok());
-    let (set, names) = settings::settings(&day, 0, &[9.0]);
+    let scenario = Scenario::read(&format!("{GOOD}[[tenant]]\nname = \"t\"\nshare = 1\n")).unwrap();
+    assert!(serde_json::from_value::<RawSettings>(settings::words(&scenario, 0, &[9.0])).is_ok());
+    let (set, names) = settings::settings(&scenario, 0, &[9.0]);
     assert_eq!((set.classes.len(), set.tenants.len(), set.kind_count, set.dispatcher_count), (3, 1, 2, 1));
     assert_eq!(names.classes, ["view", "sign", "lodge"]);
     assert_eq!(set.tenants[0].quota_per_s, 9.0);
--- a/tests/emulated.rs
+++ b/tests/emulated.rs
@@ -1,13 +1,13 @@
 //! The real program on the emulated platform, through every kind of trouble.
 
 use loomlb_emulator::{Options, Stop};
-use loomlb_simulation::{Day, TroubleKind};
+use loomlb_simulation::{Scenario, TroubleKind};
 
 /// A quarter of a minute with all eighteen troubles: what was taken is answered once and in time, nothing runs twice
 /// that must not, no drained, cold or gone worker gets what it should not, and no scheduler ends by itself.
 #[test]
 fn a_day_with_every_trouble_breaks_no_rule() {
-    let day = Day::read(include_str!("../crates/lab/days/every.toml")).unwrap();
+    let day = Scenario::read(include_str!("../crates/lab/days/every.toml")).unwrap();
     let options = Options::new(vec![env!("CARGO_BIN_EXE_loomlb").into()]);
     let played = loomlb_emulator::run(&day, 7, options, Stop::default(), &mut |_| {}).unwrap();
     let stories: Vec<String> = played.first.iter().map(ToString::to_string).collect();
@@ -24,7 +24,7 @@
 /// to six times its usual traffic.
 #[test]
 fn quotas_hold_shares_through_a_surge_on_sockets() {
-    let day = Day::read(include_str!("../crates/lab/days/surge.toml")).unwrap();
+    let day = Scenario::read(include_str!("../crates/lab/days/surge.toml")).unwrap();
     let options = Options::new(vec![env!("CARGO_BIN_EXE_loomlb").into()]);
     let played = loomlb_emulator::run(&day, 2, options, Stop::default(), &mut |_| {}).unwrap();
     assert_eq!((played.breaches, played.crashes, played.mangled), (0, 0, 0));
--- a/tests/system_calls.rs
+++ b/tests/system_calls.rs
@@ -5,7 +5,7 @@
 use loomlb_emulator::rig::{self, Rig};
 use loomlb_emulator::{Options, Stop};
 use loomlb_fault_plan::{Call, FaultPlan, Limit, WITHOUT_END};
-use loomlb_simulation::Day;
+use loomlb_simulation::Scenario;
 use stage::{Agent, Comers, Mode, Narrow, Platform, Server, Stage, job, response, until};
 use std::process::{Command, Stdio};
 use std::time::{Duration, Instant};
@@ -399,7 +399,7 @@
     plan.fail_every(Call::Accept, libc::ECONNABORTED, 5).fail_every(Call::Connect, libc::EADDRNOTAVAIL, 3);
     plan.fail_every(Call::Wait, libc::EINTR, 3);
     plan.limit_every(Limit::SocketRead, 100, 2).limit_every(Limit::SocketWrite, 100, 2);
-    let day = Day::read(include_str!("../crates/lab/days/every.toml")).unwrap();
+    let day = Scenario::read(include_str!("../crates/lab/days/every.toml")).unwrap();
     let options = Options::new(plan.wrap(env!("CARGO_BIN_EXE_loomlb")));
     let played = loomlb_emulator::run(&day, 7, options, Stop::default(), &mut |_| {}).unwrap();
     let stories: Vec<String> = played.first.iter().map(ToString::to_string).collect();
