--- a/crates/emulator/src/stage.rs
+++ b/crates/emulator/src/stage.rs
@@ -319,7 +319,7 @@
 fn live(stage: &Stage, second: u64, at: Nanos) -> Live {
     let world = stage.world.borrow();
     let at = at as f64 / 1e9;
-    let on = |t: &&loomlb_simulation::scenario::Trouble| at >= t.at_s && at < t.at_s + t.for_s.max(1.0);
+    let on = |t: &&loomlb_simulation::scenario::Fault| at >= t.at_s && at < t.at_s + t.for_s.max(1.0);
     Live {
         second,
         listen: stage.schedulers.iter().map(|s| s.listen.to_string()).collect(),
@@ -327,7 +327,7 @@
         seen: world.referee.seen,
         breaches: world.referee.count,
         workers_up: (0..world.workers()).filter(|w| !world.silent(*w) && !world.down(*w)).count(),
-        troubles: world.scenario.troubles.iter().filter(on).map(|t| t.kind.name()).collect(),
+        troubles: world.scenario.faults.iter().filter(on).map(|t| t.kind.name()).collect(),
     }
 }
 
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -581,7 +581,7 @@
     let mut day = Scenario::read(DEMO).map_err(|e| e.to_string())?;
     day.seconds = args.seconds;
     // Troubles lie where they do in the day of 20 s.
-    for t in &mut day.troubles {
+    for t in &mut day.faults {
         (t.at_s, t.for_s) = (t.at_s / 20.0 * args.seconds, t.for_s / 20.0 * args.seconds);
     }
     day.check().map_err(|(key, reason)| format!("--seconds {}: {key}: {reason}", args.seconds))?;
--- a/crates/lab/src/tables.rs
+++ b/crates/lab/src/tables.rs
@@ -40,7 +40,7 @@
         row("service", format!("{:.3}", p.figures.service)),
         row("service, worst 10 s", format!("{:.3}", p.figures.worst_window)),
     ];
-    for t in &day.troubles {
+    for t in &day.faults {
         rows.push(row(&format!("trouble {}", t.kind.name()), p.counters.of(t.kind).to_string()));
     }
     rows.push(row("call-backs before their 202", p.overtaken.to_string()));
@@ -101,7 +101,7 @@
             .map(|(t, x)| row(&format!("service, tenant {}", t.name), format!("{x:.3}"))),
     );
     rows.push(row("work wasted", format!("{:.1} %", p.wasted * 100.0)));
-    for t in &day.troubles {
+    for t in &day.faults {
         rows.push(row(&format!("trouble {}", t.kind.name()), p.counters.of(t.kind).to_string()));
     }
     rows.push(row("breaches", p.breaches.to_string()));
--- a/crates/lab/tests/days.rs
+++ b/crates/lab/tests/days.rs
@@ -3,7 +3,7 @@
 use loomlb_lab::baselines::{Baseline, Idea};
 use loomlb_lab::days::SHIPPED;
 use loomlb_simulation::simulate::{self, Decider, Played};
-use loomlb_simulation::{Scenario, TroubleKind};
+use loomlb_simulation::{FaultKind, Scenario};
 use std::process::Command;
 
 fn day(name: &str) -> Scenario {
@@ -25,20 +25,20 @@
         assert_eq!(&day.name, name);
         if *name == "large" {
             // A debug build plays a tenth of it, in size and in time.
-            (day.fleet.workers, day.seconds, day.troubles[0].at_s) = (100, 6.0, 2.0);
+            (day.fleet.workers, day.seconds, day.faults[0].at_s) = (100, 6.0, 2.0);
         }
         let played = simulate::run(&day, 11, 2);
         let stories: Vec<String> = played.first.iter().map(ToString::to_string).collect();
         assert_eq!(played.breaches, 0, "{name}: {}", stories.join("\n"));
         assert_eq!(played.seen.taken, played.seen.answered + played.seen.void, "{name}");
-        for t in &day.troubles {
+        for t in &day.faults {
             assert!(played.counters.of(t.kind) > 0, "{name}: {} did nothing", t.kind.name());
             kinds.push(t.kind);
         }
         // A day that offers more than there is serves less; its shares are what is looked at, below.
         assert!(played.figures.service > 0.4 || *name == "surge", "{name}: {:?}", played.figures);
     }
-    assert!(TroubleKind::ALL.iter().all(|k| kinds.contains(k)));
+    assert!(FaultKind::ALL.iter().all(|k| kinds.contains(k)));
 }
 
 /// Where a hundred schedulers each see few requests, those that look first at workers of their own know what is held there.
--- a/crates/simulation/src/clients.rs
+++ b/crates/simulation/src/clients.rs
@@ -1,6 +1,6 @@
 //! Clients: when requests arrive and what they are, and what a client does with an answer.
 
-use crate::scenario::{Backoff, Effect, Scenario, Shape, TroubleKind};
+use crate::scenario::{Backoff, Effect, FaultKind, Scenario, Shape};
 use crate::seed::{Stream, Streams};
 use loomlb_policy::Nanos;
 
@@ -116,8 +116,8 @@
         let mut weights: Vec<f64> = scenario.tenants.iter().map(|t| t.share * t.usage).collect();
         let usual: f64 = weights.iter().sum();
         let (mut all, mut on) = (wave, false);
-        for t in &scenario.troubles {
-            if t.kind != TroubleKind::Burst || at < t.at_s || at >= t.at_s + t.for_s {
+        for t in &scenario.faults {
+            if t.kind != FaultKind::Burst || at < t.at_s || at >= t.at_s + t.for_s {
                 continue;
             }
             on = true;
@@ -172,16 +172,16 @@
         let (heavy, slow, hasty) = (self.habits.unit(), self.habits.unit(), self.habits.unit());
         let early = self.habits.unit();
         let mut read = 0;
-        for (i, t) in scenario.troubles.iter().enumerate() {
+        for (i, t) in scenario.faults.iter().enumerate() {
             if self.at < t.at_s || self.at >= t.at_s + t.for_s {
                 continue;
             }
             match t.kind {
-                TroubleKind::HeavyTail if class == i % scenario.classes.len() && heavy < t.part => {
+                FaultKind::HeavyTail if class == i % scenario.classes.len() && heavy < t.part => {
                     work *= t.size.unwrap_or(15.0);
                     self.heavy += 1;
                 }
-                TroubleKind::SlowReader if slow < t.part => {
+                FaultKind::SlowReader if slow < t.part => {
                     read = (t.size.unwrap_or(0.2) * 1e9) as Nanos;
                     self.slow += 1;
                 }
--- a/crates/simulation/src/lib.rs
+++ b/crates/simulation/src/lib.rs
@@ -1,4 +1,4 @@
-//! The platform as a model: workers, discovery, network, clients and troubles, without input or output.
+//! The platform as a model: workers, discovery, network, clients and faults, without input or output.
 //!
 //! A [`scenario::Scenario`] says what is played, a [`world::World`] plays the workers' side of it, [`clients`] make the
 //! requests, and the [`referee::Referee`] watches what must never go wrong. Two hosts drive them: [`simulate`] in
@@ -18,5 +18,5 @@
 
 pub use figures::Figures;
 pub use referee::{Breach, Referee, Rule};
-pub use scenario::{ConfigError, Scenario, TroubleKind};
+pub use scenario::{ConfigError, FaultKind, Scenario};
 pub use world::World;
--- a/crates/simulation/src/scenario.rs
+++ b/crates/simulation/src/scenario.rs
@@ -57,7 +57,7 @@
     pub quota: Option<Spec>,
     /// What goes wrong.
     #[serde(default, rename = "trouble")]
-    pub troubles: Vec<Trouble>,
+    pub faults: Vec<Fault>,
 }
 
 fn two() -> f64 {
@@ -553,9 +553,10 @@
 /// Something that goes wrong.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
-pub struct Trouble {
+#[serde(expecting = "struct Trouble")]
+pub struct Fault {
     /// What it is.
-    pub kind: TroubleKind,
+    pub kind: FaultKind,
     /// When it begins, in seconds.
     pub at_s: f64,
     /// How long it lasts, in seconds; for a kill, a restart or a move it says nothing.
@@ -582,10 +583,11 @@
     3.0
 }
 
-/// Kinds of trouble.
+/// Kinds of fault.
 #[derive(Clone, Copy, Debug, Deserialize, Serialize, PartialEq, Eq, Hash, PartialOrd, Ord)]
 #[serde(rename_all = "snake_case")]
-pub enum TroubleKind {
+#[serde(expecting = "enum TroubleKind")]
+pub enum FaultKind {
     /// Workers go silent without a reset, and come back cold.
     Vanish,
     /// Workers' processes die, each with the last byte of a request that it receives: its connections are reset before
@@ -625,50 +627,50 @@
     StuckConnection,
 }
 
-impl TroubleKind {
+impl FaultKind {
     /// All of them.
-    pub const ALL: [TroubleKind; 18] = [
-        TroubleKind::Vanish,
-        TroubleKind::Crash,
-        TroubleKind::FastErrors,
-        TroubleKind::Pauses,
-        TroubleKind::ReportLate,
-        TroubleKind::Burst,
-        TroubleKind::HeavyTail,
-        TroubleKind::Drain,
-        TroubleKind::RollingRestart,
-        TroubleKind::SchedulerKill,
-        TroubleKind::SchedulerTerm,
-        TroubleKind::DiscoveryDown,
-        TroubleKind::DiscoveryMoved,
-        TroubleKind::Partition,
-        TroubleKind::ZoneCut,
-        TroubleKind::PeersCut,
-        TroubleKind::SlowReader,
-        TroubleKind::StuckConnection,
+    pub const ALL: [FaultKind; 18] = [
+        FaultKind::Vanish,
+        FaultKind::Crash,
+        FaultKind::FastErrors,
+        FaultKind::Pauses,
+        FaultKind::ReportLate,
+        FaultKind::Burst,
+        FaultKind::HeavyTail,
+        FaultKind::Drain,
+        FaultKind::RollingRestart,
+        FaultKind::SchedulerKill,
+        FaultKind::SchedulerTerm,
+        FaultKind::DiscoveryDown,
+        FaultKind::DiscoveryMoved,
+        FaultKind::Partition,
+        FaultKind::ZoneCut,
+        FaultKind::PeersCut,
+        FaultKind::SlowReader,
+        FaultKind::StuckConnection,
     ];
 
     /// Its name, as a scenario file has it.
     pub fn name(self) -> &'static str {
         match self {
-            TroubleKind::Vanish => "vanish",
-            TroubleKind::Crash => "crash",
-            TroubleKind::FastErrors => "fast_errors",
-            TroubleKind::Pauses => "pauses",
-            TroubleKind::ReportLate => "report_late",
-            TroubleKind::Burst => "burst",
-            TroubleKind::HeavyTail => "heavy_tail",
-            TroubleKind::Drain => "drain",
-            TroubleKind::RollingRestart => "rolling_restart",
-            TroubleKind::SchedulerKill => "scheduler_kill",
-            TroubleKind::SchedulerTerm => "scheduler_term",
-            TroubleKind::DiscoveryDown => "discovery_down",
-            TroubleKind::DiscoveryMoved => "discovery_moved",
-            TroubleKind::Partition => "partition",
-            TroubleKind::ZoneCut => "zone_cut",
-            TroubleKind::PeersCut => "peers_cut",
-            TroubleKind::SlowReader => "slow_reader",
-            TroubleKind::StuckConnection => "stuck_connection",
+            FaultKind::Vanish => "vanish",
+            FaultKind::Crash => "crash",
+            FaultKind::FastErrors => "fast_errors",
+            FaultKind::Pauses => "pauses",
+            FaultKind::ReportLate => "report_late",
+            FaultKind::Burst => "burst",
+            FaultKind::HeavyTail => "heavy_tail",
+            FaultKind::Drain => "drain",
+            FaultKind::RollingRestart => "rolling_restart",
+            FaultKind::SchedulerKill => "scheduler_kill",
+            FaultKind::SchedulerTerm => "scheduler_term",
+            FaultKind::DiscoveryDown => "discovery_down",
+            FaultKind::DiscoveryMoved => "discovery_moved",
+            FaultKind::Partition => "partition",
+            FaultKind::ZoneCut => "zone_cut",
+            FaultKind::PeersCut => "peers_cut",
+            FaultKind::SlowReader => "slow_reader",
+            FaultKind::StuckConnection => "stuck_connection",
         }
     }
 }
@@ -684,10 +686,10 @@
 
     /// The first key that asks for the impossible, and why it does.
     pub fn check(&self) -> Result<(), (String, String)> {
-        let mut fault = None;
+        let mut first_error = None;
         let mut need = |key: &str, good: bool, reason: &str| {
-            if !good && fault.is_none() {
-                fault = Some((key.to_string(), reason.to_string()));
+            if !good && first_error.is_none() {
+                first_error = Some((key.to_string(), reason.to_string()));
             }
         };
         let part = |x: f64| (0.0..=1.0).contains(&x);
@@ -820,14 +822,13 @@
             need(&key("share"), above(t.share), "a share is above 0");
             need(&key("usage"), time(t.usage), "0 or more");
         }
-        for (i, t) in self.troubles.iter().enumerate() {
+        for (i, t) in self.faults.iter().enumerate() {
             let key = |name: &str| format!("trouble[{i}].{name}");
             need(&key("at_s"), time(t.at_s) && t.at_s < self.seconds, "it begins within the day");
             need(&key("for_s"), time(t.for_s), "a time is 0 or more");
             need(&key("part"), part(t.part), "a part is from 0 to 1");
             need(&key("size"), t.size.is_none_or(time), "0 or more");
-            let named =
-                |n: &String| t.kind == TroubleKind::Burst && self.tenants.iter().any(|x| x.name == *n);
+            let named = |n: &String| t.kind == FaultKind::Burst && self.tenants.iter().any(|x| x.name == *n);
             need(
                 &key("tenant"),
                 t.tenant.as_ref().is_none_or(named),
@@ -839,6 +840,6 @@
             let node = e.node.map_or(String::new(), |i| format!("node[{i}]."));
             need(&format!("quota.{node}{}", e.key), false, &e.reason);
         }
-        fault.map_or(Ok(()), Err)
+        first_error.map_or(Ok(()), Err)
     }
 }
--- a/crates/simulation/src/simulate.rs
+++ b/crates/simulation/src/simulate.rs
@@ -66,7 +66,7 @@
     pub breaches: u64,
     /// The first of them, with their stories.
     pub first: Vec<Breach>,
-    /// What the troubles did.
+    /// What the faults did.
     pub counters: Counters,
     /// Requests a second that were aimed at.
     pub rate: f64,
--- a/crates/simulation/src/world.rs
+++ b/crates/simulation/src/world.rs
@@ -6,7 +6,7 @@
 //! hosts are judged by the same facts.
 
 use crate::referee::{Ended, Referee};
-use crate::scenario::{Queue, Scenario, TroubleKind};
+use crate::scenario::{FaultKind, Queue, Scenario};
 use crate::seed::{Stream, Streams};
 use crate::worker::{Job, Said, Spec, Worker};
 use loomlb_policy::{Nanos, QueueOrder};
@@ -172,7 +172,7 @@
     Reset(usize),
 }
 
-/// What the troubles did, by the model's own count.
+/// What the faults did, by the model's own count.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Counters {
     /// Workers that went silent.
@@ -238,27 +238,27 @@
 }
 
 impl Counters {
-    /// The counter that a kind of trouble moves.
-    pub fn of(&self, kind: TroubleKind) -> u64 {
+    /// The counter that a kind of fault moves.
+    pub fn of(&self, kind: FaultKind) -> u64 {
         match kind {
-            TroubleKind::Vanish => self.vanished,
-            TroubleKind::Crash => self.crashed,
-            TroubleKind::FastErrors => self.fast_errors,
-            TroubleKind::Pauses => self.pauses,
-            TroubleKind::ReportLate => self.late_reports,
-            TroubleKind::Burst => self.burst,
-            TroubleKind::HeavyTail => self.heavy,
-            TroubleKind::Drain => self.drained,
-            TroubleKind::RollingRestart => self.rolled,
-            TroubleKind::SchedulerKill => self.killed,
-            TroubleKind::SchedulerTerm => self.termed,
-            TroubleKind::DiscoveryDown => self.list_held_back,
-            TroubleKind::DiscoveryMoved => self.moved,
-            TroubleKind::Partition => self.cut,
-            TroubleKind::ZoneCut => self.zone_cut,
-            TroubleKind::PeersCut => self.peers_cut,
-            TroubleKind::SlowReader => self.slow_readers,
-            TroubleKind::StuckConnection => self.stuck,
+            FaultKind::Vanish => self.vanished,
+            FaultKind::Crash => self.crashed,
+            FaultKind::FastErrors => self.fast_errors,
+            FaultKind::Pauses => self.pauses,
+            FaultKind::ReportLate => self.late_reports,
+            FaultKind::Burst => self.burst,
+            FaultKind::HeavyTail => self.heavy,
+            FaultKind::Drain => self.drained,
+            FaultKind::RollingRestart => self.rolled,
+            FaultKind::SchedulerKill => self.killed,
+            FaultKind::SchedulerTerm => self.termed,
+            FaultKind::DiscoveryDown => self.list_held_back,
+            FaultKind::DiscoveryMoved => self.moved,
+            FaultKind::Partition => self.cut,
+            FaultKind::ZoneCut => self.zone_cut,
+            FaultKind::PeersCut => self.peers_cut,
+            FaultKind::SlowReader => self.slow_readers,
+            FaultKind::StuckConnection => self.stuck,
         }
     }
 }
@@ -315,7 +315,7 @@
     pub scenario: Scenario,
     /// The referee.
     pub referee: Referee,
-    /// What the troubles did.
+    /// What the faults did.
     pub counters: Counters,
     streams: Streams,
     stations: Vec<Station>,
@@ -331,7 +331,7 @@
     news_rng: Stream,
     report_rng: Stream,
     stuck_rng: Stream,
-    /// What each trouble chose.
+    /// What each fault chose.
     chosen: Vec<Vec<usize>>,
     /// What is listed now, and what each scheduler has been told.
     listed: Vec<Entry>,
@@ -430,7 +430,7 @@
             news_rng: streams.named("news"),
             report_rng: streams.named("reports"),
             stuck_rng: streams.named("stuck"),
-            chosen: vec![Vec::new(); scenario.troubles.len()],
+            chosen: vec![Vec::new(); scenario.faults.len()],
             listed,
             told: vec![known; schedulers],
             waiting_news: vec![Vec::new(); schedulers],
@@ -458,8 +458,8 @@
                 self.push(first, Due::Measure(w));
             }
         }
-        for i in 0..self.scenario.troubles.len() {
-            self.push(secs(self.scenario.troubles[i].at_s), Due::Begin(i));
+        for i in 0..self.scenario.faults.len() {
+            self.push(secs(self.scenario.faults[i].at_s), Due::Begin(i));
         }
         if self.scenario.discovery.weights_ms > 0.0 {
             self.push(ms(self.scenario.discovery.weights_ms), Due::Weights);
@@ -947,28 +947,28 @@
         }
     }
 
-    // ---- troubles
+    // ---- faults
 
     fn begin(&mut self, at: Nanos, i: usize) {
-        let t = self.scenario.troubles[i].clone();
+        let t = self.scenario.faults[i].clone();
         let mut rng = self.streams.numbered(t.kind.name(), i as u64);
         let (workers, schedulers) = (self.stations.len(), self.scenario.schedulers.count);
         let end = at + secs(t.for_s);
         self.chosen[i] = match t.kind {
-            TroubleKind::Vanish
-            | TroubleKind::Crash
-            | TroubleKind::FastErrors
-            | TroubleKind::Pauses
-            | TroubleKind::Drain
-            | TroubleKind::Partition => rng.some(t.part, workers),
-            TroubleKind::ZoneCut => vec![rng.below(self.scenario.fleet.zones)],
-            TroubleKind::RollingRestart => (0..workers).collect(),
-            TroubleKind::SchedulerKill | TroubleKind::SchedulerTerm => rng.some(t.part, schedulers),
+            FaultKind::Vanish
+            | FaultKind::Crash
+            | FaultKind::FastErrors
+            | FaultKind::Pauses
+            | FaultKind::Drain
+            | FaultKind::Partition => rng.some(t.part, workers),
+            FaultKind::ZoneCut => vec![rng.below(self.scenario.fleet.zones)],
+            FaultKind::RollingRestart => (0..workers).collect(),
+            FaultKind::SchedulerKill | FaultKind::SchedulerTerm => rng.some(t.part, schedulers),
             _ => Vec::new(),
         };
         let chosen = self.chosen[i].clone();
         match t.kind {
-            TroubleKind::Vanish => {
+            FaultKind::Vanish => {
                 for w in chosen {
                     self.counters.vanished += 1;
                     self.bring_up(at, w);
@@ -978,30 +978,30 @@
                     self.push(end, Due::Return(w));
                 }
             }
-            TroubleKind::Crash => {
+            FaultKind::Crash => {
                 for w in chosen {
                     self.stations[w].doomed = Some(end);
                 }
             }
-            TroubleKind::FastErrors => {
+            FaultKind::FastErrors => {
                 for w in chosen {
                     self.stations[w].failing = t.size.unwrap_or(0.6);
                 }
                 self.push(end, Due::End(i));
             }
-            TroubleKind::Pauses | TroubleKind::RollingRestart => self.stroke(at, i),
-            TroubleKind::ReportLate => {
+            FaultKind::Pauses | FaultKind::RollingRestart => self.stroke(at, i),
+            FaultKind::ReportLate => {
                 self.late += secs(t.size.unwrap_or(2.0));
                 self.push(end, Due::End(i));
             }
-            TroubleKind::Drain => {
+            FaultKind::Drain => {
                 for w in chosen {
                     self.drain(at, w);
                     self.push(end.max(at + LEAVES + 1), Due::Return(w));
                 }
             }
-            TroubleKind::SchedulerKill | TroubleKind::SchedulerTerm => {
-                let kill = t.kind == TroubleKind::SchedulerKill;
+            FaultKind::SchedulerKill | FaultKind::SchedulerTerm => {
+                let kill = t.kind == FaultKind::SchedulerKill;
                 let signal = if kill { Signal::Kill } else { Signal::Term };
                 for s in chosen {
                     self.counters.killed += u64::from(kill);
@@ -1009,17 +1009,17 @@
                     self.deeds.push_back(Deed::Signal(s, signal));
                 }
             }
-            TroubleKind::DiscoveryDown => {
+            FaultKind::DiscoveryDown => {
                 self.discovery_down += 1;
                 self.push(end, Due::End(i));
             }
-            TroubleKind::DiscoveryMoved => {
+            FaultKind::DiscoveryMoved => {
                 self.counters.moved += 1;
                 for s in 0..schedulers {
                     self.deeds.push_back(Deed::Signal(s, Signal::Moved));
                 }
             }
-            TroubleKind::Partition => {
+            FaultKind::Partition => {
                 let s = rng.below(schedulers);
                 self.cut.extend(chosen.iter().map(|w| (s, *w)));
                 if schedulers > 1 {
@@ -1027,27 +1027,27 @@
                 }
                 self.push(end, Due::End(i));
             }
-            TroubleKind::ZoneCut => {
+            FaultKind::ZoneCut => {
                 self.cut_zones.extend(chosen);
                 self.push(end, Due::End(i));
             }
-            TroubleKind::PeersCut => {
+            FaultKind::PeersCut => {
                 self.peers_down += 1;
                 self.push(end, Due::End(i));
             }
-            TroubleKind::StuckConnection => {
+            FaultKind::StuckConnection => {
                 self.stuck = t.part;
                 self.push(end, Due::End(i));
             }
             // The arrivals know of these.
-            TroubleKind::Burst | TroubleKind::HeavyTail | TroubleKind::SlowReader => {}
+            FaultKind::Burst | FaultKind::HeavyTail | FaultKind::SlowReader => {}
         }
     }
 
     fn stroke(&mut self, at: Nanos, i: usize) {
-        let t = self.scenario.troubles[i].clone();
+        let t = self.scenario.faults[i].clone();
         match t.kind {
-            TroubleKind::Pauses => {
+            FaultKind::Pauses => {
                 let until = at + ms(t.size.unwrap_or(90.0));
                 for w in self.chosen[i].clone() {
                     self.bring_up(at, w);
@@ -1059,7 +1059,7 @@
                     self.push(at + secs(t.every_s), Due::Stroke(i));
                 }
             }
-            TroubleKind::RollingRestart => {
+            FaultKind::RollingRestart => {
                 if let Some(w) = self.chosen[i].pop() {
                     self.counters.rolled += 1;
                     self.drain(at, w);
@@ -1072,15 +1072,15 @@
     }
 
     fn end(&mut self, at: Nanos, i: usize) {
-        let t = self.scenario.troubles[i].clone();
+        let t = self.scenario.faults[i].clone();
         match t.kind {
-            TroubleKind::FastErrors => {
+            FaultKind::FastErrors => {
                 for w in self.chosen[i].clone() {
                     self.stations[w].failing = 0.0;
                 }
             }
-            TroubleKind::ReportLate => self.late = self.late.saturating_sub(secs(t.size.unwrap_or(2.0))),
-            TroubleKind::DiscoveryDown => {
+            FaultKind::ReportLate => self.late = self.late.saturating_sub(secs(t.size.unwrap_or(2.0))),
+            FaultKind::DiscoveryDown => {
                 self.discovery_down = self.discovery_down.saturating_sub(1);
                 if self.discovery_down == 0 {
                     for s in 0..self.waiting_news.len() {
@@ -1091,14 +1091,14 @@
                     }
                 }
             }
-            TroubleKind::Partition => {
+            FaultKind::Partition => {
                 let chosen: FxHashSet<usize> = self.chosen[i].iter().copied().collect();
                 self.cut.retain(|(_, w)| !chosen.contains(w));
                 self.cut_peers.clear();
             }
-            TroubleKind::ZoneCut => self.cut_zones.clear(),
-            TroubleKind::PeersCut => self.peers_down = self.peers_down.saturating_sub(1),
-            TroubleKind::StuckConnection => self.stuck = 0.0,
+            FaultKind::ZoneCut => self.cut_zones.clear(),
+            FaultKind::PeersCut => self.peers_down = self.peers_down.saturating_sub(1),
+            FaultKind::StuckConnection => self.stuck = 0.0,
             _ => {}
         }
     }
--- a/crates/simulation/tests/pins.rs
+++ b/crates/simulation/tests/pins.rs
@@ -21,7 +21,7 @@
     let scenario = Scenario::read(&format!("{LEAST}{more}")).unwrap();
     for part in [
         serde_json::to_string_pretty(&scenario.fleet.keeps),
-        serde_json::to_string_pretty(&scenario.troubles),
+        serde_json::to_string_pretty(&scenario.faults),
         serde_json::to_string_pretty(&scenario.classes),
         serde_json::to_string_pretty(&scenario.tenants),
     ] {
@@ -30,10 +30,10 @@
     golden::check("defaults.txt", text.as_bytes());
 }
 
-/// The fault for a key or a name that is unknown lists all that are known.
+/// The first_error for a key or a name that is unknown lists all that are known.
 #[test]
 fn keys_and_names_stay() {
-    let trouble = |kind: &str| format!("{LEAST}[[trouble]]\nkind = \"{kind}\"\nat_s = 1\nfor_s = 1\n");
+    let fault = |kind: &str| format!("{LEAST}[[trouble]]\nkind = \"{kind}\"\nat_s = 1\nfor_s = 1\n");
     let class = "[[class]]\nname = \"c\"\nwork_ms = 100\naim_ms = 500\ndeadline_ms = 1000\n";
     let mut scenarios = vec![
         format!("novel = 1\n{LEAST}"),
@@ -43,8 +43,8 @@
         LEAST.replace("seconds = 10", "seconds = -1"),
         LEAST.replace("seconds = 10", "seconds = \"ten\""),
         LEAST.replace("workers = 3", "workers = 0"),
-        trouble("novel"),
-        trouble("vanish") + "novel = 1\n",
+        fault("novel"),
+        fault("vanish") + "novel = 1\n",
         format!("{LEAST}{class}effect = \"novel\"\n"),
         format!("{LEAST}{class}effect = \"safe\"\nnovel = 1\n"),
         format!("{LEAST}[[fleet.kind]]\nnovel = 1\n"),
@@ -63,7 +63,7 @@
     }
     let mut text = String::new();
     for scenario in scenarios {
-        let said = Scenario::read(&scenario).map_or_else(|fault| fault.to_string(), |_| "taken".into());
+        let said = Scenario::read(&scenario).map_or_else(|error| error.to_string(), |_| "taken".into());
         writeln!(text, "{}: {said}", golden::visible(scenario.as_bytes()).replace('\n', "")).unwrap();
     }
     golden::check("faults.txt", text.as_bytes());
--- a/crates/simulation/tests/referee.rs
+++ b/crates/simulation/tests/referee.rs
@@ -1,4 +1,4 @@
-//! Each rule of the referee is able to fail: a scheduler with one fault is caught by the rule it breaks.
+//! Each rule of the referee is able to fail: a scheduler with one defect is caught by the rule it breaks.
 
 use loomlb_policy::{
     Action, AttemptResult, CellId, Event, Idempotency, ListKind, Nanos, Outcome, Request, RequestId,
@@ -6,12 +6,12 @@
 };
 use loomlb_simulation::referee::{Answered, End, Ended as HowEnded, Referee, Rule};
 use loomlb_simulation::simulate::{self, Decider};
-use loomlb_simulation::{Scenario, TroubleKind};
+use loomlb_simulation::{FaultKind, Scenario};
 use std::collections::BTreeMap;
 
-/// The one fault of a scheduler; without it the same scheduler breaks no rule.
+/// The one defect of a scheduler; without it the same scheduler breaks no rule.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Fault {
+enum Defect {
     None,
     ForgetsRequests,
     AnswersLate,
@@ -25,7 +25,7 @@
 
 /// A plain scheduler: each job once, to the next usable worker; what fails is failed.
 struct Plain {
-    fault: Fault,
+    defect: Defect,
     set: Settings,
     workers: BTreeMap<WorkerId, Worker>,
     /// Each job with the cells it was sent to and its deadline.
@@ -36,15 +36,15 @@
 
 impl Plain {
     fn send(&mut self, id: RequestId, out: &mut Vec<Action>) {
-        let (fault, now, cold) = (self.fault, self.now, self.set.obligations.warm_up_time);
+        let (defect, now, cold) = (self.defect, self.now, self.set.obligations.warm_up_time);
         let Some((request, sent)) = self.jobs.get_mut(&id) else { return };
         let is_cold = |w: &Worker| w.started_at > 0 && now < w.started_at + cold;
         let fresh = self.workers.values().filter(|w| sent.iter().all(|s| s.0 != w.id));
-        let usable: Vec<&Worker> = match fault {
-            Fault::PoursOnColdWorkers if self.workers.values().any(is_cold) => {
+        let usable: Vec<&Worker> = match defect {
+            Defect::PoursOnColdWorkers if self.workers.values().any(is_cold) => {
                 self.workers.values().filter(|w| is_cold(w)).collect()
             }
-            Fault::RepeatsAcrossCells => fresh.filter(|w| sent.iter().all(|s| s.1 != w.cell)).collect(),
+            Defect::RepeatsAcrossCells => fresh.filter(|w| sent.iter().all(|s| s.1 != w.cell)).collect(),
             _ => fresh.filter(|w| !is_cold(w)).collect(),
         };
         if usable.is_empty() {
@@ -65,15 +65,15 @@
         }
         let effect = self.set.classes[request.class.0].idempotency;
         let again = ended.outcome == Outcome::Full
-            || match self.fault {
-                Fault::RepeatsUnsafe => effect == Idempotency::AtMostOnce,
-                Fault::RepeatsAcrossCells => matches!(effect, Idempotency::Deduplicated(_)),
+            || match self.defect {
+                Defect::RepeatsUnsafe => effect == Idempotency::AtMostOnce,
+                Defect::RepeatsAcrossCells => matches!(effect, Idempotency::Deduplicated(_)),
                 _ => false,
             };
         if again && sent.len() < self.set.limits.max_attempts as usize {
             return self.send(id, out);
         }
-        let refuses = self.fault == Fault::RefusesWhatRan || ended.outcome.never_ran();
+        let refuses = self.defect == Defect::RefusesWhatRan || ended.outcome.never_ran();
         self.jobs.remove(&id);
         out.push(if refuses { Action::Refuse { id, retry_after: 0 } } else { Action::Fail(id) });
     }
@@ -88,21 +88,21 @@
                     let known = self.workers.contains_key(&e.id);
                     if e.state == WorkerState::Ready {
                         self.workers.insert(e.id, e);
-                    } else if self.fault != Fault::IgnoresDrains || !known || kind != ListKind::Partial {
+                    } else if self.defect != Defect::IgnoresDrains || !known || kind != ListKind::Partial {
                         self.workers.remove(&e.id);
                     }
                 }
             }
             Event::Request(request) => {
                 let (id, remaining) = (request.id, request.remaining);
-                let forgets = self.fault == Fault::ForgetsRequests && id.0 % 7 == 0;
-                if self.fault == Fault::AnswersLate {
+                let forgets = self.defect == Defect::ForgetsRequests && id.0 % 7 == 0;
+                if self.defect == Defect::AnswersLate {
                     return out.push(Action::SetTimer { after: remaining + 300_000_000, token: id.0 });
                 }
                 if !forgets {
                     self.jobs.insert(id, (request, Vec::new()));
                     self.send(id, out);
-                    if self.fault == Fault::SendsTwoCopies {
+                    if self.defect == Defect::SendsTwoCopies {
                         self.send(id, out);
                     }
                 }
@@ -117,23 +117,23 @@
     }
 }
 
-fn scenario(troubles: &str) -> Scenario {
+fn scenario(faults: &str) -> Scenario {
     let text = format!(
         "name = \"faults\"\nseconds = 12\n[fleet]\nworkers = 12\ncell_size = 4\n[schedulers]\ncount = 2\nrestart_ms = 300\n\
-         [load]\npart = 0.4\n[discovery]\nnotice_ms = [100, 300]\n[terms]\nsecond_copies = false\n{troubles}"
+         [load]\npart = 0.4\n[discovery]\nnotice_ms = [100, 300]\n[terms]\nsecond_copies = false\n{faults}"
     );
     Scenario::read(&text).unwrap()
 }
 
-const TROUBLES: &str = "[[trouble]]\nkind = \"fast_errors\"\nat_s = 1\nfor_s = 6\npart = 0.4\n\
+const FAULTS: &str = "[[trouble]]\nkind = \"fast_errors\"\nat_s = 1\nfor_s = 6\npart = 0.4\n\
     [[trouble]]\nkind = \"drain\"\nat_s = 2\nfor_s = 5\npart = 0.2\n";
 const END: &str = "[[trouble]]\nkind = \"scheduler_term\"\nat_s = 5\n";
 
-fn caught(fault: Fault, troubles: &str) -> Vec<Rule> {
+fn caught(defect: Defect, faults: &str) -> Vec<Rule> {
     let make = move |set: Settings, _: u64| -> Box<dyn Decider> {
-        Box::new(Plain { fault, set, workers: BTreeMap::new(), jobs: BTreeMap::new(), turn: 0, now: 0 })
+        Box::new(Plain { defect, set, workers: BTreeMap::new(), jobs: BTreeMap::new(), turn: 0, now: 0 })
     };
-    let played = simulate::run_with(&scenario(troubles), 5, 0, &make);
+    let played = simulate::run_with(&scenario(faults), 5, 0, &make);
     let mut rules: Vec<Rule> = played.first.iter().map(|b| b.rule).collect();
     rules.sort();
     rules.dedup();
@@ -145,17 +145,17 @@
 
 #[test]
 fn a_scheduler_with_one_fault_is_caught_by_the_rule_that_it_breaks() {
-    let both = format!("{TROUBLES}{END}");
-    assert_eq!(caught(Fault::None, &both), []);
-    assert_eq!(caught(Fault::ForgetsRequests, ""), [Rule::AnsweredOnce]);
-    assert_eq!(caught(Fault::AnswersLate, ""), [Rule::InTime]);
-    assert_eq!(caught(Fault::RepeatsUnsafe, TROUBLES), [Rule::AtMostOnce]);
-    assert_eq!(caught(Fault::RepeatsAcrossCells, TROUBLES), [Rule::KeyedRepeat]);
+    let both = format!("{FAULTS}{END}");
+    assert_eq!(caught(Defect::None, &both), []);
+    assert_eq!(caught(Defect::ForgetsRequests, ""), [Rule::AnsweredOnce]);
+    assert_eq!(caught(Defect::AnswersLate, ""), [Rule::InTime]);
+    assert_eq!(caught(Defect::RepeatsUnsafe, FAULTS), [Rule::AtMostOnce]);
+    assert_eq!(caught(Defect::RepeatsAcrossCells, FAULTS), [Rule::KeyedRepeat]);
     // Two copies of a job that must run once break two rules.
-    assert!(caught(Fault::SendsTwoCopies, "").contains(&Rule::SecondCopy));
-    assert_eq!(caught(Fault::RefusesWhatRan, TROUBLES), [Rule::HonestRefusal]);
-    assert_eq!(caught(Fault::IgnoresDrains, TROUBLES), [Rule::Drain]);
-    assert_eq!(caught(Fault::PoursOnColdWorkers, TROUBLES), [Rule::ColdWorker]);
+    assert!(caught(Defect::SendsTwoCopies, "").contains(&Rule::SecondCopy));
+    assert_eq!(caught(Defect::RefusesWhatRan, FAULTS), [Rule::HonestRefusal]);
+    assert_eq!(caught(Defect::IgnoresDrains, FAULTS), [Rule::Drain]);
+    assert_eq!(caught(Defect::PoursOnColdWorkers, FAULTS), [Rule::ColdWorker]);
 }
 
 /// What the virtual host itself never does, and a host on sockets may see: told to the referee directly.
@@ -243,11 +243,11 @@
     assert_eq!(seen(0, false, &[299 * ms; 2], 0), []);
 }
 
-/// The counters that tell whether a trouble did what its name says start at nothing.
+/// The counters that tell whether a fault did what its name says start at nothing.
 #[test]
 fn a_calm_day_moves_no_counter_of_any_trouble() {
     let played = simulate::run(&scenario(""), 3, 0);
-    for kind in TroubleKind::ALL {
+    for kind in FaultKind::ALL {
         assert_eq!(played.counters.of(kind), 0, "{}", kind.name());
     }
     assert_eq!((played.breaches, played.seen.taken > 300), (0, true));
