--- a/crates/emulator/src/clients.rs
+++ b/crates/emulator/src/clients.rs
@@ -6,7 +6,7 @@
 use loomlb_policy::Nanos;
 use loomlb_simulation::clients::{self, Outcome, Request};
 use loomlb_simulation::figures::Final;
-use loomlb_simulation::referee::Answered;
+use loomlb_simulation::invariants::FinalResponse;
 use loomlb_simulation::world::ms;
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -89,7 +89,7 @@
     match tokio::time::timeout(wait, exchange(stage, request, id, s)).await {
         Ok(outcome) => Some(outcome),
         Err(_) if early => {
-            stage.world.borrow_mut().referee.left(stage.now(), id);
+            stage.world.borrow_mut().invariant_checker.client_left(stage.now(), id);
             None
         }
         // Its time is over: what was taken and is not answered by now is found by the referee.
@@ -112,7 +112,7 @@
                 Err(_) => {
                     if taken {
                         // The first connection was closed while the request crossed: it was never read.
-                        stage.world.borrow_mut().referee.crossed(stage.now(), id);
+                        stage.world.borrow_mut().invariant_checker.request_not_accepted(stage.now(), id);
                     }
                     return Outcome::Unreachable;
                 }
@@ -122,7 +122,13 @@
         let message = message(stage, request, id, at, left);
         let before = stage.now();
         if !taken {
-            stage.world.borrow_mut().referee.taken(before, id, s, request.class, class_end);
+            stage.world.borrow_mut().invariant_checker.request_accepted(
+                before,
+                id,
+                s,
+                request.class,
+                class_end,
+            );
             taken = true;
         }
         match line.ask(message).await {
@@ -132,7 +138,7 @@
         }
     }
     // Nobody is there to answer, or it hung up; whether it may do so is for the referee, once it has ended.
-    stage.world.borrow_mut().referee.unread(stage.now(), id, s);
+    stage.world.borrow_mut().invariant_checker.connection_broken(stage.now(), id, s);
     Outcome::Unreachable
 }
 
@@ -189,12 +195,12 @@
         return Outcome::Failed;
     };
     let (answered, outcome) = match status {
-        200 => (Answered::Served(String::from_utf8_lossy(&body).into_owned()), Outcome::Served),
-        429 | 503 => (Answered::Refused, Outcome::Refused((after.unwrap_or(0.0) * 1e9) as Nanos)),
-        _ => (Answered::Failed, Outcome::Failed),
+        200 => (FinalResponse::Served(String::from_utf8_lossy(&body).into_owned()), Outcome::Served),
+        429 | 503 => (FinalResponse::Refused, Outcome::Refused((after.unwrap_or(0.0) * 1e9) as Nanos)),
+        _ => (FinalResponse::Failed, Outcome::Failed),
     };
     // A slow reader's last byte came when the scheduler wrote it; only the reading took long.
-    stage.world.borrow_mut().referee.answered(now.saturating_sub(request.slow), id, answered);
+    stage.world.borrow_mut().invariant_checker.response_sent(now.saturating_sub(request.slow), id, answered);
     IDLE.with_borrow_mut(|idle| idle[s].push(line));
     outcome
 }
--- a/crates/emulator/src/schedulers.rs
+++ b/crates/emulator/src/schedulers.rs
@@ -5,7 +5,7 @@
 use crate::stage::Stage;
 use crate::{agent, wire};
 use loomlb_policy::Nanos;
-use loomlb_simulation::referee::End;
+use loomlb_simulation::invariants::SchedulerExit;
 use loomlb_simulation::settings;
 use loomlb_simulation::world::{Signal, ms};
 use rustix::process::{Pid, Signal as Unix, kill_process};
@@ -209,11 +209,11 @@
     };
     me.seen_until.set(me.seen_until.get().min(now + notice));
     let end = match (me.orderly.get(), me.overran.get()) {
-        (true, true) => End::Overran(me.asked.get()),
-        (true, false) => End::ByItself,
-        (false, _) => End::Killed,
+        (true, true) => SchedulerExit::ShutdownTimedOut(me.asked.get()),
+        (true, false) => SchedulerExit::Exited,
+        (false, _) => SchedulerExit::Killed,
     };
-    stage.world.borrow_mut().referee.scheduler_ended(now, s, end);
+    stage.world.borrow_mut().invariant_checker.scheduler_ended(now, s, end);
     stage.world.borrow_mut().forget_scheduler(now, s);
     if stage.over.get() {
         return;
--- a/crates/emulator/src/stage.rs
+++ b/crates/emulator/src/stage.rs
@@ -6,7 +6,7 @@
 use loomlb_policy::Nanos;
 use loomlb_simulation::clients::{Arrivals, Request};
 use loomlb_simulation::figures::{Collector, Figures};
-use loomlb_simulation::referee::{Breach, Seen};
+use loomlb_simulation::invariants::{CheckerCounts, Violation};
 use loomlb_simulation::scenario::Scenario;
 use loomlb_simulation::seed::Stream;
 use loomlb_simulation::world::{Counters, Deed, World, secs};
@@ -81,7 +81,7 @@
     /// Figures so far.
     pub figures: Figures,
     /// What the referee saw so far.
-    pub seen: Seen,
+    pub seen: CheckerCounts,
     /// Breaches so far.
     pub breaches: u64,
     /// Workers that serve.
@@ -114,9 +114,9 @@
     /// All figures.
     pub figures: Figures,
     /// What the referee saw.
-    pub seen: Seen,
+    pub seen: CheckerCounts,
     /// The first breaches, with their stories.
-    pub first: Vec<Breach>,
+    pub first: Vec<Violation>,
     /// What the troubles did.
     pub counters: Counters,
     /// Schedulers that ended by themselves.
@@ -312,7 +312,7 @@
     }
     driver.abort();
     schedulers::finish(&stage).await;
-    stage.world.borrow_mut().referee.finish(stage.now());
+    stage.world.borrow_mut().invariant_checker.finish(stage.now());
     Ok(played(&stage))
 }
 
@@ -324,8 +324,8 @@
         second,
         listen: stage.schedulers.iter().map(|s| s.listen.to_string()).collect(),
         figures: stage.collector.borrow().figures(),
-        seen: world.referee.seen,
-        breaches: world.referee.count,
+        seen: world.invariant_checker.counts,
+        breaches: world.invariant_checker.violation_count,
         workers_up: (0..world.workers()).filter(|w| !world.silent(*w) && !world.down(*w)).count(),
         troubles: world.scenario.faults.iter().filter(on).map(|t| t.kind.name()).collect(),
     }
@@ -339,17 +339,17 @@
     let mut counters = world.counters.clone();
     (counters.burst, counters.heavy, counters.slow_readers) = (arrivals.burst, arrivals.heavy, arrivals.slow);
     Played {
-        taken: world.referee.seen.taken,
-        answered: world.referee.seen.answered,
+        taken: world.invariant_checker.counts.taken,
+        answered: world.invariant_checker.counts.answered,
         served: figures.served,
         in_time: figures.in_time,
         refused: figures.refused,
         failed: figures.failed + figures.unreachable,
-        breaches: world.referee.count,
+        breaches: world.invariant_checker.violation_count,
         p50_ms: figures.p50_ms,
         p99_ms: figures.p99_ms,
-        seen: world.referee.seen,
-        first: world.referee.breaches.clone(),
+        seen: world.invariant_checker.counts,
+        first: world.invariant_checker.violations.clone(),
         counters,
         crashes: counts.crashes,
         mangled: counts.mangled,
--- a/crates/emulator/src/workers.rs
+++ b/crates/emulator/src/workers.rs
@@ -235,7 +235,7 @@
     let mut world = stage.world.borrow_mut();
     let class = world.scenario.classes.iter().position(|c| path.split('/').nth(1) == Some(&c.name))?;
     let work = world.scenario.classes[class].work_ms * 1e6;
-    world.referee.guest(request, class);
+    world.invariant_checker.track_unchecked_request(request, class);
     drop(world);
     let sent =
         Sent { class, slots: 1, work, path: path.into(), body: String::new(), key: None, subject: None };
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -375,7 +375,7 @@
             };
             let all: Vec<simulate::Played> = (1..=args.seeds).map(played).collect();
             let service = all.iter().map(|p| p.figures.service).collect();
-            let breaches = all.iter().map(|p| p.breaches).sum();
+            let breaches = all.iter().map(|p| p.violations).sum();
             Compared { day: day.name.clone(), policy: *policy, service, breaches }
         })
         .collect();
@@ -531,7 +531,7 @@
     let day = days::load(&args.day)?;
     let played = play(&day, args.seed, args.threads, args.policy);
     report(args.json, &played, || tables::played(&day, args.seed, &played))?;
-    Ok(verdict(played.breaches))
+    Ok(verdict(played.violations))
 }
 
 /// The scheduler's program: the one named, or the one that is built in.
--- a/crates/lab/src/tables.rs
+++ b/crates/lab/src/tables.rs
@@ -104,10 +104,10 @@
     for t in &day.faults {
         rows.push(row(&format!("trouble {}", t.kind.name()), p.counters.of(t.kind).to_string()));
     }
-    rows.push(row("breaches", p.breaches.to_string()));
+    rows.push(row("breaches", p.violations.to_string()));
     out += &columns(&rows);
     out += &format!("digest {}\n", p.digest);
-    if let Some(first) = p.first.first() {
+    if let Some(first) = p.first_violations.first() {
         out += &format!("first breach: {first}");
     }
     out
--- a/crates/lab/tests/days.rs
+++ b/crates/lab/tests/days.rs
@@ -28,9 +28,9 @@
             (day.fleet.workers, day.seconds, day.faults[0].at_s) = (100, 6.0, 2.0);
         }
         let played = simulate::run(&day, 11, 2);
-        let stories: Vec<String> = played.first.iter().map(ToString::to_string).collect();
-        assert_eq!(played.breaches, 0, "{name}: {}", stories.join("\n"));
-        assert_eq!(played.seen.taken, played.seen.answered + played.seen.void, "{name}");
+        let stories: Vec<String> = played.first_violations.iter().map(ToString::to_string).collect();
+        assert_eq!(played.violations, 0, "{name}: {}", stories.join("\n"));
+        assert_eq!(played.seen.taken, played.seen.answered + played.seen.excused, "{name}");
         for t in &day.faults {
             assert!(played.counters.of(t.kind) > 0, "{name}: {} did nothing", t.kind.name());
             kinds.push(t.kind);
@@ -113,7 +113,7 @@
     let played = simulate::run(&day, 2, 2);
     let counters = &played.counters;
     assert!(counters.list_calls_failed > 20 && counters.list_calls >= 60, "{counters:?}");
-    assert_eq!(played.breaches, 0);
+    assert_eq!(played.violations, 0);
     assert!(played.figures.service > 0.6, "{:?}", played.figures);
     day.discovery.call_ms = 0.0;
     assert_eq!(simulate::run(&day, 2, 2).counters.list_calls_failed, 0);
@@ -142,7 +142,7 @@
     let day = day("calm");
     let with = |idea: Idea| {
         let played = textbook(&day, 3, 0, idea);
-        assert_eq!(played.breaches, 0, "{idea:?}");
+        assert_eq!(played.violations, 0, "{idea:?}");
         played.figures.service
     };
     let [random, round, least, two] = Idea::ALL.map(|(_, idea)| with(idea));
--- a/crates/simulation/src/simulate.rs
+++ b/crates/simulation/src/simulate.rs
@@ -6,7 +6,7 @@
 
 use crate::clients::{self, Arrivals, Outcome as Try, Request};
 use crate::figures::{Collector, Figures, Final};
-use crate::referee::{Answered, Breach, End, Seen};
+use crate::invariants::{CheckerCounts, FinalResponse, SchedulerExit, Violation};
 use crate::scenario::Scenario;
 use crate::seed::Stream;
 use crate::settings;
@@ -60,12 +60,14 @@
 pub struct Played {
     /// The figures.
     pub figures: Figures,
-    /// What the referee saw.
-    pub seen: Seen,
+    /// What the invariants saw.
+    pub seen: CheckerCounts,
     /// Breaches in all.
-    pub breaches: u64,
+    #[serde(rename = "breaches")]
+    pub violations: u64,
     /// The first of them, with their stories.
-    pub first: Vec<Breach>,
+    #[serde(rename = "first")]
+    pub first_violations: Vec<Violation>,
     /// What the faults did.
     pub counters: Counters,
     /// Requests a second that were aimed at.
@@ -150,7 +152,7 @@
     mean: Vec<f64>,
     names: SettingNames,
     up: bool,
-    /// Seen by the front until then, though it is down.
+    /// CheckerCounts by the front until then, though it is down.
     seen_until: Nanos,
     ending: Option<Nanos>,
     run: u32,
@@ -245,7 +247,7 @@
     host.push(0, Due::Next);
     host.play(scenario);
     let world = &mut host.world;
-    world.referee.finish(host.now);
+    world.invariant_checker.finish(host.now);
     let workers = (0..world.workers()).map(|w| world.worker(w));
     let (delivered, wasted) = workers.fold((0.0, 0.0), |s, w| (s.0 + w.delivered, s.1 + w.wasted));
     let mut counters = world.counters.clone();
@@ -253,9 +255,9 @@
         (host.arrivals.burst, host.arrivals.heavy, host.arrivals.slow);
     Played {
         figures: host.collector.figures(),
-        seen: world.referee.seen,
-        breaches: world.referee.count,
-        first: world.referee.breaches.clone(),
+        seen: world.invariant_checker.counts,
+        violations: world.invariant_checker.violation_count,
+        first_violations: world.invariant_checker.violations.clone(),
         counters,
         rate: host.arrivals.rate(),
         events: host.events,
@@ -301,7 +303,11 @@
             let mine = self.queue.peek().map(|Reverse((at, _, _))| *at);
             let theirs = self.world.next();
             let Some(at) = [mine, theirs].into_iter().flatten().min() else { return };
-            if at > end || (self.drawn && self.clients.is_empty() && self.world.referee.owed() == 0) {
+            if at > end
+                || (self.drawn
+                    && self.clients.is_empty()
+                    && self.world.invariant_checker.pending_responses() == 0)
+            {
                 return;
             }
             self.now = self.now.max(at);
@@ -428,11 +434,11 @@
             Action::Refuse { id, retry_after } => {
                 self.mark(33, &[me, id.0, retry_after]);
                 let retry_after = retry_after.min(ms(self.world.scenario.terms.max_retry_after_ms));
-                self.answer(s, id.0, Answered::Refused, Try::Refused(retry_after));
+                self.answer(s, id.0, FinalResponse::Refused, Try::Refused(retry_after));
             }
             Action::Fail(id) => {
                 self.mark(34, &[me, id.0]);
-                self.answer(s, id.0, Answered::Failed, Try::Failed);
+                self.answer(s, id.0, FinalResponse::Failed, Try::Failed);
             }
             Action::Cancel(id, n) => {
                 self.mark(35, &[me, id.0, u64::from(n)]);
@@ -631,10 +637,10 @@
     }
 
     /// A scheduler gives a request its final answer.
-    fn answer(&mut self, s: usize, id: u64, answered: Answered, said: Try) {
+    fn answer(&mut self, s: usize, id: u64, answered: FinalResponse, said: Try) {
         let Some(flow) = self.nodes[s].flows.get_mut(&id).filter(|f| !f.answered) else { return };
         flow.answered = true;
-        self.world.referee.answered(self.now, id, answered);
+        self.world.invariant_checker.response_sent(self.now, id, answered);
         let way = self.delay(self.world.scenario.network.client_ms);
         let code = match said {
             Try::Served => 0,
@@ -699,14 +705,14 @@
             Due::Start(s) => self.start(s),
             Due::Ending(s, run) if lives(self, s, run) => {
                 if self.nodes[s].flows.values().all(|f| f.answered) {
-                    self.stop(s, End::ByItself);
+                    self.stop(s, SchedulerExit::Exited);
                 } else {
                     self.push(now + 5_000_000, Due::Ending(s, run));
                 }
             }
             Due::Kill(s, run) if lives(self, s, run) => {
                 let asked = self.nodes[s].ending.unwrap_or(now);
-                self.stop(s, End::Overran(asked));
+                self.stop(s, SchedulerExit::ShutdownTimedOut(asked));
             }
             Due::List(s, run) if lives(self, s, run) => {
                 if !self.world.discovery_up() {
@@ -735,7 +741,7 @@
                 let entries = entries.iter().map(|e| settings::worker(&self.world, names, e)).collect();
                 self.feed(s, Event::WorkerList { kind: ListKind::Partial, entries });
             }
-            Deed::Signal(s, Signal::Kill) => self.stop(s, End::Killed),
+            Deed::Signal(s, Signal::Kill) => self.stop(s, SchedulerExit::Killed),
             Deed::Signal(s, Signal::Term) => {
                 if self.nodes[s].up && self.nodes[s].ending.is_none() {
                     let (now, run) = (self.now, self.nodes[s].run);
@@ -780,7 +786,7 @@
             Word::Progress(x) => self.feed(s, Event::JobProgress(RequestId(id), n, JobProgress::Fraction(x))),
             Word::Done => {
                 let w = self.forward_of(s, id, n).map_or(0, |f| f.worker);
-                self.answer(s, id, Answered::Served(World::result(w, job)), Try::Served);
+                self.answer(s, id, FinalResponse::Served(World::result(w, job)), Try::Served);
                 self.end(s, id, n, Outcome::Served, report);
             }
             Word::Returned => self.end(s, id, n, Outcome::Full, report),
@@ -789,7 +795,7 @@
     }
 
     /// A scheduler is gone, outright or after it was asked to end.
-    fn stop(&mut self, s: usize, end: End) {
+    fn stop(&mut self, s: usize, exit: SchedulerExit) {
         if !self.nodes[s].up {
             return;
         }
@@ -805,7 +811,7 @@
         node.flows.clear();
         let pools = std::mem::take(&mut node.pool);
         pools.into_iter().for_each(|(w, idle)| idle.iter().for_each(|_| self.world.disconnect(w)));
-        self.world.referee.scheduler_ended(now, s, end);
+        self.world.invariant_checker.scheduler_ended(now, s, exit);
         self.world.forget_scheduler(now, s);
         for id in flows {
             let way = self.delay(self.world.scenario.network.client_ms);
@@ -878,7 +884,7 @@
         let (remaining, within) = (class_end.saturating_sub(now), by.saturating_sub(now));
         let (class, tenant, slots, work, subject) = (r.class, r.tenant, r.slots, r.work, r.subject);
         let expected = r.hint;
-        self.world.referee.taken(now, id, s, class, by);
+        self.world.invariant_checker.request_accepted(now, id, s, class, by);
         let (mut holding, mut in_share) = (None, None);
         let mean = self.nodes[s].mean[class];
         if let Some(quota) = &mut self.nodes[s].quota {
@@ -891,7 +897,7 @@
                 }
                 Verdict::Unknown => in_share = Some(false),
                 Verdict::Refused(refusal) => {
-                    self.world.referee.answered(now, id, Answered::Refused);
+                    self.world.invariant_checker.response_sent(now, id, FinalResponse::Refused);
                     let after = refusal.after.min(ms(self.world.scenario.terms.max_retry_after_ms));
                     let way = self.delay(self.world.scenario.network.client_ms);
                     return self.push(now + way, Due::Answer(id, 3 + after as usize));
@@ -971,11 +977,11 @@
             client.request.patience < ms(self.world.scenario.classes[client.request.class].deadline_ms);
         let grace = ms(self.world.scenario.terms.answer_grace_ms);
         if !early && now < client.leaves + grace && !answered {
-            // An answer may be a little late on its way: it is waited for, and the referee says whether it was.
+            // An answer may be a little late on its way: it is waited for, and the invariants says whether it was.
             return self.push(client.leaves + grace, Due::Leave(id));
         }
         if !answered && early {
-            self.world.referee.left(now, id);
+            self.world.invariant_checker.client_left(now, id);
             if let Some(s) = at.filter(|s| self.nodes[*s].flows.get(&id).is_some_and(|f| !f.answered)) {
                 if let Some(flow) = self.nodes[s].flows.get_mut(&id) {
                     flow.answered = true;
--- a/crates/simulation/src/world.rs
+++ b/crates/simulation/src/world.rs
@@ -2,10 +2,10 @@
 //!
 //! Both hosts drive the same world. They tell it what reaches a worker ([`World::connect`], [`World::arrive`],
 //! [`World::give_up`]) and carry out what it wants done ([`Deed`]): a word of a worker to a scheduler, news of the
-//! list, a signal for a scheduler. It keeps no socket and reads no clock, and the referee hangs on it, so that both
+//! list, a signal for a scheduler. It keeps no socket and reads no clock, and the invariants hangs on it, so that both
 //! hosts are judged by the same facts.
 
-use crate::referee::{Ended, Referee};
+use crate::invariants::{AttemptEnd, InvariantChecker};
 use crate::scenario::{FaultKind, Queue, Scenario};
 use crate::seed::{Stream, Streams};
 use crate::worker::{Job, Said, Spec, Worker};
@@ -313,8 +313,8 @@
 pub struct World {
     /// The scenario.
     pub scenario: Scenario,
-    /// The referee.
-    pub referee: Referee,
+    /// The invariant_checker.
+    pub invariant_checker: InvariantChecker,
     /// What the faults did.
     pub counters: Counters,
     streams: Streams,
@@ -352,7 +352,7 @@
 
 impl World {
     /// The world at the start of a scenario: all workers are warm and listed. `slack` is what the host adds to every
-    /// limit of the referee, in nanoseconds.
+    /// limit of the invariants, in nanoseconds.
     pub fn new(scenario: Scenario, seed: u64, slack: Nanos) -> World {
         let streams = Streams::new(seed);
         let (mut kinds, mut build) = (streams.named("kinds"), streams.named("workers"));
@@ -413,7 +413,7 @@
         let known: BTreeMap<usize, (Entry, Nanos)> =
             listed.iter().map(|e| (e.worker, (e.clone(), 0))).collect();
         let mut world = World {
-            referee: Referee::new(&scenario, slack),
+            invariant_checker: InvariantChecker::new(&scenario, slack),
             counters: Counters::default(),
             stations,
             jobs: FxHashMap::default(),
@@ -638,11 +638,11 @@
             let Some(out) = self.jobs.get(&job) else { continue };
             let (request, scheduler, given_up) = (out.request, out.scheduler, out.given_up);
             match word {
-                Word::Started => self.referee.started(at, request, w, job),
+                Word::Started => self.invariant_checker.job_started(at, request, w, job),
                 Word::Done => {
                     self.stations[w].ended += 1;
-                    self.referee.made(request, &World::result(w, job));
-                    self.referee.ended(at, request, job, Ended::MayHaveRun);
+                    self.invariant_checker.result_produced(request, &World::result(w, job));
+                    self.invariant_checker.attempt_ended(at, request, job, AttemptEnd::MayHaveRun);
                     self.jobs.remove(&job);
                     self.counters.ran_on += u64::from(given_up);
                 }
@@ -722,10 +722,10 @@
         let drained = told.filter(|(e, _)| e.health != Health::Active).map(|(_, at)| *at);
         let informed = told.is_some_and(|(e, _)| e.born == self.stations[w].born);
         let cell = self.group(attempt.class, w);
-        self.referee.received(now, attempt.sent, request, w, cell, job, drained);
+        self.invariant_checker.attempt_received(now, attempt.sent, request, w, cell, job, drained);
         if let Some(back) = self.stations[w].doomed.take() {
             self.counters.crashed += 1;
-            self.referee.ended(now, request, job, Ended::MayHaveRun);
+            self.invariant_checker.attempt_ended(now, request, job, AttemptEnd::MayHaveRun);
             self.stop(now, w);
             self.push(back.max(now + 1), Due::Return(w));
             return Reply::Refused;
@@ -737,9 +737,9 @@
         let mean = self.scenario.classes.get(attempt.class).map_or(attempt.work, |c| c.work_ms * 1e6);
         let load = mean * f64::from(attempt.slots);
         if let Some(push) = station.worker.received(now, load, informed) {
-            self.referee.fell_over(now, w, &push);
+            self.invariant_checker.worker_overloaded(now, w, &push);
             self.counters.fell_over += 1;
-            self.referee.ended(now, request, job, Ended::MayHaveRun);
+            self.invariant_checker.attempt_ended(now, request, job, AttemptEnd::MayHaveRun);
             self.stop(now, w);
             return Reply::Refused;
         }
@@ -747,7 +747,7 @@
         if failing > 0.0 && self.rng.chance(failing) {
             let fast = self.stations[w].failing > 0.0;
             self.counters.fast_errors += u64::from(fast);
-            self.referee.ended(now, request, job, Ended::MayHaveRun);
+            self.invariant_checker.attempt_ended(now, request, job, AttemptEnd::MayHaveRun);
             return Reply::Error;
         }
         let station = &mut self.stations[w];
@@ -776,7 +776,7 @@
             self.jobs.insert(job, out);
         } else {
             self.counters.full += 1;
-            self.referee.ended(now, request, job, Ended::NeverRan);
+            self.invariant_checker.attempt_ended(now, request, job, AttemptEnd::NeverRan);
         }
         self.pass_on(w, &mut said);
         self.said = said;
@@ -825,7 +825,7 @@
         }
         if self.stations[w].worker.cancel(job) {
             self.jobs.remove(&job);
-            self.referee.ended(now, request, job, Ended::MayHaveRun);
+            self.invariant_checker.attempt_ended(now, request, job, AttemptEnd::MayHaveRun);
         } else if let Some(out) = self.jobs.get_mut(&job) {
             out.given_up = true;
         }
@@ -841,7 +841,7 @@
         for job in jobs {
             let Some(out) = self.jobs.get(&job) else { continue };
             let request = out.request;
-            self.referee.ended(now, request, job, Ended::MayHaveRun);
+            self.invariant_checker.attempt_ended(now, request, job, AttemptEnd::MayHaveRun);
         }
     }
 
@@ -1113,7 +1113,7 @@
         for job in self.stations[w].worker.hand_back() {
             let Some(out) = self.jobs.remove(&job) else { continue };
             self.counters.handed_back += 1;
-            self.referee.ended(at, out.request, job, Ended::NeverRan);
+            self.invariant_checker.attempt_ended(at, out.request, job, AttemptEnd::NeverRan);
             if !out.given_up {
                 let report = self.report(at, w);
                 let (scheduler, request) = (out.scheduler, out.request);
@@ -1145,7 +1145,7 @@
     fn drop_jobs(&mut self, at: Nanos, w: usize, said: bool) {
         for job in self.stations[w].worker.stop() {
             let Some(out) = self.jobs.remove(&job) else { continue };
-            self.referee.ended(at, out.request, job, Ended::MayHaveRun);
+            self.invariant_checker.attempt_ended(at, out.request, job, AttemptEnd::MayHaveRun);
             if said && !out.given_up {
                 let (scheduler, request) = (out.scheduler, out.request);
                 let word = Word::Lost;
--- a/crates/simulation/tests/referee.rs
+++ b/crates/simulation/tests/invariants.rs
@@ -1,10 +1,10 @@
-//! Each rule of the referee is able to fail: a scheduler with one defect is caught by the rule it breaks.
+//! Each rule of the invariants is able to fail: a scheduler with one defect is caught by the rule it breaks.
 
 use loomlb_policy::{
     Action, AttemptResult, CellId, Event, Idempotency, ListKind, Nanos, Outcome, Request, RequestId,
     Settings, Worker, WorkerId, WorkerState,
 };
-use loomlb_simulation::referee::{Answered, End, Ended as HowEnded, Referee, Rule};
+use loomlb_simulation::invariants::{AttemptEnd, FinalResponse, Invariant, InvariantChecker, SchedulerExit};
 use loomlb_simulation::simulate::{self, Decider};
 use loomlb_simulation::{FaultKind, Scenario};
 use std::collections::BTreeMap;
@@ -129,16 +129,16 @@
     [[trouble]]\nkind = \"drain\"\nat_s = 2\nfor_s = 5\npart = 0.2\n";
 const END: &str = "[[trouble]]\nkind = \"scheduler_term\"\nat_s = 5\n";
 
-fn caught(defect: Defect, faults: &str) -> Vec<Rule> {
+fn caught(defect: Defect, faults: &str) -> Vec<Invariant> {
     let make = move |set: Settings, _: u64| -> Box<dyn Decider> {
         Box::new(Plain { defect, set, workers: BTreeMap::new(), jobs: BTreeMap::new(), turn: 0, now: 0 })
     };
     let played = simulate::run_with(&scenario(faults), 5, 0, &make);
-    let mut rules: Vec<Rule> = played.first.iter().map(|b| b.rule).collect();
+    let mut rules: Vec<Invariant> = played.first_violations.iter().map(|b| b.invariant).collect();
     rules.sort();
     rules.dedup();
-    for b in &played.first {
-        assert!(b.rule == Rule::ColdWorker || !b.story.is_empty(), "no story: {b}");
+    for b in &played.first_violations {
+        assert!(b.invariant == Invariant::ColdWorker || !b.history.is_empty(), "no story: {b}");
     }
     rules
 }
@@ -147,65 +147,65 @@
 fn a_scheduler_with_one_fault_is_caught_by_the_rule_that_it_breaks() {
     let both = format!("{FAULTS}{END}");
     assert_eq!(caught(Defect::None, &both), []);
-    assert_eq!(caught(Defect::ForgetsRequests, ""), [Rule::AnsweredOnce]);
-    assert_eq!(caught(Defect::AnswersLate, ""), [Rule::InTime]);
-    assert_eq!(caught(Defect::RepeatsUnsafe, FAULTS), [Rule::AtMostOnce]);
-    assert_eq!(caught(Defect::RepeatsAcrossCells, FAULTS), [Rule::KeyedRepeat]);
+    assert_eq!(caught(Defect::ForgetsRequests, ""), [Invariant::AnsweredOnce]);
+    assert_eq!(caught(Defect::AnswersLate, ""), [Invariant::InTime]);
+    assert_eq!(caught(Defect::RepeatsUnsafe, FAULTS), [Invariant::AtMostOnce]);
+    assert_eq!(caught(Defect::RepeatsAcrossCells, FAULTS), [Invariant::KeyedRepeat]);
     // Two copies of a job that must run once break two rules.
-    assert!(caught(Defect::SendsTwoCopies, "").contains(&Rule::SecondCopy));
-    assert_eq!(caught(Defect::RefusesWhatRan, FAULTS), [Rule::HonestRefusal]);
-    assert_eq!(caught(Defect::IgnoresDrains, FAULTS), [Rule::Drain]);
-    assert_eq!(caught(Defect::PoursOnColdWorkers, FAULTS), [Rule::ColdWorker]);
+    assert!(caught(Defect::SendsTwoCopies, "").contains(&Invariant::SecondCopy));
+    assert_eq!(caught(Defect::RefusesWhatRan, FAULTS), [Invariant::HonestRefusal]);
+    assert_eq!(caught(Defect::IgnoresDrains, FAULTS), [Invariant::Drain]);
+    assert_eq!(caught(Defect::PoursOnColdWorkers, FAULTS), [Invariant::ColdWorker]);
 }
 
-/// What the virtual host itself never does, and a host on sockets may see: told to the referee directly.
+/// What the virtual host itself never does, and a host on sockets may see: told to the invariants directly.
 #[test]
 fn second_answers_late_repeats_and_made_up_results_are_caught() {
     let scenario = scenario("");
     let ms = 1_000_000;
-    let seen = |tell: &dyn Fn(&mut Referee)| {
-        let mut referee = Referee::new(&scenario, 0);
-        referee.taken(0, 1, 0, 1, 5_000 * ms);
-        tell(&mut referee);
-        referee.breaches.iter().map(|b| b.rule).collect::<Vec<_>>()
+    let seen = |tell: &dyn Fn(&mut InvariantChecker)| {
+        let mut invariants = InvariantChecker::new(&scenario, 0);
+        invariants.request_accepted(0, 1, 0, 1, 5_000 * ms);
+        tell(&mut invariants);
+        invariants.violations.iter().map(|b| b.invariant).collect::<Vec<_>>()
     };
-    let served = |r: &mut Referee, result: &str| {
-        r.received(10 * ms, 9 * ms, 1, 3, 0, 7, None);
-        r.started(11 * ms, 1, 3, 7);
-        r.made(1, "result");
-        r.ended(20 * ms, 1, 7, HowEnded::MayHaveRun);
-        r.answered(21 * ms, 1, Answered::Served(result.into()));
+    let served = |r: &mut InvariantChecker, result: &str| {
+        r.attempt_received(10 * ms, 9 * ms, 1, 3, 0, 7, None);
+        r.job_started(11 * ms, 1, 3, 7);
+        r.result_produced(1, "result");
+        r.attempt_ended(20 * ms, 1, 7, AttemptEnd::MayHaveRun);
+        r.response_sent(21 * ms, 1, FinalResponse::Served(result.into()));
     };
     assert_eq!(seen(&|r| served(r, "result")), []);
-    assert_eq!(seen(&|r| served(r, "made up")), [Rule::MadeByWorker]);
+    assert_eq!(seen(&|r| served(r, "made up")), [Invariant::MadeByWorker]);
     assert_eq!(
         seen(&|r| {
             served(r, "result");
-            r.answered(30 * ms, 1, Answered::Failed)
+            r.response_sent(30 * ms, 1, FinalResponse::Failed)
         }),
-        [Rule::AnsweredOnce]
+        [Invariant::AnsweredOnce]
     );
-    assert_eq!(seen(&|r| r.answered(30 * ms, 2, Answered::Failed)), [Rule::AnsweredOnce]);
+    assert_eq!(seen(&|r| r.response_sent(30 * ms, 2, FinalResponse::Failed)), [Invariant::AnsweredOnce]);
     // What a scheduler took is lost if it ends by itself, and not if it is killed in its time.
-    let end = |end: End| seen(&move |r| r.scheduler_ended(5_000 * ms, 0, end));
-    assert_eq!(end(End::ByItself), [Rule::NothingLostAtEnd]);
-    assert_eq!(end(End::Killed), []);
-    assert_eq!(end(End::Overran(1_300 * ms)), []);
-    let late = |r: &mut Referee| {
-        r.taken(2_100 * ms, 2, 0, 0, 9_000 * ms);
-        r.scheduler_ended(5_000 * ms, 0, End::Overran(1_300 * ms));
+    let end = |exit: SchedulerExit| seen(&move |r| r.scheduler_ended(5_000 * ms, 0, exit));
+    assert_eq!(end(SchedulerExit::Exited), [Invariant::NothingLostAtEnd]);
+    assert_eq!(end(SchedulerExit::Killed), []);
+    assert_eq!(end(SchedulerExit::ShutdownTimedOut(1_300 * ms)), []);
+    let late = |r: &mut InvariantChecker| {
+        r.request_accepted(2_100 * ms, 2, 0, 0, 9_000 * ms);
+        r.scheduler_ended(5_000 * ms, 0, SchedulerExit::ShutdownTimedOut(1_300 * ms));
     };
-    assert_eq!(seen(&late), [Rule::NothingLostAtEnd]);
+    assert_eq!(seen(&late), [Invariant::NothingLostAtEnd]);
     // A repeat within the cell is fine within the window and not after it.
     let repeat = |after: Nanos| {
         seen(&move |r| {
-            r.received(10 * ms, 9 * ms, 1, 3, 0, 7, None);
-            r.ended(20 * ms, 1, 7, HowEnded::MayHaveRun);
-            r.received(after + 1, after, 1, 4, 0, 8, None);
+            r.attempt_received(10 * ms, 9 * ms, 1, 3, 0, 7, None);
+            r.attempt_ended(20 * ms, 1, 7, AttemptEnd::MayHaveRun);
+            r.attempt_received(after + 1, after, 1, 4, 0, 8, None);
         })
     };
     assert_eq!(repeat(7_000 * ms), []);
-    assert_eq!(repeat(7_510 * ms), [Rule::KeyedRepeat]);
+    assert_eq!(repeat(7_510 * ms), [Invariant::KeyedRepeat]);
 }
 
 /// A client that has gone is sent nothing for: two cases are chance, and of those that waited for their first attempt no more
@@ -216,29 +216,29 @@
     let ms = 1_000_000;
     // Requests whose clients leave at 100 ms, each sent before or not, and then after so long.
     let seen = |slack: Nanos, sent_before: bool, after: &[Nanos], quiet: u64| {
-        let mut referee = Referee::new(&scenario, slack);
+        let mut invariants = InvariantChecker::new(&scenario, slack);
         for n in 0..after.len() as u64 + quiet {
-            referee.taken(0, 1 + n, 0, 0, 5_000 * ms);
+            invariants.request_accepted(0, 1 + n, 0, 0, 5_000 * ms);
             if sent_before {
-                referee.received(10 * ms, 9 * ms, 1 + n, 3, 0, 100 + n, None);
-                referee.ended(20 * ms, 1 + n, 100 + n, HowEnded::NeverRan);
+                invariants.attempt_received(10 * ms, 9 * ms, 1 + n, 3, 0, 100 + n, None);
+                invariants.attempt_ended(20 * ms, 1 + n, 100 + n, AttemptEnd::NeverRan);
             }
-            referee.left(100 * ms, 1 + n);
+            invariants.client_left(100 * ms, 1 + n);
         }
         for (n, after) in after.iter().enumerate() {
             let sent = 100 * ms + after;
-            referee.received(sent + ms, sent, 1 + n as u64, 4, 0, 200 + n as u64, None);
+            invariants.attempt_received(sent + ms, sent, 1 + n as u64, 4, 0, 200 + n as u64, None);
         }
-        referee.finish(9_000 * ms);
-        referee.breaches.iter().map(|b| b.rule).collect::<Vec<_>>()
+        invariants.finish(9_000 * ms);
+        invariants.violations.iter().map(|b| b.invariant).collect::<Vec<_>>()
     };
     assert_eq!(seen(0, true, &[150 * ms; 2], 0), []);
-    assert_eq!(seen(0, true, &[150 * ms; 3], 0), [Rule::ClientGone]);
+    assert_eq!(seen(0, true, &[150 * ms; 3], 0), [Invariant::ClientGone]);
     assert_eq!(seen(0, true, &[100 * ms; 9], 0), [], "in time");
     assert_eq!(seen(50 * ms, true, &[150 * ms; 9], 0), [], "the slack of sockets");
-    assert_eq!(seen(50 * ms, true, &[151 * ms; 4], 0), [Rule::ClientGone; 2]);
+    assert_eq!(seen(50 * ms, true, &[151 * ms; 4], 0), [Invariant::ClientGone; 2]);
     // Two that waited are chance by their number, and over a quarter of seven, not of eight.
-    assert_eq!(seen(0, false, &[300 * ms; 2], 5), [Rule::ClientGone]);
+    assert_eq!(seen(0, false, &[300 * ms; 2], 5), [Invariant::ClientGone]);
     assert_eq!(seen(0, false, &[300 * ms; 2], 6), []);
     assert_eq!(seen(0, false, &[299 * ms; 2], 0), []);
 }
@@ -250,5 +250,5 @@
     for kind in FaultKind::ALL {
         assert_eq!(played.counters.of(kind), 0, "{}", kind.name());
     }
-    assert_eq!((played.breaches, played.seen.taken > 300), (0, true));
+    assert_eq!((played.violations, played.seen.taken > 300), (0, true));
 }
