--- a/crates/emulator/src/agent.rs
+++ b/crates/emulator/src/agent.rs
@@ -8,7 +8,7 @@
 use loomlb_policy::Nanos;
 use loomlb_simulation::scenario::Mode;
 use loomlb_simulation::settings;
-use loomlb_simulation::world::{Entry, Health};
+use loomlb_simulation::world::{Health, WorkerEntry};
 use serde_json::{Value, json};
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
@@ -32,7 +32,7 @@
 const GOES_ON: Nanos = 200_000_000;
 
 /// Its version, its entries, and what has changed by which version.
-type Seen = (u64, Vec<Entry>, VecDeque<(u64, Entry)>);
+type Seen = (u64, Vec<WorkerEntry>, VecDeque<(u64, WorkerEntry)>);
 
 /// The agent of a scheduler.
 #[derive(Debug)]
@@ -118,7 +118,7 @@
     if !asked || now <= stage.agents[s].goes_on.get() {
         return true;
     }
-    let turn = stage.world.borrow_mut().list_call(now);
+    let turn = stage.world.borrow_mut().request_list(now);
     let (Ok(at) | Err(at)) = turn;
     tokio::time::sleep(Duration::from_nanos(at.saturating_sub(now))).await;
     turn.is_ok()
@@ -165,7 +165,7 @@
 
 /// Takes in what the scheduler has been told by now.
 fn refresh(stage: &Stage, s: usize) {
-    let (seq, entries) = stage.world.borrow().told(s);
+    let (seq, entries) = stage.world.borrow().known_list(s);
     let mut seen = stage.agents[s].seen.borrow_mut();
     let (last, old, log) = &mut *seen;
     if *last == seq {
@@ -182,9 +182,9 @@
     (*last, *old) = (seq, entries);
 }
 
-fn hosts(stage: &Stage, s: usize, entries: &[Entry]) -> Vec<Value> {
+fn hosts(stage: &Stage, s: usize, entries: &[WorkerEntry]) -> Vec<Value> {
     let world = stage.world.borrow();
-    let dial = |e: &Entry| stage.words[s * world.workers() + e.worker].at.get().to_string();
+    let dial = |e: &WorkerEntry| stage.words[s * world.workers() + e.worker].at.get().to_string();
     entries.iter().map(|e| settings::entry(&world, e, &dial(e), stage.epoch_ms.get())).collect()
 }
 
@@ -192,7 +192,7 @@
 pub(crate) fn whole(stage: &Stage, s: usize) -> Value {
     refresh(stage, s);
     let seen = stage.agents[s].seen.borrow();
-    let here: Vec<Entry> = seen.1.iter().filter(|e| e.health != Health::Left).cloned().collect();
+    let here: Vec<WorkerEntry> = seen.1.iter().filter(|e| e.health != Health::Left).cloned().collect();
     json!({"seq": seen.0, "whole": true, "hosts": hosts(stage, s, &here)})
 }
 
@@ -201,9 +201,9 @@
     refresh(stage, s);
     let (seq, changed, forgotten) = {
         let seen = stage.agents[s].seen.borrow();
-        let newer: Vec<&Entry> = seen.2.iter().filter(|c| c.0 > from).map(|c| &c.1).collect();
+        let newer: Vec<&WorkerEntry> = seen.2.iter().filter(|c| c.0 > from).map(|c| &c.1).collect();
         // The last word on each counts.
-        let mut last: Vec<Entry> = Vec::new();
+        let mut last: Vec<WorkerEntry> = Vec::new();
         for entry in newer {
             last.retain(|e| e.worker != entry.worker);
             last.push(entry.clone());
--- a/crates/emulator/src/schedulers.rs
+++ b/crates/emulator/src/schedulers.rs
@@ -214,7 +214,7 @@
         (false, _) => SchedulerExit::Killed,
     };
     stage.world.borrow_mut().invariant_checker.scheduler_ended(now, s, end);
-    stage.world.borrow_mut().forget_scheduler(now, s);
+    stage.world.borrow_mut().abandon_jobs(now, s);
     if stage.over.get() {
         return;
     }
--- a/crates/emulator/src/stage.rs
+++ b/crates/emulator/src/stage.rs
@@ -9,7 +9,7 @@
 use loomlb_simulation::invariants::{CheckerCounts, Violation};
 use loomlb_simulation::scenario::Scenario;
 use loomlb_simulation::seed::Stream;
-use loomlb_simulation::world::{Counters, Deed, World, secs};
+use loomlb_simulation::world::{Counters, HostAction, World, secs};
 use rustc_hash::FxHashMap;
 use serde::Serialize;
 use std::cell::{Cell, RefCell};
@@ -326,7 +326,7 @@
         figures: stage.collector.borrow().figures(),
         seen: world.invariant_checker.counts,
         breaches: world.invariant_checker.violation_count,
-        workers_up: (0..world.workers()).filter(|w| !world.silent(*w) && !world.down(*w)).count(),
+        workers_up: (0..world.workers()).filter(|w| !world.is_silent(*w) && !world.is_down(*w)).count(),
         troubles: world.scenario.faults.iter().filter(on).map(|t| t.kind.name()).collect(),
     }
 }
@@ -373,14 +373,14 @@
     loop {
         let now = stage.now();
         loop {
-            let deed = stage.world.borrow_mut().turn(now);
+            let deed = stage.world.borrow_mut().next_action(now);
             match deed {
                 Some(deed) => carry_out(&stage, deed),
                 None => break,
             }
         }
         // Something measures or changes in every second of a day; without that a minute is as good.
-        let next = stage.world.borrow().next().unwrap_or(now + 60_000_000_000);
+        let next = stage.world.borrow().next_event_time().unwrap_or(now + 60_000_000_000);
         tokio::select! {
             () = stage.until(next) => {}
             () = stage.wake.notified() => {}
@@ -388,14 +388,14 @@
     }
 }
 
-fn carry_out(stage: &Rc<Stage>, deed: Deed) {
+fn carry_out(stage: &Rc<Stage>, deed: HostAction) {
     match deed {
-        Deed::Word { job, worker, scheduler, request, word, report } => {
+        HostAction::JobUpdate { job, worker, scheduler, request, update: word, report } => {
             workers::say(stage, worker, scheduler, request, job, word, report);
         }
-        Deed::List { scheduler, .. } => stage.agents[scheduler].news.notify_waiters(),
-        Deed::Signal(s, signal) => schedulers::signal(stage, s, signal),
-        Deed::Reset(w) => stage.resets[w].send_modify(|n| *n += 1),
+        HostAction::WorkerList { scheduler, .. } => stage.agents[scheduler].news.notify_waiters(),
+        HostAction::Signal(s, signal) => schedulers::signal(stage, s, signal),
+        HostAction::ResetConnections(w) => stage.resets[w].send_modify(|n| *n += 1),
     }
 }
 
--- a/crates/emulator/src/workers.rs
+++ b/crates/emulator/src/workers.rs
@@ -5,7 +5,7 @@
 use crate::wire::{self, Body, Line};
 use hyper::body::Incoming;
 use hyper::{Request, Response};
-use loomlb_simulation::world::{Attempt, Dial, Reply, Report, Word, World};
+use loomlb_simulation::world::{Attempt, AttemptReply, ConnectResult, JobUpdate, WorkerLoad, World};
 use serde_json::{Value, json};
 use std::cell::Cell;
 use std::io;
@@ -75,7 +75,7 @@
     let at = stage.words[s * stage.resets.len() + w].at.get();
     let mut listener = Some(listener);
     loop {
-        if stage.world.borrow().down(w) {
+        if stage.world.borrow().is_down(w) {
             listener = None;
         } else if listener.is_none() {
             // The address is this pair's own; it is free again as soon as the kernel says so.
@@ -94,12 +94,12 @@
                 spawn_local(async move {
                     let hang_up = async move { let _ = reset.changed().await; };
                     match dial {
-                        Dial::Refused => {}
-                        Dial::Nothing => {
+                        ConnectResult::Refused => {}
+                        ConnectResult::NoResponse => {
                             hang_up.await;
                             drop(stream);
                         }
-                        Dial::Up => {
+                        ConnectResult::Connected => {
                             let here = Rc::clone(&stage);
                             wire::serve(stream, move |r| answer(Rc::clone(&here), s, w, r), hang_up).await;
                             stage.world.borrow_mut().disconnect(w);
@@ -131,7 +131,7 @@
             let request = path.rsplit('/').next().and_then(number);
             if let Some(request) = request {
                 let now = stage.now();
-                stage.world.borrow_mut().give_up_request(now, w, request);
+                stage.world.borrow_mut().cancel_request(now, w, request);
                 stage.stir();
             }
             Some(wire::response(200, ""))
@@ -173,7 +173,7 @@
     };
     let (slots, work, class, subject) = (known.slots, known.work, known.class, known.subject);
     let attempt = Attempt { request, scheduler: s, slots, work, class, subject, sent };
-    let reply = stage.world.borrow_mut().arrive(stage.now(), w, &attempt);
+    let reply = stage.world.borrow_mut().receive_attempt(stage.now(), w, &attempt);
     stage.stir();
     let report = stage.world.borrow_mut().report(stage.now(), w);
     let with_load = |mut response: Response<Body>| {
@@ -183,7 +183,7 @@
         response
     };
     match reply {
-        Reply::Taken(job) => {
+        AttemptReply::Accepted(job) => {
             // A connection that closes before the 202 gives the job up.
             let guard = GiveUp { stage, job: Some(job) };
             if stage.whims.borrow_mut().chance(OVERTAKEN) {
@@ -193,14 +193,14 @@
             guard.keep();
             Some(wire::response(202, ""))
         }
-        Reply::Full => {
+        AttemptReply::Full => {
             let mut response = with_load(wire::response(503, ""));
             response.headers_mut().insert("X-Unprocessed", hyper::header::HeaderValue::from_static("1"));
             Some(response)
         }
-        Reply::Error => Some(with_load(wire::response(500, "failed fast"))),
-        Reply::Silent => match wire::silence().await {},
-        Reply::Refused => None,
+        AttemptReply::Error => Some(with_load(wire::response(500, "failed fast"))),
+        AttemptReply::NoResponse => match wire::silence().await {},
+        AttemptReply::ConnectionRefused => None,
     }
 }
 
@@ -220,7 +220,7 @@
     fn drop(&mut self) {
         // The world is free here: nothing holds it across a wait.
         if let (Some(job), Ok(mut world)) = (self.job, self.stage.world.try_borrow_mut()) {
-            world.give_up(self.stage.now(), job);
+            world.cancel_job(self.stage.now(), job);
             self.stage.stir();
         }
     }
@@ -243,8 +243,8 @@
     Some((request, sent))
 }
 
-fn load_text(report: &Report) -> String {
-    format!("inflight={:.2},qps={:.2},x0={:.2}", report.held, report.rate, report.free)
+fn load_text(report: &WorkerLoad) -> String {
+    format!("inflight={:.2},qps={:.2},x0={:.2}", report.in_flight, report.rate, report.free_slots)
 }
 
 /// A worker says something of a job to the scheduler that sent it.
@@ -254,26 +254,26 @@
     s: usize,
     request: u64,
     job: u64,
-    word: Word,
-    report: Option<Report>,
+    word: JobUpdate,
+    report: Option<WorkerLoad>,
 ) {
     let id = stage.guests.borrow().get(&request).cloned().unwrap_or_else(|| format!("{request:016x}"));
-    let mut said = json!({"id": id, "from": World::name(w)});
+    let mut said = json!({"id": id, "from": World::worker_name(w)});
     match word {
-        Word::Started => said["state"] = json!("started"),
-        Word::Progress(x) => {
+        JobUpdate::Started => said["state"] = json!("started"),
+        JobUpdate::Progress(x) => {
             said["state"] = json!("running");
             said["share"] = json!(x);
         }
-        Word::Done => {
+        JobUpdate::Done => {
             said["state"] = json!("done");
             said["result"] = json!(World::result(w, job));
         }
-        Word::Returned => said["state"] = json!("returned"),
-        Word::Lost => said["state"] = json!("lost"),
+        JobUpdate::Returned => said["state"] = json!("returned"),
+        JobUpdate::Lost => said["state"] = json!("lost"),
     }
     if let Some(r) = report {
-        said["load"] = json!({"inflight": r.held, "qps": r.rate, "x0": r.free});
+        said["load"] = json!({"inflight": r.in_flight, "qps": r.rate, "x0": r.free_slots});
     }
     let run = stage.schedulers[s].run.get();
     let words = &stage.words[s * stage.resets.len() + w];
--- a/crates/lab/src/capacity/probe.rs
+++ b/crates/lab/src/capacity/probe.rs
@@ -7,7 +7,7 @@
 };
 use loomlb_simulation::Scenario;
 use loomlb_simulation::settings::entry;
-use loomlb_simulation::world::{Entry, Health, World};
+use loomlb_simulation::world::{Health, WorkerEntry, World};
 use serde_json::Value;
 use std::collections::VecDeque;
 
@@ -145,6 +145,6 @@
     // An address as long as most are in a network of this size, and the birth of a process that was started once.
     let dial =
         format!("10.{}.{}.{}:8080", 100 + worker / 40_000, 100 + worker / 150 % 150, 100 + worker % 150);
-    let said = Entry { worker, health: Health::Active, weight: 1.0, born: 3_600_000_000_000 };
+    let said = WorkerEntry { worker, health: Health::Active, weight: 1.0, started_at: 3_600_000_000_000 };
     entry(world, &said, &dial, 1_790_000_000_000)
 }
--- a/crates/simulation/src/invariants.rs
+++ b/crates/simulation/src/invariants.rs
@@ -556,17 +556,17 @@
     }
 
     /// A cold worker has fallen over.
-    pub fn worker_overloaded(&mut self, at: Nanos, worker: usize, push: &crate::worker::Push) {
-        if push.informed >= 2.0 / 3.0 {
+    pub fn worker_overloaded(&mut self, at: Nanos, worker: usize, overload: &crate::worker::Overload) {
+        if overload.informed_share >= 2.0 / 3.0 {
             let description = format!(
                 "worker {worker} fell over at {:.0} % of its capacity: sent {:.2} s of work in {} jobs (the largest {:.2}), \
                  able to bear {:.2}, {:.0} % of it by schedulers that knew",
-                push.warmth * 100.0,
-                push.sum / 1e9,
-                push.jobs,
-                push.largest / 1e9,
-                push.limit / 1e9,
-                push.informed * 100.0
+                overload.capacity_share * 100.0,
+                overload.received_work / 1e9,
+                overload.job_count,
+                overload.largest_job / 1e9,
+                overload.limit / 1e9,
+                overload.informed_share * 100.0
             );
             self.record_violation(Invariant::ColdWorker, at, 0, description);
         }
--- a/crates/simulation/src/settings.rs
+++ b/crates/simulation/src/settings.rs
@@ -1,7 +1,7 @@
 //! What a scheduler is told at its start, in the platform's words, and the list's entries.
 
 use crate::scenario::{Effect, Mode, Queue, Scenario};
-use crate::world::{Entry, Health, World};
+use crate::world::{Health, WorkerEntry, World};
 use loomlb_policy::raw_settings::{RawSettings, SettingNames};
 use loomlb_policy::{CellId, Settings, Worker, WorkerId, WorkerState};
 use serde_json::{Value, json};
@@ -91,7 +91,7 @@
 }
 
 /// An entry of the list as the decision module takes it.
-pub fn worker(world: &World, names: &SettingNames, entry: &Entry) -> Worker {
+pub fn worker(world: &World, names: &SettingNames, entry: &WorkerEntry) -> Worker {
     let state = match entry.health {
         Health::Active => WorkerState::Ready,
         Health::Leaving => WorkerState::Draining,
@@ -102,7 +102,7 @@
         state,
         cell: CellId(world.cell(entry.worker) as u64),
         weight: entry.weight,
-        started_at: entry.born,
+        started_at: entry.started_at,
         ..Worker::new(id)
     };
     names.with_zone_and_kind(
@@ -113,14 +113,14 @@
 }
 
 /// An entry of the list in discovery's form. `epoch_ms` is the Unix time of the scenario's start, in milliseconds.
-pub fn entry(world: &World, entry: &Entry, dial: &str, epoch_ms: u64) -> Value {
+pub fn entry(world: &World, entry: &WorkerEntry, dial: &str, epoch_ms: u64) -> Value {
     let health = match entry.health {
         Health::Active => "active",
         Health::Leaving => "leaving",
         Health::Left => "left",
     };
-    let born = if entry.born == 0 { 0 } else { epoch_ms + entry.born / 1_000_000 };
-    json!({"host": World::name(entry.worker), "dial": dial, "site": zone(&world.scenario, entry.worker),
+    let started_ms = if entry.started_at == 0 { 0 } else { epoch_ms + entry.started_at / 1_000_000 };
+    json!({"host": World::worker_name(entry.worker), "dial": dial, "site": zone(&world.scenario, entry.worker),
         "class": world.scenario.fleet.kinds[world.kind(entry.worker)].name, "block": world.cell(entry.worker),
-        "health": health, "share": entry.weight, "born_ms": born})
+        "health": health, "share": entry.weight, "born_ms": started_ms})
 }
--- a/crates/simulation/src/simulate.rs
+++ b/crates/simulation/src/simulate.rs
@@ -10,7 +10,9 @@
 use crate::scenario::Scenario;
 use crate::seed::Stream;
 use crate::settings;
-use crate::world::{Attempt, Counters, Deed, Dial, Reply, Signal, Word, World, ms};
+use crate::world::{
+    Attempt, AttemptReply, ConnectResult, Counters, HostAction, JobUpdate, Signal, World, ms,
+};
 use loomlb_policy::raw_settings::{SettingNames, affinity_key};
 use loomlb_policy::{
     Action, AttemptResult, ClassId, Dispatcher, Event, JobProgress, ListKind, LoadReport, Nanos, Outcome,
@@ -104,8 +106,8 @@
     Timeout(usize, u32, u64, u32),
     /// A give-up reaches its worker.
     GiveUp(u64),
-    /// A word of a worker reaches a scheduler: its place in the store of words.
-    Word(usize, u32, usize),
+    /// A word of a worker reaches a scheduler: its place in the store of job_updates.
+    JobUpdate(usize, u32, usize),
     Datagram(usize, u32, usize),
     Probed(usize, u32, usize, bool),
     /// An answer reaches its client.
@@ -175,7 +177,7 @@
 }
 
 /// A word on its way: request, job, what is said, and the worker's load.
-type Said = (u64, u64, Word, Option<LoadReport>);
+type JobUpdateInTransit = (u64, u64, JobUpdate, Option<LoadReport>);
 
 struct Host<'a> {
     world: World,
@@ -189,7 +191,7 @@
     pushed: u64,
     ticking: Option<Nanos>,
     now: Nanos,
-    words: Slab<Said>,
+    job_updates: Slab<JobUpdateInTransit>,
     datagrams: Slab<(usize, Vec<u8>)>,
     collector: Collector,
     delays: Stream,
@@ -226,7 +228,7 @@
         pushed: 0,
         ticking: None,
         now: 0,
-        words: Slab::new(),
+        job_updates: Slab::new(),
         datagrams: Slab::new(),
         collector: Collector::new(scenario),
         delays: streams.named("delays"),
@@ -301,7 +303,7 @@
         let end = crate::world::secs(scenario.seconds) + TAIL;
         loop {
             let mine = self.queue.peek().map(|Reverse((at, _, _))| *at);
-            let theirs = self.world.next();
+            let theirs = self.world.next_event_time();
             let Some(at) = [mine, theirs].into_iter().flatten().min() else { return };
             if at > end
                 || (self.drawn
@@ -311,8 +313,8 @@
                 return;
             }
             self.now = self.now.max(at);
-            while let Some(deed) = self.world.turn(self.now) {
-                self.deed(deed);
+            while let Some(action) = self.world.next_action(self.now) {
+                self.perform_host_action(action);
             }
             while let Some(Reverse((at, _, _))) = self.queue.peek() {
                 if *at > self.now {
@@ -320,8 +322,8 @@
                 }
                 let Some(Reverse((_, _, due))) = self.queue.pop() else { break };
                 self.due(due);
-                while let Some(deed) = self.world.turn(self.now) {
-                    self.deed(deed);
+                while let Some(action) = self.world.next_action(self.now) {
+                    self.perform_host_action(action);
                 }
             }
         }
@@ -352,7 +354,7 @@
 
     /// Tells a scheduler of the whole list as it was last told.
     fn tell_list(&mut self, s: usize, kind: ListKind) {
-        let (_, entries) = self.world.told(s);
+        let (_, entries) = self.world.known_list(s);
         let names = &self.nodes[s].names;
         let mut entries: Vec<_> = entries.iter().map(|e| settings::worker(&self.world, names, e)).collect();
         entries.retain(|e| e.state != loomlb_policy::WorkerState::Removed);
@@ -452,7 +454,7 @@
                 self.mark(37, &[me, worker.0]);
                 let w = worker.0 as usize - 1;
                 let back = self.way(s, w) + self.way(s, w);
-                let up = !self.world.silent(worker.0 as usize - 1);
+                let up = !self.world.is_silent(worker.0 as usize - 1);
                 let after = if up { back } else { ms(self.world.scenario.network.dial_ms) };
                 self.push(self.now + after, Due::Probed(s, run, worker.0 as usize - 1, up));
             }
@@ -466,7 +468,7 @@
             Action::WatchList => {
                 self.mark(39, &[me]);
                 let (there, back) = (self.way_to_list(), self.way_to_list());
-                match self.world.list_call(self.now + there) {
+                match self.world.request_list(self.now + there) {
                     Ok(done) => self.push(done + back, Due::List(s, run)),
                     Err(failed) => self.push(failed + back, Due::NoList(s, run)),
                 }
@@ -532,14 +534,16 @@
         }
         let way = self.way(s, w) + self.way(s, w) + self.way(s, w);
         match self.world.connect(now, s, w) {
-            Dial::Up => {
+            ConnectResult::Connected => {
                 if let Some(f) = self.forward_of(s, id, n) {
                     f.up = true;
                 }
                 self.push(now + way, Due::Arrive(s, run, id, n));
             }
-            Dial::Refused => self.push(now + way, Due::End(s, run, id, n, code(Outcome::NoConnection))),
-            Dial::Nothing => {
+            ConnectResult::Refused => {
+                self.push(now + way, Due::End(s, run, id, n, code(Outcome::NoConnection)))
+            }
+            ConnectResult::NoResponse => {
                 let dial = ms(self.world.scenario.network.dial_ms);
                 self.push(now + dial, Due::End(s, run, id, n, code(Outcome::NoConnection)));
             }
@@ -562,26 +566,28 @@
         let (slots, work, class) = (flow.slots, flow.work, flow.class);
         let subject = self.clients.get(&(id >> 4)).and_then(|c| c.request.subject);
         let attempt = Attempt { request: id, scheduler: s, slots, work, class, subject, sent };
-        let reply = self.world.arrive(self.now, w, &attempt);
+        let reply = self.world.receive_attempt(self.now, w, &attempt);
         let way = self.way(s, w);
         match reply {
-            Reply::Taken(job) => {
+            AttemptReply::Accepted(job) => {
                 if let Some(f) = self.forward_of(s, id, n) {
                     f.job = Some(job);
                 }
                 let (now, node) = (self.now, &mut self.nodes[s]);
                 node.pool.entry(w).or_default().push(now);
             }
-            Reply::Full => {
+            AttemptReply::Full => {
                 self.nodes[s].pool.entry(w).or_default().push(self.now);
                 self.push(self.now + way, Due::End(s, run, id, n, code(Outcome::Full)));
             }
-            Reply::Error => {
+            AttemptReply::Error => {
                 self.nodes[s].pool.entry(w).or_default().push(self.now);
                 self.push(self.now + way + ms(2.0), Due::End(s, run, id, n, code(Outcome::Error)));
             }
-            Reply::Refused => self.push(self.now + way, Due::End(s, run, id, n, code(Outcome::Reset))),
-            Reply::Silent => {}
+            AttemptReply::ConnectionRefused => {
+                self.push(self.now + way, Due::End(s, run, id, n, code(Outcome::Reset)))
+            }
+            AttemptReply::NoResponse => {}
         }
     }
 
@@ -673,11 +679,11 @@
                 self.end(s, id, n, outcome, report);
             }
             Due::Timeout(s, run, id, n) if lives(self, s, run) => self.give_up(s, id, n, Outcome::Timeout),
-            Due::GiveUp(job) => self.world.give_up(now, job),
-            Due::Word(s, run, at) => {
-                let Some((id, job, word, report)) = self.words.try_remove(at) else { return };
+            Due::GiveUp(job) => self.world.cancel_job(now, job),
+            Due::JobUpdate(s, run, at) => {
+                let Some((id, job, update, report)) = self.job_updates.try_remove(at) else { return };
                 if lives(self, s, run) {
-                    self.word(s, id, job, word, report);
+                    self.receive_job_update(s, id, job, update, report);
                 }
             }
             Due::Datagram(s, run, at) => {
@@ -726,23 +732,23 @@
         }
     }
 
-    fn deed(&mut self, deed: Deed) {
-        match deed {
-            Deed::Word { job, worker, scheduler: s, request, word, report } => {
+    fn perform_host_action(&mut self, action: HostAction) {
+        match action {
+            HostAction::JobUpdate { job, worker, scheduler: s, request, update, report } => {
                 if !self.world.reachable(s, worker) {
                     return;
                 }
-                let at = self.words.insert((request, job, word, report.map(told)));
+                let at = self.job_updates.insert((request, job, update, report.map(told)));
                 let (way, run) = (self.way(s, worker), self.nodes[s].run);
-                self.push(self.now + way, Due::Word(s, run, at));
+                self.push(self.now + way, Due::JobUpdate(s, run, at));
             }
-            Deed::List { scheduler: s, entries, .. } => {
+            HostAction::WorkerList { scheduler: s, entries, .. } => {
                 let names = &self.nodes[s].names;
                 let entries = entries.iter().map(|e| settings::worker(&self.world, names, e)).collect();
                 self.feed(s, Event::WorkerList { kind: ListKind::Partial, entries });
             }
-            Deed::Signal(s, Signal::Kill) => self.stop(s, SchedulerExit::Killed),
-            Deed::Signal(s, Signal::Term) => {
+            HostAction::Signal(s, Signal::Kill) => self.stop(s, SchedulerExit::Killed),
+            HostAction::Signal(s, Signal::Term) => {
                 if self.nodes[s].up && self.nodes[s].ending.is_none() {
                     let (now, run) = (self.now, self.nodes[s].run);
                     self.nodes[s].ending = Some(now);
@@ -752,11 +758,11 @@
                 }
             }
             // In virtual time discovery has no address: the whole list comes again, as it does after the move.
-            Deed::Signal(s, Signal::Moved) => {
+            HostAction::Signal(s, Signal::Moved) => {
                 let run = self.nodes[s].run;
                 self.push(self.now + ms(5.0), Due::List(s, run));
             }
-            Deed::Reset(w) => {
+            HostAction::ResetConnections(w) => {
                 for node in &mut self.nodes {
                     node.pool.remove(&w);
                 }
@@ -771,26 +777,35 @@
 
     /// A word may be late, or of a job that an earlier run of this scheduler sent: it counts only while its forward
     /// is out.
-    fn word(&mut self, s: usize, id: u64, job: u64, word: Word, report: Option<LoadReport>) {
+    fn receive_job_update(
+        &mut self,
+        s: usize,
+        id: u64,
+        job: u64,
+        update: JobUpdate,
+        report: Option<LoadReport>,
+    ) {
         let out = |f: &Flow| f.forwards.iter().position(|x| x.job == Some(job) && !x.ended);
         let Some(n) = self.nodes[s].flows.get(&id).and_then(out) else { return };
         let n = n as u32;
-        match word {
-            Word::Started => {
+        match update {
+            JobUpdate::Started => {
                 let now = self.now;
                 if let Some(f) = self.forward_of(s, id, n) {
                     f.started = Some(now);
                 }
                 self.feed(s, Event::JobProgress(RequestId(id), n, JobProgress::Started));
             }
-            Word::Progress(x) => self.feed(s, Event::JobProgress(RequestId(id), n, JobProgress::Fraction(x))),
-            Word::Done => {
+            JobUpdate::Progress(x) => {
+                self.feed(s, Event::JobProgress(RequestId(id), n, JobProgress::Fraction(x)))
+            }
+            JobUpdate::Done => {
                 let w = self.forward_of(s, id, n).map_or(0, |f| f.worker);
                 self.answer(s, id, FinalResponse::Served(World::result(w, job)), Try::Served);
                 self.end(s, id, n, Outcome::Served, report);
             }
-            Word::Returned => self.end(s, id, n, Outcome::Full, report),
-            Word::Lost => self.end(s, id, n, Outcome::Reset, report),
+            JobUpdate::Returned => self.end(s, id, n, Outcome::Full, report),
+            JobUpdate::Lost => self.end(s, id, n, Outcome::Reset, report),
         }
     }
 
@@ -812,7 +827,7 @@
         let pools = std::mem::take(&mut node.pool);
         pools.into_iter().for_each(|(w, idle)| idle.iter().for_each(|_| self.world.disconnect(w)));
         self.world.invariant_checker.scheduler_ended(now, s, exit);
-        self.world.forget_scheduler(now, s);
+        self.world.abandon_jobs(now, s);
         for id in flows {
             let way = self.delay(self.world.scenario.network.client_ms);
             self.push(now + way, Due::Answer(id, 2));
@@ -998,8 +1013,8 @@
     id & 15 == 1
 }
 
-fn told(r: crate::world::Report) -> LoadReport {
-    LoadReport { in_flight: Some(r.held), free_slots: Some(r.free), ..LoadReport::default() }
+fn told(r: crate::world::WorkerLoad) -> LoadReport {
+    LoadReport { in_flight: Some(r.in_flight), free_slots: Some(r.free_slots), ..LoadReport::default() }
 }
 
 const OUTCOMES: [Outcome; 5] =
--- a/crates/simulation/src/world.rs
+++ b/crates/simulation/src/world.rs
@@ -1,14 +1,14 @@
 //! The world: workers, their list, their reports, and what goes wrong, as one machine that is told the time.
 //!
 //! Both hosts drive the same world. They tell it what reaches a worker ([`World::connect`], [`World::arrive`],
-//! [`World::give_up`]) and carry out what it wants done ([`Deed`]): a word of a worker to a scheduler, news of the
+//! [`World::give_up`]) and carry accepted what it wants done ([`HostAction`]): a word of a worker to a scheduler, news of the
 //! list, a signal for a scheduler. It keeps no socket and reads no clock, and the invariants hangs on it, so that both
 //! hosts are judged by the same facts.
 
 use crate::invariants::{AttemptEnd, InvariantChecker};
 use crate::scenario::{FaultKind, Queue, Scenario};
 use crate::seed::{Stream, Streams};
-use crate::worker::{Job, Said, Spec, Worker};
+use crate::worker::{Job, JobEvent, Spec, Worker};
 use loomlb_policy::{Nanos, QueueOrder};
 use rustc_hash::{FxHashMap, FxHashSet};
 use serde::Serialize;
@@ -25,13 +25,13 @@
 }
 
 /// A silent machine is taken off the list after this time: the list knows processes, not machines.
-const SILENT_NOTICE: Nanos = 10_000_000_000;
+const SILENT_WORKER_REMOVAL_DELAY: Nanos = 10_000_000_000;
 /// A worker that drains leaves after this time at the latest.
-const LEAVES: Nanos = 8_000_000_000;
+const MAX_DRAIN_TIME: Nanos = 8_000_000_000;
 /// From a worker's leaving to its next start in a rolling restart.
-const PAUSE: Nanos = 1_000_000_000;
+const ROLLING_RESTART_PAUSE: Nanos = 1_000_000_000;
 /// Reports that a worker remembers; the oldest is told where all are younger than the delay.
-const REPORTS: usize = 32;
+const MAX_STORED_REPORTS: usize = 32;
 
 /// State of a worker in the list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
@@ -46,7 +46,7 @@
 
 /// One entry of the list of workers.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Entry {
+pub struct WorkerEntry {
     /// The worker.
     pub worker: usize,
     /// Its state.
@@ -54,18 +54,18 @@
     /// Its weight.
     pub weight: f64,
     /// When its process started last; 0 for long ago.
-    pub born: Nanos,
+    pub started_at: Nanos,
 }
 
 /// A worker's load as it reports it.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Report {
+pub struct WorkerLoad {
     /// Requests it holds.
-    pub held: f64,
+    pub in_flight: f64,
     /// Requests a second.
     pub rate: f64,
     /// Free slots.
-    pub free: f64,
+    pub free_slots: f64,
 }
 
 /// An attempt that reaches a worker.
@@ -89,33 +89,33 @@
 
 /// What a worker does with an attempt that reaches it.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Reply {
+pub enum AttemptReply {
     /// Takes it, under this number.
-    Taken(u64),
+    Accepted(u64),
     /// Turns it away unseen.
     Full,
     /// Fails it at once.
     Error,
     /// Says nothing: the machine is silent or cut off, or the connection is stuck, and it never saw it.
-    Silent,
+    NoResponse,
     /// Its process is not there.
-    Refused,
+    ConnectionRefused,
 }
 
 /// What comes of a new connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Dial {
+pub enum ConnectResult {
     /// It is up.
-    Up,
+    Connected,
     /// It is refused.
     Refused,
     /// Nothing comes back.
-    Nothing,
+    NoResponse,
 }
 
 /// What a worker has to say of a job.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Word {
+pub enum JobUpdate {
     /// It has started.
     Started,
     /// This share of it is done.
@@ -139,11 +139,11 @@
     Moved,
 }
 
-/// What a host has to carry out.
+/// What a host has to carry accepted.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Deed {
+pub enum HostAction {
     /// A worker has a word for a scheduler.
-    Word {
+    JobUpdate {
         /// The job's number.
         job: u64,
         /// The worker.
@@ -153,23 +153,23 @@
         /// The request.
         request: u64,
         /// What it says.
-        word: Word,
+        update: JobUpdate,
         /// Its load, with the end of an attempt.
-        report: Option<Report>,
+        report: Option<WorkerLoad>,
     },
     /// News of the list for a scheduler.
-    List {
+    WorkerList {
         /// Which one.
         scheduler: usize,
         /// The version.
         seq: u64,
         /// What has changed.
-        entries: Vec<Entry>,
+        entries: Vec<WorkerEntry>,
     },
     /// Something for a scheduler.
     Signal(usize, Signal),
     /// A worker's process has gone, or its machine has come back: its old connections are reset.
-    Reset(usize),
+    ResetConnections(usize),
 }
 
 /// What the faults did, by the model's own count.
@@ -234,7 +234,8 @@
     /// Jobs that ran on after their attempt was given up.
     pub ran_on: u64,
     /// Repeats that a cell knew again.
-    pub known_again: u64,
+    #[serde(rename = "known_again")]
+    pub known_repeats: u64,
 }
 
 impl Counters {
@@ -264,48 +265,48 @@
 }
 
 #[derive(Debug)]
-struct Station {
+struct WorkerNode {
     worker: Worker,
     kind: usize,
     cell: usize,
     health: Health,
-    born: Nanos,
-    silent: bool,
+    started_at: Nanos,
+    is_silent: bool,
     /// It serves nothing: gone, or fallen over.
-    down: bool,
-    failing: f64,
+    is_down: bool,
+    failure_share: f64,
     /// Its process dies with the next request that it receives, and comes back then.
-    doomed: Option<Nanos>,
+    crash_on_next_request: Option<Nanos>,
     error_rate: f64,
     connections: usize,
     /// The subjects that it served last, the oldest first.
-    kept: VecDeque<u64>,
-    reports: VecDeque<(Nanos, Report)>,
+    cached_subjects: VecDeque<u64>,
+    reports: VecDeque<(Nanos, WorkerLoad)>,
     ended: u64,
     /// The time of its earliest entry in the queue of events.
-    queued: Nanos,
+    queued_for: Nanos,
 }
 
 #[derive(Debug)]
-struct Out {
+struct AcceptedJob {
     worker: usize,
     scheduler: usize,
     request: u64,
-    given_up: bool,
+    is_cancelled: bool,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Due {
-    Worker(usize),
-    Measure(usize),
-    Begin(usize),
-    Stroke(usize),
-    End(usize),
-    Leave(usize),
-    Return(usize),
-    Notice(usize),
-    Tell(usize, usize),
-    Weights,
+enum ScheduledEvent {
+    AdvanceWorker(usize),
+    MeasureLoad(usize),
+    BeginFault(usize),
+    RepeatFault(usize),
+    EndFault(usize),
+    StopDraining(usize),
+    Restart(usize),
+    NoticeChange(usize),
+    SendEntry(usize, usize),
+    SendWeights,
 }
 
 /// The world of a scenario.
@@ -318,31 +319,31 @@
     /// What the faults did.
     pub counters: Counters,
     streams: Streams,
-    stations: Vec<Station>,
-    jobs: FxHashMap<u64, Out>,
+    nodes: Vec<WorkerNode>,
+    jobs: FxHashMap<u64, AcceptedJob>,
     last_job: u64,
-    queue: BinaryHeap<Reverse<(Nanos, u64, Due)>>,
-    pushed: u64,
-    deeds: VecDeque<Deed>,
-    said: Vec<(Nanos, Said)>,
+    queue: BinaryHeap<Reverse<(Nanos, u64, ScheduledEvent)>>,
+    next_sequence: u64,
+    host_actions: VecDeque<HostAction>,
+    job_events: Vec<(Nanos, JobEvent)>,
     /// The keys that each cell knows: request and when it was first received.
     cells: Vec<FxHashMap<u64, Nanos>>,
     rng: Stream,
-    news_rng: Stream,
+    discovery_rng: Stream,
     report_rng: Stream,
     stuck_rng: Stream,
     /// What each fault chose.
     chosen: Vec<Vec<usize>>,
     /// What is listed now, and what each scheduler has been told.
-    listed: Vec<Entry>,
-    told: Vec<BTreeMap<usize, (Entry, Nanos)>>,
-    waiting_news: Vec<Vec<Entry>>,
+    listed: Vec<WorkerEntry>,
+    known_entries: Vec<BTreeMap<usize, (WorkerEntry, Nanos)>>,
+    withheld_entries: Vec<Vec<WorkerEntry>>,
     seq: u64,
-    discovery_down: usize,
-    peers_down: usize,
+    discovery_outages: usize,
+    peer_cuts: usize,
     /// Discovery is busy with the calls of all schedulers until then.
-    list_busy: Nanos,
-    late: Nanos,
+    list_busy_until: Nanos,
+    extra_report_delay: Nanos,
     stuck: f64,
     cut: FxHashSet<(usize, usize)>,
     /// Zones that are cut off from all others.
@@ -357,7 +358,7 @@
         let streams = Streams::new(seed);
         let (mut kinds, mut build) = (streams.named("kinds"), streams.named("workers"));
         let shares: Vec<f64> = scenario.fleet.kinds.iter().map(|k| k.share).collect();
-        let stations: Vec<Station> = (0..scenario.fleet.workers)
+        let nodes: Vec<WorkerNode> = (0..scenario.fleet.workers)
             .map(|i| {
                 let kind = kinds.pick(&shares);
                 let k = &scenario.fleet.kinds[kind];
@@ -374,71 +375,71 @@
                     },
                     thrash: k.thrash,
                     thrash_at: k.thrash_at,
-                    cold_from: k.cold_from,
-                    cold: secs(k.cold_s),
-                    progress: ms(scenario.terms.progress_ms),
+                    initial_capacity_share: k.cold_from,
+                    warm_up_time: secs(k.cold_s),
+                    progress_interval: ms(scenario.terms.progress_ms),
                     cancel_stops_running: k.cancel_stops_running,
                     connections: (k.cores * k.connections_per_core) as usize,
-                    fall_multiple: scenario.terms.fall_multiple,
-                    fall: ms(scenario.terms.fall_ms),
+                    overload_factor: scenario.terms.fall_multiple,
+                    overload_window: ms(scenario.terms.fall_ms),
                 };
-                Station {
+                WorkerNode {
                     worker: Worker::new(spec, 0, 0),
                     kind,
                     cell: i / scenario.fleet.cell_size,
                     health: Health::Active,
-                    born: 0,
-                    silent: false,
-                    down: false,
-                    failing: 0.0,
-                    doomed: None,
+                    started_at: 0,
+                    is_silent: false,
+                    is_down: false,
+                    failure_share: 0.0,
+                    crash_on_next_request: None,
                     error_rate: k.error_rate,
                     connections: 0,
-                    kept: VecDeque::new(),
+                    cached_subjects: VecDeque::new(),
                     reports: VecDeque::new(),
                     ended: 0,
-                    queued: 0,
+                    queued_for: 0,
                 }
             })
             .collect();
-        let listed: Vec<Entry> = (0..stations.len())
-            .map(|worker| Entry {
+        let listed: Vec<WorkerEntry> = (0..nodes.len())
+            .map(|worker| WorkerEntry {
                 worker,
                 health: Health::Active,
-                weight: stations[worker].worker.spec.cores,
-                born: 0,
+                weight: nodes[worker].worker.spec.cores,
+                started_at: 0,
             })
             .collect();
         let schedulers = scenario.schedulers.count;
-        let known: BTreeMap<usize, (Entry, Nanos)> =
+        let known: BTreeMap<usize, (WorkerEntry, Nanos)> =
             listed.iter().map(|e| (e.worker, (e.clone(), 0))).collect();
         let mut world = World {
             invariant_checker: InvariantChecker::new(&scenario, slack),
             counters: Counters::default(),
-            stations,
+            nodes,
             jobs: FxHashMap::default(),
             last_job: 0,
             queue: BinaryHeap::new(),
-            pushed: 0,
-            deeds: VecDeque::new(),
-            said: Vec::new(),
+            next_sequence: 0,
+            host_actions: VecDeque::new(),
+            job_events: Vec::new(),
             cells: vec![
                 FxHashMap::default();
                 scenario.fleet.workers.div_ceil(scenario.fleet.cell_size).max(scenario.fleet.zones)
             ],
             rng: streams.named("errors"),
-            news_rng: streams.named("news"),
+            discovery_rng: streams.named("news"),
             report_rng: streams.named("reports"),
             stuck_rng: streams.named("stuck"),
             chosen: vec![Vec::new(); scenario.faults.len()],
             listed,
-            told: vec![known; schedulers],
-            waiting_news: vec![Vec::new(); schedulers],
+            known_entries: vec![known; schedulers],
+            withheld_entries: vec![Vec::new(); schedulers],
             seq: 1,
-            discovery_down: 0,
-            peers_down: 0,
-            list_busy: 0,
-            late: 0,
+            discovery_outages: 0,
+            peer_cuts: 0,
+            list_busy_until: 0,
+            extra_report_delay: 0,
             stuck: 0.0,
             cut: FxHashSet::default(),
             cut_zones: FxHashSet::default(),
@@ -453,22 +454,22 @@
     fn schedule(&mut self) {
         let period = self.scenario.reports.period_ms;
         if self.scenario.reports.on {
-            for w in 0..self.stations.len() {
+            for w in 0..self.nodes.len() {
                 let first = ms(period * self.report_rng.unit());
-                self.push(first, Due::Measure(w));
+                self.push(first, ScheduledEvent::MeasureLoad(w));
             }
         }
         for i in 0..self.scenario.faults.len() {
-            self.push(secs(self.scenario.faults[i].at_s), Due::Begin(i));
+            self.push(secs(self.scenario.faults[i].at_s), ScheduledEvent::BeginFault(i));
         }
         if self.scenario.discovery.weights_ms > 0.0 {
-            self.push(ms(self.scenario.discovery.weights_ms), Due::Weights);
+            self.push(ms(self.scenario.discovery.weights_ms), ScheduledEvent::SendWeights);
         }
     }
 
-    fn push(&mut self, at: Nanos, due: Due) {
-        self.pushed += 1;
-        self.queue.push(Reverse((at, self.pushed, due)));
+    fn push(&mut self, at: Nanos, event: ScheduledEvent) {
+        self.next_sequence += 1;
+        self.queue.push(Reverse((at, self.next_sequence, event)));
     }
 
     /// The streams of the scenario.
@@ -478,54 +479,54 @@
     /// Work that the fleet does in a nanosecond when all are warm, in nanoseconds of a yardstick core.
     pub fn capacity(&self) -> f64 {
         let useful = |s: &Spec| s.cores.min(f64::from(s.slots)) * s.speed;
-        self.stations.iter().map(|s| useful(&s.worker.spec)).sum()
+        self.nodes.iter().map(|s| useful(&s.worker.spec)).sum()
     }
     /// Number of workers.
     pub fn workers(&self) -> usize {
-        self.stations.len()
+        self.nodes.len()
     }
     /// A worker's process.
     pub fn worker(&self, worker: usize) -> &Worker {
-        &self.stations[worker].worker
+        &self.nodes[worker].worker
     }
     /// The kind of a worker, by its place in the scenario.
     pub fn kind(&self, worker: usize) -> usize {
-        self.stations[worker].kind
+        self.nodes[worker].kind
     }
     /// The cell of a worker.
     pub fn cell(&self, worker: usize) -> usize {
-        self.stations[worker].cell
+        self.nodes[worker].cell
     }
     /// The platform's name of a worker.
-    pub fn name(worker: usize) -> String {
+    pub fn worker_name(worker: usize) -> String {
         format!("s-{:08x}", worker + 1)
     }
     /// What a scheduler has been told of the list, and the version.
-    pub fn told(&self, scheduler: usize) -> (u64, Vec<Entry>) {
-        (self.seq, self.told[scheduler].values().map(|(e, _)| e.clone()).collect())
+    pub fn known_list(&self, scheduler: usize) -> (u64, Vec<WorkerEntry>) {
+        (self.seq, self.known_entries[scheduler].values().map(|(e, _)| e.clone()).collect())
     }
     /// A scheduler's call for the list has reached discovery, which handles one after the other: when it is done, or when
-    /// it fails because its turn would come too late.
-    pub fn list_call(&mut self, at: Nanos) -> Result<Nanos, Nanos> {
+    /// it fails because its turn would come too extra_report_delay.
+    pub fn request_list(&mut self, at: Nanos) -> Result<Nanos, Nanos> {
         let (call, wait) = (ms(self.scenario.discovery.call_ms), ms(self.scenario.discovery.wait_ms));
-        let begins = at.max(self.list_busy);
+        let begins = at.max(self.list_busy_until);
         if begins - at > wait {
             self.counters.list_calls_failed += 1;
             return Err(at + wait);
         }
         self.counters.list_calls += 1;
-        self.list_busy = begins + call;
-        Ok(self.list_busy)
+        self.list_busy_until = begins + call;
+        Ok(self.list_busy_until)
     }
     /// Whether discovery answers.
     pub fn discovery_up(&self) -> bool {
-        self.discovery_down == 0
+        self.discovery_outages == 0
     }
     /// Whether words get through between a scheduler and a worker.
     pub fn reachable(&mut self, scheduler: usize, worker: usize) -> bool {
         let cut = self.cut.contains(&(scheduler, worker));
         self.counters.cut += u64::from(cut);
-        !cut && self.zones_meet(scheduler, worker) && !self.stations[worker].silent
+        !cut && self.zones_meet(scheduler, worker) && !self.nodes[worker].is_silent
     }
     /// Whether messages get through between the zones of two machines, by their numbers.
     fn zones_meet(&mut self, a: usize, b: usize) -> bool {
@@ -541,15 +542,11 @@
     /// The workers that drop repeats of a class's requests beside one: the number of its cell, or of its zone.
     fn group(&self, class: usize, w: usize) -> usize {
         let by_zone = |c: &crate::scenario::Class| c.effect == crate::scenario::Effect::KeyedByZone;
-        if self.scenario.classes.get(class).is_some_and(by_zone) {
-            self.zone(w)
-        } else {
-            self.stations[w].cell
-        }
+        if self.scenario.classes.get(class).is_some_and(by_zone) { self.zone(w) } else { self.nodes[w].cell }
     }
     /// Whether words get through between two schedulers.
     pub fn peers_reachable(&mut self, a: usize, b: usize) -> bool {
-        if self.peers_down > 0 {
+        if self.peer_cuts > 0 {
             self.counters.peers_cut += 1;
             return false;
         }
@@ -558,233 +555,243 @@
         !cut && self.zones_meet(a, b)
     }
     /// Whether a worker's machine answers nothing.
-    pub fn silent(&self, worker: usize) -> bool {
-        self.stations[worker].silent
+    pub fn is_silent(&self, worker: usize) -> bool {
+        self.nodes[worker].is_silent
     }
     /// Whether a worker's process is not there.
-    pub fn down(&self, worker: usize) -> bool {
-        self.stations[worker].down
+    pub fn is_down(&self, worker: usize) -> bool {
+        self.nodes[worker].is_down
     }
 
     // ---- time
 
     /// The next moment at which something happens of itself.
-    pub fn next(&self) -> Option<Nanos> {
-        if !self.deeds.is_empty() {
+    pub fn next_event_time(&self) -> Option<Nanos> {
+        if !self.host_actions.is_empty() {
             return Some(0);
         }
         self.queue.peek().map(|Reverse((at, _, _))| *at)
     }
 
-    /// Takes the next deed that is due by now; none once all is done up to now.
-    pub fn turn(&mut self, now: Nanos) -> Option<Deed> {
+    /// Takes the next action that is due by now; none once all is done up to now.
+    pub fn next_action(&mut self, now: Nanos) -> Option<HostAction> {
         loop {
-            if let Some(deed) = self.deeds.pop_front() {
-                return Some(deed);
+            if let Some(action) = self.host_actions.pop_front() {
+                return Some(action);
             }
-            let Reverse((at, _, due)) = *self.queue.peek()?;
+            let Reverse((at, _, event)) = *self.queue.peek()?;
             if at > now {
                 return None;
             }
             self.queue.pop();
-            self.due(at, due);
+            self.process_event(at, event);
         }
     }
 
-    fn due(&mut self, at: Nanos, due: Due) {
-        match due {
-            Due::Worker(w) => {
-                if self.stations[w].queued == at {
-                    self.stations[w].queued = 0;
+    fn process_event(&mut self, at: Nanos, event: ScheduledEvent) {
+        match event {
+            ScheduledEvent::AdvanceWorker(w) => {
+                if self.nodes[w].queued_for == at {
+                    self.nodes[w].queued_for = 0;
                 }
-                self.bring_up(at, w);
+                self.advance_worker(at, w);
             }
-            Due::Measure(w) => self.measure(at, w),
-            Due::Begin(i) => self.begin(at, i),
-            Due::Stroke(i) => self.stroke(at, i),
-            Due::End(i) => self.end(at, i),
-            Due::Leave(w) => self.leave(at, w),
-            Due::Return(w) => self.come_back(at, w),
-            Due::Notice(w) => self.notice(at, w),
-            Due::Tell(s, w) => self.tell(at, s, w),
-            Due::Weights => self.weights(at),
+            ScheduledEvent::MeasureLoad(w) => self.measure_load(at, w),
+            ScheduledEvent::BeginFault(i) => self.begin_fault(at, i),
+            ScheduledEvent::RepeatFault(i) => self.repeat_fault(at, i),
+            ScheduledEvent::EndFault(i) => self.end_fault(at, i),
+            ScheduledEvent::StopDraining(w) => self.stop_draining_worker(at, w),
+            ScheduledEvent::Restart(w) => self.restart_worker(at, w),
+            ScheduledEvent::NoticeChange(w) => self.notice_change(at, w),
+            ScheduledEvent::SendEntry(s, w) => self.send_entry(at, s, w),
+            ScheduledEvent::SendWeights => self.send_weights(at),
         }
     }
 
     /// Brings a worker up to now and passes on what it says.
-    fn bring_up(&mut self, now: Nanos, w: usize) {
-        let mut said = std::mem::take(&mut self.said);
-        self.stations[w].worker.advance(now, &mut said);
-        self.pass_on(w, &mut said);
-        self.said = said;
-        self.enqueue(w);
+    fn advance_worker(&mut self, now: Nanos, w: usize) {
+        let mut job_events = std::mem::take(&mut self.job_events);
+        self.nodes[w].worker.advance(now, &mut job_events);
+        self.report_job_events(w, &mut job_events);
+        self.job_events = job_events;
+        self.schedule_worker(w);
     }
 
-    fn enqueue(&mut self, w: usize) {
-        let station = &mut self.stations[w];
-        if let Some(next) = station.worker.next().filter(|n| station.queued == 0 || *n < station.queued) {
-            station.queued = next;
-            self.push(next, Due::Worker(w));
+    fn schedule_worker(&mut self, w: usize) {
+        let node = &mut self.nodes[w];
+        if let Some(next) =
+            node.worker.next_event_time().filter(|n| node.queued_for == 0 || *n < node.queued_for)
+        {
+            node.queued_for = next;
+            self.push(next, ScheduledEvent::AdvanceWorker(w));
         }
     }
 
-    fn pass_on(&mut self, w: usize, said: &mut Vec<(Nanos, Said)>) {
-        for (at, said) in said.drain(..) {
-            let (job, word) = match said {
-                Said::Started(job) => (job, Word::Started),
-                Said::Progress(job, x) => (job, Word::Progress(x)),
-                Said::Done(job) => (job, Word::Done),
+    fn report_job_events(&mut self, w: usize, job_events: &mut Vec<(Nanos, JobEvent)>) {
+        for (at, job_events) in job_events.drain(..) {
+            let (job, update) = match job_events {
+                JobEvent::Started(job) => (job, JobUpdate::Started),
+                JobEvent::Progress(job, x) => (job, JobUpdate::Progress(x)),
+                JobEvent::Done(job) => (job, JobUpdate::Done),
             };
-            let Some(out) = self.jobs.get(&job) else { continue };
-            let (request, scheduler, given_up) = (out.request, out.scheduler, out.given_up);
-            match word {
-                Word::Started => self.invariant_checker.job_started(at, request, w, job),
-                Word::Done => {
-                    self.stations[w].ended += 1;
+            let Some(accepted) = self.jobs.get(&job) else { continue };
+            let (request, scheduler, is_cancelled) =
+                (accepted.request, accepted.scheduler, accepted.is_cancelled);
+            match update {
+                JobUpdate::Started => self.invariant_checker.job_started(at, request, w, job),
+                JobUpdate::Done => {
+                    self.nodes[w].ended += 1;
                     self.invariant_checker.result_produced(request, &World::result(w, job));
                     self.invariant_checker.attempt_ended(at, request, job, AttemptEnd::MayHaveRun);
                     self.jobs.remove(&job);
-                    self.counters.ran_on += u64::from(given_up);
+                    self.counters.ran_on += u64::from(is_cancelled);
                 }
                 _ => {}
             }
-            if !given_up {
-                let report = (word == Word::Done).then(|| self.report(at, w)).flatten();
-                self.deeds.push_back(Deed::Word { job, worker: w, scheduler, request, word, report });
+            if !is_cancelled {
+                let report = (update == JobUpdate::Done).then(|| self.report(at, w)).flatten();
+                self.host_actions.push_back(HostAction::JobUpdate {
+                    job,
+                    worker: w,
+                    scheduler,
+                    request,
+                    update,
+                    report,
+                });
             }
         }
     }
 
     /// The result that a worker makes for a job.
     pub fn result(worker: usize, job: u64) -> String {
-        format!("made by {} as job {job}", World::name(worker))
+        format!("made by {} as job {job}", World::worker_name(worker))
     }
 
     // ---- what reaches a worker
 
     /// A scheduler opens a connection to a worker.
-    pub fn connect(&mut self, now: Nanos, scheduler: usize, w: usize) -> Dial {
+    pub fn connect(&mut self, now: Nanos, scheduler: usize, w: usize) -> ConnectResult {
         if !self.reachable(scheduler, w) {
-            return Dial::Nothing;
+            return ConnectResult::NoResponse;
         }
-        if self.stations[w].down {
-            return Dial::Refused;
+        if self.nodes[w].is_down {
+            return ConnectResult::Refused;
         }
-        if self.stations[w].connections >= self.stations[w].worker.spec.connections {
+        if self.nodes[w].connections >= self.nodes[w].worker.spec.connections {
             self.counters.connections_refused += 1;
-            return Dial::Refused;
+            return ConnectResult::Refused;
         }
         self.counters.connections += 1;
-        self.stations[w].connections += 1;
-        self.burden(now, w, self.scenario.network.handshake_ms);
-        Dial::Up
+        self.nodes[w].connections += 1;
+        self.add_overhead(now, w, self.scenario.network.handshake_ms);
+        ConnectResult::Connected
     }
 
     /// A connection to a worker is closed.
     pub fn disconnect(&mut self, w: usize) {
-        let station = &mut self.stations[w];
-        station.connections = station.connections.saturating_sub(1);
+        let node = &mut self.nodes[w];
+        node.connections = node.connections.saturating_sub(1);
     }
 
-    fn burden(&mut self, now: Nanos, w: usize, work_ms: f64) {
-        self.bring_up(now, w);
-        self.stations[w].worker.burden(work_ms * 1e6);
-        self.enqueue(w);
+    fn add_overhead(&mut self, now: Nanos, w: usize, work_ms: f64) {
+        self.advance_worker(now, w);
+        self.nodes[w].worker.add_overhead(work_ms * 1e6);
+        self.schedule_worker(w);
     }
 
     /// A probe reaches a worker; its load, if it answers.
-    pub fn probe(&mut self, now: Nanos, scheduler: usize, w: usize) -> Option<Report> {
-        if !self.reachable(scheduler, w) || self.stations[w].down {
+    pub fn probe(&mut self, now: Nanos, scheduler: usize, w: usize) -> Option<WorkerLoad> {
+        if !self.reachable(scheduler, w) || self.nodes[w].is_down {
             return None;
         }
         self.counters.probes += 1;
-        self.burden(now, w, self.scenario.network.probe_ms);
+        self.add_overhead(now, w, self.scenario.network.probe_ms);
         Some(self.load(now, w).unwrap_or_default())
     }
 
     /// An attempt reaches a worker in full.
-    pub fn arrive(&mut self, now: Nanos, w: usize, attempt: &Attempt) -> Reply {
+    pub fn receive_attempt(&mut self, now: Nanos, w: usize, attempt: &Attempt) -> AttemptReply {
         if !self.reachable(attempt.scheduler, w) {
-            return Reply::Silent;
+            return AttemptReply::NoResponse;
         }
-        if self.stations[w].down {
-            return Reply::Refused;
+        if self.nodes[w].is_down {
+            return AttemptReply::ConnectionRefused;
         }
         if self.stuck > 0.0 && self.stuck_rng.chance(self.stuck) {
             self.counters.stuck += 1;
-            return Reply::Silent;
+            return AttemptReply::NoResponse;
         }
-        self.bring_up(now, w);
+        self.advance_worker(now, w);
         self.last_job += 1;
         let (job, request) = (self.last_job, attempt.request);
-        let told = self.told[attempt.scheduler].get(&w);
+        let told = self.known_entries[attempt.scheduler].get(&w);
         // One that has never been named, or has been taken off, counts as told of its going.
         let drained = told.filter(|(e, _)| e.health != Health::Active).map(|(_, at)| *at);
-        let informed = told.is_some_and(|(e, _)| e.born == self.stations[w].born);
+        let informed = told.is_some_and(|(e, _)| e.started_at == self.nodes[w].started_at);
         let cell = self.group(attempt.class, w);
         self.invariant_checker.attempt_received(now, attempt.sent, request, w, cell, job, drained);
-        if let Some(back) = self.stations[w].doomed.take() {
+        if let Some(back) = self.nodes[w].crash_on_next_request.take() {
             self.counters.crashed += 1;
             self.invariant_checker.attempt_ended(now, request, job, AttemptEnd::MayHaveRun);
-            self.stop(now, w);
-            self.push(back.max(now + 1), Due::Return(w));
-            return Reply::Refused;
+            self.stop_worker(now, w);
+            self.push(back.max(now + 1), ScheduledEvent::Restart(w));
+            return AttemptReply::ConnectionRefused;
         }
-        let known_again = self.known_again(now, attempt, cell);
-        let station = &mut self.stations[w];
+        let is_repeat = self.is_repeat(now, attempt, cell);
+        let node = &mut self.nodes[w];
         // A cold worker is judged by the mean work of what it is sent: nobody is told what a job really costs, and a
         // rule that a single job of ten times its mean can break is none that a scheduler could keep.
         let mean = self.scenario.classes.get(attempt.class).map_or(attempt.work, |c| c.work_ms * 1e6);
         let load = mean * f64::from(attempt.slots);
-        if let Some(push) = station.worker.received(now, load, informed) {
-            self.invariant_checker.worker_overloaded(now, w, &push);
+        if let Some(overload) = node.worker.record_received_work(now, load, informed) {
+            self.invariant_checker.worker_overloaded(now, w, &overload);
             self.counters.fell_over += 1;
             self.invariant_checker.attempt_ended(now, request, job, AttemptEnd::MayHaveRun);
-            self.stop(now, w);
-            return Reply::Refused;
+            self.stop_worker(now, w);
+            return AttemptReply::ConnectionRefused;
         }
-        let failing = if station.failing > 0.0 { station.failing } else { station.error_rate };
-        if failing > 0.0 && self.rng.chance(failing) {
-            let fast = self.stations[w].failing > 0.0;
+        let failure_share = if node.failure_share > 0.0 { node.failure_share } else { node.error_rate };
+        if failure_share > 0.0 && self.rng.chance(failure_share) {
+            let fast = self.nodes[w].failure_share > 0.0;
             self.counters.fast_errors += u64::from(fast);
             self.invariant_checker.attempt_ended(now, request, job, AttemptEnd::MayHaveRun);
-            return Reply::Error;
+            return AttemptReply::Error;
         }
-        let station = &mut self.stations[w];
+        let node = &mut self.nodes[w];
         let priority = self.scenario.classes.get(attempt.class).map_or(0, |c| c.priority);
-        let slots = attempt.slots.min(station.worker.spec.slots);
-        // A repeat that its cell knows again costs little: the first run's result is handed out.
-        let mut work = if known_again { 1e6 } else { attempt.work };
-        if let (Some(keeps), Some(subject), false) = (self.scenario.fleet.keeps, attempt.subject, known_again)
-        {
-            let at = station.kept.iter().position(|s| *s == subject);
-            if at.and_then(|at| station.kept.remove(at)).is_none() {
+        let slots = attempt.slots.min(node.worker.spec.slots);
+        // A repeat that its cell knows again costs little: the first run's result is handed accepted.
+        let mut work = if is_repeat { 1e6 } else { attempt.work };
+        if let (Some(keeps), Some(subject), false) = (self.scenario.fleet.keeps, attempt.subject, is_repeat) {
+            let at = node.cached_subjects.iter().position(|s| *s == subject);
+            if at.and_then(|at| node.cached_subjects.remove(at)).is_none() {
                 work += keeps.fetch * mean;
                 self.counters.fetched += 1;
             }
-            station.kept.push_back(subject);
-            let most = (keeps.per_slot * f64::from(station.worker.spec.slots)).round() as usize;
-            while station.kept.len() > most {
-                station.kept.pop_front();
+            node.cached_subjects.push_back(subject);
+            let max_subjects = (keeps.per_slot * f64::from(node.worker.spec.slots)).round() as usize;
+            while node.cached_subjects.len() > max_subjects {
+                node.cached_subjects.pop_front();
             }
         }
-        let mut said = std::mem::take(&mut self.said);
+        let mut job_events = std::mem::take(&mut self.job_events);
         let work = Job { id: job, slots, work, priority };
-        let taken = station.health == Health::Active && station.worker.offer(work, &mut said);
+        let taken = node.health == Health::Active && node.worker.offer(work, &mut job_events);
         if taken {
-            let out = Out { worker: w, scheduler: attempt.scheduler, request, given_up: false };
-            self.jobs.insert(job, out);
+            let accepted =
+                AcceptedJob { worker: w, scheduler: attempt.scheduler, request, is_cancelled: false };
+            self.jobs.insert(job, accepted);
         } else {
             self.counters.full += 1;
             self.invariant_checker.attempt_ended(now, request, job, AttemptEnd::NeverRan);
         }
-        self.pass_on(w, &mut said);
-        self.said = said;
-        self.enqueue(w);
-        if taken { Reply::Taken(job) } else { Reply::Full }
+        self.report_job_events(w, &mut job_events);
+        self.job_events = job_events;
+        self.schedule_worker(w);
+        if taken { AttemptReply::Accepted(job) } else { AttemptReply::Full }
     }
 
-    fn known_again(&mut self, now: Nanos, attempt: &Attempt, cell: usize) -> bool {
+    fn is_repeat(&mut self, now: Nanos, attempt: &Attempt, cell: usize) -> bool {
         let Some(class) = self.scenario.classes.get(attempt.class) else { return false };
         if !class.effect.keyed() {
             return false;
@@ -796,12 +803,12 @@
         }
         let first = *known.entry(attempt.request).or_insert(now);
         let again = first != now && now < first + window;
-        self.counters.known_again += u64::from(again);
+        self.counters.known_repeats += u64::from(again);
         again
     }
 
     /// A scheduler gives up a request at a worker.
-    pub fn give_up_request(&mut self, now: Nanos, w: usize, request: u64) {
+    pub fn cancel_request(&mut self, now: Nanos, w: usize, request: u64) {
         let mut jobs: Vec<u64> = self
             .jobs
             .iter()
@@ -809,150 +816,155 @@
             .map(|(j, _)| *j)
             .collect();
         jobs.sort_unstable();
-        jobs.into_iter().for_each(|job| self.give_up(now, job));
+        jobs.into_iter().for_each(|job| self.cancel_job(now, job));
     }
 
     /// A scheduler gives a job up.
-    pub fn give_up(&mut self, now: Nanos, job: u64) {
-        let Some(out) = self.jobs.get(&job) else { return };
-        let (w, request, scheduler) = (out.worker, out.request, out.scheduler);
+    pub fn cancel_job(&mut self, now: Nanos, job: u64) {
+        let Some(accepted) = self.jobs.get(&job) else { return };
+        let (w, request, scheduler) = (accepted.worker, accepted.request, accepted.scheduler);
         if !self.reachable(scheduler, w) {
             return;
         }
-        self.bring_up(now, w);
+        self.advance_worker(now, w);
         if !self.jobs.contains_key(&job) {
             return;
         }
-        if self.stations[w].worker.cancel(job) {
+        if self.nodes[w].worker.cancel(job) {
             self.jobs.remove(&job);
             self.invariant_checker.attempt_ended(now, request, job, AttemptEnd::MayHaveRun);
-        } else if let Some(out) = self.jobs.get_mut(&job) {
-            out.given_up = true;
+        } else if let Some(accepted) = self.jobs.get_mut(&job) {
+            accepted.is_cancelled = true;
         }
-        self.bring_up(now, w);
+        self.advance_worker(now, w);
     }
 
     /// A scheduler has ended: nobody waits for its jobs any more. They run on, and their words reach whatever runs
     /// under its name next.
-    pub fn forget_scheduler(&mut self, now: Nanos, scheduler: usize) {
+    pub fn abandon_jobs(&mut self, now: Nanos, scheduler: usize) {
         let mut jobs: Vec<u64> =
             self.jobs.iter().filter(|(_, o)| o.scheduler == scheduler).map(|(j, _)| *j).collect();
         jobs.sort_unstable();
         for job in jobs {
-            let Some(out) = self.jobs.get(&job) else { continue };
-            let request = out.request;
+            let Some(accepted) = self.jobs.get(&job) else { continue };
+            let request = accepted.request;
             self.invariant_checker.attempt_ended(now, request, job, AttemptEnd::MayHaveRun);
         }
     }
 
     // ---- reports
 
-    fn measure(&mut self, at: Nanos, w: usize) {
+    fn measure_load(&mut self, at: Nanos, w: usize) {
         let period = ms(self.scenario.reports.period_ms);
-        self.bring_up(at, w);
+        self.advance_worker(at, w);
         let noise = self.scenario.reports.noise;
-        let wobble = 1.0 + noise * self.report_rng.normal();
-        let station = &mut self.stations[w];
-        let spec = &station.worker.spec;
-        let report = Report {
-            held: (station.worker.held() as f64 * wobble).max(0.0),
-            rate: station.ended as f64 / (period as f64 / 1e9) * wobble,
-            free: f64::from(spec.slots.saturating_sub(station.worker.used())),
+        let noise_factor = 1.0 + noise * self.report_rng.normal();
+        let node = &mut self.nodes[w];
+        let spec = &node.worker.spec;
+        let report = WorkerLoad {
+            in_flight: (node.worker.job_count() as f64 * noise_factor).max(0.0),
+            rate: node.ended as f64 / (period as f64 / 1e9) * noise_factor,
+            free_slots: f64::from(spec.slots.saturating_sub(node.worker.used_slots())),
         };
-        station.ended = 0;
-        station.reports.push_back((at, report));
-        if station.reports.len() > REPORTS {
-            station.reports.pop_front();
+        node.ended = 0;
+        node.reports.push_back((at, report));
+        if node.reports.len() > MAX_STORED_REPORTS {
+            node.reports.pop_front();
         }
-        self.push(at + period.max(1), Due::Measure(w));
+        self.push(at + period.max(1), ScheduledEvent::MeasureLoad(w));
     }
 
     /// The load that a worker reports now with the end of an attempt.
-    pub fn report(&mut self, now: Nanos, w: usize) -> Option<Report> {
+    pub fn report(&mut self, now: Nanos, w: usize) -> Option<WorkerLoad> {
         if self.scenario.reports.by_probe { None } else { self.load(now, w) }
     }
 
-    /// The load that a worker knows of itself now, as late as it tells it.
-    fn load(&mut self, now: Nanos, w: usize) -> Option<Report> {
+    /// The load that a worker knows of itself now, as extra_report_delay as it tells it.
+    fn load(&mut self, now: Nanos, w: usize) -> Option<WorkerLoad> {
         if !self.scenario.reports.on {
             return None;
         }
-        self.counters.late_reports += u64::from(self.late > 0);
-        let until = now.checked_sub(ms(self.scenario.reports.delay_ms) + self.late)?;
-        self.stations[w].reports.iter().rev().find(|(at, _)| *at <= until).map(|(_, r)| *r)
+        self.counters.late_reports += u64::from(self.extra_report_delay > 0);
+        let until = now.checked_sub(ms(self.scenario.reports.delay_ms) + self.extra_report_delay)?;
+        self.nodes[w].reports.iter().rev().find(|(at, _)| *at <= until).map(|(_, r)| *r)
     }
 
     // ---- the list
 
     /// A worker's state has changed; the list notices later.
-    fn changed(&mut self, at: Nanos, w: usize, after: Option<Nanos>) {
-        let notice = after.unwrap_or_else(|| ms(self.news_rng.within(self.scenario.discovery.notice_ms)));
-        self.push(at + notice, Due::Notice(w));
+    fn schedule_notice(&mut self, at: Nanos, w: usize, after: Option<Nanos>) {
+        let notice =
+            after.unwrap_or_else(|| ms(self.discovery_rng.within(self.scenario.discovery.notice_ms)));
+        self.push(at + notice, ScheduledEvent::NoticeChange(w));
     }
 
-    fn notice(&mut self, at: Nanos, w: usize) {
-        let station = &self.stations[w];
-        let health = if station.silent || station.down { Health::Left } else { station.health };
-        let entry = Entry { worker: w, health, weight: self.listed[w].weight, born: station.born };
+    fn notice_change(&mut self, at: Nanos, w: usize) {
+        let node = &self.nodes[w];
+        let health = if node.is_silent || node.is_down { Health::Left } else { node.health };
+        let entry =
+            WorkerEntry { worker: w, health, weight: self.listed[w].weight, started_at: node.started_at };
         if self.listed[w] == entry {
             return;
         }
         self.listed[w] = entry;
-        for s in 0..self.told.len() {
-            let spread = ms(self.scenario.discovery.spread_ms * self.news_rng.unit());
-            self.push(at + spread, Due::Tell(s, w));
+        for s in 0..self.known_entries.len() {
+            let spread = ms(self.scenario.discovery.spread_ms * self.discovery_rng.unit());
+            self.push(at + spread, ScheduledEvent::SendEntry(s, w));
         }
     }
 
-    fn tell(&mut self, at: Nanos, s: usize, w: usize) {
+    fn send_entry(&mut self, at: Nanos, s: usize, w: usize) {
         let entry = self.listed[w].clone();
-        if self.discovery_down > 0 {
+        if self.discovery_outages > 0 {
             self.counters.list_held_back += 1;
-            self.waiting_news[s].push(entry);
+            self.withheld_entries[s].push(entry);
             return;
         }
-        self.told_now(at, s, vec![entry]);
+        self.send_list(at, s, vec![entry]);
     }
 
-    fn told_now(&mut self, at: Nanos, s: usize, entries: Vec<Entry>) {
+    fn send_list(&mut self, at: Nanos, s: usize, entries: Vec<WorkerEntry>) {
         self.seq += 1;
         for e in &entries {
-            let since = match self.told[s].get(&e.worker) {
+            let since = match self.known_entries[s].get(&e.worker) {
                 // It is told once; hearing it again does not begin the grace anew.
-                Some((old, since)) if old.health == e.health && old.born == e.born => *since,
+                Some((old, since)) if old.health == e.health && old.started_at == e.started_at => *since,
                 _ => at,
             };
-            self.told[s].insert(e.worker, (e.clone(), since));
+            self.known_entries[s].insert(e.worker, (e.clone(), since));
         }
-        self.deeds.push_back(Deed::List { scheduler: s, seq: self.seq, entries });
+        self.host_actions.push_back(HostAction::WorkerList { scheduler: s, seq: self.seq, entries });
     }
 
-    fn weights(&mut self, at: Nanos) {
-        self.push(at + ms(self.scenario.discovery.weights_ms), Due::Weights);
+    fn send_weights(&mut self, at: Nanos) {
+        self.push(at + ms(self.scenario.discovery.weights_ms), ScheduledEvent::SendWeights);
         for (w, entry) in self.listed.iter_mut().enumerate() {
-            let worker = &self.stations[w].worker;
-            entry.weight = worker.spec.cores / (1.0 + worker.held() as f64 / worker.spec.cores);
+            let worker = &self.nodes[w].worker;
+            entry.weight = worker.spec.cores / (1.0 + worker.job_count() as f64 / worker.spec.cores);
         }
-        if self.discovery_down > 0 {
+        if self.discovery_outages > 0 {
             return;
         }
-        let live: Vec<Entry> = self.listed.iter().filter(|e| e.health == Health::Active).cloned().collect();
-        for s in 0..self.told.len() {
+        let live: Vec<WorkerEntry> =
+            self.listed.iter().filter(|e| e.health == Health::Active).cloned().collect();
+        for s in 0..self.known_entries.len() {
             // Only the weight is news: what each was told of states stays as it was told.
-            let known = |e: &&Entry| {
-                self.told[s].get(&e.worker).is_some_and(|(t, _)| t.health == e.health && t.born == e.born)
+            let known = |e: &&WorkerEntry| {
+                self.known_entries[s]
+                    .get(&e.worker)
+                    .is_some_and(|(t, _)| t.health == e.health && t.started_at == e.started_at)
             };
-            let entries: Vec<Entry> = live.iter().filter(known).cloned().collect();
-            self.told_now(at, s, entries);
+            let entries: Vec<WorkerEntry> = live.iter().filter(known).cloned().collect();
+            self.send_list(at, s, entries);
         }
     }
 
     // ---- faults
 
-    fn begin(&mut self, at: Nanos, i: usize) {
+    fn begin_fault(&mut self, at: Nanos, i: usize) {
         let t = self.scenario.faults[i].clone();
         let mut rng = self.streams.numbered(t.kind.name(), i as u64);
-        let (workers, schedulers) = (self.stations.len(), self.scenario.schedulers.count);
+        let (workers, schedulers) = (self.nodes.len(), self.scenario.schedulers.count);
         let end = at + secs(t.for_s);
         self.chosen[i] = match t.kind {
             FaultKind::Vanish
@@ -971,33 +983,33 @@
             FaultKind::Vanish => {
                 for w in chosen {
                     self.counters.vanished += 1;
-                    self.bring_up(at, w);
-                    self.stations[w].silent = true;
+                    self.advance_worker(at, w);
+                    self.nodes[w].is_silent = true;
                     self.drop_jobs(at, w, false);
-                    self.changed(at, w, Some(SILENT_NOTICE));
-                    self.push(end, Due::Return(w));
+                    self.schedule_notice(at, w, Some(SILENT_WORKER_REMOVAL_DELAY));
+                    self.push(end, ScheduledEvent::Restart(w));
                 }
             }
             FaultKind::Crash => {
                 for w in chosen {
-                    self.stations[w].doomed = Some(end);
+                    self.nodes[w].crash_on_next_request = Some(end);
                 }
             }
             FaultKind::FastErrors => {
                 for w in chosen {
-                    self.stations[w].failing = t.size.unwrap_or(0.6);
+                    self.nodes[w].failure_share = t.size.unwrap_or(0.6);
                 }
-                self.push(end, Due::End(i));
+                self.push(end, ScheduledEvent::EndFault(i));
             }
-            FaultKind::Pauses | FaultKind::RollingRestart => self.stroke(at, i),
+            FaultKind::Pauses | FaultKind::RollingRestart => self.repeat_fault(at, i),
             FaultKind::ReportLate => {
-                self.late += secs(t.size.unwrap_or(2.0));
-                self.push(end, Due::End(i));
+                self.extra_report_delay += secs(t.size.unwrap_or(2.0));
+                self.push(end, ScheduledEvent::EndFault(i));
             }
             FaultKind::Drain => {
                 for w in chosen {
                     self.drain(at, w);
-                    self.push(end.max(at + LEAVES + 1), Due::Return(w));
+                    self.push(end.max(at + MAX_DRAIN_TIME + 1), ScheduledEvent::Restart(w));
                 }
             }
             FaultKind::SchedulerKill | FaultKind::SchedulerTerm => {
@@ -1006,17 +1018,17 @@
                 for s in chosen {
                     self.counters.killed += u64::from(kill);
                     self.counters.termed += u64::from(!kill);
-                    self.deeds.push_back(Deed::Signal(s, signal));
+                    self.host_actions.push_back(HostAction::Signal(s, signal));
                 }
             }
             FaultKind::DiscoveryDown => {
-                self.discovery_down += 1;
-                self.push(end, Due::End(i));
+                self.discovery_outages += 1;
+                self.push(end, ScheduledEvent::EndFault(i));
             }
             FaultKind::DiscoveryMoved => {
                 self.counters.moved += 1;
                 for s in 0..schedulers {
-                    self.deeds.push_back(Deed::Signal(s, Signal::Moved));
+                    self.host_actions.push_back(HostAction::Signal(s, Signal::Moved));
                 }
             }
             FaultKind::Partition => {
@@ -1025,68 +1037,70 @@
                 if schedulers > 1 {
                     self.cut_peers.insert(s);
                 }
-                self.push(end, Due::End(i));
+                self.push(end, ScheduledEvent::EndFault(i));
             }
             FaultKind::ZoneCut => {
                 self.cut_zones.extend(chosen);
-                self.push(end, Due::End(i));
+                self.push(end, ScheduledEvent::EndFault(i));
             }
             FaultKind::PeersCut => {
-                self.peers_down += 1;
-                self.push(end, Due::End(i));
+                self.peer_cuts += 1;
+                self.push(end, ScheduledEvent::EndFault(i));
             }
             FaultKind::StuckConnection => {
                 self.stuck = t.part;
-                self.push(end, Due::End(i));
+                self.push(end, ScheduledEvent::EndFault(i));
             }
             // The arrivals know of these.
             FaultKind::Burst | FaultKind::HeavyTail | FaultKind::SlowReader => {}
         }
     }
 
-    fn stroke(&mut self, at: Nanos, i: usize) {
+    fn repeat_fault(&mut self, at: Nanos, i: usize) {
         let t = self.scenario.faults[i].clone();
         match t.kind {
             FaultKind::Pauses => {
                 let until = at + ms(t.size.unwrap_or(90.0));
                 for w in self.chosen[i].clone() {
-                    self.bring_up(at, w);
-                    self.stations[w].worker.pause(until);
+                    self.advance_worker(at, w);
+                    self.nodes[w].worker.pause(until);
                     self.counters.pauses += 1;
-                    self.push(until, Due::Worker(w));
+                    self.push(until, ScheduledEvent::AdvanceWorker(w));
                 }
                 if at + secs(t.every_s) < secs(t.at_s + t.for_s) {
-                    self.push(at + secs(t.every_s), Due::Stroke(i));
+                    self.push(at + secs(t.every_s), ScheduledEvent::RepeatFault(i));
                 }
             }
             FaultKind::RollingRestart => {
                 if let Some(w) = self.chosen[i].pop() {
                     self.counters.rolled += 1;
                     self.drain(at, w);
-                    self.push(at + LEAVES + PAUSE, Due::Return(w));
-                    self.push(at + secs(t.every_s), Due::Stroke(i));
+                    self.push(at + MAX_DRAIN_TIME + ROLLING_RESTART_PAUSE, ScheduledEvent::Restart(w));
+                    self.push(at + secs(t.every_s), ScheduledEvent::RepeatFault(i));
                 }
             }
             _ => {}
         }
     }
 
-    fn end(&mut self, at: Nanos, i: usize) {
+    fn end_fault(&mut self, at: Nanos, i: usize) {
         let t = self.scenario.faults[i].clone();
         match t.kind {
             FaultKind::FastErrors => {
                 for w in self.chosen[i].clone() {
-                    self.stations[w].failing = 0.0;
+                    self.nodes[w].failure_share = 0.0;
                 }
             }
-            FaultKind::ReportLate => self.late = self.late.saturating_sub(secs(t.size.unwrap_or(2.0))),
+            FaultKind::ReportLate => {
+                self.extra_report_delay = self.extra_report_delay.saturating_sub(secs(t.size.unwrap_or(2.0)))
+            }
             FaultKind::DiscoveryDown => {
-                self.discovery_down = self.discovery_down.saturating_sub(1);
-                if self.discovery_down == 0 {
-                    for s in 0..self.waiting_news.len() {
-                        let entries = std::mem::take(&mut self.waiting_news[s]);
+                self.discovery_outages = self.discovery_outages.saturating_sub(1);
+                if self.discovery_outages == 0 {
+                    for s in 0..self.withheld_entries.len() {
+                        let entries = std::mem::take(&mut self.withheld_entries[s]);
                         if !entries.is_empty() {
-                            self.told_now(at, s, entries);
+                            self.send_list(at, s, entries);
                         }
                     }
                 }
@@ -1097,75 +1111,89 @@
                 self.cut_peers.clear();
             }
             FaultKind::ZoneCut => self.cut_zones.clear(),
-            FaultKind::PeersCut => self.peers_down = self.peers_down.saturating_sub(1),
+            FaultKind::PeersCut => self.peer_cuts = self.peer_cuts.saturating_sub(1),
             FaultKind::StuckConnection => self.stuck = 0.0,
             _ => {}
         }
     }
 
     fn drain(&mut self, at: Nanos, w: usize) {
-        if self.stations[w].health != Health::Active || self.stations[w].silent {
+        if self.nodes[w].health != Health::Active || self.nodes[w].is_silent {
             return;
         }
         self.counters.drained += 1;
-        self.bring_up(at, w);
-        self.stations[w].health = Health::Leaving;
-        for job in self.stations[w].worker.hand_back() {
-            let Some(out) = self.jobs.remove(&job) else { continue };
+        self.advance_worker(at, w);
+        self.nodes[w].health = Health::Leaving;
+        for job in self.nodes[w].worker.take_queued() {
+            let Some(accepted) = self.jobs.remove(&job) else { continue };
             self.counters.handed_back += 1;
-            self.invariant_checker.attempt_ended(at, out.request, job, AttemptEnd::NeverRan);
-            if !out.given_up {
+            self.invariant_checker.attempt_ended(at, accepted.request, job, AttemptEnd::NeverRan);
+            if !accepted.is_cancelled {
                 let report = self.report(at, w);
-                let (scheduler, request) = (out.scheduler, out.request);
-                let word = Word::Returned;
-                self.deeds.push_back(Deed::Word { job, worker: w, scheduler, request, word, report });
+                let (scheduler, request) = (accepted.scheduler, accepted.request);
+                let update = JobUpdate::Returned;
+                self.host_actions.push_back(HostAction::JobUpdate {
+                    job,
+                    worker: w,
+                    scheduler,
+                    request,
+                    update,
+                    report,
+                });
             }
         }
-        self.changed(at, w, None);
-        self.push(at + LEAVES, Due::Leave(w));
+        self.schedule_notice(at, w, None);
+        self.push(at + MAX_DRAIN_TIME, ScheduledEvent::StopDraining(w));
     }
 
     /// A draining worker's process ends; what still runs there is lost.
-    fn leave(&mut self, at: Nanos, w: usize) {
-        if self.stations[w].health == Health::Leaving && !self.stations[w].down {
-            self.bring_up(at, w);
-            self.stations[w].health = Health::Left;
-            self.stop(at, w);
+    fn stop_draining_worker(&mut self, at: Nanos, w: usize) {
+        if self.nodes[w].health == Health::Leaving && !self.nodes[w].is_down {
+            self.advance_worker(at, w);
+            self.nodes[w].health = Health::Left;
+            self.stop_worker(at, w);
         }
     }
 
     /// A process ends, and its machine says so.
-    fn stop(&mut self, at: Nanos, w: usize) {
-        self.stations[w].down = true;
+    fn stop_worker(&mut self, at: Nanos, w: usize) {
+        self.nodes[w].is_down = true;
         self.drop_jobs(at, w, true);
-        self.deeds.push_back(Deed::Reset(w));
-        self.changed(at, w, None);
+        self.host_actions.push_back(HostAction::ResetConnections(w));
+        self.schedule_notice(at, w, None);
     }
 
-    fn drop_jobs(&mut self, at: Nanos, w: usize, said: bool) {
-        for job in self.stations[w].worker.stop() {
-            let Some(out) = self.jobs.remove(&job) else { continue };
-            self.invariant_checker.attempt_ended(at, out.request, job, AttemptEnd::MayHaveRun);
-            if said && !out.given_up {
-                let (scheduler, request) = (out.scheduler, out.request);
-                let word = Word::Lost;
-                self.deeds.push_back(Deed::Word { job, worker: w, scheduler, request, word, report: None });
+    fn drop_jobs(&mut self, at: Nanos, w: usize, notify: bool) {
+        for job in self.nodes[w].worker.stop() {
+            let Some(accepted) = self.jobs.remove(&job) else { continue };
+            self.invariant_checker.attempt_ended(at, accepted.request, job, AttemptEnd::MayHaveRun);
+            if notify && !accepted.is_cancelled {
+                let (scheduler, request) = (accepted.scheduler, accepted.request);
+                let update = JobUpdate::Lost;
+                self.host_actions.push_back(HostAction::JobUpdate {
+                    job,
+                    worker: w,
+                    scheduler,
+                    request,
+                    update,
+                    report: None,
+                });
             }
         }
-        self.stations[w].connections = 0;
+        self.nodes[w].connections = 0;
     }
 
     /// A worker's process starts anew, cold and empty.
-    fn come_back(&mut self, at: Nanos, w: usize) {
-        let station = &mut self.stations[w];
-        if !station.silent && !station.down {
+    fn restart_worker(&mut self, at: Nanos, w: usize) {
+        let node = &mut self.nodes[w];
+        if !node.is_silent && !node.is_down {
             return;
         }
         self.counters.came_back += 1;
-        (station.silent, station.down, station.health, station.born) = (false, false, Health::Active, at);
-        station.reports.clear();
-        station.worker.start(at);
-        self.deeds.push_back(Deed::Reset(w));
-        self.changed(at, w, None);
+        (node.is_silent, node.is_down, node.health, node.started_at) = (false, false, Health::Active, at);
+        node.reports.clear();
+        node.worker.start(at);
+        self.host_actions.push_back(HostAction::ResetConnections(w));
+        self.schedule_notice(at, w, None);
     }
 }
--- a/crates/simulation/tests/worker.rs
+++ b/crates/simulation/tests/worker.rs
@@ -2,7 +2,7 @@
 
 use loomlb_policy::QueueOrder;
 use loomlb_simulation::seed::Streams;
-use loomlb_simulation::worker::{Job, Said, Spec, Worker};
+use loomlb_simulation::worker::{Job, JobEvent, Spec, Worker};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use std::collections::BTreeMap;
@@ -13,8 +13,8 @@
     Offer { slots: u32, work_ms: u32 },
     Cancel(u64),
     Pause(u64),
-    Burden(u32),
-    HandBack,
+    AddOverhead(u32),
+    TakeQueued,
     Restart,
 }
 
@@ -24,14 +24,14 @@
         8 => (1u32..6, 1u32..300).prop_map(|(slots, work_ms)| Op::Offer { slots, work_ms }),
         2 => (1u64..60).prop_map(Op::Cancel),
         1 => (1u64..200_000_000).prop_map(Op::Pause),
-        1 => (1u32..10).prop_map(Op::Burden),
-        1 => Just(Op::HandBack),
+        1 => (1u32..10).prop_map(Op::AddOverhead),
+        1 => Just(Op::TakeQueued),
         1 => Just(Op::Restart),
     ];
     prop::collection::vec(op, 1..120)
 }
 
-fn spec(order: u8, stops: bool) -> Spec {
+fn spec(order: u8, cancel_stops_running: bool) -> Spec {
     Spec {
         cores: 4.0,
         slots: 5,
@@ -40,13 +40,13 @@
         order: [QueueOrder::Fifo, QueueOrder::Backfill, QueueOrder::Priority][order as usize % 3],
         thrash: 0.1,
         thrash_at: 2.0,
-        cold_from: 0.2,
-        cold: 2_000_000_000,
-        progress: 50_000_000,
-        cancel_stops_running: stops,
+        initial_capacity_share: 0.2,
+        warm_up_time: 2_000_000_000,
+        progress_interval: 50_000_000,
+        cancel_stops_running,
         connections: 100,
-        fall_multiple: 0.0,
-        fall: 0,
+        overload_factor: 0.0,
+        overload_window: 0,
     }
 }
 
@@ -58,18 +58,18 @@
     #[test]
     fn slots_time_and_work_are_kept(ops in ops(), order in 0u8..3, stops in any::<bool>()) {
         let mut w = Worker::new(spec(order, stops), 0, 0);
-        let (mut now, mut said, mut next, mut last) = (0, Vec::new(), 0, 0);
+        let (mut now, mut events, mut last_id, mut last_event_time) = (0, Vec::new(), 0, 0);
         let mut state: BTreeMap<u64, &str> = BTreeMap::new();
         for op in ops {
             match op {
                 Op::Wait(t) => now += t,
                 Op::Offer { slots, work_ms } => {
-                    next += 1;
-                    let (held, waiting) = (w.held(), w.queued());
-                    let job = Job { id: next, slots, work: f64::from(work_ms) * 1e6, priority: (slots % 2) as i32 };
-                    if w.offer(job, &mut said) {
-                        state.insert(next, "waits");
-                        prop_assert!(w.held() == held + 1);
+                    last_id += 1;
+                    let (held, waiting) = (w.job_count(), w.queue_length());
+                    let job = Job { id: last_id, slots, work: f64::from(work_ms) * 1e6, priority: (slots % 2) as i32 };
+                    if w.offer(job, &mut events) {
+                        state.insert(last_id, "waits");
+                        prop_assert!(w.job_count() == held + 1);
                     } else {
                         prop_assert!(slots > 5 || waiting == 12, "turned away with room: {slots} {waiting}");
                     }
@@ -80,8 +80,8 @@
                     }
                 }
                 Op::Pause(t) => w.pause(now + t),
-                Op::Burden(ms) => w.burden(f64::from(ms) * 1e6),
-                Op::HandBack => w.hand_back().iter().for_each(|id| {
+                Op::AddOverhead(ms) => w.add_overhead(f64::from(ms) * 1e6),
+                Op::TakeQueued => w.take_queued().iter().for_each(|id| {
                     state.remove(id);
                 }),
                 Op::Restart => {
@@ -91,28 +91,28 @@
                     w.start(now);
                 }
             }
-            w.advance(now, &mut said);
-            prop_assert!(w.used() <= 5 && w.queued() <= 12);
-            prop_assert!(w.next().is_none_or(|t| t >= now));
-            for (at, word) in said.drain(..) {
-                prop_assert!(at >= last && at <= now, "{at} after {last}, by {now}");
-                last = at;
-                match word {
-                    Said::Started(id) => prop_assert_eq!(state.insert(id, "runs"), Some("waits")),
-                    Said::Progress(id, x) => prop_assert!(state[&id] == "runs" && (0.0..=1.0).contains(&x)),
-                    Said::Done(id) => prop_assert_eq!(state.remove(&id), Some("runs")),
+            w.advance(now, &mut events);
+            prop_assert!(w.used_slots() <= 5 && w.queue_length() <= 12);
+            prop_assert!(w.next_event_time().is_none_or(|t| t >= now));
+            for (at, event) in events.drain(..) {
+                prop_assert!(at >= last_event_time && at <= now, "{at} after {last_event_time}, by {now}");
+                last_event_time = at;
+                match event {
+                    JobEvent::Started(id) => prop_assert_eq!(state.insert(id, "runs"), Some("waits")),
+                    JobEvent::Progress(id, x) => prop_assert!(state[&id] == "runs" && (0.0..=1.0).contains(&x)),
+                    JobEvent::Done(id) => prop_assert_eq!(state.remove(&id), Some("runs")),
                 }
             }
-            prop_assert_eq!(state.len(), w.held());
-            let sum = w.finished + w.wasted + w.partial();
+            prop_assert_eq!(state.len(), w.job_count());
+            let sum = w.finished + w.wasted + w.unfinished_work();
             prop_assert!((w.delivered - sum).abs() < 1e-3 * w.delivered.max(1.0), "{} {sum}", w.delivered);
         }
         // Left alone, it finishes all that it holds.
         for _ in 0..100_000 {
-            let Some(t) = w.next() else { break };
-            w.advance(t, &mut said);
+            let Some(t) = w.next_event_time() else { break };
+            w.advance(t, &mut events);
         }
-        prop_assert_eq!(w.held(), 0);
+        prop_assert_eq!(w.job_count(), 0);
     }
 
     /// A draw more from one stream leaves all others as they were.
