--- a/crates/emulator/src/agent.rs
+++ b/crates/emulator/src/agent.rs
@@ -185,7 +185,7 @@
 fn hosts(stage: &Stage, s: usize, entries: &[WorkerEntry]) -> Vec<Value> {
     let world = stage.world.borrow();
     let dial = |e: &WorkerEntry| stage.words[s * world.workers() + e.worker].at.get().to_string();
-    entries.iter().map(|e| settings::entry(&world, e, &dial(e), stage.epoch_ms.get())).collect()
+    entries.iter().map(|e| settings::discovery_entry(&world, e, &dial(e), stage.epoch_ms.get())).collect()
 }
 
 /// The whole list as the scheduler has been told it, without what has left.
--- a/crates/emulator/src/clients.rs
+++ b/crates/emulator/src/clients.rs
@@ -5,7 +5,7 @@
 use hyper::{Request as Http, Response};
 use loomlb_policy::Nanos;
 use loomlb_simulation::clients::{self, Outcome, Request};
-use loomlb_simulation::figures::Final;
+use loomlb_simulation::figures::RequestOutcome;
 use loomlb_simulation::invariants::FinalResponse;
 use loomlb_simulation::world::ms;
 use std::cell::RefCell;
@@ -40,33 +40,39 @@
 
 /// One request with all its tries.
 async fn one(stage: &Rc<Stage>, request: Request) {
-    let leaves = request.at + request.patience;
+    let leaves = request.at + request.client_timeout;
     let mut tries = 0;
     let end = loop {
         tries += 1;
         let id = request.number << 4 | u64::from(tries);
         let outcome = match attempt(stage, &request, id, leaves).await {
             Some(outcome) => outcome,
-            None => break Final::Left,
+            None => break RequestOutcome::ClientLeft,
         };
         let again = {
             let world = stage.world.borrow();
-            clients::again(&world.scenario, &mut stage.habits.borrow_mut(), request.class, tries, outcome)
+            clients::retry_delay(
+                &world.scenario,
+                &mut stage.habits.borrow_mut(),
+                request.class,
+                tries,
+                outcome,
+            )
         };
         match again.filter(|wait| stage.now() + wait < leaves && !stage.stop.asked()) {
             Some(wait) => tokio::time::sleep(Duration::from_nanos(wait)).await,
             None => {
                 break match outcome {
-                    Outcome::Served => Final::Served,
-                    Outcome::Refused(_) => Final::Refused,
-                    Outcome::Failed => Final::Failed,
-                    Outcome::Unreachable => Final::Unreachable,
+                    Outcome::Served => RequestOutcome::Served,
+                    Outcome::Refused(_) => RequestOutcome::Refused,
+                    Outcome::Failed => RequestOutcome::Failed,
+                    Outcome::Unreachable => RequestOutcome::Unreachable,
                 };
             }
         }
     };
     let (now, world) = (stage.now(), stage.world.borrow());
-    stage.collector.borrow_mut().ended(&world.scenario, &request, now, tries, end);
+    stage.collector.borrow_mut().record(&world.scenario, &request, now, tries, end);
 }
 
 /// One try; none if its client left early.
@@ -79,7 +85,7 @@
     };
     let (early, last) = {
         let world = stage.world.borrow();
-        let early = request.patience < ms(world.scenario.classes[request.class].deadline_ms);
+        let early = request.client_timeout < ms(world.scenario.classes[request.class].deadline_ms);
         let grace = if early { 0 } else { ms(world.scenario.terms.answer_grace_ms) };
         stage.tries.borrow_mut().insert(id, sent(&world.scenario, request));
         (early, leaves + grace + if early { 0 } else { stage.options.slack.as_nanos() as Nanos })
@@ -185,8 +191,8 @@
 ) -> Outcome {
     let status = response.status().as_u16();
     let after = response.headers().get("Retry-After").and_then(|v| v.to_str().ok()?.parse::<f64>().ok());
-    if request.slow > 0 {
-        tokio::time::sleep(Duration::from_nanos(request.slow)).await;
+    if request.read_delay > 0 {
+        tokio::time::sleep(Duration::from_nanos(request.read_delay)).await;
     }
     let body = wire::whole(response.into_body()).await;
     let now = stage.now();
@@ -200,7 +206,11 @@
         _ => (FinalResponse::Failed, Outcome::Failed),
     };
     // A slow reader's last byte came when the scheduler wrote it; only the reading took long.
-    stage.world.borrow_mut().invariant_checker.response_sent(now.saturating_sub(request.slow), id, answered);
+    stage.world.borrow_mut().invariant_checker.response_sent(
+        now.saturating_sub(request.read_delay),
+        id,
+        answered,
+    );
     IDLE.with_borrow_mut(|idle| idle[s].push(line));
     outcome
 }
--- a/crates/emulator/src/schedulers.rs
+++ b/crates/emulator/src/schedulers.rs
@@ -108,7 +108,7 @@
         "peer_listen": talk.then(|| me.peer_listen.to_string()),
         "peers": if talk { me.peers.iter().map(SocketAddr::to_string).collect() } else { Vec::new() },
         "known": known,
-        "settings": settings::words(&world.scenario, s, stage.arrivals.borrow().tenant_rates()),
+        "settings": settings::raw_settings(&world.scenario, s, stage.arrivals.borrow().tenant_rates()),
     });
     if let Some(quota) = &world.scenario.quota {
         let text = toml::to_string(&Operator { quota }).map_err(io::Error::other)?;
--- a/crates/emulator/src/stage.rs
+++ b/crates/emulator/src/stage.rs
@@ -337,7 +337,8 @@
         (stage.collector.borrow().figures(), stage.counts.borrow(), stage.lag.borrow());
     let arrivals = stage.arrivals.borrow();
     let mut counters = world.counters.clone();
-    (counters.burst, counters.heavy, counters.slow_readers) = (arrivals.burst, arrivals.heavy, arrivals.slow);
+    (counters.burst, counters.heavy, counters.slow_readers) =
+        (arrivals.burst_requests, arrivals.heavy_requests, arrivals.slow_readers);
     Played {
         taken: world.invariant_checker.counts.taken,
         answered: world.invariant_checker.counts.answered,
--- a/crates/lab/src/capacity/probe.rs
+++ b/crates/lab/src/capacity/probe.rs
@@ -6,7 +6,7 @@
     WorkerId,
 };
 use loomlb_simulation::Scenario;
-use loomlb_simulation::settings::entry;
+use loomlb_simulation::settings::discovery_entry;
 use loomlb_simulation::world::{Health, WorkerEntry, World};
 use serde_json::Value;
 use std::collections::VecDeque;
@@ -146,5 +146,5 @@
     let dial =
         format!("10.{}.{}.{}:8080", 100 + worker / 40_000, 100 + worker / 150 % 150, 100 + worker % 150);
     let said = WorkerEntry { worker, health: Health::Active, weight: 1.0, started_at: 3_600_000_000_000 };
-    entry(world, &said, &dial, 1_790_000_000_000)
+    discovery_entry(world, &said, &dial, 1_790_000_000_000)
 }
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -335,7 +335,7 @@
     }
 }
 
-fn play(day: &Scenario, seed: u64, threads: usize, policy: Policy) -> simulate::Played {
+fn play(day: &Scenario, seed: u64, threads: usize, policy: Policy) -> simulate::SimulationResult {
     match policy.idea() {
         None => simulate::run(day, seed, threads),
         Some(idea) => simulate::run_with(day, seed, threads, &|set, seed| -> Box<dyn Decider> {
@@ -373,7 +373,7 @@
                 bar.inc(1);
                 played
             };
-            let all: Vec<simulate::Played> = (1..=args.seeds).map(played).collect();
+            let all: Vec<simulate::SimulationResult> = (1..=args.seeds).map(played).collect();
             let service = all.iter().map(|p| p.figures.service).collect();
             let breaches = all.iter().map(|p| p.violations).sum();
             Compared { day: day.name.clone(), policy: *policy, service, breaches }
--- a/crates/lab/src/tables.rs
+++ b/crates/lab/src/tables.rs
@@ -1,7 +1,7 @@
 //! Tables for people.
 
 use loomlb_simulation::Scenario;
-use loomlb_simulation::simulate::Played;
+use loomlb_simulation::simulate::SimulationResult;
 use std::fmt::Write;
 
 /// Lays out rows in columns, the first to the left and the others to the right.
@@ -66,7 +66,7 @@
 }
 
 /// The figures of a day in virtual time.
-pub fn played(day: &Scenario, seed: u64, p: &Played) -> String {
+pub fn played(day: &Scenario, seed: u64, p: &SimulationResult) -> String {
     let f = &p.figures;
     let mut out = format!(
         "{} (seed {seed}): {} workers, {} schedulers, {:.0} requests a second for {} s\n",
--- a/crates/lab/tests/days.rs
+++ b/crates/lab/tests/days.rs
@@ -2,7 +2,7 @@
 
 use loomlb_lab::baselines::{Baseline, Idea};
 use loomlb_lab::days::SHIPPED;
-use loomlb_simulation::simulate::{self, Decider, Played};
+use loomlb_simulation::simulate::{self, Decider, SimulationResult};
 use loomlb_simulation::{FaultKind, Scenario};
 use std::process::Command;
 
@@ -11,7 +11,7 @@
 }
 
 /// A day as a textbook policy decides it.
-fn textbook(day: &Scenario, seed: u64, threads: usize, idea: Idea) -> Played {
+fn textbook(day: &Scenario, seed: u64, threads: usize, idea: Idea) -> SimulationResult {
     let make = move |set, seed| -> Box<dyn Decider> { Box::new(Baseline::new(idea, set, seed)) };
     simulate::run_with(day, seed, threads, &make)
 }
--- a/crates/simulation/src/clients.rs
+++ b/crates/simulation/src/clients.rs
@@ -5,9 +5,9 @@
 use loomlb_policy::Nanos;
 
 /// The part of the fleet's capacity that is shared out to tenants.
-const SHARED: f64 = 0.8;
+const TENANT_CAPACITY_SHARE: f64 = 0.8;
 /// Seconds of its rate that a tenant may use at once.
-const BUCKET_S: f64 = 5.0;
+const QUOTA_BURST_S: f64 = 5.0;
 
 /// One request, as its client thinks of it; its tries carry ids of their own.
 #[derive(Clone, Debug, PartialEq)]
@@ -29,9 +29,9 @@
     /// What its client guesses of its work, in nanoseconds of a yardstick core.
     pub hint: Option<u64>,
     /// Its client leaves after this time, in nanoseconds.
-    pub patience: Nanos,
+    pub client_timeout: Nanos,
     /// Its client reads answers slowly: so many nanoseconds pass before the last byte is there.
-    pub slow: Nanos,
+    pub read_delay: Nanos,
     /// Within its tenant's share, as far as the rate goes.
     pub in_share: bool,
 }
@@ -39,27 +39,27 @@
 /// The stream of requests of a scenario, in the order of time.
 #[derive(Debug)]
 pub struct Arrivals {
-    when: RandomStream,
-    what: RandomStream,
+    arrival_times: RandomStream,
+    request_properties: RandomStream,
     work: RandomStream,
     subject: RandomStream,
-    habits: RandomStream,
+    behavior: RandomStream,
     hints: RandomStream,
     /// What falls on the subjects up to each, as a part of all; empty where they are all alike.
-    popular: Vec<f64>,
+    cumulative_popularity: Vec<f64>,
     rate: f64,
     at: f64,
     number: u64,
     end: f64,
     tenant_rate: Vec<f64>,
-    /// Each tenant's bucket: what is in it, and as of when.
+    /// Each tenant's bucket: what is in it, and as of arrival_times.
     buckets: Vec<(f64, f64)>,
     /// Requests that came within a burst, cost more than usual, or have a slow reader.
-    pub burst: u64,
+    pub burst_requests: u64,
     /// See `burst`.
-    pub heavy: u64,
+    pub heavy_requests: u64,
     /// See `burst`.
-    pub slow: u64,
+    pub slow_readers: u64,
 }
 
 impl Arrivals {
@@ -76,24 +76,28 @@
         });
         let shares: f64 = scenario.tenants.iter().map(|t| t.share).sum();
         // Shares are of what the fleet can do, with some room kept; without a word on it 70 % is taken to be in use.
-        let able = rate / scenario.load.part.unwrap_or(0.7).max(0.1) * SHARED;
+        let tenant_rate_total = rate / scenario.load.part.unwrap_or(0.7).max(0.1) * TENANT_CAPACITY_SHARE;
         Arrivals {
-            when: streams.stream("arrivals"),
-            what: streams.stream("classes"),
+            arrival_times: streams.stream("arrivals"),
+            request_properties: streams.stream("classes"),
             work: streams.stream("work"),
             subject: streams.stream("subjects"),
-            habits: streams.stream("habits"),
+            behavior: streams.stream("habits"),
             hints: streams.stream("hints"),
-            popular: popular(scenario),
+            cumulative_popularity: cumulative_popularity(scenario),
             rate,
             at: 0.0,
             number: 0,
             end: scenario.seconds,
-            tenant_rate: scenario.tenants.iter().map(|t| t.share / shares * able).collect(),
-            buckets: scenario.tenants.iter().map(|t| (BUCKET_S * t.share / shares * able, 0.0)).collect(),
-            burst: 0,
-            heavy: 0,
-            slow: 0,
+            tenant_rate: scenario.tenants.iter().map(|t| t.share / shares * tenant_rate_total).collect(),
+            buckets: scenario
+                .tenants
+                .iter()
+                .map(|t| (QUOTA_BURST_S * t.share / shares * tenant_rate_total, 0.0))
+                .collect(),
+            burst_requests: 0,
+            heavy_requests: 0,
+            slow_readers: 0,
         }
     }
 
@@ -109,107 +113,110 @@
 
     /// The rate at a moment, whether a burst is on, and the tenants' parts of it.
     fn rate_at(&self, scenario: &Scenario, at: f64) -> (f64, bool, Vec<f64>) {
-        let wave = match scenario.load.shape {
+        let load_factor = match scenario.load.shape {
             Shape::Steady => 1.0,
             Shape::Wave => 1.0 + scenario.load.swing * (at / scenario.seconds * std::f64::consts::TAU).sin(),
         };
         let mut weights: Vec<f64> = scenario.tenants.iter().map(|t| t.share * t.usage).collect();
-        let usual: f64 = weights.iter().sum();
-        let (mut all, mut on) = (wave, false);
+        let normal_weight: f64 = weights.iter().sum();
+        let (mut factor, mut burst_active) = (load_factor, false);
         for t in &scenario.faults {
             if t.kind != FaultKind::Burst || at < t.at_s || at >= t.at_s + t.for_s {
                 continue;
             }
-            on = true;
+            burst_active = true;
             let tenant = t.tenant.as_ref().and_then(|n| scenario.tenants.iter().position(|x| x.name == *n));
             match tenant {
                 Some(tenant) => weights[tenant] *= t.size.unwrap_or(2.0),
-                None => all *= t.size.unwrap_or(2.0),
+                None => factor *= t.size.unwrap_or(2.0),
             }
         }
-        let now: f64 = weights.iter().sum();
-        let more = if usual > 0.0 { now / usual } else { 1.0 };
-        (self.rate * all * more, on, weights)
+        let current_weight: f64 = weights.iter().sum();
+        let tenant_factor = if normal_weight > 0.0 { current_weight / normal_weight } else { 1.0 };
+        (self.rate * factor * tenant_factor, burst_active, weights)
     }
 
     /// Whether a tenant is within its share: a bucket that its rate fills, some seconds deep.
     fn in_share(&mut self, tenant: usize) -> bool {
         let (rate, now) = (self.tenant_rate[tenant], self.at);
         let (level, at) = &mut self.buckets[tenant];
-        *level = (*level + rate * (now - *at)).min(BUCKET_S * rate + 1.0);
+        *level = (*level + rate * (now - *at)).min(QUOTA_BURST_S * rate + 1.0);
         *at = now;
         let within = *level >= 1.0;
         *level -= f64::from(u8::from(within));
         within
     }
 
-    fn about(&mut self, subjects: usize) -> u64 {
-        if self.popular.is_empty() {
+    fn draw_subject(&mut self, subjects: usize) -> u64 {
+        if self.cumulative_popularity.is_empty() {
             return self.subject.index_below(subjects) as u64;
         }
         let at = self.subject.next_unit();
-        self.popular.partition_point(|p| *p < at).min(subjects - 1) as u64
+        self.cumulative_popularity.partition_point(|p| *p < at).min(subjects - 1) as u64
     }
 
     /// The next request; none once the scenario's time is over.
     pub fn next(&mut self, scenario: &Scenario) -> Option<Request> {
         let (rate, _, _) = self.rate_at(scenario, self.at);
-        self.at += self.when.exponential() / rate.max(1e-9);
+        self.at += self.arrival_times.exponential() / rate.max(1e-9);
         if self.at >= self.end {
             return None;
         }
-        let (_, burst, weights) = self.rate_at(scenario, self.at);
-        self.burst += u64::from(burst);
+        let (_, burst_active, weights) = self.rate_at(scenario, self.at);
+        self.burst_requests += u64::from(burst_active);
         self.number += 1;
         let shares: Vec<f64> = scenario.classes.iter().map(|c| c.share).collect();
-        let class = self.what.weighted_index(&shares);
+        let class = self.request_properties.weighted_index(&shares);
         let c = &scenario.classes[class];
-        let slots = 1 << self.what.weighted_index(&c.slots);
-        let tenant = self.what.weighted_index(&weights);
+        let slots = 1 << self.request_properties.weighted_index(&c.slots);
+        let tenant = self.request_properties.weighted_index(&weights);
         let tenant = (!scenario.tenants.is_empty()).then_some(tenant);
         let in_share = tenant.is_none_or(|t| self.in_share(t));
         let mut work = c.work_ms * 1e6 * self.work.log_normal(c.cv);
-        let (heavy, slow, hasty) =
-            (self.habits.next_unit(), self.habits.next_unit(), self.habits.next_unit());
-        let early = self.habits.next_unit();
-        let mut read = 0;
+        let (heavy_draw, slow_draw, impatience_draw) =
+            (self.behavior.next_unit(), self.behavior.next_unit(), self.behavior.next_unit());
+        let timeout_draw = self.behavior.next_unit();
+        let mut read_delay = 0;
         for (i, t) in scenario.faults.iter().enumerate() {
             if self.at < t.at_s || self.at >= t.at_s + t.for_s {
                 continue;
             }
             match t.kind {
-                FaultKind::HeavyTail if class == i % scenario.classes.len() && heavy < t.part => {
+                FaultKind::HeavyTail if class == i % scenario.classes.len() && heavy_draw < t.part => {
                     work *= t.size.unwrap_or(15.0);
-                    self.heavy += 1;
+                    self.heavy_requests += 1;
                 }
-                FaultKind::SlowReader if slow < t.part => {
-                    read = (t.size.unwrap_or(0.2) * 1e9) as Nanos;
-                    self.slow += 1;
+                FaultKind::SlowReader if slow_draw < t.part => {
+                    read_delay = (t.size.unwrap_or(0.2) * 1e9) as Nanos;
+                    self.slow_readers += 1;
                 }
                 _ => {}
             }
         }
         let deadline = c.deadline_ms * 1e6;
-        let patience =
-            if hasty < scenario.clients.impatient { deadline * (0.02 + 0.3 * early) } else { deadline };
+        let client_timeout = if impatience_draw < scenario.clients.impatient {
+            deadline * (0.02 + 0.3 * timeout_draw)
+        } else {
+            deadline
+        };
         Some(Request {
             number: self.number,
             at: (self.at * 1e9) as Nanos,
             class,
             tenant,
-            subject: (scenario.load.subjects > 0).then(|| self.about(scenario.load.subjects)),
+            subject: (scenario.load.subjects > 0).then(|| self.draw_subject(scenario.load.subjects)),
             slots,
             work,
             hint: scenario.load.hints.map(|cv| (work * self.hints.log_normal(cv)) as u64),
-            patience: patience as Nanos,
-            slow: read,
+            client_timeout: client_timeout as Nanos,
+            read_delay,
             in_share,
         })
     }
 }
 
 /// What falls on a scenario's subjects up to each by Zipf's law, as a part of all.
-fn popular(scenario: &Scenario) -> Vec<f64> {
+fn cumulative_popularity(scenario: &Scenario) -> Vec<f64> {
     if scenario.load.skew == 0.0 {
         return Vec::new();
     }
@@ -244,22 +251,22 @@
 }
 
 /// Whether and when a client tries again after its try number `tries` (from 1): in nanoseconds from now.
-pub fn again(
+pub fn retry_delay(
     scenario: &Scenario,
     rng: &mut RandomStream,
     class: usize,
     tries: u32,
     outcome: Outcome,
 ) -> Option<Nanos> {
-    let (honours, jitter) = (rng.chance(scenario.clients.honour), rng.uniform([0.8, 1.2]));
+    let (follows_retry_after, jitter) = (rng.chance(scenario.clients.honour), rng.uniform([0.8, 1.2]));
     if outcome == Outcome::Served || tries > scenario.clients.retries {
         return None;
     }
-    let free = match outcome {
+    let retry_allowed = match outcome {
         Outcome::Refused(_) | Outcome::Unreachable => true,
         _ => scenario.classes[class].effect == Effect::Safe,
     };
-    if !free {
+    if !retry_allowed {
         return None;
     }
     let base = scenario.clients.backoff_ms * 1e6;
@@ -269,7 +276,7 @@
         Backoff::Exponential => base * f64::from(1u32 << (tries - 1).min(16)),
     } * jitter;
     Some(match outcome {
-        Outcome::Refused(after) if honours && after > 0 => after.max(wait as Nanos),
+        Outcome::Refused(after) if follows_retry_after && after > 0 => after.max(wait as Nanos),
         _ => wait as Nanos,
     })
 }
--- a/crates/simulation/src/figures.rs
+++ b/crates/simulation/src/figures.rs
@@ -7,11 +7,11 @@
 use serde::Serialize;
 
 /// Seconds of the window whose worst is told.
-const WINDOW: usize = 10;
+const WORST_WINDOW_S: usize = 10;
 
 /// The end of a request, after all its tries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Final {
+pub enum RequestOutcome {
     /// Served.
     Served,
     /// Refused.
@@ -21,7 +21,7 @@
     /// No scheduler could be reached.
     Unreachable,
     /// Its client left early.
-    Left,
+    ClientLeft,
 }
 
 /// Collects figures while a scenario runs.
@@ -101,22 +101,29 @@
     }
 
     /// A request has ended at `at`, after so many tries.
-    pub fn ended(&mut self, scenario: &Scenario, request: &Request, at: Nanos, tries: u32, end: Final) {
+    pub fn record(
+        &mut self,
+        scenario: &Scenario,
+        request: &Request,
+        at: Nanos,
+        tries: u32,
+        end: RequestOutcome,
+    ) {
         self.requests += 1;
         self.tries += u64::from(tries);
         let class = &scenario.classes[request.class];
         let taken = at.saturating_sub(request.at);
         let wanted = class.aim_ms * 1e6 + class.stretch * request.work;
-        let in_time = end == Final::Served && taken as f64 <= wanted.min(class.deadline_ms * 1e6);
+        let in_time = end == RequestOutcome::Served && taken as f64 <= wanted.min(class.deadline_ms * 1e6);
         match end {
-            Final::Served => self.served += 1,
-            Final::Refused => self.refused += 1,
-            Final::Failed => self.failed += 1,
-            Final::Unreachable => self.unreachable += 1,
-            Final::Left => self.left += 1,
+            RequestOutcome::Served => self.served += 1,
+            RequestOutcome::Refused => self.refused += 1,
+            RequestOutcome::Failed => self.failed += 1,
+            RequestOutcome::Unreachable => self.unreachable += 1,
+            RequestOutcome::ClientLeft => self.left += 1,
         }
         self.in_time += u64::from(in_time);
-        if end == Final::Served {
+        if end == RequestOutcome::Served {
             self.latency.saturating_record((taken / 1000).max(1));
         }
         let share = if request.in_share { 1.0 } else { scenario.terms.over_share_worth };
@@ -129,7 +136,7 @@
             if let Some(asked) = work.get_mut(second) {
                 asked[0] += size;
             }
-            if let Some(got) = work.get_mut(ended).filter(|_| end == Final::Served) {
+            if let Some(got) = work.get_mut(ended).filter(|_| end == RequestOutcome::Served) {
                 got[1] += size;
             }
         }
@@ -145,7 +152,7 @@
     pub fn figures(&self) -> Figures {
         let part = |s: &[f64; 2]| if s[0] > 0.0 { s[1] / s[0] } else { 1.0 };
         let sum = |all: &[[f64; 2]]| all.iter().fold([0.0; 2], |a, s| [a[0] + s[0], a[1] + s[1]]);
-        let windows = self.seconds.windows(WINDOW.min(self.seconds.len().max(1)));
+        let windows = self.seconds.windows(WORST_WINDOW_S.min(self.seconds.len().max(1)));
         let ms = |q: f64| self.latency.value_at_quantile(q) as f64 / 1e3;
         Figures {
             requests: self.requests,
--- a/crates/simulation/src/settings.rs
+++ b/crates/simulation/src/settings.rs
@@ -7,16 +7,16 @@
 use serde_json::{Value, json};
 
 /// The name of a zone: the one of a fleet in one place, or one of several by its number.
-pub fn zone(scenario: &Scenario, number: usize) -> String {
+pub fn zone_name(scenario: &Scenario, number: usize) -> String {
     if scenario.fleet.zones <= 1 { "here".into() } else { format!("here-{}", number % scenario.fleet.zones) }
 }
 
-fn ns(ms: f64) -> u64 {
+fn nanos_from_ms(ms: f64) -> u64 {
     (ms * 1e6) as u64
 }
 
 /// The settings of one scheduler of a scenario, as the platform words them. `tenant_rates` are requests a second.
-pub fn words(scenario: &Scenario, scheduler: usize, tenant_rates: &[f64]) -> Value {
+pub fn raw_settings(scenario: &Scenario, scheduler: usize, tenant_rates: &[f64]) -> Value {
     let classes: Vec<Value> = scenario
         .classes
         .iter()
@@ -27,8 +27,8 @@
                 Effect::KeyedByZone => ("deduplicated", "zone"),
                 Effect::Unsafe => ("at_most_once", "all"),
             };
-            json!({"name": c.name, "aim": ns(c.aim_ms), "give_up": ns(c.deadline_ms), "worth": c.worth, "late_worth": 0.0,
-                "effect": effect, "group": group, "repeat_window": ns(c.window_ms), "stream": false})
+            json!({"name": c.name, "aim": nanos_from_ms(c.aim_ms), "give_up": nanos_from_ms(c.deadline_ms), "worth": c.worth, "late_worth": 0.0,
+                "effect": effect, "group": group, "repeat_window": nanos_from_ms(c.window_ms), "stream": false})
         })
         .collect();
     let shares: f64 = scenario.tenants.iter().map(|t| t.share).sum();
@@ -41,7 +41,7 @@
     let kinds: Vec<&str> = scenario.fleet.kinds.iter().map(|k| k.name.as_str()).collect();
     let coldest = scenario.fleet.kinds.iter().map(|k| k.cold_from).fold(1.0, f64::min);
     let cold = scenario.fleet.kinds.iter().map(|k| k.cold_s).fold(0.0, f64::max);
-    let zones: Vec<String> = (0..scenario.fleet.zones).map(|z| zone(scenario, z)).collect();
+    let zones: Vec<String> = (0..scenario.fleet.zones).map(|z| zone_name(scenario, z)).collect();
     let how = match (scenario.reports.on, scenario.reports.by_probe) {
         (false, _) => "off",
         (true, false) => "inline",
@@ -53,22 +53,22 @@
         Queue::Priority => "priority",
     };
     json!({
-        "balancers": scenario.schedulers.count, "rank": scheduler, "my_zone": zone(scenario, scheduler), "zones": zones, "kinds": kinds,
+        "balancers": scenario.schedulers.count, "rank": scheduler, "my_zone": zone_name(scenario, scheduler), "zones": zones, "kinds": kinds,
         "classes": classes, "tenants": tenants, "over_share_worth": scenario.terms.over_share_worth, "worth_by": "work",
         "registry_mode": if scenario.discovery.mode == Mode::Poll { "subscribe" } else { "automatic" },
-        "weights": if scenario.discovery.weights_ms > 0.0 { "live" } else { "off" }, "tick": ns(scenario.tick_ms),
+        "weights": if scenario.discovery.weights_ms > 0.0 { "live" } else { "off" }, "tick": nanos_from_ms(scenario.tick_ms),
         "load_report": {"how": how, "fields": ["rif", "rate", "x0"]},
         "ceilings": {
-            "cancel": true, "dial_timeout": ns(scenario.network.dial_ms), "keepalive": ns(scenario.network.idle_s * 1e3),
+            "cancel": true, "dial_timeout": nanos_from_ms(scenario.network.dial_ms), "keepalive": nanos_from_ms(scenario.network.idle_s * 1e3),
             "max_attempts": scenario.terms.max_attempts, "max_open": 20_000, "streams_per_conn": 1,
-            "max_retry_after": ns(scenario.terms.max_retry_after_ms), "retry_after": scenario.terms.max_retry_after_ms > 0.0,
+            "max_retry_after": nanos_from_ms(scenario.terms.max_retry_after_ms), "retry_after": scenario.terms.max_retry_after_ms > 0.0,
             "may_tell": scenario.schedulers.talk, "probing": scenario.schedulers.probes,
             "second_copies": scenario.terms.second_copies,
         },
         "obligations": {
-            "cold": ns(cold * 1e3), "cold_from": coldest, "drain_grace": ns(scenario.terms.drain_grace_ms),
+            "cold": nanos_from_ms(cold * 1e3), "cold_from": coldest, "drain_grace": nanos_from_ms(scenario.terms.drain_grace_ms),
             "must_ask_in": 10_000_000_000u64, "overload_factor": scenario.terms.fall_multiple,
-            "overload_for": ns(scenario.terms.fall_ms), "grace_to_answer": ns(scenario.terms.answer_grace_ms),
+            "overload_for": nanos_from_ms(scenario.terms.fall_ms), "grace_to_answer": nanos_from_ms(scenario.terms.answer_grace_ms),
         },
         "penalties": {"waste": 0.02, "late_fail": 0.064, "peer": 0.0086, "probe": scenario.terms.probe_price,
             "handshake": 0.02, "cross_zone": scenario.terms.cross_price},
@@ -76,22 +76,26 @@
             "class_kind": vec![-1; scenario.classes.len()],
             "class_stretch": scenario.classes.iter().map(|c| c.stretch).collect::<Vec<f64>>(),
             "class_priority": scenario.classes.iter().map(|c| c.priority).collect::<Vec<i32>>(),
-            "progress": ns(scenario.terms.progress_ms), "tells_start": true, "queue_order": order,
+            "progress": nanos_from_ms(scenario.terms.progress_ms), "tells_start": true, "queue_order": order,
             "report_x0": "free slots",
         },
     })
 }
 
 /// The same as the decision module takes it.
-pub fn settings(scenario: &Scenario, scheduler: usize, tenant_rates: &[f64]) -> (Settings, SettingNames) {
+pub fn dispatcher_settings(
+    scenario: &Scenario,
+    scheduler: usize,
+    tenant_rates: &[f64],
+) -> (Settings, SettingNames) {
     // The words are made above, so a key that does not fit is a fault of this file; a test reads them all.
-    serde_json::from_value::<RawSettings>(words(scenario, scheduler, tenant_rates))
+    serde_json::from_value::<RawSettings>(raw_settings(scenario, scheduler, tenant_rates))
         .unwrap_or_default()
         .to_settings()
 }
 
 /// An entry of the list as the decision module takes it.
-pub fn worker(world: &World, names: &SettingNames, entry: &WorkerEntry) -> Worker {
+pub fn listed_worker(world: &World, names: &SettingNames, entry: &WorkerEntry) -> Worker {
     let state = match entry.health {
         Health::Active => WorkerState::Ready,
         Health::Leaving => WorkerState::Draining,
@@ -106,21 +110,21 @@
         ..Worker::new(id)
     };
     names.with_zone_and_kind(
-        &zone(&world.scenario, entry.worker),
+        &zone_name(&world.scenario, entry.worker),
         &world.scenario.fleet.kinds[world.kind(entry.worker)].name,
         worker,
     )
 }
 
 /// An entry of the list in discovery's form. `epoch_ms` is the Unix time of the scenario's start, in milliseconds.
-pub fn entry(world: &World, entry: &WorkerEntry, dial: &str, epoch_ms: u64) -> Value {
+pub fn discovery_entry(world: &World, entry: &WorkerEntry, dial: &str, epoch_ms: u64) -> Value {
     let health = match entry.health {
         Health::Active => "active",
         Health::Leaving => "leaving",
         Health::Left => "left",
     };
     let started_ms = if entry.started_at == 0 { 0 } else { epoch_ms + entry.started_at / 1_000_000 };
-    json!({"host": World::worker_name(entry.worker), "dial": dial, "site": zone(&world.scenario, entry.worker),
+    json!({"host": World::worker_name(entry.worker), "dial": dial, "site": zone_name(&world.scenario, entry.worker),
         "class": world.scenario.fleet.kinds[world.kind(entry.worker)].name, "block": world.cell(entry.worker),
         "health": health, "share": entry.weight, "born_ms": started_ms})
 }
--- a/crates/simulation/src/simulate.rs
+++ b/crates/simulation/src/simulate.rs
@@ -5,7 +5,7 @@
 //! every event and action is the same for any number of threads.
 
 use crate::clients::{self, Arrivals, Outcome as Try, Request};
-use crate::figures::{Collector, Figures, Final};
+use crate::figures::{Collector, Figures, RequestOutcome};
 use crate::invariants::{CheckerCounts, FinalResponse, SchedulerExit, Violation};
 use crate::scenario::Scenario;
 use crate::seed::RandomStream;
@@ -50,16 +50,16 @@
 }
 
 /// Makes the decider of a scheduler from its settings and a seed.
-pub type Maker<'a> = dyn Fn(Settings, u64) -> Box<dyn Decider> + Sync + 'a;
+pub type DeciderFactory<'a> = dyn Fn(Settings, u64) -> Box<dyn Decider> + Sync + 'a;
 
 /// The decision module.
-pub fn module(settings: Settings, seed: u64) -> Box<dyn Decider> {
+pub fn new_dispatcher(settings: Settings, seed: u64) -> Box<dyn Decider> {
     Box::new(Dispatcher::new(settings, seed))
 }
 
 /// What a scenario came to.
 #[derive(Clone, Debug, Serialize)]
-pub struct Played {
+pub struct SimulationResult {
     /// The figures.
     pub figures: Figures,
     /// What the invariants saw.
@@ -181,7 +181,7 @@
 
 struct Host<'a> {
     world: World,
-    make: &'a Maker<'a>,
+    make: &'a DeciderFactory<'a>,
     pool: Option<rayon::ThreadPool>,
     arrivals: Arrivals,
     upcoming: Option<Request>,
@@ -205,12 +205,12 @@
 }
 
 /// Plays a scenario in virtual time with the decision module; on so many threads, 0 for one.
-pub fn run(scenario: &Scenario, seed: u64, threads: usize) -> Played {
-    run_with(scenario, seed, threads, &module)
+pub fn run(scenario: &Scenario, seed: u64, threads: usize) -> SimulationResult {
+    run_with(scenario, seed, threads, &new_dispatcher)
 }
 
 /// Plays a scenario in virtual time with deciders of any make.
-pub fn run_with(scenario: &Scenario, seed: u64, threads: usize, make: &Maker) -> Played {
+pub fn run_with(scenario: &Scenario, seed: u64, threads: usize, make: &DeciderFactory) -> SimulationResult {
     let world = World::new(scenario.clone(), seed, 0);
     let streams = world.streams();
     let arrivals = Arrivals::new(scenario, &streams, world.capacity());
@@ -254,8 +254,8 @@
     let (delivered, wasted) = workers.fold((0.0, 0.0), |s, w| (s.0 + w.delivered, s.1 + w.wasted));
     let mut counters = world.counters.clone();
     (counters.burst, counters.heavy, counters.slow_readers) =
-        (host.arrivals.burst, host.arrivals.heavy, host.arrivals.slow);
-    Played {
+        (host.arrivals.burst_requests, host.arrivals.heavy_requests, host.arrivals.slow_readers);
+    SimulationResult {
         figures: host.collector.figures(),
         seen: world.invariant_checker.counts,
         violations: world.invariant_checker.violation_count,
@@ -332,7 +332,8 @@
     // ---- schedulers
 
     fn fresh(&mut self, s: usize) -> Node {
-        let (settings, names) = settings::settings(&self.world.scenario, s, self.arrivals.tenant_rates());
+        let (settings, names) =
+            settings::dispatcher_settings(&self.world.scenario, s, self.arrivals.tenant_rates());
         let part = 1.0 / self.world.scenario.schedulers.count as f64;
         let quota =
             self.world.scenario.quota.clone().and_then(|spec| Quota::new(spec.part(part), self.now).ok());
@@ -356,7 +357,8 @@
     fn tell_list(&mut self, s: usize, kind: ListKind) {
         let (_, entries) = self.world.known_list(s);
         let names = &self.nodes[s].names;
-        let mut entries: Vec<_> = entries.iter().map(|e| settings::worker(&self.world, names, e)).collect();
+        let mut entries: Vec<_> =
+            entries.iter().map(|e| settings::listed_worker(&self.world, names, e)).collect();
         entries.retain(|e| e.state != loomlb_policy::WorkerState::Removed);
         self.feed(s, Event::WorkerList { kind, entries });
     }
@@ -654,7 +656,7 @@
             Try::Unreachable => 2,
             Try::Refused(after) => 3 + after as usize,
         };
-        let slow = self.clients.get(&(id >> 4)).map_or(0, |c| c.request.slow);
+        let slow = self.clients.get(&(id >> 4)).map_or(0, |c| c.request.read_delay);
         self.push(self.now + way + slow, Due::Answer(id, code));
         self.tidy(s, id);
     }
@@ -744,7 +746,8 @@
             }
             HostAction::WorkerList { scheduler: s, entries, .. } => {
                 let names = &self.nodes[s].names;
-                let entries = entries.iter().map(|e| settings::worker(&self.world, names, e)).collect();
+                let entries =
+                    entries.iter().map(|e| settings::listed_worker(&self.world, names, e)).collect();
                 self.feed(s, Event::WorkerList { kind: ListKind::Partial, entries });
             }
             HostAction::Signal(s, Signal::Kill) => self.stop(s, SchedulerExit::Killed),
@@ -847,7 +850,7 @@
     fn next_request(&mut self) {
         if let Some(request) = self.upcoming.take() {
             let number = request.number;
-            let leaves = request.at + request.patience;
+            let leaves = request.at + request.client_timeout;
             self.clients.insert(number, Client { request, tries: 0, at: None, leaves, answered: false });
             self.try_now(number);
         }
@@ -962,34 +965,34 @@
         };
         client.answered = true;
         let (class, tries, leaves) = (client.request.class, client.tries, client.leaves);
-        let again = clients::again(&self.world.scenario, &mut self.habits, class, tries, said);
+        let again = clients::retry_delay(&self.world.scenario, &mut self.habits, class, tries, said);
         match again.filter(|wait| now + wait < leaves) {
             Some(wait) => self.push(now + wait, Due::Try(number)),
             None => {
                 let end = match said {
-                    Try::Served => Final::Served,
-                    Try::Refused(_) => Final::Refused,
-                    Try::Failed => Final::Failed,
-                    Try::Unreachable => Final::Unreachable,
+                    Try::Served => RequestOutcome::Served,
+                    Try::Refused(_) => RequestOutcome::Refused,
+                    Try::Failed => RequestOutcome::Failed,
+                    Try::Unreachable => RequestOutcome::Unreachable,
                 };
                 self.finish(number, end);
             }
         }
     }
 
-    fn finish(&mut self, number: u64, end: Final) {
+    fn finish(&mut self, number: u64, end: RequestOutcome) {
         if let Some(client) = self.clients.remove(&number) {
-            self.collector.ended(&self.world.scenario, &client.request, self.now, client.tries, end);
+            self.collector.record(&self.world.scenario, &client.request, self.now, client.tries, end);
         }
     }
 
-    /// A client's patience is over.
+    /// A client's client_timeout is over.
     fn leave(&mut self, id: u64) {
         let (number, now) = (id >> 4, self.now);
         let Some(client) = self.clients.get(&number) else { return };
         let (id, answered, at) = (number << 4 | u64::from(client.tries), client.answered, client.at);
         let early =
-            client.request.patience < ms(self.world.scenario.classes[client.request.class].deadline_ms);
+            client.request.client_timeout < ms(self.world.scenario.classes[client.request.class].deadline_ms);
         let grace = ms(self.world.scenario.terms.answer_grace_ms);
         if !early && now < client.leaves + grace && !answered {
             // An answer may be a little late on its way: it is waited for, and the invariants says whether it was.
@@ -1005,7 +1008,7 @@
                 self.tidy(s, id);
             }
         }
-        self.finish(number, if early { Final::Left } else { Final::Failed });
+        self.finish(number, if early { RequestOutcome::ClientLeft } else { RequestOutcome::Failed });
     }
 }
 
--- a/crates/simulation/tests/scenario.rs
+++ b/crates/simulation/tests/scenario.rs
@@ -50,8 +50,8 @@
 #[test]
 fn the_words_of_a_day_are_the_settings_that_the_module_reads() {
     let scenario = Scenario::read(&format!("{GOOD}[[tenant]]\nname = \"t\"\nshare = 1\n")).unwrap();
-    assert!(serde_json::from_value::<RawSettings>(settings::words(&scenario, 0, &[9.0])).is_ok());
-    let (set, names) = settings::settings(&scenario, 0, &[9.0]);
+    assert!(serde_json::from_value::<RawSettings>(settings::raw_settings(&scenario, 0, &[9.0])).is_ok());
+    let (set, names) = settings::dispatcher_settings(&scenario, 0, &[9.0]);
     assert_eq!((set.classes.len(), set.tenants.len(), set.kind_count, set.dispatcher_count), (3, 1, 2, 1));
     assert_eq!(names.classes, ["view", "sign", "lodge"]);
     assert_eq!(set.tenants[0].quota_per_s, 9.0);
