--- a/crates/simulation/src/simulate.rs
+++ b/crates/simulation/src/simulate.rs
@@ -4,7 +4,7 @@
 //! decide on several threads; what they want done is carried out in the order of their numbers, and the digest over
 //! every event and action is the same for any number of threads.
 
-use crate::clients::{self, Arrivals, Outcome as Try, Request};
+use crate::clients::{self, Arrivals, Outcome as TryOutcome, Request};
 use crate::figures::{Collector, Figures, RequestOutcome};
 use crate::invariants::{CheckerCounts, FinalResponse, SchedulerExit, Violation};
 use crate::scenario::Scenario;
@@ -16,7 +16,7 @@
 use loomlb_policy::raw_settings::{SettingNames, affinity_key};
 use loomlb_policy::{
     Action, AttemptResult, ClassId, Dispatcher, Event, JobProgress, ListKind, LoadReport, Nanos, Outcome,
-    PeerId, Recipient, Request as Asked, RequestId, Settings, TenantId,
+    PeerId, Recipient, Request as PolicyRequest, RequestId, Settings, TenantId,
 };
 use loomlb_quota::{Ask, Quota, Standing, Ticket, Verdict};
 use rayon::prelude::*;
@@ -27,15 +27,15 @@
 use std::collections::BinaryHeap;
 
 /// Clients still reach a scheduler for so long after it was asked to end.
-const TERM_NOTICE: Nanos = 300_000_000;
+const SHUTDOWN_NOTICE: Nanos = 300_000_000;
 /// A scheduler that was asked to end is killed after this time and the longest deadline.
-const TERM_KILL: Nanos = 700_000_000;
+const SHUTDOWN_KILL_MARGIN: Nanos = 700_000_000;
 /// Of that deadline no more than this counts.
-const TERM_LONGEST: Nanos = 3_000_000_000;
-/// After the last arrival a scenario runs on for so long at most.
-const TAIL: Nanos = 120_000_000_000;
+const MAX_SHUTDOWN_WAIT: Nanos = 3_000_000_000;
+/// After the last arrival a scenario runs on for so long at max_attempts.
+const MAX_TIME_AFTER_ARRIVALS: Nanos = 120_000_000_000;
 /// Fewer events than this in a tick are not worth the threads.
-const WORTH_THREADS: usize = 16;
+const MIN_EVENTS_FOR_THREADS: usize = 16;
 
 /// Whoever decides: the decision module, or a baseline to compare it with.
 pub trait Decider: Send {
@@ -89,37 +89,37 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Due {
+enum ScheduledEvent {
     /// The next request is made.
-    Next,
+    NextRequest,
     /// A try leaves its client.
-    Try(u64),
+    SendTry(u64),
     /// A try reaches its scheduler.
-    Reach(u64, usize, u32),
+    ReceiveRequest(u64, usize, u32),
     /// Schedulers act.
-    Tick,
+    RunSchedulers,
     Timer(usize, u32, u64),
     /// An attempt reaches its worker, after a new connection or not.
-    Arrive(usize, u32, u64, u32),
+    DeliverAttempt(usize, u32, u64, u32),
     /// An attempt has ended, as its scheduler hears.
-    End(usize, u32, u64, u32, u8),
-    Timeout(usize, u32, u64, u32),
+    AttemptEnded(usize, u32, u64, u32, u8),
+    AttemptTimeout(usize, u32, u64, u32),
     /// A give-up reaches its worker.
-    GiveUp(u64),
+    CancelJob(u64),
     /// A word of a worker reaches a scheduler: its place in the store of job_updates.
     JobUpdate(usize, u32, usize),
     Datagram(usize, u32, usize),
-    Probed(usize, u32, usize, bool),
+    ProbeEnded(usize, u32, usize, bool),
     /// An answer reaches its client.
-    Answer(u64, usize),
+    Response(u64, usize),
     /// A client leaves.
-    Leave(u64),
-    Start(usize),
-    Ending(usize, u32),
-    Kill(usize, u32),
-    List(usize, u32),
+    ClientTimeout(u64),
+    StartScheduler(usize),
+    CheckShutdown(usize, u32),
+    KillScheduler(usize, u32),
+    ListReply(usize, u32),
     /// A call for the list has failed.
-    NoList(usize, u32),
+    ListRequestFailed(usize, u32),
 }
 
 #[derive(Debug)]
@@ -131,7 +131,7 @@
     job: Option<u64>,
     ended: bool,
     /// It is through to its worker, or on the way there over a connection that is up.
-    up: bool,
+    connected: bool,
 }
 
 #[derive(Debug)]
@@ -143,30 +143,30 @@
     answered: bool,
     forwards: Vec<Forward>,
     /// What it holds of its tenant's shares, and the seconds that its jobs ran.
-    holding: Option<Ticket>,
-    ran: f64,
+    quota_ticket: Option<Ticket>,
+    run_time_s: f64,
 }
 
-struct Node {
+struct SchedulerNode {
     decider: Box<dyn Decider>,
     /// Nested quotas, where the scenario has them, and the mean seconds of each class's jobs.
     quota: Option<Quota>,
-    mean: Vec<f64>,
+    mean_job_s: Vec<f64>,
     names: SettingNames,
-    up: bool,
+    is_running: bool,
     /// CheckerCounts by the front until then, though it is down.
-    seen_until: Nanos,
-    ending: Option<Nanos>,
+    visible_until: Nanos,
+    shutdown_started: Option<Nanos>,
     run: u32,
     inbox: Vec<Event>,
     outbox: Vec<Action>,
     /// Sorted by the scheduler's own numbers.
     flows: FxHashMap<u64, Flow>,
-    pool: FxHashMap<usize, Vec<Nanos>>,
+    idle_connections: FxHashMap<usize, Vec<Nanos>>,
 }
 
 #[derive(Debug)]
-struct Client {
+struct ClientState {
     request: Request,
     tries: u32,
     /// The scheduler of the try under way.
@@ -179,29 +179,29 @@
 /// A word on its way: request, job, what is said, and the worker's load.
 type JobUpdateInTransit = (u64, u64, JobUpdate, Option<LoadReport>);
 
-struct Host<'a> {
+struct VirtualHost<'a> {
     world: World,
-    make: &'a DeciderFactory<'a>,
-    pool: Option<rayon::ThreadPool>,
+    make_decider: &'a DeciderFactory<'a>,
+    thread_pool: Option<rayon::ThreadPool>,
     arrivals: Arrivals,
-    upcoming: Option<Request>,
-    nodes: Vec<Node>,
-    clients: FxHashMap<u64, Client>,
-    queue: BinaryHeap<Reverse<(Nanos, u64, Due)>>,
-    pushed: u64,
-    ticking: Option<Nanos>,
+    next_arrival: Option<Request>,
+    nodes: Vec<SchedulerNode>,
+    clients: FxHashMap<u64, ClientState>,
+    queue: BinaryHeap<Reverse<(Nanos, u64, ScheduledEvent)>>,
+    next_sequence: u64,
+    next_tick: Option<Nanos>,
     now: Nanos,
     job_updates: Slab<JobUpdateInTransit>,
     datagrams: Slab<(usize, Vec<u8>)>,
     collector: Collector,
-    delays: RandomStream,
-    front: RandomStream,
-    habits: RandomStream,
-    restarts: RandomStream,
+    delay_rng: RandomStream,
+    front_rng: RandomStream,
+    retry_rng: RandomStream,
+    restart_rng: RandomStream,
     digest: blake3::Hasher,
     events: u64,
     actions: u64,
-    drawn: bool,
+    arrivals_finished: bool,
 }
 
 /// Plays a scenario in virtual time with the decision module; on so many threads, 0 for one.
@@ -209,45 +209,50 @@
     run_with(scenario, seed, threads, &new_dispatcher)
 }
 
-/// Plays a scenario in virtual time with deciders of any make.
-pub fn run_with(scenario: &Scenario, seed: u64, threads: usize, make: &DeciderFactory) -> SimulationResult {
+/// Plays a scenario in virtual time with deciders of any make_decider.
+pub fn run_with(
+    scenario: &Scenario,
+    seed: u64,
+    threads: usize,
+    make_decider: &DeciderFactory,
+) -> SimulationResult {
     let world = World::new(scenario.clone(), seed, 0);
     let streams = world.streams();
     let arrivals = Arrivals::new(scenario, &streams, world.capacity());
     let threads = if scenario.schedulers.count > 1 { threads } else { 0 };
-    let pool =
+    let thread_pool =
         (threads > 1).then(|| rayon::ThreadPoolBuilder::new().num_threads(threads).build().ok()).flatten();
-    let mut host = Host {
-        make,
-        pool,
+    let mut host = VirtualHost {
+        make_decider,
+        thread_pool,
         arrivals,
-        upcoming: None,
+        next_arrival: None,
         nodes: Vec::new(),
         clients: FxHashMap::default(),
         queue: BinaryHeap::new(),
-        pushed: 0,
-        ticking: None,
+        next_sequence: 0,
+        next_tick: None,
         now: 0,
         job_updates: Slab::new(),
         datagrams: Slab::new(),
         collector: Collector::new(scenario),
-        delays: streams.stream("delays"),
-        front: streams.stream("front"),
-        habits: streams.stream("retries"),
-        restarts: streams.stream("restarts"),
+        delay_rng: streams.stream("delays"),
+        front_rng: streams.stream("front"),
+        retry_rng: streams.stream("retries"),
+        restart_rng: streams.stream("restarts"),
         digest: blake3::Hasher::new(),
         events: 0,
         actions: 0,
-        drawn: false,
+        arrivals_finished: false,
         world,
     };
     for s in 0..scenario.schedulers.count {
-        let node = host.fresh(s);
+        let node = host.new_scheduler(s);
         host.nodes.push(node);
-        host.tell_list(s, ListKind::Persisted);
+        host.send_list(s, ListKind::Persisted);
     }
-    host.push(0, Due::Next);
-    host.play(scenario);
+    host.push(0, ScheduledEvent::NextRequest);
+    host.run_events(scenario);
     let world = &mut host.world;
     world.invariant_checker.finish(host.now);
     let workers = (0..world.workers()).map(|w| world.worker(w));
@@ -271,13 +276,13 @@
     }
 }
 
-impl Host<'_> {
-    fn push(&mut self, at: Nanos, due: Due) {
-        self.pushed += 1;
-        self.queue.push(Reverse((at.max(self.now), self.pushed, due)));
+impl VirtualHost<'_> {
+    fn push(&mut self, at: Nanos, event: ScheduledEvent) {
+        self.next_sequence += 1;
+        self.queue.push(Reverse((at.max(self.now), self.next_sequence, event)));
     }
 
-    fn mark(&mut self, tag: u8, values: &[u64]) {
+    fn digest_values(&mut self, tag: u8, values: &[u64]) {
         self.digest.update(&[tag]);
         self.digest.update(&self.now.to_le_bytes());
         values.iter().for_each(|v| {
@@ -286,27 +291,27 @@
     }
 
     fn delay(&mut self, mean_ms: f64) -> Nanos {
-        ms(mean_ms * self.delays.log_normal(self.world.scenario.network.jitter)).max(1)
+        ms(mean_ms * self.delay_rng.log_normal(self.world.scenario.network.jitter)).max(1)
     }
     /// One way between a scheduler and a worker.
-    fn way(&mut self, s: usize, w: usize) -> Nanos {
+    fn link_delay(&mut self, s: usize, w: usize) -> Nanos {
         let network = &self.world.scenario.network;
         let near = self.world.zone(s) == self.world.zone(w);
         self.delay(if near { network.one_way_ms } else { network.cross_ms })
     }
     /// One way to discovery, which is near to all.
-    fn way_to_list(&mut self) -> Nanos {
+    fn discovery_delay(&mut self) -> Nanos {
         self.delay(self.world.scenario.network.one_way_ms)
     }
 
-    fn play(&mut self, scenario: &Scenario) {
-        let end = crate::world::secs(scenario.seconds) + TAIL;
+    fn run_events(&mut self, scenario: &Scenario) {
+        let end = crate::world::secs(scenario.seconds) + MAX_TIME_AFTER_ARRIVALS;
         loop {
-            let mine = self.queue.peek().map(|Reverse((at, _, _))| *at);
-            let theirs = self.world.next_event_time();
-            let Some(at) = [mine, theirs].into_iter().flatten().min() else { return };
+            let own_next = self.queue.peek().map(|Reverse((at, _, _))| *at);
+            let world_next = self.world.next_event_time();
+            let Some(at) = [own_next, world_next].into_iter().flatten().min() else { return };
             if at > end
-                || (self.drawn
+                || (self.arrivals_finished
                     && self.clients.is_empty()
                     && self.world.invariant_checker.pending_responses() == 0)
             {
@@ -320,8 +325,8 @@
                 if *at > self.now {
                     break;
                 }
-                let Some(Reverse((_, _, due))) = self.queue.pop() else { break };
-                self.due(due);
+                let Some(Reverse((_, _, event))) = self.queue.pop() else { break };
+                self.process_event(event);
                 while let Some(action) = self.world.next_action(self.now) {
                     self.perform_host_action(action);
                 }
@@ -331,180 +336,184 @@
 
     // ---- schedulers
 
-    fn fresh(&mut self, s: usize) -> Node {
+    fn new_scheduler(&mut self, s: usize) -> SchedulerNode {
         let (settings, names) =
             settings::dispatcher_settings(&self.world.scenario, s, self.arrivals.tenant_rates());
         let part = 1.0 / self.world.scenario.schedulers.count as f64;
         let quota =
             self.world.scenario.quota.clone().and_then(|spec| Quota::new(spec.part(part), self.now).ok());
-        Node {
-            decider: (self.make)(settings, self.restarts.next_u64()),
+        SchedulerNode {
+            decider: (self.make_decider)(settings, self.restart_rng.next_u64()),
             quota,
-            mean: self.world.scenario.classes.iter().map(|c| c.aim_ms / 1e3).collect(),
+            mean_job_s: self.world.scenario.classes.iter().map(|c| c.aim_ms / 1e3).collect(),
             names,
-            up: true,
-            seen_until: Nanos::MAX,
-            ending: None,
+            is_running: true,
+            visible_until: Nanos::MAX,
+            shutdown_started: None,
             run: 0,
             inbox: Vec::new(),
             outbox: Vec::new(),
             flows: FxHashMap::default(),
-            pool: FxHashMap::default(),
+            idle_connections: FxHashMap::default(),
         }
     }
 
     /// Tells a scheduler of the whole list as it was last told.
-    fn tell_list(&mut self, s: usize, kind: ListKind) {
+    fn send_list(&mut self, s: usize, kind: ListKind) {
         let (_, entries) = self.world.known_list(s);
         let names = &self.nodes[s].names;
         let mut entries: Vec<_> =
             entries.iter().map(|e| settings::listed_worker(&self.world, names, e)).collect();
         entries.retain(|e| e.state != loomlb_policy::WorkerState::Removed);
-        self.feed(s, Event::WorkerList { kind, entries });
+        self.enqueue_event(s, Event::WorkerList { kind, entries });
     }
 
-    fn feed(&mut self, s: usize, event: Event) {
-        if !self.nodes[s].up {
+    fn enqueue_event(&mut self, s: usize, event: Event) {
+        if !self.nodes[s].is_running {
             return;
         }
         self.nodes[s].inbox.push(event);
-        if self.ticking.is_none() {
+        if self.next_tick.is_none() {
             let tick = ms(self.world.scenario.tick_ms).max(1);
             let at = (self.now / tick + 1) * tick;
-            self.ticking = Some(at);
-            self.push(at, Due::Tick);
+            self.next_tick = Some(at);
+            self.push(at, ScheduledEvent::RunSchedulers);
         }
     }
 
-    fn tick(&mut self) {
-        self.ticking = None;
+    fn run_schedulers(&mut self) {
+        self.next_tick = None;
         let now = self.now;
         let events: usize = self.nodes.iter().map(|n| n.inbox.len()).sum();
         for s in 0..self.nodes.len() {
             let inbox = std::mem::take(&mut self.nodes[s].inbox);
             self.events += inbox.len() as u64;
-            inbox.iter().for_each(|event| self.mark_event(s, event));
+            inbox.iter().for_each(|event| self.digest_event(s, event));
             self.nodes[s].inbox = inbox;
         }
-        let decide = |node: &mut Node| {
+        let decide = |node: &mut SchedulerNode| {
             let (decider, out) = (&mut node.decider, &mut node.outbox);
             node.inbox.drain(..).for_each(|event| decider.handle(now, event, out));
         };
-        match self.pool.as_ref().filter(|_| events >= WORTH_THREADS) {
+        match self.thread_pool.as_ref().filter(|_| events >= MIN_EVENTS_FOR_THREADS) {
             Some(pool) => pool.install(|| self.nodes.par_iter_mut().with_max_len(1).for_each(decide)),
             None => self.nodes.iter_mut().for_each(decide),
         }
         for s in 0..self.nodes.len() {
             let mut outbox = std::mem::take(&mut self.nodes[s].outbox);
             self.actions += outbox.len() as u64;
-            outbox.drain(..).for_each(|action| self.act(s, action));
+            outbox.drain(..).for_each(|action| self.perform_action(s, action));
             self.nodes[s].outbox = outbox;
         }
     }
 
-    fn mark_event(&mut self, s: usize, event: &Event) {
+    fn digest_event(&mut self, s: usize, event: &Event) {
         let s = s as u64;
         match event {
             Event::WorkerList { entries, .. } => {
-                self.mark(1, &[s, entries.len() as u64]);
-                entries
-                    .iter()
-                    .for_each(|e| self.mark(2, &[e.id.0, e.state as u64, e.weight.to_bits(), e.started_at]));
+                self.digest_values(1, &[s, entries.len() as u64]);
+                entries.iter().for_each(|e| {
+                    self.digest_values(2, &[e.id.0, e.state as u64, e.weight.to_bits(), e.started_at])
+                });
             }
-            Event::ListRequestFailed => self.mark(3, &[s]),
-            Event::Request(r) => self.mark(4, &[s, r.id.0, r.class.0 as u64, r.remaining]),
-            Event::RequestAbandoned(id) => self.mark(5, &[s, id.0]),
-            Event::JobProgress(id, n, _) => self.mark(6, &[s, id.0, u64::from(*n)]),
-            Event::ResponseStarted(id, n) => self.mark(7, &[s, id.0, u64::from(*n)]),
+            Event::ListRequestFailed => self.digest_values(3, &[s]),
+            Event::Request(r) => self.digest_values(4, &[s, r.id.0, r.class.0 as u64, r.remaining]),
+            Event::RequestAbandoned(id) => self.digest_values(5, &[s, id.0]),
+            Event::JobProgress(id, n, _) => self.digest_values(6, &[s, id.0, u64::from(*n)]),
+            Event::ResponseStarted(id, n) => self.digest_values(7, &[s, id.0, u64::from(*n)]),
             Event::AttemptEnded { id, attempt, result: ended } => {
-                self.mark(8, &[s, id.0, u64::from(*attempt), ended.outcome as u64, ended.latency]);
+                self.digest_values(8, &[s, id.0, u64::from(*attempt), ended.outcome as u64, ended.latency]);
+            }
+            Event::ProbeEnded { worker, result: ended } => {
+                self.digest_values(9, &[s, worker.0, ended.outcome as u64])
+            }
+            Event::TimerFired(token) => self.digest_values(10, &[s, *token]),
+            Event::PeerMessage(from, bytes) => {
+                self.digest_values(11, &[s, u64::from(from.0), bytes.len() as u64])
             }
-            Event::ProbeEnded { worker, result: ended } => self.mark(9, &[s, worker.0, ended.outcome as u64]),
-            Event::TimerFired(token) => self.mark(10, &[s, *token]),
-            Event::PeerMessage(from, bytes) => self.mark(11, &[s, u64::from(from.0), bytes.len() as u64]),
             // The model plays no reload.
-            Event::SettingsChanged(..) => self.mark(12, &[s]),
+            Event::SettingsChanged(..) => self.digest_values(12, &[s]),
         }
     }
 
-    fn act(&mut self, s: usize, action: Action) {
-        let me = s as u64;
+    fn perform_action(&mut self, s: usize, action: Action) {
+        let scheduler = s as u64;
         let run = self.nodes[s].run;
         match action {
             Action::Send { id, worker, timeout } => {
-                self.mark(32, &[me, id.0, worker.0, timeout]);
-                self.forward(s, id.0, worker.0 as usize - 1, timeout);
+                self.digest_values(32, &[scheduler, id.0, worker.0, timeout]);
+                self.send_attempt(s, id.0, worker.0 as usize - 1, timeout);
             }
             Action::Refuse { id, retry_after } => {
-                self.mark(33, &[me, id.0, retry_after]);
+                self.digest_values(33, &[scheduler, id.0, retry_after]);
                 let retry_after = retry_after.min(ms(self.world.scenario.terms.max_retry_after_ms));
-                self.answer(s, id.0, FinalResponse::Refused, Try::Refused(retry_after));
+                self.respond(s, id.0, FinalResponse::Refused, TryOutcome::Refused(retry_after));
             }
             Action::Fail(id) => {
-                self.mark(34, &[me, id.0]);
-                self.answer(s, id.0, FinalResponse::Failed, Try::Failed);
+                self.digest_values(34, &[scheduler, id.0]);
+                self.respond(s, id.0, FinalResponse::Failed, TryOutcome::Failed);
             }
             Action::Cancel(id, n) => {
-                self.mark(35, &[me, id.0, u64::from(n)]);
-                self.give_up(s, id.0, n, Outcome::Cancelled);
+                self.digest_values(35, &[scheduler, id.0, u64::from(n)]);
+                self.cancel_attempt(s, id.0, n, Outcome::Cancelled);
             }
             Action::SetTimer { after, token } => {
-                self.mark(36, &[me, after, token]);
-                self.push(self.now + after.max(1), Due::Timer(s, run, token));
+                self.digest_values(36, &[scheduler, after, token]);
+                self.push(self.now + after.max(1), ScheduledEvent::Timer(s, run, token));
             }
             Action::Probe(worker) => {
-                self.mark(37, &[me, worker.0]);
+                self.digest_values(37, &[scheduler, worker.0]);
                 let w = worker.0 as usize - 1;
-                let back = self.way(s, w) + self.way(s, w);
+                let back = self.link_delay(s, w) + self.link_delay(s, w);
                 let up = !self.world.is_silent(worker.0 as usize - 1);
                 let after = if up { back } else { ms(self.world.scenario.network.dial_ms) };
-                self.push(self.now + after, Due::Probed(s, run, worker.0 as usize - 1, up));
+                self.push(self.now + after, ScheduledEvent::ProbeEnded(s, run, worker.0 as usize - 1, up));
             }
             Action::CloseIdleConnections(worker) => {
-                self.mark(38, &[me, worker.0]);
+                self.digest_values(38, &[scheduler, worker.0]);
                 let w = worker.0 as usize - 1;
-                for _ in self.nodes[s].pool.remove(&w).unwrap_or_default() {
+                for _ in self.nodes[s].idle_connections.remove(&w).unwrap_or_default() {
                     self.world.disconnect(w);
                 }
             }
             Action::WatchList => {
-                self.mark(39, &[me]);
-                let (there, back) = (self.way_to_list(), self.way_to_list());
+                self.digest_values(39, &[scheduler]);
+                let (there, back) = (self.discovery_delay(), self.discovery_delay());
                 match self.world.request_list(self.now + there) {
-                    Ok(done) => self.push(done + back, Due::List(s, run)),
-                    Err(failed) => self.push(failed + back, Due::NoList(s, run)),
+                    Ok(done) => self.push(done + back, ScheduledEvent::ListReply(s, run)),
+                    Err(failed) => self.push(failed + back, ScheduledEvent::ListRequestFailed(s, run)),
                 }
             }
             Action::SendToPeers(to, bytes) => {
-                self.mark(40, &[me, bytes.len() as u64]);
+                self.digest_values(40, &[scheduler, bytes.len() as u64]);
                 let to: Vec<usize> = match to {
                     Recipient::One(peer) => vec![peer.0 as usize],
                     Recipient::All => (0..self.nodes.len()).filter(|p| *p != s).collect(),
                 };
                 let known = self.nodes.len();
-                to.into_iter().filter(|p| *p < known).for_each(|peer| self.tell(s, peer, &bytes));
+                to.into_iter().filter(|p| *p < known).for_each(|peer| self.send_datagram(s, peer, &bytes));
             }
         }
     }
 
-    fn tell(&mut self, s: usize, peer: usize, bytes: &[u8]) {
-        let lost = self.delays.chance(self.world.scenario.network.peer_loss);
-        let after = ms(self.delays.uniform(self.world.scenario.network.peer_ms));
+    fn send_datagram(&mut self, s: usize, peer: usize, bytes: &[u8]) {
+        let lost = self.delay_rng.chance(self.world.scenario.network.peer_loss);
+        let after = ms(self.delay_rng.uniform(self.world.scenario.network.peer_ms));
         if lost || !self.world.peers_reachable(s, peer) {
             return;
         }
         let at = self.datagrams.insert((s, bytes.to_vec()));
         let run = self.nodes[peer].run;
-        self.push(self.now + after, Due::Datagram(peer, run, at));
+        self.push(self.now + after, ScheduledEvent::Datagram(peer, run, at));
     }
 
     /// One send of a decider.
-    fn forward(&mut self, s: usize, id: u64, w: usize, timeout: Nanos) {
+    fn send_attempt(&mut self, s: usize, id: u64, w: usize, timeout: Nanos) {
         let (now, run) = (self.now, self.nodes[s].run);
-        let most = self.world.scenario.terms.max_attempts as usize;
+        let max_attempts = self.world.scenario.terms.max_attempts as usize;
         let Some(flow) = self.nodes[s].flows.get_mut(&id) else { return };
         let n = flow.forwards.len() as u32;
-        let barred = flow.answered || flow.forwards.len() >= most;
+        let not_allowed = flow.answered || flow.forwards.len() >= max_attempts;
         let until = if timeout == 0 { flow.deadline } else { flow.deadline.min(now.saturating_add(timeout)) };
         flow.forwards.push(Forward {
             started: None,
@@ -512,52 +521,56 @@
             sent: now,
             job: None,
             ended: false,
-            up: false,
+            connected: false,
         });
-        if barred || w >= self.world.workers() {
-            return self.end(s, id, n, Outcome::NotSent, None);
+        if not_allowed || w >= self.world.workers() {
+            return self.end_attempt(s, id, n, Outcome::NotSent, None);
         }
-        self.push(until, Due::Timeout(s, run, id, n));
-        let keep = crate::world::secs(self.world.scenario.network.idle_s) * 3 / 4;
-        let idle = self.nodes[s].pool.get_mut(&w).and_then(|p| {
+        self.push(until, ScheduledEvent::AttemptTimeout(s, run, id, n));
+        let max_idle = crate::world::secs(self.world.scenario.network.idle_s) * 3 / 4;
+        let idle = self.nodes[s].idle_connections.get_mut(&w).and_then(|p| {
             let last = p.pop();
-            last.filter(|since| *since + keep > now).map(|_| true).or(last.map(|_| false))
+            last.filter(|since| *since + max_idle > now).map(|_| true).or(last.map(|_| false))
         });
         if idle == Some(true) {
-            if let Some(f) = self.forward_of(s, id, n) {
-                f.up = true;
+            if let Some(f) = self.forward_mut(s, id, n) {
+                f.connected = true;
             }
-            let way = self.way(s, w);
-            return self.push(now + way, Due::Arrive(s, run, id, n));
+            let way = self.link_delay(s, w);
+            return self.push(now + way, ScheduledEvent::DeliverAttempt(s, run, id, n));
         }
         if idle == Some(false) {
-            let old = self.nodes[s].pool.remove(&w).map_or(0, |p| p.len()) + 1;
+            let old = self.nodes[s].idle_connections.remove(&w).map_or(0, |p| p.len()) + 1;
             (0..old).for_each(|_| self.world.disconnect(w));
         }
-        let way = self.way(s, w) + self.way(s, w) + self.way(s, w);
+        let way = self.link_delay(s, w) + self.link_delay(s, w) + self.link_delay(s, w);
         match self.world.connect(now, s, w) {
             ConnectResult::Connected => {
-                if let Some(f) = self.forward_of(s, id, n) {
-                    f.up = true;
+                if let Some(f) = self.forward_mut(s, id, n) {
+                    f.connected = true;
                 }
-                self.push(now + way, Due::Arrive(s, run, id, n));
-            }
-            ConnectResult::Refused => {
-                self.push(now + way, Due::End(s, run, id, n, code(Outcome::NoConnection)))
+                self.push(now + way, ScheduledEvent::DeliverAttempt(s, run, id, n));
             }
+            ConnectResult::Refused => self.push(
+                now + way,
+                ScheduledEvent::AttemptEnded(s, run, id, n, outcome_code(Outcome::NoConnection)),
+            ),
             ConnectResult::NoResponse => {
                 let dial = ms(self.world.scenario.network.dial_ms);
-                self.push(now + dial, Due::End(s, run, id, n, code(Outcome::NoConnection)));
+                self.push(
+                    now + dial,
+                    ScheduledEvent::AttemptEnded(s, run, id, n, outcome_code(Outcome::NoConnection)),
+                );
             }
         }
     }
 
-    fn forward_of(&mut self, s: usize, id: u64, n: u32) -> Option<&mut Forward> {
+    fn forward_mut(&mut self, s: usize, id: u64, n: u32) -> Option<&mut Forward> {
         self.nodes[s].flows.get_mut(&id)?.forwards.get_mut(n as usize)
     }
 
     /// An attempt reaches its worker.
-    fn arrive(&mut self, s: usize, run: u32, id: u64, n: u32) {
+    fn deliver_attempt(&mut self, s: usize, run: u32, id: u64, n: u32) {
         let Some(flow) = self.nodes[s].flows.get(&id) else { return };
         let Some(f) = flow.forwards.get(n as usize) else { return };
         let (w, sent) = (f.worker, f.sent);
@@ -569,32 +582,39 @@
         let subject = self.clients.get(&(id >> 4)).and_then(|c| c.request.subject);
         let attempt = Attempt { request: id, scheduler: s, slots, work, class, subject, sent };
         let reply = self.world.receive_attempt(self.now, w, &attempt);
-        let way = self.way(s, w);
+        let way = self.link_delay(s, w);
         match reply {
             AttemptReply::Accepted(job) => {
-                if let Some(f) = self.forward_of(s, id, n) {
+                if let Some(f) = self.forward_mut(s, id, n) {
                     f.job = Some(job);
                 }
                 let (now, node) = (self.now, &mut self.nodes[s]);
-                node.pool.entry(w).or_default().push(now);
+                node.idle_connections.entry(w).or_default().push(now);
             }
             AttemptReply::Full => {
-                self.nodes[s].pool.entry(w).or_default().push(self.now);
-                self.push(self.now + way, Due::End(s, run, id, n, code(Outcome::Full)));
+                self.nodes[s].idle_connections.entry(w).or_default().push(self.now);
+                self.push(
+                    self.now + way,
+                    ScheduledEvent::AttemptEnded(s, run, id, n, outcome_code(Outcome::Full)),
+                );
             }
             AttemptReply::Error => {
-                self.nodes[s].pool.entry(w).or_default().push(self.now);
-                self.push(self.now + way + ms(2.0), Due::End(s, run, id, n, code(Outcome::Error)));
-            }
-            AttemptReply::ConnectionRefused => {
-                self.push(self.now + way, Due::End(s, run, id, n, code(Outcome::Reset)))
+                self.nodes[s].idle_connections.entry(w).or_default().push(self.now);
+                self.push(
+                    self.now + way + ms(2.0),
+                    ScheduledEvent::AttemptEnded(s, run, id, n, outcome_code(Outcome::Error)),
+                );
             }
+            AttemptReply::ConnectionRefused => self.push(
+                self.now + way,
+                ScheduledEvent::AttemptEnded(s, run, id, n, outcome_code(Outcome::Reset)),
+            ),
             AttemptReply::NoResponse => {}
         }
     }
 
     /// An attempt has ended, as its scheduler hears.
-    fn end(&mut self, s: usize, id: u64, n: u32, outcome: Outcome, report: Option<LoadReport>) {
+    fn end_attempt(&mut self, s: usize, id: u64, n: u32, outcome: Outcome, report: Option<LoadReport>) {
         let now = self.now;
         let Some(flow) = self.nodes[s].flows.get_mut(&id) else { return };
         let answered = flow.answered;
@@ -602,8 +622,8 @@
         f.ended = true;
         let latency = now.saturating_sub(f.sent);
         let started = f.started.filter(|_| !outcome.never_ran());
-        flow.ran += started.map_or(0.0, |at| now.saturating_sub(at) as f64 / 1e9);
-        self.feed(
+        flow.run_time_s += started.map_or(0.0, |at| now.saturating_sub(at) as f64 / 1e9);
+        self.enqueue_event(
             s,
             Event::AttemptEnded {
                 id: RequestId(id),
@@ -611,124 +631,133 @@
                 result: AttemptResult { outcome, latency, request_finished: answered, load_report: report },
             },
         );
-        self.tidy(s, id);
+        self.remove_if_finished(s, id);
     }
 
-    fn tidy(&mut self, s: usize, id: u64) {
+    fn remove_if_finished(&mut self, s: usize, id: u64) {
         let over = |f: &Flow| f.answered && f.forwards.iter().all(|x| x.ended);
         if !self.nodes[s].flows.get(&id).is_some_and(over) {
             return;
         }
         let (now, node) = (self.now, &mut self.nodes[s]);
         let Some(flow) = node.flows.remove(&id) else { return };
-        if let (Some(quota), Some(ticket)) = (&mut node.quota, flow.holding) {
-            if flow.ran > 0.0 {
-                node.mean[flow.class] += (flow.ran - node.mean[flow.class]) * 0.05;
+        if let (Some(quota), Some(ticket)) = (&mut node.quota, flow.quota_ticket) {
+            if flow.run_time_s > 0.0 {
+                node.mean_job_s[flow.class] += (flow.run_time_s - node.mean_job_s[flow.class]) * 0.05;
             }
-            quota.settle(now, ticket, flow.ran * f64::from(flow.slots));
+            quota.settle(now, ticket, flow.run_time_s * f64::from(flow.slots));
         }
     }
 
-    fn give_up(&mut self, s: usize, id: u64, n: u32, why: Outcome) {
-        let Some(w) = self.forward_of(s, id, n).filter(|f| !f.ended).map(|f| f.worker) else { return };
-        let way = self.way(s, w);
-        let Some(f) = self.forward_of(s, id, n) else { return };
-        let outcome = match (f.up, why) {
+    fn cancel_attempt(&mut self, s: usize, id: u64, n: u32, why: Outcome) {
+        let Some(w) = self.forward_mut(s, id, n).filter(|f| !f.ended).map(|f| f.worker) else { return };
+        let way = self.link_delay(s, w);
+        let Some(f) = self.forward_mut(s, id, n) else { return };
+        let outcome = match (f.connected, why) {
             (false, Outcome::Timeout) => Outcome::NoConnection,
             (false, _) => Outcome::NotSent,
             _ => why,
         };
         if let Some(job) = f.job {
-            self.push(self.now + way, Due::GiveUp(job));
+            self.push(self.now + way, ScheduledEvent::CancelJob(job));
         }
-        self.end(s, id, n, outcome, None);
+        self.end_attempt(s, id, n, outcome, None);
     }
 
     /// A scheduler gives a request its final answer.
-    fn answer(&mut self, s: usize, id: u64, answered: FinalResponse, said: Try) {
+    fn respond(&mut self, s: usize, id: u64, answered: FinalResponse, said: TryOutcome) {
         let Some(flow) = self.nodes[s].flows.get_mut(&id).filter(|f| !f.answered) else { return };
         flow.answered = true;
         self.world.invariant_checker.response_sent(self.now, id, answered);
         let way = self.delay(self.world.scenario.network.client_ms);
         let code = match said {
-            Try::Served => 0,
-            Try::Failed => 1,
-            Try::Unreachable => 2,
-            Try::Refused(after) => 3 + after as usize,
+            TryOutcome::Served => 0,
+            TryOutcome::Failed => 1,
+            TryOutcome::Unreachable => 2,
+            TryOutcome::Refused(after) => 3 + after as usize,
         };
         let slow = self.clients.get(&(id >> 4)).map_or(0, |c| c.request.read_delay);
-        self.push(self.now + way + slow, Due::Answer(id, code));
-        self.tidy(s, id);
+        self.push(self.now + way + slow, ScheduledEvent::Response(id, code));
+        self.remove_if_finished(s, id);
     }
 
     // ---- what falls due
 
-    fn due(&mut self, due: Due) {
+    fn process_event(&mut self, event: ScheduledEvent) {
         let now = self.now;
-        let lives = |host: &Self, s: usize, run: u32| host.nodes[s].up && host.nodes[s].run == run;
-        match due {
-            Due::Next => self.next_request(),
-            Due::Try(number) => self.try_now(number),
-            Due::Reach(id, s, run) => self.reach(id, s, run),
-            Due::Tick => self.tick(),
-            Due::Timer(s, run, token) if lives(self, s, run) => self.feed(s, Event::TimerFired(token)),
-            Due::Arrive(s, run, id, n) if lives(self, s, run) => self.arrive(s, run, id, n),
-            Due::End(s, run, id, n, outcome) if lives(self, s, run) => {
+        let is_current_run =
+            |host: &Self, s: usize, run: u32| host.nodes[s].is_running && host.nodes[s].run == run;
+        match event {
+            ScheduledEvent::NextRequest => self.next_request(),
+            ScheduledEvent::SendTry(number) => self.send_try(number),
+            ScheduledEvent::ReceiveRequest(id, s, run) => self.receive_request(id, s, run),
+            ScheduledEvent::RunSchedulers => self.run_schedulers(),
+            ScheduledEvent::Timer(s, run, token) if is_current_run(self, s, run) => {
+                self.enqueue_event(s, Event::TimerFired(token))
+            }
+            ScheduledEvent::DeliverAttempt(s, run, id, n) if is_current_run(self, s, run) => {
+                self.deliver_attempt(s, run, id, n)
+            }
+            ScheduledEvent::AttemptEnded(s, run, id, n, outcome) if is_current_run(self, s, run) => {
                 let outcome = OUTCOMES[outcome as usize];
-                let w = self.forward_of(s, id, n).map(|f| f.worker);
+                let w = self.forward_mut(s, id, n).map(|f| f.worker);
                 let report = w.filter(|_| matches!(outcome, Outcome::Full | Outcome::Error));
-                let report = report.and_then(|w| self.world.report(now, w)).map(told);
-                self.end(s, id, n, outcome, report);
+                let report = report.and_then(|w| self.world.report(now, w)).map(load_report);
+                self.end_attempt(s, id, n, outcome, report);
+            }
+            ScheduledEvent::AttemptTimeout(s, run, id, n) if is_current_run(self, s, run) => {
+                self.cancel_attempt(s, id, n, Outcome::Timeout)
             }
-            Due::Timeout(s, run, id, n) if lives(self, s, run) => self.give_up(s, id, n, Outcome::Timeout),
-            Due::GiveUp(job) => self.world.cancel_job(now, job),
-            Due::JobUpdate(s, run, at) => {
+            ScheduledEvent::CancelJob(job) => self.world.cancel_job(now, job),
+            ScheduledEvent::JobUpdate(s, run, at) => {
                 let Some((id, job, update, report)) = self.job_updates.try_remove(at) else { return };
-                if lives(self, s, run) {
+                if is_current_run(self, s, run) {
                     self.receive_job_update(s, id, job, update, report);
                 }
             }
-            Due::Datagram(s, run, at) => {
+            ScheduledEvent::Datagram(s, run, at) => {
                 let Some((from, bytes)) = self.datagrams.try_remove(at) else { return };
-                if lives(self, s, run) {
-                    self.feed(s, Event::PeerMessage(PeerId(from as u32), bytes));
+                if is_current_run(self, s, run) {
+                    self.enqueue_event(s, Event::PeerMessage(PeerId(from as u32), bytes));
                 }
             }
-            Due::Probed(s, run, w, up) if lives(self, s, run) => {
+            ScheduledEvent::ProbeEnded(s, run, w, up) if is_current_run(self, s, run) => {
                 let report = if up { self.world.probe(now, s, w) } else { None };
                 let outcome = if report.is_some() { Outcome::Served } else { Outcome::NoConnection };
                 let ended = AttemptResult {
                     outcome,
                     latency: 0,
                     request_finished: false,
-                    load_report: report.map(told),
+                    load_report: report.map(load_report),
                 };
-                self.feed(
+                self.enqueue_event(
                     s,
                     Event::ProbeEnded { worker: loomlb_policy::WorkerId(w as u64 + 1), result: ended },
                 );
             }
-            Due::Answer(id, code) => self.answered(id, code),
-            Due::Leave(id) => self.leave(id),
-            Due::Start(s) => self.start(s),
-            Due::Ending(s, run) if lives(self, s, run) => {
+            ScheduledEvent::Response(id, code) => self.receive_response(id, code),
+            ScheduledEvent::ClientTimeout(id) => self.handle_client_timeout(id),
+            ScheduledEvent::StartScheduler(s) => self.start_scheduler(s),
+            ScheduledEvent::CheckShutdown(s, run) if is_current_run(self, s, run) => {
                 if self.nodes[s].flows.values().all(|f| f.answered) {
-                    self.stop(s, SchedulerExit::Exited);
+                    self.stop_scheduler(s, SchedulerExit::Exited);
                 } else {
-                    self.push(now + 5_000_000, Due::Ending(s, run));
+                    self.push(now + 5_000_000, ScheduledEvent::CheckShutdown(s, run));
                 }
             }
-            Due::Kill(s, run) if lives(self, s, run) => {
-                let asked = self.nodes[s].ending.unwrap_or(now);
-                self.stop(s, SchedulerExit::ShutdownTimedOut(asked));
+            ScheduledEvent::KillScheduler(s, run) if is_current_run(self, s, run) => {
+                let asked = self.nodes[s].shutdown_started.unwrap_or(now);
+                self.stop_scheduler(s, SchedulerExit::ShutdownTimedOut(asked));
             }
-            Due::List(s, run) if lives(self, s, run) => {
+            ScheduledEvent::ListReply(s, run) if is_current_run(self, s, run) => {
                 if !self.world.discovery_up() {
-                    return self.feed(s, Event::ListRequestFailed);
+                    return self.enqueue_event(s, Event::ListRequestFailed);
                 }
-                self.tell_list(s, ListKind::Complete);
+                self.send_list(s, ListKind::Complete);
+            }
+            ScheduledEvent::ListRequestFailed(s, run) if is_current_run(self, s, run) => {
+                self.enqueue_event(s, Event::ListRequestFailed)
             }
-            Due::NoList(s, run) if lives(self, s, run) => self.feed(s, Event::ListRequestFailed),
             // Of a run that is over.
             _ => {}
         }
@@ -740,42 +769,42 @@
                 if !self.world.reachable(s, worker) {
                     return;
                 }
-                let at = self.job_updates.insert((request, job, update, report.map(told)));
-                let (way, run) = (self.way(s, worker), self.nodes[s].run);
-                self.push(self.now + way, Due::JobUpdate(s, run, at));
+                let at = self.job_updates.insert((request, job, update, report.map(load_report)));
+                let (way, run) = (self.link_delay(s, worker), self.nodes[s].run);
+                self.push(self.now + way, ScheduledEvent::JobUpdate(s, run, at));
             }
             HostAction::WorkerList { scheduler: s, entries, .. } => {
                 let names = &self.nodes[s].names;
                 let entries =
                     entries.iter().map(|e| settings::listed_worker(&self.world, names, e)).collect();
-                self.feed(s, Event::WorkerList { kind: ListKind::Partial, entries });
+                self.enqueue_event(s, Event::WorkerList { kind: ListKind::Partial, entries });
             }
-            HostAction::Signal(s, Signal::Kill) => self.stop(s, SchedulerExit::Killed),
+            HostAction::Signal(s, Signal::Kill) => self.stop_scheduler(s, SchedulerExit::Killed),
             HostAction::Signal(s, Signal::Term) => {
-                if self.nodes[s].up && self.nodes[s].ending.is_none() {
+                if self.nodes[s].is_running && self.nodes[s].shutdown_started.is_none() {
                     let (now, run) = (self.now, self.nodes[s].run);
-                    self.nodes[s].ending = Some(now);
-                    self.nodes[s].seen_until = now + TERM_NOTICE;
-                    self.push(now + TERM_NOTICE + ms(10.0), Due::Ending(s, run));
-                    self.push(self.ends_by(now), Due::Kill(s, run));
+                    self.nodes[s].shutdown_started = Some(now);
+                    self.nodes[s].visible_until = now + SHUTDOWN_NOTICE;
+                    self.push(now + SHUTDOWN_NOTICE + ms(10.0), ScheduledEvent::CheckShutdown(s, run));
+                    self.push(self.shutdown_deadline(now), ScheduledEvent::KillScheduler(s, run));
                 }
             }
             // In virtual time discovery has no address: the whole list comes again, as it does after the move.
             HostAction::Signal(s, Signal::Moved) => {
                 let run = self.nodes[s].run;
-                self.push(self.now + ms(5.0), Due::List(s, run));
+                self.push(self.now + ms(5.0), ScheduledEvent::ListReply(s, run));
             }
             HostAction::ResetConnections(w) => {
                 for node in &mut self.nodes {
-                    node.pool.remove(&w);
+                    node.idle_connections.remove(&w);
                 }
             }
         }
     }
 
-    fn ends_by(&self, asked: Nanos) -> Nanos {
+    fn shutdown_deadline(&self, asked: Nanos) -> Nanos {
         let longest = self.world.scenario.classes.iter().map(|c| c.deadline_ms).fold(0.0, f64::max);
-        asked + TERM_KILL + ms(longest).min(TERM_LONGEST)
+        asked + SHUTDOWN_KILL_MARGIN + ms(longest).min(MAX_SHUTDOWN_WAIT)
     }
 
     /// A word may be late, or of a job that an earlier run of this scheduler sent: it counts only while its forward
@@ -794,83 +823,83 @@
         match update {
             JobUpdate::Started => {
                 let now = self.now;
-                if let Some(f) = self.forward_of(s, id, n) {
+                if let Some(f) = self.forward_mut(s, id, n) {
                     f.started = Some(now);
                 }
-                self.feed(s, Event::JobProgress(RequestId(id), n, JobProgress::Started));
+                self.enqueue_event(s, Event::JobProgress(RequestId(id), n, JobProgress::Started));
             }
             JobUpdate::Progress(x) => {
-                self.feed(s, Event::JobProgress(RequestId(id), n, JobProgress::Fraction(x)))
+                self.enqueue_event(s, Event::JobProgress(RequestId(id), n, JobProgress::Fraction(x)))
             }
             JobUpdate::Done => {
-                let w = self.forward_of(s, id, n).map_or(0, |f| f.worker);
-                self.answer(s, id, FinalResponse::Served(World::result(w, job)), Try::Served);
-                self.end(s, id, n, Outcome::Served, report);
+                let w = self.forward_mut(s, id, n).map_or(0, |f| f.worker);
+                self.respond(s, id, FinalResponse::Served(World::result(w, job)), TryOutcome::Served);
+                self.end_attempt(s, id, n, Outcome::Served, report);
             }
-            JobUpdate::Returned => self.end(s, id, n, Outcome::Full, report),
-            JobUpdate::Lost => self.end(s, id, n, Outcome::Reset, report),
+            JobUpdate::Returned => self.end_attempt(s, id, n, Outcome::Full, report),
+            JobUpdate::Lost => self.end_attempt(s, id, n, Outcome::Reset, report),
         }
     }
 
     /// A scheduler is gone, outright or after it was asked to end.
-    fn stop(&mut self, s: usize, exit: SchedulerExit) {
-        if !self.nodes[s].up {
+    fn stop_scheduler(&mut self, s: usize, exit: SchedulerExit) {
+        if !self.nodes[s].is_running {
             return;
         }
         let now = self.now;
-        let notice = ms(self.front.uniform(self.world.scenario.schedulers.notice_ms));
+        let notice = ms(self.front_rng.uniform(self.world.scenario.schedulers.notice_ms));
         let node = &mut self.nodes[s];
-        node.up = false;
+        node.is_running = false;
         node.run += 1;
         node.inbox.clear();
-        node.seen_until = node.seen_until.min(now + notice);
+        node.visible_until = node.visible_until.min(now + notice);
         let mut flows: Vec<u64> = node.flows.iter().filter(|(_, f)| !f.answered).map(|(id, _)| *id).collect();
         flows.sort_unstable();
         node.flows.clear();
-        let pools = std::mem::take(&mut node.pool);
+        let pools = std::mem::take(&mut node.idle_connections);
         pools.into_iter().for_each(|(w, idle)| idle.iter().for_each(|_| self.world.disconnect(w)));
         self.world.invariant_checker.scheduler_ended(now, s, exit);
         self.world.abandon_jobs(now, s);
         for id in flows {
             let way = self.delay(self.world.scenario.network.client_ms);
-            self.push(now + way, Due::Answer(id, 2));
+            self.push(now + way, ScheduledEvent::Response(id, 2));
         }
         let restart = ms(self.world.scenario.schedulers.restart_ms);
-        self.push(now + restart, Due::Start(s));
+        self.push(now + restart, ScheduledEvent::StartScheduler(s));
     }
 
-    fn start(&mut self, s: usize) {
+    fn start_scheduler(&mut self, s: usize) {
         let run = self.nodes[s].run;
-        self.nodes[s] = Node { run, ..self.fresh(s) };
-        self.tell_list(s, ListKind::Persisted);
+        self.nodes[s] = SchedulerNode { run, ..self.new_scheduler(s) };
+        self.send_list(s, ListKind::Persisted);
     }
 
     // ---- clients
 
     fn next_request(&mut self) {
-        if let Some(request) = self.upcoming.take() {
+        if let Some(request) = self.next_arrival.take() {
             let number = request.number;
             let leaves = request.at + request.client_timeout;
-            self.clients.insert(number, Client { request, tries: 0, at: None, leaves, answered: false });
-            self.try_now(number);
+            self.clients.insert(number, ClientState { request, tries: 0, at: None, leaves, answered: false });
+            self.send_try(number);
         }
         let scenario = &self.world.scenario;
         match self.arrivals.next(scenario) {
             Some(request) => {
                 let at = request.at;
-                self.upcoming = Some(request);
-                self.push(at, Due::Next);
+                self.next_arrival = Some(request);
+                self.push(at, ScheduledEvent::NextRequest);
             }
-            None => self.drawn = true,
+            None => self.arrivals_finished = true,
         }
     }
 
-    fn try_now(&mut self, number: u64) {
+    fn send_try(&mut self, number: u64) {
         let now = self.now;
         // The front offers what it has not noticed to be dead.
-        let seen: Vec<usize> = (0..self.nodes.len()).filter(|s| now < self.nodes[*s].seen_until).collect();
+        let seen: Vec<usize> = (0..self.nodes.len()).filter(|s| now < self.nodes[*s].visible_until).collect();
         let way = self.delay(self.world.scenario.network.client_ms);
-        let chosen = seen.get(self.front.index_below(seen.len())).copied();
+        let chosen = seen.get(self.front_rng.index_below(seen.len())).copied();
         let Some(client) = self.clients.get_mut(&number) else { return };
         client.tries += 1;
         (client.at, client.answered) = (chosen, false);
@@ -879,50 +908,52 @@
         match chosen {
             Some(s) => {
                 let run = self.nodes[s].run;
-                self.push(now + way, Due::Reach(id, s, run));
-                if client_first(id) {
-                    self.push(leaves, Due::Leave(id));
+                self.push(now + way, ScheduledEvent::ReceiveRequest(id, s, run));
+                if is_first_try(id) {
+                    self.push(leaves, ScheduledEvent::ClientTimeout(id));
                 }
             }
-            None => self.push(now + way, Due::Answer(id, 2)),
+            None => self.push(now + way, ScheduledEvent::Response(id, 2)),
         }
     }
 
-    fn reach(&mut self, id: u64, s: usize, run: u32) {
+    fn receive_request(&mut self, id: u64, s: usize, run: u32) {
         let now = self.now;
-        if !self.nodes[s].up || self.nodes[s].run != run {
+        if !self.nodes[s].is_running || self.nodes[s].run != run {
             let way = self.delay(self.world.scenario.network.client_ms);
-            return self.push(now + way, Due::Answer(id, 2));
+            return self.push(now + way, ScheduledEvent::Response(id, 2));
         }
         let Some(client) = self.clients.get(&(id >> 4)) else { return };
         let r = &client.request;
         let class_end = r.at + ms(self.world.scenario.classes[r.class].deadline_ms);
-        let by = self.nodes[s].ending.map_or(class_end, |at| class_end.min(self.ends_by(at) - 200_000_000));
+        let by = self.nodes[s]
+            .shutdown_started
+            .map_or(class_end, |at| class_end.min(self.shutdown_deadline(at) - 200_000_000));
         // A process that ends answers sooner, which says nothing of its client.
         let (remaining, within) = (class_end.saturating_sub(now), by.saturating_sub(now));
         let (class, tenant, slots, work, subject) = (r.class, r.tenant, r.slots, r.work, r.subject);
         let expected = r.hint;
         self.world.invariant_checker.request_accepted(now, id, s, class, by);
-        let (mut holding, mut in_share) = (None, None);
-        let mean = self.nodes[s].mean[class];
+        let (mut quota_ticket, mut in_share) = (None, None);
+        let mean = self.nodes[s].mean_job_s[class];
         if let Some(quota) = &mut self.nodes[s].quota {
             let tenant = tenant.map_or("", |t| self.world.scenario.tenants[t].name.as_str());
             let size = f64::from(slots.max(1));
             let ask = Ask { slots: size, work: mean * size, retry: false, spread: id };
             match quota.admit(now, tenant, &ask) {
                 Verdict::Admitted(ticket, standing) => {
-                    (holding, in_share) = (Some(ticket), Some(standing != Standing::Over));
+                    (quota_ticket, in_share) = (Some(ticket), Some(standing != Standing::Over));
                 }
                 Verdict::Unknown => in_share = Some(false),
                 Verdict::Refused(refusal) => {
                     self.world.invariant_checker.response_sent(now, id, FinalResponse::Refused);
                     let after = refusal.after.min(ms(self.world.scenario.terms.max_retry_after_ms));
                     let way = self.delay(self.world.scenario.network.client_ms);
-                    return self.push(now + way, Due::Answer(id, 3 + after as usize));
+                    return self.push(now + way, ScheduledEvent::Response(id, 3 + after as usize));
                 }
             }
         }
-        let asked = Asked {
+        let policy_request = PolicyRequest {
             in_share,
             id: RequestId(id),
             class: ClassId(class),
@@ -932,7 +963,7 @@
             remaining,
             answer_within: Some(within),
             expected_work: expected,
-            ..Asked::default()
+            ..PolicyRequest::default()
         };
         self.nodes[s].flows.insert(
             id,
@@ -943,19 +974,19 @@
                 deadline: by,
                 answered: false,
                 forwards: Vec::new(),
-                holding,
-                ran: 0.0,
+                quota_ticket,
+                run_time_s: 0.0,
             },
         );
-        self.feed(s, Event::Request(asked));
+        self.enqueue_event(s, Event::Request(policy_request));
     }
 
-    fn answered(&mut self, id: u64, code: usize) {
+    fn receive_response(&mut self, id: u64, code: usize) {
         let said = match code {
-            0 => Try::Served,
-            1 => Try::Failed,
-            2 => Try::Unreachable,
-            after => Try::Refused(after as Nanos - 3),
+            0 => TryOutcome::Served,
+            1 => TryOutcome::Failed,
+            2 => TryOutcome::Unreachable,
+            after => TryOutcome::Refused(after as Nanos - 3),
         };
         let (number, now) = (id >> 4, self.now);
         let Some(client) =
@@ -965,29 +996,29 @@
         };
         client.answered = true;
         let (class, tries, leaves) = (client.request.class, client.tries, client.leaves);
-        let again = clients::retry_delay(&self.world.scenario, &mut self.habits, class, tries, said);
+        let again = clients::retry_delay(&self.world.scenario, &mut self.retry_rng, class, tries, said);
         match again.filter(|wait| now + wait < leaves) {
-            Some(wait) => self.push(now + wait, Due::Try(number)),
+            Some(wait) => self.push(now + wait, ScheduledEvent::SendTry(number)),
             None => {
                 let end = match said {
-                    Try::Served => RequestOutcome::Served,
-                    Try::Refused(_) => RequestOutcome::Refused,
-                    Try::Failed => RequestOutcome::Failed,
-                    Try::Unreachable => RequestOutcome::Unreachable,
+                    TryOutcome::Served => RequestOutcome::Served,
+                    TryOutcome::Refused(_) => RequestOutcome::Refused,
+                    TryOutcome::Failed => RequestOutcome::Failed,
+                    TryOutcome::Unreachable => RequestOutcome::Unreachable,
                 };
-                self.finish(number, end);
+                self.finish_request(number, end);
             }
         }
     }
 
-    fn finish(&mut self, number: u64, end: RequestOutcome) {
+    fn finish_request(&mut self, number: u64, end: RequestOutcome) {
         if let Some(client) = self.clients.remove(&number) {
             self.collector.record(&self.world.scenario, &client.request, self.now, client.tries, end);
         }
     }
 
     /// A client's client_timeout is over.
-    fn leave(&mut self, id: u64) {
+    fn handle_client_timeout(&mut self, id: u64) {
         let (number, now) = (id >> 4, self.now);
         let Some(client) = self.clients.get(&number) else { return };
         let (id, answered, at) = (number << 4 | u64::from(client.tries), client.answered, client.at);
@@ -996,7 +1027,7 @@
         let grace = ms(self.world.scenario.terms.answer_grace_ms);
         if !early && now < client.leaves + grace && !answered {
             // An answer may be a little late on its way: it is waited for, and the invariants says whether it was.
-            return self.push(client.leaves + grace, Due::Leave(id));
+            return self.push(client.leaves + grace, ScheduledEvent::ClientTimeout(id));
         }
         if !answered && early {
             self.world.invariant_checker.client_left(now, id);
@@ -1004,25 +1035,25 @@
                 if let Some(flow) = self.nodes[s].flows.get_mut(&id) {
                     flow.answered = true;
                 }
-                self.feed(s, Event::RequestAbandoned(RequestId(id)));
-                self.tidy(s, id);
+                self.enqueue_event(s, Event::RequestAbandoned(RequestId(id)));
+                self.remove_if_finished(s, id);
             }
         }
-        self.finish(number, if early { RequestOutcome::ClientLeft } else { RequestOutcome::Failed });
+        self.finish_request(number, if early { RequestOutcome::ClientLeft } else { RequestOutcome::Failed });
     }
 }
 
-fn client_first(id: u64) -> bool {
+fn is_first_try(id: u64) -> bool {
     id & 15 == 1
 }
 
-fn told(r: crate::world::WorkerLoad) -> LoadReport {
-    LoadReport { in_flight: Some(r.in_flight), free_slots: Some(r.free_slots), ..LoadReport::default() }
+fn load_report(load: crate::world::WorkerLoad) -> LoadReport {
+    LoadReport { in_flight: Some(load.in_flight), free_slots: Some(load.free_slots), ..LoadReport::default() }
 }
 
 const OUTCOMES: [Outcome; 5] =
     [Outcome::NoConnection, Outcome::Full, Outcome::Error, Outcome::Reset, Outcome::Timeout];
 
-fn code(outcome: Outcome) -> u8 {
+fn outcome_code(outcome: Outcome) -> u8 {
     OUTCOMES.iter().position(|o| *o == outcome).unwrap_or(0) as u8
 }
