--- a/crates/simulation/src/invariants.rs
+++ b/crates/simulation/src/invariants.rs
@@ -1,8 +1,8 @@
-//! The invariants: description must never go wrong, checked on description really happened.
+//! Checks the platform's invariants against the events that really occurred.
 //!
-//! Both hosts and every later test use this one piece. It is told facts (a request was taken, a worker received an
-//! attempt, a job started, an answer went out) and reports violations, each with the whole record of its request. It
-//! knows nothing of why a scheduler did description it did.
+//! Hosts report events (a request was accepted, a worker received an attempt, a job started, a response was sent) to
+//! the [`InvariantChecker`], which records violations with the history of the request. It does not know the reasons
+//! for a scheduler's decisions.
 
 use crate::scenario::{Effect, Scenario};
 use loomlb_policy::Nanos;
@@ -11,47 +11,49 @@
 use std::collections::VecDeque;
 use std::fmt;
 
-/// Breaches whose stories are kept; further ones are counted.
+/// Violations that are recorded with their history; further ones are only counted.
 const MAX_RECORDED_VIOLATIONS: usize = 16;
-/// Ended requests that are remembered, so that a second answer still finds the record of the first.
+/// Ended requests that are kept, so that a second response is reported with the history of the request.
 const MAX_ENDED_REQUESTS: usize = 8192;
-/// An attempt that begins later than this after its client has gone is for nobody; so many of them may be chance.
+/// An attempt that is sent later than this after its client left counts as sent for nobody.
 const CLIENT_LEFT_GRACE: Nanos = 100_000_000;
 const MAX_SENDS_AFTER_CLIENT_LEFT: u64 = 2;
-/// A request that waited for its first attempt when its client went is not sent this long after that; over a quarter of
-/// those that waited fail the scenario.
+/// A request without attempts whose client has left must not be sent later than this. The scenario fails if that
+/// happens to more than a quarter of these requests.
 const WAITING_SEND_GRACE: Nanos = 300_000_000;
 
-/// A invariant of the platform.
+/// An invariant of the platform.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, PartialOrd, Ord)]
 #[serde(rename_all = "snake_case")]
 pub enum Invariant {
-    /// A taken request is answered once, and not twice.
+    /// An accepted request gets exactly one response.
     AnsweredOnce,
-    /// It is answered before its client gives up.
+    /// The response is sent before the client times out.
     InTime,
-    /// A class that must never run twice does not.
+    /// A request of a class that must not run twice runs at most once.
     AtMostOnce,
-    /// Repeats of a keyed request stay within the cell and the window of the first.
+    /// Repeats of a deduplicated request stay within the group of workers and the deduplication window of the first
+    /// attempt.
     KeyedRepeat,
-    /// Two attempts are out at once where the site forbids it.
+    /// A request has no two attempts in flight where hedging is not permitted.
     SecondCopy,
-    /// A refusal says that a new try is harmless, and must be right.
+    /// A request is only refused if no attempt may have run, because a refusal tells the client that a retry is
+    /// safe.
     HonestRefusal,
-    /// Nothing new goes to a draining or gone worker after the grace.
+    /// Nothing is sent to a draining or removed worker after the grace period.
     Drain,
-    /// A cold worker is not pushed over by schedulers that knew of its start.
+    /// Schedulers that know when a cold worker was started don't overload it.
     ColdWorker,
-    /// A request is served with description a worker results for it.
+    /// The result in a response was produced by a worker for this request.
     MadeByWorker,
-    /// What was taken is answered before a scheduler that was asked to end has gone.
+    /// A scheduler that shuts down responds to all accepted requests first.
     NothingLostAtEnd,
-    /// Nothing is sent for a client that has gone.
+    /// Nothing is sent for a client that has left.
     ClientGone,
 }
 
 impl Invariant {
-    /// All of them.
+    /// All invariants.
     pub const ALL: [Invariant; 11] = [
         Invariant::AnsweredOnce,
         Invariant::InTime,
@@ -67,20 +69,20 @@
     ];
 }
 
-/// A breach of a invariant.
+/// A violation of an invariant.
 #[derive(Clone, Debug, Serialize)]
 pub struct Violation {
-    /// Which invariant.
+    /// The violated invariant.
     #[serde(rename = "rule")]
     pub invariant: Invariant,
-    /// When, in nanoseconds of the scenario.
+    /// When it was detected, in nanoseconds since the start of the scenario.
     pub at: Nanos,
-    /// The request (one try of it); 0 where it concerns none.
+    /// The id of the try; 0 if the violation concerns no single request.
     pub request: u64,
     /// What happened.
     #[serde(rename = "what")]
     pub description: String,
-    /// All that is known of the request, in order.
+    /// The events of the request in order.
     #[serde(rename = "story")]
     pub history: Vec<String>,
 }
@@ -99,7 +101,7 @@
     }
 }
 
-/// How a request was answered.
+/// The final response to a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum FinalResponse {
     /// Served, with this result.
@@ -110,27 +112,28 @@
     Failed,
 }
 
-/// How an attempt ended, as its scheduler could know it.
+/// How an attempt ended, as far as its scheduler can know.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptEnd {
-    /// It is proved that it never ran.
+    /// It certainly did not run.
     NeverRan,
-    /// It has run, or may have.
+    /// It ran or may have run.
     MayHaveRun,
 }
 
-/// How a scheduler came to its end.
+/// How the process of a scheduler ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SchedulerExit {
-    /// Killed outright: it owes nothing any more.
+    /// It was killed. No more responses are expected.
     Killed,
-    /// It ended by itself: it has lost whatever it took and did not answer.
+    /// It exited. All requests without a response are lost.
     Exited,
-    /// Asked to end at this time, and killed since it took too long: it has lost description came after the notice.
+    /// It was asked to shut down at this time and killed after a timeout. Requests accepted after
+    /// [`SHUTDOWN_NOTICE`] are lost.
     ShutdownTimedOut(Nanos),
 }
 
-/// What comes to a scheduler later than this after it was asked to end must be answered before its kill.
+/// Requests that arrive later than this after a shutdown request must get a response before the kill.
 const SHUTDOWN_NOTICE: Nanos = 700_000_000;
 
 #[derive(Clone, Debug)]
@@ -184,9 +187,9 @@
     deadline: Nanos,
     taken: bool,
     answered: bool,
-    /// Nothing is is_pending any more: its client has left, or its scheduler was killed.
+    /// No response is expected, because the client has left or the scheduler was killed.
     excused: bool,
-    /// When its client left before its answer.
+    /// When the client left without a response.
     left: Option<Nanos>,
     attempts: Vec<Attempt>,
     results: Vec<u64>,
@@ -202,29 +205,29 @@
     }
 }
 
-/// Counts of description the invariants saw.
+/// Numbers of events that were reported to the checker.
 #[derive(Clone, Copy, Debug, Default, Serialize)]
 pub struct CheckerCounts {
-    /// Requests that schedulers took.
+    /// Requests accepted by schedulers.
     pub taken: u64,
-    /// Answers.
+    /// Final responses.
     pub answered: u64,
-    /// Answers that served.
+    /// Responses with a result.
     pub served: u64,
-    /// Answers that refused.
+    /// Responses that refused the request.
     pub refused: u64,
-    /// Answers that failed.
+    /// Responses that reported a failure.
     pub failed: u64,
     /// Attempts that reached a worker.
     pub attempts: u64,
     /// Jobs that started.
     pub started: u64,
-    /// Requests whose client left, or whose scheduler was killed.
+    /// Requests to which no response was expected, because the client left or the scheduler was killed.
     #[serde(rename = "void")]
     pub excused: u64,
 }
 
-/// The invariants of a scenario.
+/// Checks the invariants during a scenario.
 #[derive(Debug)]
 pub struct InvariantChecker {
     effects: Vec<(Effect, Nanos)>,
@@ -232,24 +235,25 @@
     drain_grace: Nanos,
     hedging_allowed: bool,
     slack: Nanos,
-    /// Attempts begun for clients that had gone.
+    /// Attempts that were sent for clients that had left.
     sent_after_client_left: u64,
-    /// Requests that waited for their first attempt when their client went, and those of them that were sent all the same.
+    /// Requests whose clients left before the first attempt, and those of them that were sent afterwards.
     left_before_first_attempt: (u64, u64),
     open: FxHashMap<u64, RequestRecord>,
     ended_order: VecDeque<u64>,
     ended: FxHashMap<u64, RequestRecord>,
     violated: FxHashSet<(Invariant, u64)>,
-    /// Breaches, the first ones with their stories.
+    /// The first violations, with the history of their requests.
     pub violations: Vec<Violation>,
-    /// How many there were in all.
+    /// Number of all violations.
     pub violation_count: u64,
-    /// What it saw.
+    /// Numbers of reported events.
     pub counts: CheckerCounts,
 }
 
 impl InvariantChecker {
-    /// For a scenario. `slack` is description the host adds to every time limit, in nanoseconds: 0 in virtual time.
+    /// Creates a checker for a scenario. `slack` is added to all time limits, in nanoseconds; it is 0 in virtual
+    /// time.
     pub fn new(scenario: &Scenario, slack: Nanos) -> Self {
         let ms = |x: f64| (x * 1e6) as Nanos;
         InvariantChecker {
@@ -271,7 +275,7 @@
     }
 
     fn record_violation(&mut self, invariant: Invariant, at: Nanos, request: u64, description: String) {
-        // One breach of a invariant for each request: description follows from it would only hide the others.
+        // Each invariant is reported once per request, since further violations usually follow from the first.
         if request != 0 && !self.violated.insert((invariant, request)) {
             return;
         }
@@ -285,7 +289,7 @@
 
     fn append_fact(&mut self, request: u64, at: Nanos, fact: Fact) -> &mut RequestRecord {
         if let Some(record) = self.ended.remove(&request) {
-            // Something still happens to it: it is open again until that is over.
+            // An ended request is reopened by any further event.
             self.open.insert(request, record);
         }
         let record = self.open.entry(request).or_default();
@@ -293,7 +297,7 @@
         record
     }
 
-    /// What a request's class permits, and the window of its key; also once the request has ended.
+    /// Returns the idempotency and the deduplication window of a request's class, also for an ended request.
     fn repeat_policy(&self, request: u64) -> (Effect, Nanos) {
         let record = self.open.get(&request).or_else(|| self.ended.get(&request));
         record.and_then(|s| self.effects.get(s.class)).copied().unwrap_or((Effect::Safe, 0))
@@ -313,7 +317,7 @@
         }
     }
 
-    /// A scheduler has taken a request of a class, whose client waits until `deadline`.
+    /// Reports that a scheduler has accepted a request whose client waits until `deadline`.
     pub fn request_accepted(
         &mut self,
         at: Nanos,
@@ -327,8 +331,8 @@
         (record.taken, record.class, record.scheduler, record.deadline) = (true, class, scheduler, deadline);
     }
 
-    /// A worker has received an attempt. `told` is when its scheduler was told that the worker drains or is gone;
-    /// `sent` is when the first byte left.
+    /// Reports that a worker has received an attempt. `drain_known_since` is when the scheduler learned that the worker drains or
+    /// was removed; `sent` is when it sent the first byte.
     #[allow(clippy::too_many_arguments)]
     pub fn attempt_received(
         &mut self,
@@ -338,7 +342,7 @@
         worker: usize,
         cell: usize,
         job: u64,
-        told: Option<Nanos>,
+        drain_known_since: Option<Nanos>,
     ) {
         self.counts.attempts += 1;
         let (hedging_allowed, slack) = (self.hedging_allowed, self.slack);
@@ -392,10 +396,10 @@
                 "a second copy while the first is out".into(),
             );
         }
-        if let Some(told) = told
-            && sent > told + self.drain_grace
+        if let Some(known_since) = drain_known_since
+            && sent > known_since + self.drain_grace
         {
-            let late = (sent - told) / 1_000_000;
+            let late = (sent - known_since) / 1_000_000;
             self.record_violation(
                 Invariant::Drain,
                 at,
@@ -405,7 +409,7 @@
         }
     }
 
-    /// A worker has started a job: from now on its effect may have happened.
+    /// Reports that a worker has started a job. From now on the job may have had its effect.
     pub fn job_started(&mut self, at: Nanos, request: u64, worker: usize, job: u64) {
         self.counts.started += 1;
         let (repeat_policy, _) = self.repeat_policy(request);
@@ -419,7 +423,7 @@
         self.archive_if_finished(request);
     }
 
-    /// An attempt has ended.
+    /// Reports the end of an attempt.
     pub fn attempt_ended(&mut self, at: Nanos, request: u64, job: u64, ended: AttemptEnd) {
         if !self.open.contains_key(&request) {
             return;
@@ -435,14 +439,14 @@
         self.archive_if_finished(request);
     }
 
-    /// A worker has results a result for a request.
+    /// Reports that a worker has produced a result for a request.
     pub fn result_produced(&mut self, request: u64, result: &str) {
         if let Some(record) = self.open.get_mut(&request).or_else(|| self.ended.get_mut(&request)) {
             record.results.push(fingerprint(result));
         }
     }
 
-    /// A client has its answer.
+    /// Reports a final response to a client.
     pub fn response_sent(&mut self, at: Nanos, request: u64, answered: FinalResponse) {
         self.counts.answered += 1;
         let kind = match answered {
@@ -455,7 +459,7 @@
         let record = self.append_fact(request, at, Fact::ResponseSent { kind });
         let (twice, taken) = (std::mem::replace(&mut record.answered, true), record.taken);
         let late = taken && at > record.deadline.saturating_add(grace);
-        let over = at.saturating_sub(record.deadline) / 1_000_000;
+        let late_ms = at.saturating_sub(record.deadline) / 1_000_000;
         let may_have_run = record.attempts.iter().any(|a| a.ended != Some(AttemptEnd::NeverRan));
         let unknown_result =
             matches!(&answered, FinalResponse::Served(r) if !record.results.contains(&fingerprint(r)));
@@ -473,7 +477,7 @@
                 Invariant::InTime,
                 at,
                 request,
-                format!("answered {over} ms after its client gave up"),
+                format!("answered {late_ms} ms after its client gave up"),
             );
         }
         if unknown_result {
@@ -495,27 +499,27 @@
         self.archive_if_finished(request);
     }
 
-    /// A request that is none of the scenario's clients': its attempts are followed, and no answer is is_pending.
+    /// Tracks the attempts of a request that no client of the scenario has made; no response is expected.
     pub fn track_unchecked_request(&mut self, request: u64, class: usize) {
         let record = self.open.entry(request).or_default();
         (record.class, record.excused) = (class, true);
     }
 
-    /// A client's connection ended without an answer. A scheduler that was killed owes none; one that runs has lost
-    /// the request, and that shows at the end of the scenario.
+    /// Reports that a client's connection closed without a response. If the scheduler is running, the request is
+    /// reported as lost when the scenario ends.
     pub fn connection_broken(&mut self, at: Nanos, request: u64, scheduler: usize) {
         self.append_fact(request, at, Fact::ConnectionBroken { scheduler });
     }
 
-    /// A kept connection was closed while a request crossed that on its way, and there was no second one: it was
-    /// never taken.
+    /// Reports that a request never reached the scheduler, because the scheduler closed an idle connection at the
+    /// same time and no other connection could be opened.
     pub fn request_not_accepted(&mut self, at: Nanos, request: u64) {
         self.counts.excused += 1;
         self.append_fact(request, at, Fact::ClientLeft).excused = true;
         self.archive_if_finished(request);
     }
 
-    /// A client has left before its answer: nothing is is_pending any more.
+    /// Reports that a client has left without waiting for the response.
     pub fn client_left(&mut self, at: Nanos, request: u64) {
         if self.open.get(&request).is_some_and(|s| !s.answered) {
             self.counts.excused += 1;
@@ -527,7 +531,7 @@
         }
     }
 
-    /// A scheduler has ended.
+    /// Reports the end of a scheduler's process.
     pub fn scheduler_ended(&mut self, at: Nanos, scheduler: usize, exit: SchedulerExit) {
         let is_pending = |s: &RequestRecord| s.scheduler == scheduler && s.taken && !s.answered && !s.excused;
         let mut is_pending: Vec<(u64, Nanos)> = self
@@ -555,7 +559,7 @@
         }
     }
 
-    /// A cold worker has fallen over.
+    /// Reports that a cold worker has failed from overload.
     pub fn worker_overloaded(&mut self, at: Nanos, worker: usize, overload: &crate::worker::Overload) {
         if overload.informed_share >= 2.0 / 3.0 {
             let description = format!(
@@ -572,12 +576,12 @@
         }
     }
 
-    /// Requests that are is_pending an answer.
+    /// Returns the number of requests that still expect a response.
     pub fn pending_responses(&self) -> usize {
         self.open.values().filter(|s| s.taken && !s.answered && !s.excused).count()
     }
 
-    /// The scenario is over: description is not answered now never will be.
+    /// Ends the scenario. Requests that still expect a response are violations.
     pub fn finish(&mut self, at: Nanos) {
         let (waited, sent) = self.left_before_first_attempt;
         if sent * 4 > waited {
--- a/crates/simulation/src/scenario.rs
+++ b/crates/simulation/src/scenario.rs
@@ -1,7 +1,7 @@
-//! A scenario: everything that a run of the model is made of, read from a file and checked.
+//! Scenarios: the input of a simulation, read from a file and validated.
 //!
-//! All times in a scenario file say their unit in the key (`_s`, `_ms`). A key that is unknown, of the wrong type or
-//! impossible is refused with its line and a reason; nothing is silently cut to fit.
+//! Keys for times carry their unit (`_s`, `_ms`). A key that is unknown, has the wrong type or an impossible value
+//! is rejected with its line and a reason; values are never adjusted silently.
 
 use loomlb_config_file::line_of_key;
 use loomlb_quota::Spec;
@@ -9,19 +9,19 @@
 
 pub use loomlb_config_file::ConfigError;
 
-/// A scenario of the platform.
+/// A scenario for the platform.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 #[serde(expecting = "struct Day")]
 pub struct Scenario {
-    /// Its name.
+    /// The name.
     pub name: String,
-    /// What it shows, in a sentence.
+    /// A short description.
     #[serde(default)]
     pub about: String,
-    /// Seconds in which requests arrive; then the scenario runs on until all are answered.
+    /// Seconds in which requests arrive; the scenario then runs until all have ended.
     pub seconds: f64,
-    /// Shortest time between two moments at which a scheduler acts, in milliseconds (virtual time only).
+    /// Time between two ticks at which schedulers handle their events, in milliseconds (virtual time only).
     #[serde(default = "two")]
     pub tick_ms: f64,
     /// The workers.
@@ -29,33 +29,33 @@
     /// The schedulers.
     #[serde(default)]
     pub schedulers: Schedulers,
-    /// What arrives.
+    /// The requests.
     pub load: Load,
     /// How clients behave.
     #[serde(default)]
     pub clients: Clients,
-    /// Delays and losses.
+    /// Delays and losses of the network.
     #[serde(default)]
     pub network: Network,
     /// Load reports of the workers.
     #[serde(default)]
     pub reports: Reports,
-    /// The list of workers.
+    /// The worker list.
     #[serde(default)]
     pub discovery: Discovery,
-    /// What the site permits and asks for.
+    /// Limits and obligations of the platform.
     #[serde(default)]
     pub terms: Terms,
-    /// Classes of requests; three of the usual kind where none is given.
+    /// Classes of requests; there are three default classes.
     #[serde(default = "usual_classes", rename = "class")]
     pub classes: Vec<Class>,
-    /// Tenants; none is fine.
+    /// Tenants; may be empty.
     #[serde(default, rename = "tenant")]
     pub tenants: Vec<Tenant>,
-    /// Nested quotas of the schedulers; their nodes' names are the tenants'.
+    /// Nested quotas of the schedulers; the nodes are named after the tenants.
     #[serde(default)]
     pub quota: Option<Spec>,
-    /// What goes wrong.
+    /// Faults that are injected.
     #[serde(default, rename = "trouble")]
     pub faults: Vec<Fault>,
 }
@@ -74,21 +74,21 @@
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Fleet {
-    /// How many.
+    /// Number of workers.
     pub workers: usize,
-    /// Workers of one cell: they share the keys that they have seen.
+    /// Number of workers in a cell, which deduplicate requests together.
     #[serde(default = "six")]
     pub cell_size: usize,
-    /// Zones; workers and schedulers are dealt to them in turn.
+    /// Number of zones; workers and schedulers are assigned to them round-robin.
     #[serde(default = "one_zone")]
     pub zones: usize,
-    /// What workers keep at hand of the subjects of their jobs; without it a job needs nothing.
+    /// Caches of the workers; without them no job has to fetch its subject.
     #[serde(default)]
     pub keeps: Option<Keeps>,
-    /// How they serve their queues.
+    /// The order in which workers serve their queues.
     #[serde(default)]
     pub queue: Queue,
-    /// Kinds of machine; two of the usual ones where none is given.
+    /// Kinds of machine; there are two default kinds.
     #[serde(default = "usual_kinds", rename = "kind")]
     pub kinds: Vec<Kind>,
 }
@@ -100,67 +100,67 @@
     1
 }
 
-/// What workers keep at hand: the data of the subjects that they served last.
+/// The cache of a worker, which holds the subjects of its latest jobs.
 #[derive(Clone, Copy, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Keeps {
-    /// Subjects for each slot.
+    /// Cached subjects per slot.
     pub per_slot: f64,
-    /// What a job works more where its subject's data is not at hand, as a part of its class's mean work.
+    /// Extra work of a job whose subject is not cached, as a fraction of the mean work of its class.
     pub fetch: f64,
 }
 
-/// How workers serve their queues.
+/// The order in which a worker serves its queue.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Serialize, PartialEq, Eq)]
 #[serde(rename_all = "snake_case")]
 pub enum Queue {
-    /// In order; the head waits until it fits.
+    /// First in, first out; the first job waits until it fits.
     #[default]
     Fifo,
-    /// Whatever fits first.
+    /// The first job that fits is served next.
     Backfill,
-    /// By the classes' priority.
+    /// By the priority of the class.
     Priority,
 }
 
-/// A kind of machine. Ranges are `[least, most]`; each worker draws its own.
+/// A kind of machine. Ranges are `[least, most]`; each worker draws its own value.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Kind {
-    /// Its name.
+    /// The name.
     pub name: String,
-    /// Its part of the fleet, against the other kinds.
+    /// Its weight among the kinds.
     #[serde(default = "one")]
     pub share: f64,
     /// Cores.
     pub cores: f64,
-    /// Speed of a core; a yardstick core has 1.
+    /// Speed of a core, relative to a reference core.
     pub speed: [f64; 2],
-    /// Slots for each core.
+    /// Slots per core.
     #[serde(default = "slots")]
     pub slots_per_core: [f64; 2],
-    /// Jobs that may wait, for each core.
+    /// Queue length per core.
     #[serde(default = "room")]
     pub queue_per_core: [f64; 2],
-    /// Efficiency lost for each request a core held beyond `thrash_at`.
+    /// Efficiency lost per request per core beyond `thrash_at`.
     #[serde(default)]
     pub thrash: f64,
-    /// Requests a core from which efficiency falls.
+    /// Requests per core above which efficiency falls.
     #[serde(default = "six_f")]
     pub thrash_at: f64,
-    /// The part of its capacity that a worker starts with.
+    /// Fraction of its capacity that a worker has when it starts.
     #[serde(default = "cold_from")]
     pub cold_from: f64,
-    /// Seconds until it is warm.
+    /// Seconds until a started worker has its full capacity.
     #[serde(default = "cold_s")]
     pub cold_s: f64,
-    /// A cancel stops running jobs as well as waiting ones.
+    /// Whether cancelling stops running jobs as well as queued ones.
     #[serde(default = "yes")]
     pub cancel_stops_running: bool,
-    /// Connections that a worker holds, for each core.
+    /// Connections that a worker accepts, per core.
     #[serde(default = "connections")]
     pub connections_per_core: f64,
-    /// Share of requests that fail on a calm scenario.
+    /// Fraction of requests that fail without any fault.
     #[serde(default)]
     pub error_rate: f64,
 }
@@ -207,15 +207,15 @@
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Schedulers {
-    /// How many.
+    /// Number of schedulers.
     pub count: usize,
-    /// They may send each other short messages.
+    /// Whether they may send messages to each other.
     pub talk: bool,
-    /// They may probe workers.
+    /// Whether they may probe workers.
     pub probes: bool,
-    /// Time until the front notices that one is dead, in milliseconds.
+    /// Time until the front proxy notices that a scheduler has ended, in milliseconds.
     pub notice_ms: [f64; 2],
-    /// Time from the end of one to its next start, in milliseconds.
+    /// Time from the end of a process to its restart, in milliseconds.
     pub restart_ms: f64,
 }
 
@@ -225,29 +225,29 @@
     }
 }
 
-/// What arrives.
+/// The requests of a scenario.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Load {
-    /// Work that arrives, as a part of the fleet's capacity. One of `part` and `rate_per_s` is needed.
+    /// Arriving work, as a fraction of the fleet's capacity. Either `part` or `rate_per_s` is needed.
     #[serde(default)]
     pub part: Option<f64>,
-    /// Requests a second.
+    /// Requests per second.
     #[serde(default)]
     pub rate_per_s: Option<f64>,
-    /// How the rate moves.
+    /// How the rate changes over time.
     #[serde(default)]
     pub shape: Shape,
-    /// How far a wave swings around the mean, as a part of it.
+    /// Amplitude of the wave, as a fraction of the mean rate.
     #[serde(default)]
     pub swing: f64,
-    /// Different subjects of requests; 0 for requests without one.
+    /// Number of subjects of requests; 0 for requests without a subject.
     #[serde(default = "subjects")]
     pub subjects: usize,
-    /// How unevenly requests fall on them: the exponent of a Zipf law; 0 for evenly.
+    /// Exponent of the Zipf distribution of the subjects; 0 for a uniform distribution.
     #[serde(default)]
     pub skew: f64,
-    /// Requests come with a hint of their work, off by this coefficient of variation; without it they come with none.
+    /// Coefficient of variation of the error in hints of the work; without it requests carry no hint.
     #[serde(default)]
     pub hints: Option<f64>,
 }
@@ -256,14 +256,14 @@
     2000
 }
 
-/// How the rate moves over the scenario.
+/// How the rate changes over time.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Serialize, PartialEq, Eq)]
 #[serde(rename_all = "snake_case")]
 pub enum Shape {
-    /// The same throughout.
+    /// Constant.
     #[default]
     Steady,
-    /// One wave over the scenario.
+    /// One sine wave over the scenario.
     Wave,
 }
 
@@ -271,15 +271,15 @@
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Clients {
-    /// Tries after the first.
+    /// Retries after the first try.
     pub retries: u32,
-    /// How they wait before a retry.
+    /// How the wait before a retry grows.
     pub backoff: Backoff,
-    /// The first wait, in milliseconds.
+    /// The wait before the first retry, in milliseconds.
     pub backoff_ms: f64,
-    /// Share of refusals whose `Retry-After` they follow.
+    /// Fraction of refusals whose `Retry-After` is followed.
     pub honour: f64,
-    /// Share of requests whose client leaves early.
+    /// Fraction of requests whose client leaves before its deadline.
     pub impatient: f64,
 }
 
@@ -289,41 +289,41 @@
     }
 }
 
-/// How clients wait before a retry.
+/// How the wait before a retry grows.
 #[derive(Clone, Copy, Debug, Deserialize, Serialize, PartialEq, Eq)]
 #[serde(rename_all = "snake_case")]
 pub enum Backoff {
-    /// Not at all.
+    /// No wait.
     AtOnce,
-    /// Always as long.
+    /// Constant.
     Fixed,
-    /// Twice as long each time.
+    /// Doubles with each retry.
     Exponential,
 }
 
-/// Delays and losses between machines.
+/// Delays and losses of the network.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Network {
-    /// One way between schedulers and workers, in milliseconds.
+    /// One-way delay between schedulers and workers, in milliseconds.
     pub one_way_ms: f64,
-    /// One way between schedulers and workers of another zone, in milliseconds.
+    /// One-way delay between schedulers and workers of different zones, in milliseconds.
     pub cross_ms: f64,
-    /// One way between clients and schedulers, in milliseconds.
+    /// One-way delay between clients and schedulers, in milliseconds.
     pub client_ms: f64,
-    /// Coefficient of variation of delays.
+    /// Coefficient of variation of the delays.
     pub jitter: f64,
-    /// One way between schedulers, in milliseconds.
+    /// Range of the one-way delay between schedulers, in milliseconds.
     pub peer_ms: [f64; 2],
-    /// Share of the schedulers' datagrams that are lost.
+    /// Fraction of messages between schedulers that are lost.
     pub peer_loss: f64,
-    /// Work that a new connection costs a worker, in milliseconds.
+    /// Work of a worker for a new connection, in milliseconds.
     pub handshake_ms: f64,
-    /// Work that a probe costs a worker, in milliseconds.
+    /// Work of a worker for a probe, in milliseconds.
     pub probe_ms: f64,
-    /// A connection is closed when idle for so long, in seconds.
+    /// Idle time after which a connection is closed, in seconds.
     pub idle_s: f64,
-    /// A connection that is not up in this time counts as none, in milliseconds.
+    /// Timeout for opening a connection, in milliseconds.
     pub dial_ms: f64,
 }
 
@@ -348,15 +348,15 @@
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Reports {
-    /// Reports come with the ends of attempts.
+    /// Whether there are load reports.
     pub on: bool,
-    /// They come to those that ask for them, and not with the ends of attempts.
+    /// Whether they are sent with probes only, rather than with the end of each attempt.
     pub by_probe: bool,
     /// Time between two measurements, in milliseconds.
     pub period_ms: f64,
-    /// Age of a measurement before it is told, in milliseconds.
+    /// Age of a measurement when it is reported, in milliseconds.
     pub delay_ms: f64,
-    /// Coefficient of variation of what is told.
+    /// Coefficient of variation of the reported values.
     pub noise: f64,
 }
 
@@ -366,21 +366,21 @@
     }
 }
 
-/// The list of workers.
+/// The worker list.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Discovery {
-    /// How it comes to the schedulers.
+    /// How schedulers receive the list.
     pub mode: Mode,
-    /// Time from a change to its news, in milliseconds.
+    /// Range of the time from a change until it is published, in milliseconds.
     pub notice_ms: [f64; 2],
-    /// How far the schedulers' news lie apart, in milliseconds.
+    /// Largest time between schedulers that receive the same change, in milliseconds.
     pub spread_ms: f64,
-    /// Time between two lists that tell the workers' weights anew, in milliseconds; 0 for none.
+    /// Time between updates of the weights, in milliseconds; 0 for none.
     pub weights_ms: f64,
-    /// Where it is asked: time that a call takes it, one after the other for all schedulers, in milliseconds.
+    /// Time to serve a request for the list, in milliseconds; requests are served one after the other.
     pub call_ms: f64,
-    /// A call that would wait longer than this for its turn fails, in milliseconds.
+    /// Longest wait of a request for the list in the queue before it fails, in milliseconds.
     pub wait_ms: f64,
 }
 
@@ -397,41 +397,41 @@
     }
 }
 
-/// How the list comes to the schedulers.
+/// How schedulers receive the list.
 #[derive(Clone, Copy, Debug, Deserialize, Serialize, PartialEq, Eq)]
 #[serde(rename_all = "snake_case")]
 pub enum Mode {
-    /// Changes come by themselves.
+    /// Changes are pushed.
     Push,
-    /// A scheduler asks for them.
+    /// Schedulers request changes.
     Poll,
 }
 
-/// What the site permits and asks for.
+/// Limits and obligations of the platform.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Terms {
-    /// Attempts of a request.
+    /// Attempts per request at most.
     pub max_attempts: u32,
-    /// Two attempts of a request may be out at once.
+    /// Whether a request may have two attempts in flight.
     pub second_copies: bool,
-    /// Longest wait that clients follow after a refusal, in milliseconds; 0 if they are not told.
+    /// Longest `Retry-After` that clients follow, in milliseconds; 0 if refusals carry none.
     pub max_retry_after_ms: f64,
-    /// Nothing new to a draining worker after this time, in milliseconds.
+    /// Time after which nothing may be sent to a draining worker, in milliseconds.
     pub drain_grace_ms: f64,
-    /// A cold worker falls over when sent more than this multiple of its present capacity,
+    /// A cold worker fails if it is sent more than this multiple of its current capacity over `fall_ms`.
     pub fall_multiple: f64,
-    /// for this long, in milliseconds.
+    /// Time over which the work sent to a cold worker is averaged, in milliseconds.
     pub fall_ms: f64,
-    /// An answer may be this much later than the client's patience, in milliseconds.
+    /// Time after the client's timeout within which a response still counts, in milliseconds.
     pub answer_grace_ms: f64,
-    /// Worth of a request beyond its tenant's share, as a part of the usual.
+    /// Worth of a request beyond its tenant's share, as a fraction of its usual worth.
     pub over_share_worth: f64,
-    /// The price of a probe, and of an attempt that crosses zones, in the worth of the mean request.
+    /// Costs of a probe and of an attempt in another zone, in units of the worth of the mean request.
     pub probe_price: f64,
     /// See `probe_price`.
     pub cross_price: f64,
-    /// Time between workers' notes of progress, in milliseconds; 0 for none.
+    /// Time between progress reports of a job, in milliseconds; 0 for none.
     pub progress_ms: f64,
 }
 
@@ -457,35 +457,35 @@
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Class {
-    /// Its name.
+    /// The name.
     pub name: String,
-    /// Its part of the requests, against the other classes.
+    /// Its weight among the classes.
     #[serde(default = "one")]
     pub share: f64,
-    /// Mean work of a job, in milliseconds of a yardstick core.
+    /// Mean work of a job, in milliseconds of a reference core.
     pub work_ms: f64,
-    /// Coefficient of variation of the work; 0 for a fixed one.
+    /// Coefficient of variation of the work.
     #[serde(default)]
     pub cv: f64,
-    /// Wanted within this time, in milliseconds,
+    /// Latency objective in milliseconds, without the part that depends on the job.
     pub aim_ms: f64,
-    /// plus so many times the job's own running time.
+    /// How much the objective grows with the running time of the job.
     #[serde(default)]
     pub stretch: f64,
-    /// The client gives up after this time, in milliseconds.
+    /// The client times out after this time, in milliseconds.
     pub deadline_ms: f64,
-    /// Worth of a unit of work.
+    /// Worth per unit of work.
     #[serde(default = "one")]
     pub worth: f64,
-    /// What may be repeated.
+    /// Whether requests may be repeated.
     pub effect: Effect,
-    /// Time in which workers of a cell know a key again, in milliseconds.
+    /// Time in which workers recognize a repeated request, in milliseconds.
     #[serde(default)]
     pub window_ms: f64,
-    /// Shares of jobs with 1, 2, 4 and 8 slots.
+    /// Weights of jobs with 1, 2, 4 and 8 slots.
     #[serde(default = "one_slot")]
     pub slots: Vec<f64>,
-    /// Priority in queues that are served by it.
+    /// Priority in queues that are ordered by priority.
     #[serde(default)]
     pub priority: i32,
 }
@@ -494,22 +494,22 @@
     vec![1.0]
 }
 
-/// What a class permits once an attempt may have run.
+/// Whether a request may be repeated after an attempt that may have run.
 #[derive(Clone, Copy, Debug, Deserialize, Serialize, PartialEq, Eq)]
 #[serde(rename_all = "snake_case")]
 pub enum Effect {
-    /// Repeat freely.
+    /// It may be repeated freely.
     Safe,
-    /// The workers of a cell know its key again.
+    /// Repeats are deduplicated by the workers of a cell.
     Keyed,
-    /// The workers of a zone do.
+    /// Repeats are deduplicated by the workers of a zone.
     KeyedByZone,
-    /// Never twice.
+    /// It must not be repeated.
     Unsafe,
 }
 
 impl Effect {
-    /// Whether its requests carry a key by which workers drop repeats.
+    /// Returns whether workers deduplicate its requests.
     pub fn keyed(self) -> bool {
         matches!(self, Effect::Keyed | Effect::KeyedByZone)
     }
@@ -541,37 +541,37 @@
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Tenant {
-    /// Its name.
+    /// The name.
     pub name: String,
-    /// Its part of the fleet, against the other tenants.
+    /// Its share of the fleet, relative to the other tenants.
     pub share: f64,
-    /// What it sends, as a multiple of its share.
+    /// Its load as a multiple of its share.
     #[serde(default = "one")]
     pub usage: f64,
 }
 
-/// Something that goes wrong.
+/// A fault that is injected.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 #[serde(expecting = "struct Trouble")]
 pub struct Fault {
-    /// What it is.
+    /// The kind.
     pub kind: FaultKind,
-    /// When it begins, in seconds.
+    /// Its start, in seconds.
     pub at_s: f64,
-    /// How long it lasts, in seconds; for a kill, a restart or a move it says nothing.
+    /// Its duration, in seconds; not used by kills, rolling restarts and moves.
     #[serde(default)]
     pub for_s: f64,
-    /// The part of the workers (or of the schedulers, connections or requests) that it meets.
+    /// Fraction of the workers, schedulers, connections or requests that it affects.
     #[serde(default = "fifth")]
     pub part: f64,
-    /// How bad it is; what that means is said at each kind.
+    /// Its magnitude; see the kinds.
     #[serde(default)]
     pub size: Option<f64>,
-    /// The one tenant that it concerns, where it is a burst; all of them without a name.
+    /// The only tenant that a burst affects; without it, all.
     #[serde(default)]
     pub tenant: Option<String>,
-    /// Seconds between two of its strokes, where it has any.
+    /// Seconds between two repetitions, for kinds that repeat.
     #[serde(default = "three")]
     pub every_s: f64,
 }
@@ -588,47 +588,47 @@
 #[serde(rename_all = "snake_case")]
 #[serde(expecting = "enum TroubleKind")]
 pub enum FaultKind {
-    /// Workers go silent without a reset, and come back cold.
+    /// Workers stop responding, without a connection reset, and are restarted.
     Vanish,
-    /// Workers' processes die, each with the last byte of a request that it receives: its connections are reset before
-    /// the answer, what it held is lost, and it comes back cold.
+    /// Workers crash, each after it has received a complete request: its connections are reset, its jobs are lost,
+    /// and it is restarted.
     Crash,
-    /// Workers quickly fail a share of their requests (`size`, 0.6).
+    /// Workers immediately fail a fraction `size` (0.6) of their requests.
     FastErrors,
-    /// Workers stand still for `size` milliseconds (90), every `every_s` seconds.
+    /// Workers pause for `size` milliseconds (90) every `every_s` seconds.
     Pauses,
-    /// Load reports come `size` seconds (2) later.
+    /// Load reports are delayed by `size` seconds (2).
     ReportLate,
-    /// Traffic is `size` times (2) the usual.
+    /// The rate of requests is multiplied by `size` (2).
     Burst,
-    /// A `part` of one class's requests costs `size` times (15) the usual work.
+    /// The work of a fraction `part` of one class's requests is multiplied by `size` (15).
     HeavyTail,
-    /// Workers drain: they finish their work, leave the list, and come back cold.
+    /// Workers drain: they finish their jobs, leave the list, and are restarted.
     Drain,
-    /// All workers drain one after the other, `every_s` apart.
+    /// All workers are drained and restarted one after the other, `every_s` apart.
     RollingRestart,
-    /// A `part` of the schedulers, one at the least, are killed outright at once and start again.
+    /// A fraction `part` of the schedulers, at least one, are killed at the same time and restarted.
     SchedulerKill,
-    /// A `part` of the schedulers, one at the least, are asked to end (SIGTERM) at once and start again.
+    /// A fraction `part` of the schedulers, at least one, receive SIGTERM at the same time and are restarted.
     SchedulerTerm,
-    /// Discovery does not answer.
+    /// Discovery does not respond.
     DiscoveryDown,
-    /// Discovery moves to another address (SIGHUP).
+    /// Discovery gets another address, and schedulers receive SIGHUP.
     DiscoveryMoved,
-    /// A scheduler and a part of the workers, or two schedulers, cannot reach each other, and nothing is signalled.
+    /// One scheduler is isolated from some of the workers and from its peers, without connection resets.
     Partition,
-    /// A zone is cut off from all others, and nothing is signalled; within it everything gets through.
+    /// A zone is isolated from all others, without connection resets.
     ZoneCut,
-    /// No scheduler hears another, and nothing is signalled.
+    /// All schedulers are isolated from each other.
     PeersCut,
-    /// A `part` of the clients reads its answers slowly.
+    /// A fraction `part` of the clients read their responses slowly.
     SlowReader,
-    /// A `part` of the connections to workers is stuck: what is written to it is never read, and nothing comes back.
+    /// A fraction `part` of the connections to workers are stuck: attempts sent on them are never received.
     StuckConnection,
 }
 
 impl FaultKind {
-    /// All of them.
+    /// All kinds.
     pub const ALL: [FaultKind; 18] = [
         FaultKind::Vanish,
         FaultKind::Crash,
@@ -650,7 +650,7 @@
         FaultKind::StuckConnection,
     ];
 
-    /// Its name, as a scenario file has it.
+    /// Returns the name in a scenario file.
     pub fn name(self) -> &'static str {
         match self {
             FaultKind::Vanish => "vanish",
@@ -676,7 +676,7 @@
 }
 
 impl Scenario {
-    /// Reads a scenario file.
+    /// Reads and validates a scenario file.
     pub fn read(text: &str) -> Result<Scenario, ConfigError> {
         let scenario: Scenario = loomlb_config_file::parse(text)?;
         let checked = scenario.check();
@@ -684,7 +684,7 @@
         Ok(scenario)
     }
 
-    /// The first key that asks for the impossible, and why it does.
+    /// Returns the first key with an impossible value, and the reason.
     pub fn check(&self) -> Result<(), (String, String)> {
         let mut first_error = None;
         let mut need = |key: &str, good: bool, reason: &str| {
--- a/crates/simulation/src/simulate.rs
+++ b/crates/simulation/src/simulate.rs
@@ -1,8 +1,9 @@
-//! The host in virtual time: any number of schedulers in one process, and the same result for the same seed.
+//! Runs a scenario in virtual time, with any number of schedulers in one process. Results are reproducible from the
+//! seed.
 //!
-//! Schedulers act once a tick on all that has come in. Within a tick they know nothing of each other, so they may
-//! decide on several threads; what they want done is carried out in the order of their numbers, and the digest over
-//! every event and action is the same for any number of threads.
+//! Schedulers handle their events once per tick. They don't interact within a tick and can run on several threads;
+//! their actions are performed in the order of the schedulers' numbers. So the digest over all events and actions
+//! does not depend on the number of threads.
 
 use crate::clients::{self, Arrivals, Outcome as TryOutcome, Request};
 use crate::figures::{Collector, Figures, RequestOutcome};
@@ -26,20 +27,20 @@
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
-/// Clients still reach a scheduler for so long after it was asked to end.
+/// Time for which clients still send to a scheduler that was asked to shut down.
 const SHUTDOWN_NOTICE: Nanos = 300_000_000;
-/// A scheduler that was asked to end is killed after this time and the longest deadline.
+/// Time after which a scheduler that was asked to shut down is killed, in addition to the longest deadline.
 const SHUTDOWN_KILL_MARGIN: Nanos = 700_000_000;
-/// Of that deadline no more than this counts.
+/// The longest deadline counts as this at most.
 const MAX_SHUTDOWN_WAIT: Nanos = 3_000_000_000;
-/// After the last arrival a scenario runs on for so long at max_attempts.
+/// Time after the last arrival at which a scenario ends at the latest.
 const MAX_TIME_AFTER_ARRIVALS: Nanos = 120_000_000_000;
-/// Fewer events than this in a tick are not worth the threads.
+/// Schedulers run on one thread if there are fewer events than this in a tick.
 const MIN_EVENTS_FOR_THREADS: usize = 16;
 
-/// Whoever decides: the decision module, or a baseline to compare it with.
+/// Makes the decisions of a scheduler: the decision module, or a baseline for comparison.
 pub trait Decider: Send {
-    /// Takes in one event and adds what is to be done; see [`Dispatcher::handle`].
+    /// Handles an event and appends the resulting actions; see [`Dispatcher::handle`].
     fn handle(&mut self, now: Nanos, event: Event, out: &mut Vec<Action>);
 }
 
@@ -49,88 +50,88 @@
     }
 }
 
-/// Makes the decider of a scheduler from its settings and a seed.
+/// Creates the decider of a scheduler from its settings and a seed.
 pub type DeciderFactory<'a> = dyn Fn(Settings, u64) -> Box<dyn Decider> + Sync + 'a;
 
-/// The decision module.
+/// Creates a dispatcher of the decision module.
 pub fn new_dispatcher(settings: Settings, seed: u64) -> Box<dyn Decider> {
     Box::new(Dispatcher::new(settings, seed))
 }
 
-/// What a scenario came to.
+/// The result of a scenario.
 #[derive(Clone, Debug, Serialize)]
 pub struct SimulationResult {
     /// The figures.
     pub figures: Figures,
-    /// What the invariants saw.
+    /// The events that were reported to the invariant checker.
     pub seen: CheckerCounts,
-    /// Breaches in all.
+    /// Number of violations.
     #[serde(rename = "breaches")]
     pub violations: u64,
-    /// The first of them, with their stories.
+    /// The first violations, with the history of their requests.
     #[serde(rename = "first")]
     pub first_violations: Vec<Violation>,
-    /// What the faults did.
+    /// Counts of events in the world.
     pub counters: Counters,
-    /// Requests a second that were aimed at.
+    /// The configured rate of requests per second.
     pub rate: f64,
-    /// Events told to schedulers, and actions of theirs.
+    /// Events handled by schedulers, and the actions that they returned.
     pub events: u64,
     /// See `events`.
     pub actions: u64,
-    /// Work done by workers, in seconds of a yardstick core, and the part of it that served no answer.
+    /// Work done by workers, in seconds of a reference core, and the fraction of it that was wasted.
     pub work_s: f64,
     /// See `work_s`.
     pub wasted: f64,
-    /// Length of the scenario until all was over, in seconds.
+    /// Duration until all requests had ended, in seconds.
     pub length_s: f64,
-    /// A digest over every event and action with its time.
+    /// A digest over all events and actions with their times.
     pub digest: String,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum ScheduledEvent {
-    /// The next request is made.
+    /// A client makes its next request.
     NextRequest,
-    /// A try leaves its client.
+    /// A client sends a try.
     SendTry(u64),
-    /// A try reaches its scheduler.
+    /// A try arrives at a scheduler.
     ReceiveRequest(u64, usize, u32),
-    /// Schedulers act.
+    /// Schedulers handle their events.
     RunSchedulers,
     Timer(usize, u32, u64),
-    /// An attempt reaches its worker, after a new connection or not.
+    /// An attempt arrives at its worker.
     DeliverAttempt(usize, u32, u64, u32),
-    /// An attempt has ended, as its scheduler hears.
+    /// A scheduler learns that an attempt has ended.
     AttemptEnded(usize, u32, u64, u32, u8),
     AttemptTimeout(usize, u32, u64, u32),
-    /// A give-up reaches its worker.
+    /// A cancellation arrives at a worker.
     CancelJob(u64),
-    /// A word of a worker reaches a scheduler: its place in the store of job_updates.
+    /// A worker's report arrives at a scheduler; the last value is its index in `job_updates`.
     JobUpdate(usize, u32, usize),
     Datagram(usize, u32, usize),
     ProbeEnded(usize, u32, usize, bool),
-    /// An answer reaches its client.
+    /// A response arrives at its client.
     Response(u64, usize),
-    /// A client leaves.
+    /// A client stops waiting.
     ClientTimeout(u64),
     StartScheduler(usize),
     CheckShutdown(usize, u32),
     KillScheduler(usize, u32),
     ListReply(usize, u32),
-    /// A call for the list has failed.
+    /// A request for the list has failed.
     ListRequestFailed(usize, u32),
 }
 
 #[derive(Debug)]
 struct Forward {
-    /// When its worker told that the job started.
+    /// When the worker reported the start of the job.
     started: Option<Nanos>,
     worker: usize,
     sent: Nanos,
     job: Option<u64>,
     ended: bool,
-    /// It is through to its worker, or on the way there over a connection that is up.
+    /// Whether the attempt was sent on an open connection.
     connected: bool,
 }
 
@@ -142,25 +143,25 @@
     deadline: Nanos,
     answered: bool,
     forwards: Vec<Forward>,
-    /// What it holds of its tenant's shares, and the seconds that its jobs ran.
+    /// The tenant's quota that it holds, and the seconds that its jobs ran.
     quota_ticket: Option<Ticket>,
     run_time_s: f64,
 }
 
 struct SchedulerNode {
     decider: Box<dyn Decider>,
-    /// Nested quotas, where the scenario has them, and the mean seconds of each class's jobs.
+    /// Nested quotas, if the scenario has them, and the mean running time of each class's jobs in seconds.
     quota: Option<Quota>,
     mean_job_s: Vec<f64>,
     names: SettingNames,
     is_running: bool,
-    /// CheckerCounts by the front until then, though it is down.
+    /// The front proxy sends requests until this time, although the process may have ended.
     visible_until: Nanos,
     shutdown_started: Option<Nanos>,
     run: u32,
     inbox: Vec<Event>,
     outbox: Vec<Action>,
-    /// Sorted by the scheduler's own numbers.
+    /// Requests by id.
     flows: FxHashMap<u64, Flow>,
     idle_connections: FxHashMap<usize, Vec<Nanos>>,
 }
@@ -169,14 +170,14 @@
 struct ClientState {
     request: Request,
     tries: u32,
-    /// The scheduler of the try under way.
+    /// The scheduler of the current try.
     at: Option<usize>,
-    /// The time by which it leaves.
+    /// When the client stops waiting.
     leaves: Nanos,
     answered: bool,
 }
 
-/// A word on its way: request, job, what is said, and the worker's load.
+/// A worker's report in transit: request, job, update, and the worker's load.
 type JobUpdateInTransit = (u64, u64, JobUpdate, Option<LoadReport>);
 
 struct VirtualHost<'a> {
@@ -204,12 +205,12 @@
     arrivals_finished: bool,
 }
 
-/// Plays a scenario in virtual time with the decision module; on so many threads, 0 for one.
+/// Runs a scenario in virtual time with the decision module, on `threads` threads (0 for one).
 pub fn run(scenario: &Scenario, seed: u64, threads: usize) -> SimulationResult {
     run_with(scenario, seed, threads, &new_dispatcher)
 }
 
-/// Plays a scenario in virtual time with deciders of any make_decider.
+/// Runs a scenario in virtual time with the given deciders.
 pub fn run_with(
     scenario: &Scenario,
     seed: u64,
@@ -293,13 +294,13 @@
     fn delay(&mut self, mean_ms: f64) -> Nanos {
         ms(mean_ms * self.delay_rng.log_normal(self.world.scenario.network.jitter)).max(1)
     }
-    /// One way between a scheduler and a worker.
+    /// Draws the one-way delay between a scheduler and a worker.
     fn link_delay(&mut self, s: usize, w: usize) -> Nanos {
         let network = &self.world.scenario.network;
         let near = self.world.zone(s) == self.world.zone(w);
         self.delay(if near { network.one_way_ms } else { network.cross_ms })
     }
-    /// One way to discovery, which is near to all.
+    /// Draws the one-way delay between a scheduler and discovery.
     fn discovery_delay(&mut self) -> Nanos {
         self.delay(self.world.scenario.network.one_way_ms)
     }
@@ -358,7 +359,7 @@
         }
     }
 
-    /// Tells a scheduler of the whole list as it was last told.
+    /// Sends a scheduler the complete list, as of the changes that it has received.
     fn send_list(&mut self, s: usize, kind: ListKind) {
         let (_, entries) = self.world.known_list(s);
         let names = &self.nodes[s].names;
@@ -431,7 +432,7 @@
             Event::PeerMessage(from, bytes) => {
                 self.digest_values(11, &[s, u64::from(from.0), bytes.len() as u64])
             }
-            // The model plays no reload.
+            // Settings don't change in a simulation.
             Event::SettingsChanged(..) => self.digest_values(12, &[s]),
         }
     }
@@ -507,7 +508,7 @@
         self.push(self.now + after, ScheduledEvent::Datagram(peer, run, at));
     }
 
-    /// One send of a decider.
+    /// Sends an attempt.
     fn send_attempt(&mut self, s: usize, id: u64, w: usize, timeout: Nanos) {
         let (now, run) = (self.now, self.nodes[s].run);
         let max_attempts = self.world.scenario.terms.max_attempts as usize;
@@ -569,13 +570,13 @@
         self.nodes[s].flows.get_mut(&id)?.forwards.get_mut(n as usize)
     }
 
-    /// An attempt reaches its worker.
+    /// Delivers an attempt to its worker.
     fn deliver_attempt(&mut self, s: usize, run: u32, id: u64, n: u32) {
         let Some(flow) = self.nodes[s].flows.get(&id) else { return };
         let Some(f) = flow.forwards.get(n as usize) else { return };
         let (w, sent) = (f.worker, f.sent);
         if f.ended {
-            // Given up on the way: its connection was closed before the last byte.
+            // The attempt was cancelled on its way, and its connection was closed.
             return self.world.disconnect(w);
         }
         let (slots, work, class) = (flow.slots, flow.work, flow.class);
@@ -613,7 +614,7 @@
         }
     }
 
-    /// An attempt has ended, as its scheduler hears.
+    /// Ends an attempt at its scheduler.
     fn end_attempt(&mut self, s: usize, id: u64, n: u32, outcome: Outcome, report: Option<LoadReport>) {
         let now = self.now;
         let Some(flow) = self.nodes[s].flows.get_mut(&id) else { return };
@@ -664,7 +665,7 @@
         self.end_attempt(s, id, n, outcome, None);
     }
 
-    /// A scheduler gives a request its final answer.
+    /// Sends a final response to a client.
     fn respond(&mut self, s: usize, id: u64, answered: FinalResponse, said: TryOutcome) {
         let Some(flow) = self.nodes[s].flows.get_mut(&id).filter(|f| !f.answered) else { return };
         flow.answered = true;
@@ -681,7 +682,7 @@
         self.remove_if_finished(s, id);
     }
 
-    // ---- what falls due
+    // ---- events
 
     fn process_event(&mut self, event: ScheduledEvent) {
         let now = self.now;
@@ -758,7 +759,7 @@
             ScheduledEvent::ListRequestFailed(s, run) if is_current_run(self, s, run) => {
                 self.enqueue_event(s, Event::ListRequestFailed)
             }
-            // Of a run that is over.
+            // Events for an earlier process of a scheduler are dropped.
             _ => {}
         }
     }
@@ -789,7 +790,8 @@
                     self.push(self.shutdown_deadline(now), ScheduledEvent::KillScheduler(s, run));
                 }
             }
-            // In virtual time discovery has no address: the whole list comes again, as it does after the move.
+            // Discovery has no address in virtual time. The scheduler receives the complete list, as it would after
+            // a reload.
             HostAction::Signal(s, Signal::Moved) => {
                 let run = self.nodes[s].run;
                 self.push(self.now + ms(5.0), ScheduledEvent::ListReply(s, run));
@@ -807,8 +809,7 @@
         asked + SHUTDOWN_KILL_MARGIN + ms(longest).min(MAX_SHUTDOWN_WAIT)
     }
 
-    /// A word may be late, or of a job that an earlier run of this scheduler sent: it counts only while its forward
-    /// is out.
+    /// Handles a worker's report. A report for an attempt that has ended, or of an earlier process, is ignored.
     fn receive_job_update(
         &mut self,
         s: usize,
@@ -841,7 +842,7 @@
         }
     }
 
-    /// A scheduler is gone, outright or after it was asked to end.
+    /// Ends the process of a scheduler, whether it was killed or has shut down.
     fn stop_scheduler(&mut self, s: usize, exit: SchedulerExit) {
         if !self.nodes[s].is_running {
             return;
@@ -896,7 +897,7 @@
 
     fn send_try(&mut self, number: u64) {
         let now = self.now;
-        // The front offers what it has not noticed to be dead.
+        // The front proxy also picks schedulers whose end it has not noticed yet.
         let seen: Vec<usize> = (0..self.nodes.len()).filter(|s| now < self.nodes[*s].visible_until).collect();
         let way = self.delay(self.world.scenario.network.client_ms);
         let chosen = seen.get(self.front_rng.index_below(seen.len())).copied();
@@ -929,7 +930,7 @@
         let by = self.nodes[s]
             .shutdown_started
             .map_or(class_end, |at| class_end.min(self.shutdown_deadline(at) - 200_000_000));
-        // A process that ends answers sooner, which says nothing of its client.
+        // A scheduler that shuts down has to respond earlier; this is not the client's timeout.
         let (remaining, within) = (class_end.saturating_sub(now), by.saturating_sub(now));
         let (class, tenant, slots, work, subject) = (r.class, r.tenant, r.slots, r.work, r.subject);
         let expected = r.hint;
@@ -1017,7 +1018,7 @@
         }
     }
 
-    /// A client's client_timeout is over.
+    /// Ends the wait of a client.
     fn handle_client_timeout(&mut self, id: u64) {
         let (number, now) = (id >> 4, self.now);
         let Some(client) = self.clients.get(&number) else { return };
@@ -1026,7 +1027,7 @@
             client.request.client_timeout < ms(self.world.scenario.classes[client.request.class].deadline_ms);
         let grace = ms(self.world.scenario.terms.answer_grace_ms);
         if !early && now < client.leaves + grace && !answered {
-            // An answer may be a little late on its way: it is waited for, and the invariants says whether it was.
+            // A response may still be on its way; the invariant checker decides whether it is late.
             return self.push(client.leaves + grace, ScheduledEvent::ClientTimeout(id));
         }
         if !answered && early {
--- a/crates/simulation/src/world.rs
+++ b/crates/simulation/src/world.rs
@@ -1,9 +1,9 @@
-//! The world: workers, their list, their reports, and what goes wrong, as one machine that is told the time.
+//! The world of a scenario: workers, the worker list, load reports and faults.
 //!
-//! Both hosts drive the same world. They tell it what reaches a worker ([`World::connect`], [`World::arrive`],
-//! [`World::give_up`]) and carry accepted what it wants done ([`HostAction`]): a word of a worker to a scheduler, news of the
-//! list, a signal for a scheduler. It keeps no socket and reads no clock, and the invariants hangs on it, so that both
-//! hosts are judged by the same facts.
+//! Both hosts drive the same world: they report what reaches a worker ([`World::connect`],
+//! [`World::receive_attempt`], [`World::cancel_job`]) and perform the [`HostAction`]s that it returns. The world has
+//! no sockets and no clock. It reports the events of its workers to the [`InvariantChecker`], so that both hosts are
+//! checked in the same way.
 
 use crate::invariants::{AttemptEnd, InvariantChecker};
 use crate::scenario::{FaultKind, Queue, Scenario};
@@ -15,36 +15,36 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, VecDeque};
 
-/// Nanoseconds of this many milliseconds.
+/// Converts milliseconds to nanoseconds.
 pub fn ms(x: f64) -> Nanos {
     (x * 1e6) as Nanos
 }
-/// Nanoseconds of this many seconds.
+/// Converts seconds to nanoseconds.
 pub fn secs(x: f64) -> Nanos {
     (x * 1e9) as Nanos
 }
 
-/// A silent machine is taken off the list after this time: the list knows processes, not machines.
+/// Time until a worker that stopped responding is removed from the list.
 const SILENT_WORKER_REMOVAL_DELAY: Nanos = 10_000_000_000;
-/// A worker that drains leaves after this time at the latest.
+/// Time after which the process of a draining worker exits.
 const MAX_DRAIN_TIME: Nanos = 8_000_000_000;
-/// From a worker's leaving to its next start in a rolling restart.
+/// Time between the exit and the restart of a worker in a rolling restart.
 const ROLLING_RESTART_PAUSE: Nanos = 1_000_000_000;
-/// Reports that a worker remembers; the oldest is told where all are younger than the delay.
+/// Load measurements that a worker stores.
 const MAX_STORED_REPORTS: usize = 32;
 
-/// State of a worker in the list.
+/// The state of a worker in the list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 pub enum Health {
     /// May be used.
     Active,
-    /// Completes its work.
+    /// Finishes its jobs and takes no new ones.
     Leaving,
     /// Removed.
     Left,
 }
 
-/// One entry of the list of workers.
+/// An entry of the worker list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct WorkerEntry {
     /// The worker.
@@ -53,98 +53,98 @@
     pub health: Health,
     /// Its weight.
     pub weight: f64,
-    /// When its process started last; 0 for long ago.
+    /// When its process was last started; 0 for long ago.
     pub started_at: Nanos,
 }
 
-/// A worker's load as it reports it.
+/// The load that a worker reports.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct WorkerLoad {
-    /// Requests it holds.
+    /// Requests at the worker.
     pub in_flight: f64,
-    /// Requests a second.
+    /// Completed requests per second.
     pub rate: f64,
     /// Free slots.
     pub free_slots: f64,
 }
 
-/// An attempt that reaches a worker.
+/// An attempt that arrives at a worker.
 #[derive(Clone, Debug)]
 pub struct Attempt {
-    /// The request (one try of a client).
+    /// The id of the try of a client's request.
     pub request: u64,
-    /// Its scheduler.
+    /// The scheduler that sent it.
     pub scheduler: usize,
-    /// Slots of its job.
+    /// Slots that the job takes.
     pub slots: u32,
-    /// Its work, in nanoseconds of a yardstick core.
+    /// Work of the job, in nanoseconds of a reference core.
     pub work: f64,
-    /// Its class.
+    /// The class of the request.
     pub class: usize,
-    /// What it is about.
+    /// The subject of the job, if it has one.
     pub subject: Option<u64>,
-    /// When its first byte left the scheduler.
+    /// When the scheduler sent the first byte.
     pub sent: Nanos,
 }
 
-/// What a worker does with an attempt that reaches it.
+/// The reply of a worker to an attempt.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum AttemptReply {
-    /// Takes it, under this number.
+    /// The job is accepted under this id.
     Accepted(u64),
-    /// Turns it away unseen.
+    /// The job is rejected because the queue is full.
     Full,
-    /// Fails it at once.
+    /// The job fails immediately.
     Error,
-    /// Says nothing: the machine is silent or cut off, or the connection is stuck, and it never saw it.
+    /// There is no reply: the worker is unreachable or does not respond, or the connection is stuck.
     NoResponse,
-    /// Its process is not there.
+    /// The process is not running.
     ConnectionRefused,
 }
 
-/// What comes of a new connection.
+/// The result of opening a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectResult {
-    /// It is up.
+    /// The connection is open.
     Connected,
-    /// It is refused.
+    /// The connection is refused.
     Refused,
-    /// Nothing comes back.
+    /// There is no answer.
     NoResponse,
 }
 
-/// What a worker has to say of a job.
+/// A worker's report about a job.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum JobUpdate {
-    /// It has started.
+    /// The job has started.
     Started,
-    /// This share of it is done.
+    /// This fraction of the job is done.
     Progress(f64),
-    /// It is done.
+    /// The job is done.
     Done,
-    /// Handed back unstarted.
+    /// The job is returned before it started, because the worker drains.
     Returned,
-    /// Its process died.
+    /// The process of the worker ended before the job.
     Lost,
 }
 
-/// What happens to a scheduler.
+/// A signal for a scheduler.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Signal {
-    /// Killed outright.
+    /// The process is killed.
     Kill,
-    /// Asked to end.
+    /// The process is asked to shut down.
     Term,
-    /// Its configuration names another address of discovery, and it is told so.
+    /// Discovery has a new address; the scheduler has to reload its configuration.
     Moved,
 }
 
-/// What a host has to carry accepted.
+/// An action that a host has to perform.
 #[derive(Clone, Debug, PartialEq)]
 pub enum HostAction {
-    /// A worker has a word for a scheduler.
+    /// Deliver a worker's report to a scheduler.
     JobUpdate {
-        /// The job's number.
+        /// The id of the job.
         job: u64,
         /// The worker.
         worker: usize,
@@ -152,94 +152,94 @@
         scheduler: usize,
         /// The request.
         request: u64,
-        /// What it says.
+        /// The report.
         update: JobUpdate,
-        /// Its load, with the end of an attempt.
+        /// The load of the worker, with the end of an attempt.
         report: Option<WorkerLoad>,
     },
-    /// News of the list for a scheduler.
+    /// Deliver changes of the worker list to a scheduler.
     WorkerList {
-        /// Which one.
+        /// The scheduler.
         scheduler: usize,
-        /// The version.
+        /// The version of the list.
         seq: u64,
-        /// What has changed.
+        /// The changed entries.
         entries: Vec<WorkerEntry>,
     },
-    /// Something for a scheduler.
+    /// Send a signal to a scheduler.
     Signal(usize, Signal),
-    /// A worker's process has gone, or its machine has come back: its old connections are reset.
+    /// Reset all connections to a worker.
     ResetConnections(usize),
 }
 
-/// What the faults did, by the model's own count.
+/// Numbers of events in the world, by which the effect of each fault can be checked.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Counters {
-    /// Workers that went silent.
+    /// Workers that stopped responding.
     pub vanished: u64,
-    /// Workers whose process died.
+    /// Workers whose process crashed.
     pub crashed: u64,
-    /// Workers that came back cold.
+    /// Workers that were restarted.
     pub came_back: u64,
-    /// Requests failed fast.
+    /// Requests that failed immediately because of a fault.
     pub fast_errors: u64,
-    /// Pauses.
+    /// Pauses of workers.
     pub pauses: u64,
-    /// Reports told later than usual.
+    /// Load reports that were delayed by a fault.
     pub late_reports: u64,
     /// Requests that arrived in a burst.
     pub burst: u64,
-    /// Requests of unusual work.
+    /// Requests whose work was increased by a fault.
     pub heavy: u64,
-    /// Workers that drained.
+    /// Workers that were drained.
     pub drained: u64,
-    /// Jobs handed back by draining workers.
+    /// Jobs returned by draining workers.
     pub handed_back: u64,
     /// Workers restarted in a rolling restart.
     pub rolled: u64,
     /// Schedulers killed.
     pub killed: u64,
-    /// Schedulers asked to end.
+    /// Schedulers asked to shut down.
     pub termed: u64,
-    /// News that discovery held back while it was down.
+    /// Changes of the list that were withheld while discovery was down.
     pub list_held_back: u64,
-    /// Calls for the list that discovery handled, and those that waited too long for their turn.
+    /// Requests for the list that were served, and those that timed out in the queue.
     pub list_calls: u64,
     /// See `list_calls`.
     pub list_calls_failed: u64,
-    /// Moves of discovery.
+    /// Changes of the address of discovery.
     pub moved: u64,
-    /// Messages lost in a partition.
+    /// Messages lost in a network partition.
     pub cut: u64,
-    /// Messages lost at the border of a zone that is cut off.
+    /// Messages lost at the border of an isolated zone.
     pub zone_cut: u64,
-    /// Messages between schedulers lost while none hears another.
+    /// Messages between schedulers lost while all schedulers were isolated from each other.
     pub peers_cut: u64,
-    /// Jobs whose subject's data had to be fetched.
+    /// Jobs whose subject had to be fetched because it was not cached.
     pub fetched: u64,
-    /// Clients that read slowly.
+    /// Clients that read their response slowly.
     pub slow_readers: u64,
-    /// Attempts written to a connection that nobody reads.
+    /// Attempts sent on a stuck connection.
     pub stuck: u64,
-    /// Cold workers that fell over.
+    /// Cold workers that failed from overload.
     pub fell_over: u64,
-    /// Requests turned away.
+    /// Attempts that were rejected because the queue was full.
     pub full: u64,
-    /// Connections refused for want of room.
+    /// Connections refused because the worker had too many.
     pub connections_refused: u64,
     /// Connections opened.
     pub connections: u64,
     /// Probes.
     pub probes: u64,
-    /// Jobs that ran on after their attempt was given up.
+    /// Jobs that completed although their attempt had been cancelled.
     pub ran_on: u64,
-    /// Repeats that a cell knew again.
+    /// Repeated requests that were recognized by the workers.
     #[serde(rename = "known_again")]
     pub known_repeats: u64,
 }
 
 impl Counters {
-    /// The counter that a kind of fault moves.
+    /// Returns the counter of a kind of fault.
     pub fn of(&self, kind: FaultKind) -> u64 {
         match kind {
             FaultKind::Vanish => self.vanished,
@@ -272,18 +272,18 @@
     health: Health,
     started_at: Nanos,
     is_silent: bool,
-    /// It serves nothing: gone, or fallen over.
+    /// Whether its process is not running.
     is_down: bool,
     failure_share: f64,
-    /// Its process dies with the next request that it receives, and comes back then.
+    /// The process crashes when it receives the next request, and restarts at this time.
     crash_on_next_request: Option<Nanos>,
     error_rate: f64,
     connections: usize,
-    /// The subjects that it served last, the oldest first.
+    /// The cached subjects, least recently used first.
     cached_subjects: VecDeque<u64>,
     reports: VecDeque<(Nanos, WorkerLoad)>,
     ended: u64,
-    /// The time of its earliest entry in the queue of events.
+    /// The time of its earliest event in the queue, or 0.
     queued_for: Nanos,
 }
 
@@ -309,14 +309,14 @@
     SendWeights,
 }
 
-/// The world of a scenario.
+/// The simulated workers, discovery and faults of a scenario.
 #[derive(Debug)]
 pub struct World {
     /// The scenario.
     pub scenario: Scenario,
-    /// The invariant_checker.
+    /// The invariant checker.
     pub invariant_checker: InvariantChecker,
-    /// What the faults did.
+    /// Counts of events.
     pub counters: Counters,
     streams: RandomStreams,
     nodes: Vec<WorkerNode>,
@@ -326,34 +326,35 @@
     next_sequence: u64,
     host_actions: VecDeque<HostAction>,
     job_events: Vec<(Nanos, JobEvent)>,
-    /// The keys that each cell knows: request and when it was first received.
+    /// The requests that each group of workers deduplicates, with the time of the first attempt.
     cells: Vec<FxHashMap<u64, Nanos>>,
     rng: RandomStream,
     discovery_rng: RandomStream,
     report_rng: RandomStream,
     stuck_rng: RandomStream,
-    /// What each fault chose.
+    /// The workers, zones or schedulers that each fault affects.
     chosen: Vec<Vec<usize>>,
-    /// What is listed now, and what each scheduler has been told.
+    /// The current list, and the entries that each scheduler has received, with the time of the last change of
+    /// state.
     listed: Vec<WorkerEntry>,
     known_entries: Vec<BTreeMap<usize, (WorkerEntry, Nanos)>>,
     withheld_entries: Vec<Vec<WorkerEntry>>,
     seq: u64,
     discovery_outages: usize,
     peer_cuts: usize,
-    /// Discovery is busy with the calls of all schedulers until then.
+    /// Discovery serves requests for the list one after the other, and is busy until this time.
     list_busy_until: Nanos,
     extra_report_delay: Nanos,
     stuck: f64,
     cut: FxHashSet<(usize, usize)>,
-    /// Zones that are cut off from all others.
+    /// Zones that are isolated from all others.
     cut_zones: FxHashSet<usize>,
     cut_peers: FxHashSet<usize>,
 }
 
 impl World {
-    /// The world at the start of a scenario: all workers are warm and listed. `slack` is what the host adds to every
-    /// limit of the invariants, in nanoseconds.
+    /// Creates the world at the start of a scenario, with all workers warm and listed. `slack` is added to the time
+    /// limits of the invariant checker, in nanoseconds.
     pub fn new(scenario: Scenario, seed: u64, slack: Nanos) -> World {
         let streams = RandomStreams::new(seed);
         let (mut kinds, mut build) = (streams.stream("kinds"), streams.stream("workers"));
@@ -472,41 +473,42 @@
         self.queue.push(Reverse((at, self.next_sequence, event)));
     }
 
-    /// The streams of the scenario.
+    /// Returns the random streams of the scenario.
     pub fn streams(&self) -> RandomStreams {
         self.streams
     }
-    /// Work that the fleet does in a nanosecond when all are warm, in nanoseconds of a yardstick core.
+    /// Returns the work that the fleet does per nanosecond when all workers are warm, in nanoseconds of a reference
+    /// core.
     pub fn capacity(&self) -> f64 {
         let useful = |s: &Spec| s.cores.min(f64::from(s.slots)) * s.speed;
         self.nodes.iter().map(|s| useful(&s.worker.spec)).sum()
     }
-    /// Number of workers.
+    /// Returns the number of workers.
     pub fn workers(&self) -> usize {
         self.nodes.len()
     }
-    /// A worker's process.
+    /// Returns a worker's process.
     pub fn worker(&self, worker: usize) -> &Worker {
         &self.nodes[worker].worker
     }
-    /// The kind of a worker, by its place in the scenario.
+    /// Returns the index of a worker's kind of machine.
     pub fn kind(&self, worker: usize) -> usize {
         self.nodes[worker].kind
     }
-    /// The cell of a worker.
+    /// Returns the cell of a worker.
     pub fn cell(&self, worker: usize) -> usize {
         self.nodes[worker].cell
     }
-    /// The platform's name of a worker.
+    /// Returns the name of a worker in the list.
     pub fn worker_name(worker: usize) -> String {
         format!("s-{:08x}", worker + 1)
     }
-    /// What a scheduler has been told of the list, and the version.
+    /// Returns the version of the list and the entries that a scheduler has received.
     pub fn known_list(&self, scheduler: usize) -> (u64, Vec<WorkerEntry>) {
         (self.seq, self.known_entries[scheduler].values().map(|(e, _)| e.clone()).collect())
     }
-    /// A scheduler's call for the list has reached discovery, which handles one after the other: when it is done, or when
-    /// it fails because its turn would come too extra_report_delay.
+    /// Handles a scheduler's request for the list, and returns when it is served, or as an error when it times out
+    /// in the queue.
     pub fn request_list(&mut self, at: Nanos) -> Result<Nanos, Nanos> {
         let (call, wait) = (ms(self.scenario.discovery.call_ms), ms(self.scenario.discovery.wait_ms));
         let begins = at.max(self.list_busy_until);
@@ -518,33 +520,34 @@
         self.list_busy_until = begins + call;
         Ok(self.list_busy_until)
     }
-    /// Whether discovery answers.
+    /// Returns whether discovery responds.
     pub fn discovery_up(&self) -> bool {
         self.discovery_outages == 0
     }
-    /// Whether words get through between a scheduler and a worker.
+    /// Returns whether messages pass between a scheduler and a worker, and counts those that don't.
     pub fn reachable(&mut self, scheduler: usize, worker: usize) -> bool {
         let cut = self.cut.contains(&(scheduler, worker));
         self.counters.cut += u64::from(cut);
         !cut && self.zones_meet(scheduler, worker) && !self.nodes[worker].is_silent
     }
-    /// Whether messages get through between the zones of two machines, by their numbers.
+    /// Returns whether messages pass between the zones of two machines.
     fn zones_meet(&mut self, a: usize, b: usize) -> bool {
         let (a, b) = (self.zone(a), self.zone(b));
         let cut = a != b && (self.cut_zones.contains(&a) || self.cut_zones.contains(&b));
         self.counters.zone_cut += u64::from(cut);
         !cut
     }
-    /// The zone of a worker or a scheduler by its number.
+    /// Returns the zone of a worker or a scheduler.
     pub fn zone(&self, machine: usize) -> usize {
         machine % self.scenario.fleet.zones.max(1)
     }
-    /// The workers that drop repeats of a class's requests beside one: the number of its cell, or of its zone.
+    /// Returns the group of workers that deduplicate a class's requests together with a worker: its cell or its
+    /// zone.
     fn group(&self, class: usize, w: usize) -> usize {
         let by_zone = |c: &crate::scenario::Class| c.effect == crate::scenario::Effect::KeyedByZone;
         if self.scenario.classes.get(class).is_some_and(by_zone) { self.zone(w) } else { self.nodes[w].cell }
     }
-    /// Whether words get through between two schedulers.
+    /// Returns whether messages pass between two schedulers, and counts those that don't.
     pub fn peers_reachable(&mut self, a: usize, b: usize) -> bool {
         if self.peer_cuts > 0 {
             self.counters.peers_cut += 1;
@@ -554,18 +557,18 @@
         self.counters.cut += u64::from(cut);
         !cut && self.zones_meet(a, b)
     }
-    /// Whether a worker's machine answers nothing.
+    /// Returns whether a worker does not respond.
     pub fn is_silent(&self, worker: usize) -> bool {
         self.nodes[worker].is_silent
     }
-    /// Whether a worker's process is not there.
+    /// Returns whether a worker's process is not running.
     pub fn is_down(&self, worker: usize) -> bool {
         self.nodes[worker].is_down
     }
 
-    // ---- time
+    // ---- events
 
-    /// The next moment at which something happens of itself.
+    /// Returns the time of the next event; 0 if an action is pending.
     pub fn next_event_time(&self) -> Option<Nanos> {
         if !self.host_actions.is_empty() {
             return Some(0);
@@ -573,7 +576,7 @@
         self.queue.peek().map(|Reverse((at, _, _))| *at)
     }
 
-    /// Takes the next action that is due by now; none once all is done up to now.
+    /// Processes the events up to `now` and returns the next action, or `None` if there are no more.
     pub fn next_action(&mut self, now: Nanos) -> Option<HostAction> {
         loop {
             if let Some(action) = self.host_actions.pop_front() {
@@ -608,7 +611,7 @@
         }
     }
 
-    /// Brings a worker up to now and passes on what it says.
+    /// Advances a worker to `now` and reports its events.
     fn advance_worker(&mut self, now: Nanos, w: usize) {
         let mut job_events = std::mem::take(&mut self.job_events);
         self.nodes[w].worker.advance(now, &mut job_events);
@@ -662,14 +665,14 @@
         }
     }
 
-    /// The result that a worker makes for a job.
+    /// Returns the result that a worker produces for a job.
     pub fn result(worker: usize, job: u64) -> String {
         format!("made by {} as job {job}", World::worker_name(worker))
     }
 
-    // ---- what reaches a worker
+    // ---- calls from the host
 
-    /// A scheduler opens a connection to a worker.
+    /// Opens a connection from a scheduler to a worker.
     pub fn connect(&mut self, now: Nanos, scheduler: usize, w: usize) -> ConnectResult {
         if !self.reachable(scheduler, w) {
             return ConnectResult::NoResponse;
@@ -687,7 +690,7 @@
         ConnectResult::Connected
     }
 
-    /// A connection to a worker is closed.
+    /// Closes a connection to a worker.
     pub fn disconnect(&mut self, w: usize) {
         let node = &mut self.nodes[w];
         node.connections = node.connections.saturating_sub(1);
@@ -699,7 +702,7 @@
         self.schedule_worker(w);
     }
 
-    /// A probe reaches a worker; its load, if it answers.
+    /// Delivers a probe to a worker and returns the reported load, if the worker responds.
     pub fn probe(&mut self, now: Nanos, scheduler: usize, w: usize) -> Option<WorkerLoad> {
         if !self.reachable(scheduler, w) || self.nodes[w].is_down {
             return None;
@@ -709,7 +712,7 @@
         Some(self.load(now, w).unwrap_or_default())
     }
 
-    /// An attempt reaches a worker in full.
+    /// Delivers an attempt to a worker.
     pub fn receive_attempt(&mut self, now: Nanos, w: usize, attempt: &Attempt) -> AttemptReply {
         if !self.reachable(attempt.scheduler, w) {
             return AttemptReply::NoResponse;
@@ -725,7 +728,7 @@
         self.last_job += 1;
         let (job, request) = (self.last_job, attempt.request);
         let told = self.known_entries[attempt.scheduler].get(&w);
-        // One that has never been named, or has been taken off, counts as told of its going.
+        // A scheduler that has no entry for the worker has not been informed of a drain.
         let drained = told.filter(|(e, _)| e.health != Health::Active).map(|(_, at)| *at);
         let informed = told.is_some_and(|(e, _)| e.started_at == self.nodes[w].started_at);
         let cell = self.group(attempt.class, w);
@@ -739,8 +742,8 @@
         }
         let is_repeat = self.is_repeat(now, attempt, cell);
         let node = &mut self.nodes[w];
-        // A cold worker is judged by the mean work of what it is sent: nobody is told what a job really costs, and a
-        // rule that a single job of ten times its mean can break is none that a scheduler could keep.
+        // The overload limit counts the mean work of the class, since schedulers don't know the work of a single
+        // job.
         let mean = self.scenario.classes.get(attempt.class).map_or(attempt.work, |c| c.work_ms * 1e6);
         let load = mean * f64::from(attempt.slots);
         if let Some(overload) = node.worker.record_received_work(now, load, informed) {
@@ -760,7 +763,7 @@
         let node = &mut self.nodes[w];
         let priority = self.scenario.classes.get(attempt.class).map_or(0, |c| c.priority);
         let slots = attempt.slots.min(node.worker.spec.slots);
-        // A repeat that its cell knows again costs little: the first run's result is handed accepted.
+        // A repeat that is recognized returns the stored result.
         let mut work = if is_repeat { 1e6 } else { attempt.work };
         if let (Some(keeps), Some(subject), false) = (self.scenario.fleet.keeps, attempt.subject, is_repeat) {
             let at = node.cached_subjects.iter().position(|s| *s == subject);
@@ -807,7 +810,7 @@
         again
     }
 
-    /// A scheduler gives up a request at a worker.
+    /// Cancels all jobs of a request at a worker.
     pub fn cancel_request(&mut self, now: Nanos, w: usize, request: u64) {
         let mut jobs: Vec<u64> = self
             .jobs
@@ -819,7 +822,7 @@
         jobs.into_iter().for_each(|job| self.cancel_job(now, job));
     }
 
-    /// A scheduler gives a job up.
+    /// Cancels a job.
     pub fn cancel_job(&mut self, now: Nanos, job: u64) {
         let Some(accepted) = self.jobs.get(&job) else { return };
         let (w, request, scheduler) = (accepted.worker, accepted.request, accepted.scheduler);
@@ -839,8 +842,8 @@
         self.advance_worker(now, w);
     }
 
-    /// A scheduler has ended: nobody waits for its jobs any more. They run on, and their words reach whatever runs
-    /// under its name next.
+    /// Ends the attempts of a scheduler whose process has ended. Their jobs keep running, and their reports go to
+    /// the next process of that scheduler.
     pub fn abandon_jobs(&mut self, now: Nanos, scheduler: usize) {
         let mut jobs: Vec<u64> =
             self.jobs.iter().filter(|(_, o)| o.scheduler == scheduler).map(|(j, _)| *j).collect();
@@ -852,7 +855,7 @@
         }
     }
 
-    // ---- reports
+    // ---- load reports
 
     fn measure_load(&mut self, at: Nanos, w: usize) {
         let period = ms(self.scenario.reports.period_ms);
@@ -874,12 +877,12 @@
         self.push(at + period.max(1), ScheduledEvent::MeasureLoad(w));
     }
 
-    /// The load that a worker reports now with the end of an attempt.
+    /// Returns the load that a worker reports with the end of an attempt.
     pub fn report(&mut self, now: Nanos, w: usize) -> Option<WorkerLoad> {
         if self.scenario.reports.by_probe { None } else { self.load(now, w) }
     }
 
-    /// The load that a worker knows of itself now, as extra_report_delay as it tells it.
+    /// Returns the most recent measurement that is old enough to be reported.
     fn load(&mut self, now: Nanos, w: usize) -> Option<WorkerLoad> {
         if !self.scenario.reports.on {
             return None;
@@ -889,9 +892,9 @@
         self.nodes[w].reports.iter().rev().find(|(at, _)| *at <= until).map(|(_, r)| *r)
     }
 
-    // ---- the list
+    // ---- worker list
 
-    /// A worker's state has changed; the list notices later.
+    /// Schedules the update of a worker's list entry.
     fn schedule_notice(&mut self, at: Nanos, w: usize, after: Option<Nanos>) {
         let notice =
             after.unwrap_or_else(|| ms(self.discovery_rng.uniform(self.scenario.discovery.notice_ms)));
@@ -927,7 +930,7 @@
         self.seq += 1;
         for e in &entries {
             let since = match self.known_entries[s].get(&e.worker) {
-                // It is told once; hearing it again does not begin the grace anew.
+                // A repeated entry does not extend the grace period.
                 Some((old, since)) if old.health == e.health && old.started_at == e.started_at => *since,
                 _ => at,
             };
@@ -948,7 +951,7 @@
         let live: Vec<WorkerEntry> =
             self.listed.iter().filter(|e| e.health == Health::Active).cloned().collect();
         for s in 0..self.known_entries.len() {
-            // Only the weight is news: what each was told of states stays as it was told.
+            // Only weights are updated; an entry whose change of state is still on its way is left out.
             let known = |e: &&WorkerEntry| {
                 self.known_entries[s]
                     .get(&e.worker)
@@ -1051,7 +1054,7 @@
                 self.stuck = t.part;
                 self.push(end, ScheduledEvent::EndFault(i));
             }
-            // The arrivals know of these.
+            // These faults affect the clients; see `Arrivals`.
             FaultKind::Burst | FaultKind::HeavyTail | FaultKind::SlowReader => {}
         }
     }
@@ -1146,7 +1149,7 @@
         self.push(at + MAX_DRAIN_TIME, ScheduledEvent::StopDraining(w));
     }
 
-    /// A draining worker's process ends; what still runs there is lost.
+    /// Ends the process of a draining worker; its remaining jobs are lost.
     fn stop_draining_worker(&mut self, at: Nanos, w: usize) {
         if self.nodes[w].health == Health::Leaving && !self.nodes[w].is_down {
             self.advance_worker(at, w);
@@ -1155,7 +1158,7 @@
         }
     }
 
-    /// A process ends, and its machine says so.
+    /// Ends a worker's process and resets its connections.
     fn stop_worker(&mut self, at: Nanos, w: usize) {
         self.nodes[w].is_down = true;
         self.drop_jobs(at, w, true);
@@ -1183,7 +1186,7 @@
         self.nodes[w].connections = 0;
     }
 
-    /// A worker's process starts anew, cold and empty.
+    /// Starts a new, cold process of a worker.
     fn restart_worker(&mut self, at: Nanos, w: usize) {
         let node = &mut self.nodes[w];
         if !node.is_silent && !node.is_down {
