--- a/crates/simulation/src/clients.rs
+++ b/crates/simulation/src/clients.rs
@@ -1,42 +1,42 @@
-//! Clients: when requests arrive and what they are, and what a client does with an answer.
+//! Clients: the arrival of requests, their properties, and retries.
 
 use crate::scenario::{Backoff, Effect, FaultKind, Scenario, Shape};
 use crate::seed::{RandomStream, RandomStreams};
 use loomlb_policy::Nanos;
 
-/// The part of the fleet's capacity that is shared out to tenants.
+/// Fraction of the fleet's capacity that is divided among the tenants.
 const TENANT_CAPACITY_SHARE: f64 = 0.8;
-/// Seconds of its rate that a tenant may use at once.
+/// Depth of a tenant's token bucket, in seconds of its rate.
 const QUOTA_BURST_S: f64 = 5.0;
 
-/// One request, as its client thinks of it; its tries carry ids of their own.
+/// A request of a client; each of its tries has an id of its own.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Request {
-    /// Its number, from 1.
+    /// The number, from 1.
     pub number: u64,
-    /// When its first try leaves the client.
+    /// When the client sends the first try.
     pub at: Nanos,
-    /// Its class.
+    /// Index of the class.
     pub class: usize,
-    /// Its tenant.
+    /// Index of the tenant.
     pub tenant: Option<usize>,
-    /// What it is about, where it is about anything.
+    /// The subject of the job, if it has one.
     pub subject: Option<u64>,
-    /// Slots that its job takes.
+    /// Slots that the job takes.
     pub slots: u32,
-    /// Work of its job, in nanoseconds of a yardstick core.
+    /// Work of the job, in nanoseconds of a reference core.
     pub work: f64,
-    /// What its client guesses of its work, in nanoseconds of a yardstick core.
+    /// The client's hint of the work, in nanoseconds of a reference core.
     pub hint: Option<u64>,
-    /// Its client leaves after this time, in nanoseconds.
+    /// Time after which the client stops waiting, in nanoseconds.
     pub client_timeout: Nanos,
-    /// Its client reads answers slowly: so many nanoseconds pass before the last byte is there.
+    /// Time that the client takes to read a response, in nanoseconds.
     pub read_delay: Nanos,
-    /// Within its tenant's share, as far as the rate goes.
+    /// Whether the request is within the rate of its tenant.
     pub in_share: bool,
 }
 
-/// The stream of requests of a scenario, in the order of time.
+/// Generates the requests of a scenario in the order of time.
 #[derive(Debug)]
 pub struct Arrivals {
     arrival_times: RandomStream,
@@ -45,25 +45,25 @@
     subject: RandomStream,
     behavior: RandomStream,
     hints: RandomStream,
-    /// What falls on the subjects up to each, as a part of all; empty where they are all alike.
+    /// Cumulative probabilities of the subjects; empty for a uniform distribution.
     cumulative_popularity: Vec<f64>,
     rate: f64,
     at: f64,
     number: u64,
     end: f64,
     tenant_rate: Vec<f64>,
-    /// Each tenant's bucket: what is in it, and as of arrival_times.
+    /// The token bucket of each tenant: level, and time of its last update.
     buckets: Vec<(f64, f64)>,
-    /// Requests that came within a burst, cost more than usual, or have a slow reader.
+    /// Requests during a burst, with increased work, and with a slow reader.
     pub burst_requests: u64,
-    /// See `burst`.
+    /// See `burst_requests`.
     pub heavy_requests: u64,
-    /// See `burst`.
+    /// See `burst_requests`.
     pub slow_readers: u64,
 }
 
 impl Arrivals {
-    /// The arrivals of a scenario whose fleet can do `capacity` nanoseconds of work in a nanosecond.
+    /// Creates the arrivals of a scenario whose fleet does `capacity` nanoseconds of work per nanosecond.
     pub fn new(scenario: &Scenario, streams: &RandomStreams, capacity: f64) -> Self {
         let rate = scenario.load.rate_per_s.unwrap_or_else(|| {
             let shares: f64 = scenario.classes.iter().map(|c| c.share).sum();
@@ -75,7 +75,8 @@
             scenario.load.part.unwrap_or(0.6) * capacity / work.max(1e-9)
         });
         let shares: f64 = scenario.tenants.iter().map(|t| t.share).sum();
-        // Shares are of what the fleet can do, with some room kept; without a word on it 70 % is taken to be in use.
+        // Tenants' rates are shares of the fleet's capacity. Without a configured load, 70 % of it is assumed to be
+        // in use.
         let tenant_rate_total = rate / scenario.load.part.unwrap_or(0.7).max(0.1) * TENANT_CAPACITY_SHARE;
         Arrivals {
             arrival_times: streams.stream("arrivals"),
@@ -101,17 +102,17 @@
         }
     }
 
-    /// Requests a second, on average.
+    /// Returns the mean rate of requests per second.
     pub fn rate(&self) -> f64 {
         self.rate
     }
 
-    /// Requests a second of each tenant that are within its share.
+    /// Returns the rate of each tenant in requests per second.
     pub fn tenant_rates(&self) -> &[f64] {
         &self.tenant_rate
     }
 
-    /// The rate at a moment, whether a burst is on, and the tenants' parts of it.
+    /// Returns the rate at a time, whether there is a burst, and the weights of the tenants.
     fn rate_at(&self, scenario: &Scenario, at: f64) -> (f64, bool, Vec<f64>) {
         let load_factor = match scenario.load.shape {
             Shape::Steady => 1.0,
@@ -136,7 +137,7 @@
         (self.rate * factor * tenant_factor, burst_active, weights)
     }
 
-    /// Whether a tenant is within its share: a bucket that its rate fills, some seconds deep.
+    /// Takes a token from the bucket of a tenant, and returns whether there was one.
     fn in_share(&mut self, tenant: usize) -> bool {
         let (rate, now) = (self.tenant_rate[tenant], self.at);
         let (level, at) = &mut self.buckets[tenant];
@@ -155,7 +156,7 @@
         self.cumulative_popularity.partition_point(|p| *p < at).min(subjects - 1) as u64
     }
 
-    /// The next request; none once the scenario's time is over.
+    /// Returns the next request, or `None` after the end of the scenario.
     pub fn next(&mut self, scenario: &Scenario) -> Option<Request> {
         let (rate, _, _) = self.rate_at(scenario, self.at);
         self.at += self.arrival_times.exponential() / rate.max(1e-9);
@@ -215,7 +216,7 @@
     }
 }
 
-/// What falls on a scenario's subjects up to each by Zipf's law, as a part of all.
+/// Returns the cumulative probabilities of the subjects, which follow Zipf's law.
 fn cumulative_popularity(scenario: &Scenario) -> Vec<f64> {
     if scenario.load.skew == 0.0 {
         return Vec::new();
@@ -231,26 +232,26 @@
     sums.into_iter().map(|s| s / all).collect()
 }
 
-/// Cores that a job of a class keeps busy on average: a job of several slots keeps several of them.
+/// Returns the mean number of cores that a job of a class uses.
 fn mean_cores(slots: &[f64]) -> f64 {
     let sum: f64 = slots.iter().sum();
     slots.iter().enumerate().map(|(i, s)| s / sum * f64::from(1 << i)).sum()
 }
 
-/// How a try ended, as its client sees it.
+/// The outcome of a try, as seen by its client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
     /// Served.
     Served,
-    /// Refused, with the time after which to come back; 0 for no word.
+    /// Refused, with the value of `Retry-After`; 0 if there was none.
     Refused(Nanos),
-    /// Failed, or no answer in time.
+    /// Failed, or timed out.
     Failed,
-    /// No scheduler could be reached, or it went away.
+    /// No scheduler could be reached, or the connection was closed.
     Unreachable,
 }
 
-/// Whether and when a client tries again after its try number `tries` (from 1): in nanoseconds from now.
+/// Returns the delay in nanoseconds before the next try, if the client retries after try number `tries` (from 1).
 pub fn retry_delay(
     scenario: &Scenario,
     rng: &mut RandomStream,
--- a/crates/simulation/src/figures.rs
+++ b/crates/simulation/src/figures.rs
@@ -1,4 +1,4 @@
-//! The figures of a scenario: what became of the requests, as their clients saw it.
+//! Statistics of a scenario: the outcomes of requests as seen by their clients.
 
 use crate::clients::Request;
 use crate::scenario::Scenario;
@@ -6,25 +6,25 @@
 use loomlb_policy::Nanos;
 use serde::Serialize;
 
-/// Seconds of the window whose worst is told.
+/// Length of the window for [`Figures::worst_window`], in seconds.
 const WORST_WINDOW_S: usize = 10;
 
-/// The end of a request, after all its tries.
+/// The outcome of a request after all its tries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestOutcome {
     /// Served.
     Served,
-    /// Refused.
+    /// Refused by the scheduler.
     Refused,
     /// Failed.
     Failed,
     /// No scheduler could be reached.
     Unreachable,
-    /// Its client left early.
+    /// The client left before its deadline.
     ClientLeft,
 }
 
-/// Collects figures while a scenario runs.
+/// Collects the outcomes of requests.
 #[derive(Debug)]
 pub struct Collector {
     requests: u64,
@@ -36,51 +36,52 @@
     left: u64,
     tries: u64,
     latency: Histogram<u64>,
-    /// Worth asked for and earned, by class, by tenant and by second of the first try.
+    /// Offered and earned worth by class, by tenant and by second of the first try.
     classes: Vec<[f64; 2]>,
     tenants: Vec<[f64; 2]>,
     seconds: Vec<[f64; 2]>,
-    /// Work asked for and served by tenant, by the second in which it ended.
+    /// Offered and served work of each tenant by second.
     work: Vec<Vec<[f64; 2]>>,
 }
 
-/// The figures of a scenario.
+/// Statistics of a scenario.
 #[derive(Clone, Debug, Serialize)]
 pub struct Figures {
-    /// Requests that clients made, retries not counted.
+    /// Requests of clients, without retries.
     pub requests: u64,
-    /// Tries, retries included.
+    /// Tries, including retries.
     pub tries: u64,
-    /// Requests served in the end.
+    /// Requests that were served.
     pub served: u64,
-    /// Requests served within the wanted time.
+    /// Requests that were served within the latency objective.
     pub in_time: u64,
-    /// Requests refused in the end.
+    /// Requests whose last try was refused.
     pub refused: u64,
-    /// Requests failed in the end.
+    /// Requests whose last try failed.
     pub failed: u64,
-    /// Requests whose client reached no scheduler.
+    /// Requests whose last try reached no scheduler.
     pub unreachable: u64,
-    /// Requests whose client left early.
+    /// Requests whose client left before its deadline.
     pub left: u64,
-    /// Worth answered in time over worth asked for, from 0 to 1.
+    /// Worth earned within the latency objectives, as a fraction of the offered worth.
     pub service: f64,
-    /// The same in the worst 10 s.
+    /// The lowest value of `service` over 10 s.
     pub worst_window: f64,
-    /// The same by class, in the scenario's order.
+    /// `service` by class.
     pub classes: Vec<f64>,
-    /// The same by tenant.
+    /// `service` by tenant.
     pub tenants: Vec<f64>,
-    /// Work of each tenant by second, in slot seconds: asked for in it, and served by its end.
+    /// Work of each tenant by second, in slot seconds: offered by requests made in that second, and served by
+    /// requests that ended in it.
     pub tenant_work: Vec<Vec<[f64; 2]>>,
-    /// Time from the first try to the answer of served requests, in milliseconds.
+    /// Time from the first try to the response of served requests, in milliseconds.
     pub p50_ms: f64,
     /// See `p50_ms`.
     pub p99_ms: f64,
 }
 
 impl Collector {
-    /// For a scenario.
+    /// Creates an empty collector.
     pub fn new(scenario: &Scenario) -> Self {
         Collector {
             requests: 0,
@@ -100,7 +101,7 @@
         }
     }
 
-    /// A request has ended at `at`, after so many tries.
+    /// Records the outcome of a request that ended at `at`, after `tries` tries.
     pub fn record(
         &mut self,
         scenario: &Scenario,
@@ -148,7 +149,7 @@
         }
     }
 
-    /// The figures so far.
+    /// Returns the statistics of the requests recorded so far.
     pub fn figures(&self) -> Figures {
         let part = |s: &[f64; 2]| if s[0] > 0.0 { s[1] / s[0] } else { 1.0 };
         let sum = |all: &[[f64; 2]]| all.iter().fold([0.0; 2], |a, s| [a[0] + s[0], a[1] + s[1]]);
--- a/crates/simulation/src/invariants.rs
+++ b/crates/simulation/src/invariants.rs
@@ -15,11 +15,12 @@
 const MAX_RECORDED_VIOLATIONS: usize = 16;
 /// Ended requests that are kept, so that a second response is reported with the history of the request.
 const MAX_ENDED_REQUESTS: usize = 8192;
-/// An attempt that is sent later than this after its client left counts as sent for nobody.
+/// Time after a client has left within which attempts for its request may still be sent.
 const CLIENT_LEFT_GRACE: Nanos = 100_000_000;
+/// Later attempts in a scenario that are not yet reported as violations.
 const MAX_SENDS_AFTER_CLIENT_LEFT: u64 = 2;
-/// A request without attempts whose client has left must not be sent later than this. The scenario fails if that
-/// happens to more than a quarter of these requests.
+/// Time after a client has left within which the first attempt for its request may still be sent. The scenario fails
+/// if more than a quarter of the requests that were left before their first attempt are sent later.
 const WAITING_SEND_GRACE: Nanos = 300_000_000;
 
 /// An invariant of the platform.
--- a/crates/simulation/src/lib.rs
+++ b/crates/simulation/src/lib.rs
@@ -1,9 +1,10 @@
-//! The platform as a model: workers, discovery, network, clients and faults, without input or output.
+//! A model of the platform: workers, discovery, network, clients and faults, without input or output.
 //!
-//! A [`scenario::Scenario`] says what is played, a [`world::World`] plays the workers' side of it, [`clients`] make the
-//! requests, and the [`invariants::InvariantChecker`] watches what must never go wrong. Two hosts drive them: [`simulate`] in
-//! virtual time, with any number of schedulers in one process, and the emulator on loopback sockets. Times are
-//! nanoseconds from the start of the scenario. All random numbers come from named streams of one seed ([`seed`]).
+//! A [`scenario::Scenario`] is the input of a run. A [`world::World`] models the workers and the worker list,
+//! [`clients`] generate the requests, and an [`invariants::InvariantChecker`] checks what happens. They are driven
+//! by one of two hosts: [`simulate`] in virtual time, with any number of schedulers in one process, or the emulator
+//! on loopback sockets. Times are nanoseconds from the start of the scenario. All random numbers come from named
+//! streams of one seed ([`seed`]).
 #![forbid(unsafe_code)]
 
 pub mod clients;
--- a/crates/simulation/src/seed.rs
+++ b/crates/simulation/src/seed.rs
@@ -1,28 +1,27 @@
-//! Random numbers from named streams of one seed.
+//! Independent streams of random numbers from one seed.
 //!
-//! Every use draws from a stream of its own name, so that a draw added to one leaves all others as they were: two
-//! versions of the model play the same arrivals, though one of them draws more delays.
+//! Each use draws from a stream of its own name, so that additional draws from one stream don't change the others.
 
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use rand_distr::{Distribution, Exp1, LogNormal, StandardNormal};
 
-/// The source of all streams of a scenario.
+/// The random streams of a scenario.
 #[derive(Clone, Copy, Debug)]
 pub struct RandomStreams(u64);
 
 impl RandomStreams {
-    /// The streams of a seed.
+    /// Creates the streams of a seed.
     pub fn new(seed: u64) -> Self {
         RandomStreams(seed)
     }
 
-    /// The stream of this name; two of one name are equal.
+    /// Returns the stream of a name, at its start.
     pub fn stream(&self, name: &str) -> RandomStream {
         self.numbered_stream(name, 0)
     }
 
-    /// One of a family of streams, by its number.
+    /// Returns a stream of a family of streams of the same name.
     pub fn numbered_stream(&self, name: &str, number: u64) -> RandomStream {
         let mut hasher = blake3::Hasher::new_derive_key("loomlb-model 2026 stream of a day");
         hasher.update(&self.0.to_le_bytes()).update(&number.to_le_bytes()).update(name.as_bytes());
@@ -30,44 +29,44 @@
     }
 }
 
-/// One stream of random numbers.
+/// A stream of random numbers.
 #[derive(Clone, Debug)]
 pub struct RandomStream(ChaCha8Rng);
 
 impl RandomStream {
-    /// Any number of 64 bits.
+    /// Returns a random number of 64 bits.
     pub fn next_u64(&mut self) -> u64 {
         self.0.random()
     }
-    /// Evenly from 0 (with it) to 1 (without it).
+    /// Returns a number from a uniform distribution over `[0, 1)`.
     pub fn next_unit(&mut self) -> f64 {
         self.0.random()
     }
-    /// True with this probability; bounds outside 0 to 1 are cut.
+    /// Returns true with the given probability, which is clamped to 0 to 1.
     pub fn chance(&mut self, probability: f64) -> bool {
         self.next_unit() < probability
     }
-    /// Evenly within a range; its lower bound where it is empty.
+    /// Returns a number from a uniform distribution over a range, or its lower bound if the range is empty.
     pub fn uniform(&mut self, [low, high]: [f64; 2]) -> f64 {
         if high > low { low + (high - low) * self.next_unit() } else { low }
     }
-    /// A place below `n`; 0 where there is none.
+    /// Returns an index below `n`; 0 if `n` is 0.
     pub fn index_below(&mut self, n: usize) -> usize {
         if n == 0 { 0 } else { self.0.random_range(0..n) }
     }
-    /// Exponential with mean 1.
+    /// Returns a number from the exponential distribution with mean 1.
     pub fn exponential(&mut self) -> f64 {
         Exp1.sample(&mut self.0)
     }
-    /// Normal with mean 0 and variance 1.
+    /// Returns a number from the normal distribution with mean 0 and variance 1.
     pub fn normal(&mut self) -> f64 {
         StandardNormal.sample(&mut self.0)
     }
-    /// Log-normal with mean 1 and this coefficient of variation.
+    /// Returns a number from the log-normal distribution with mean 1 and this coefficient of variation.
     pub fn log_normal(&mut self, cv: f64) -> f64 {
         LogNormal::from_mean_cv(1.0, cv.max(0.0)).map_or(1.0, |d| d.sample(&mut self.0))
     }
-    /// A place in a list of weights, by weight; 0 where they come to nothing.
+    /// Returns an index with a probability proportional to its weight; 0 if all weights are 0.
     pub fn weighted_index(&mut self, weights: &[f64]) -> usize {
         let mut remaining = self.next_unit() * weights.iter().sum::<f64>();
         for (i, weight) in weights.iter().enumerate() {
@@ -78,7 +77,8 @@
         }
         0
     }
-    /// So many different places below `n`, in rising order.
+    /// Returns a random sample of the indices below `n`, of the given share, in ascending order. It has at least one
+    /// index if the share and `n` are above 0.
     pub fn sample_indices(&mut self, share: f64, n: usize) -> Vec<usize> {
         let count = ((share * n as f64).round() as usize).clamp(usize::from(share > 0.0 && n > 0), n);
         let mut indices: Vec<usize> = (0..n).collect();
--- a/crates/simulation/src/settings.rs
+++ b/crates/simulation/src/settings.rs
@@ -1,4 +1,5 @@
-//! What a scheduler is told at its start, in the platform's words, and the list's entries.
+//! The settings of a scheduler and the entries of the worker list, for the decision module and in the formats of the
+//! platform.
 
 use crate::scenario::{Effect, Mode, Queue, Scenario};
 use crate::world::{Health, WorkerEntry, World};
@@ -6,7 +7,7 @@
 use loomlb_policy::{CellId, Settings, Worker, WorkerId, WorkerState};
 use serde_json::{Value, json};
 
-/// The name of a zone: the one of a fleet in one place, or one of several by its number.
+/// Returns the name of a zone.
 pub fn zone_name(scenario: &Scenario, number: usize) -> String {
     if scenario.fleet.zones <= 1 { "here".into() } else { format!("here-{}", number % scenario.fleet.zones) }
 }
@@ -15,7 +16,8 @@
     (ms * 1e6) as u64
 }
 
-/// The settings of one scheduler of a scenario, as the platform words them. `tenant_rates` are requests a second.
+/// Returns the settings of a scheduler as JSON, in the format of the platform. `tenant_rates` are in requests per
+/// second.
 pub fn raw_settings(scenario: &Scenario, scheduler: usize, tenant_rates: &[f64]) -> Value {
     let classes: Vec<Value> = scenario
         .classes
@@ -82,19 +84,19 @@
     })
 }
 
-/// The same as the decision module takes it.
+/// Returns the settings of a scheduler for the decision module.
 pub fn dispatcher_settings(
     scenario: &Scenario,
     scheduler: usize,
     tenant_rates: &[f64],
 ) -> (Settings, SettingNames) {
-    // The words are made above, so a key that does not fit is a fault of this file; a test reads them all.
+    // The JSON is generated above, and a test checks that it can be read.
     serde_json::from_value::<RawSettings>(raw_settings(scenario, scheduler, tenant_rates))
         .unwrap_or_default()
         .to_settings()
 }
 
-/// An entry of the list as the decision module takes it.
+/// Converts a list entry for the decision module.
 pub fn listed_worker(world: &World, names: &SettingNames, entry: &WorkerEntry) -> Worker {
     let state = match entry.health {
         Health::Active => WorkerState::Ready,
@@ -116,7 +118,8 @@
     )
 }
 
-/// An entry of the list in discovery's form. `epoch_ms` is the Unix time of the scenario's start, in milliseconds.
+/// Returns a list entry in the JSON format of discovery. `epoch_ms` is the Unix time of the scenario's start in
+/// milliseconds.
 pub fn discovery_entry(world: &World, entry: &WorkerEntry, dial: &str, epoch_ms: u64) -> Value {
     let health = match entry.health {
         Health::Active => "active",
--- a/crates/simulation/src/worker.rs
+++ b/crates/simulation/src/worker.rs
@@ -1,87 +1,87 @@
-//! One worker: cores, slots, a bounded queue, capacity_share and pauses, as a machine that is told the time.
+//! A worker: cores, slots, a bounded queue, warm-up and pauses.
 //!
-//! A job takes its slots for as long as it runs. Jobs that run share the cores evenly, so one rate holds for all of
-//! them; it changes only at moments the machine knows, and between two of them the service is a product.
+//! A job takes its slots while it runs. Running jobs share the cores evenly, so all of them run at the same rate.
+//! The rate is constant between two events, so the work done between them is the rate times the elapsed time.
 
 use loomlb_policy::{Nanos, QueueOrder};
 use std::collections::VecDeque;
 
-/// How often the rate of a cold or overfull worker is brought up to date.
+/// Time between updates of the rate of a worker whose capacity is changing.
 const RATE_UPDATE_INTERVAL: Nanos = 100_000_000;
-/// Work of less than this (in nanoseconds at speed 1) counts as done.
+/// Remaining work below which a job counts as done, in nanoseconds of a reference core.
 const WORK_TOLERANCE: f64 = 2.0;
 
-/// What a worker is made of.
+/// The properties of a worker.
 #[derive(Clone, Debug)]
 pub struct Spec {
     /// Cores.
     pub cores: f64,
-    /// Slots; more of them than cores share the cores.
+    /// Slots; if there are more slots than cores, running jobs share the cores.
     pub slots: u32,
-    /// Jobs that may wait.
+    /// Jobs that may be queued.
     pub queue: usize,
-    /// Speed of a core; a yardstick core has 1.
+    /// Speed of a core, relative to a reference core.
     pub speed: f64,
-    /// How it serves its queue.
+    /// The order in which the queue is served.
     pub order: QueueOrder,
-    /// Efficiency lost for each request a core held beyond `thrash_at`.
+    /// Efficiency lost per request per core beyond `thrash_at`.
     pub thrash: f64,
-    /// Requests a core from which efficiency falls.
+    /// Requests per core above which efficiency falls.
     pub thrash_at: f64,
-    /// The part of its capacity that it starts with.
+    /// Fraction of its capacity that it has when it starts.
     pub initial_capacity_share: f64,
-    /// How long it takes to warm up, in nanoseconds.
+    /// Time until it has its full capacity, in nanoseconds.
     pub warm_up_time: Nanos,
-    /// Time between notes of progress, in nanoseconds; 0 for none.
+    /// Time between progress reports of a job, in nanoseconds; 0 for none.
     pub progress_interval: Nanos,
-    /// A cancel stops a running job as well.
+    /// Whether cancelling stops running jobs as well as queued ones.
     pub cancel_stops_running: bool,
-    /// Connections it holds at most.
+    /// Connections that it accepts.
     pub connections: usize,
-    /// It falls overhead when sent more than this multiple of its present capacity,
+    /// A cold worker fails if it is sent more than this multiple of its current capacity over `overload_window`.
     pub overload_factor: f64,
-    /// for this long, in nanoseconds.
+    /// Time over which the work sent to a cold worker is averaged, in nanoseconds.
     pub overload_window: Nanos,
 }
 
-/// A job at a worker, by the number that the world gave it.
+/// A job at a worker.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Job {
-    /// Its number.
+    /// The id.
     pub id: u64,
     /// Slots that it takes.
     pub slots: u32,
-    /// Its work, in nanoseconds of a yardstick core.
+    /// Work in nanoseconds of a reference core.
     pub work: f64,
-    /// Jobs of a higher priority are started first, where the queue is served by priority.
+    /// Priority, where the queue is ordered by priority; higher ones start first.
     pub priority: i32,
 }
 
-/// What a worker says of a job.
+/// An event of a job.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum JobEvent {
-    /// It has started.
+    /// The job has started.
     Started(u64),
-    /// This share of it is done.
+    /// This fraction of the job is done.
     Progress(u64, f64),
-    /// It is done.
+    /// The job is done.
     Done(u64),
 }
 
-/// What pushed a cold worker overhead. Work is in nanoseconds of a yardstick core.
+/// The overload that made a cold worker fail. Work is in nanoseconds of a reference core.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Overload {
-    /// The part that came from schedulers which knew of its start.
+    /// Fraction of the work that was sent by schedulers that knew of the start of the worker.
     pub informed_share: f64,
-    /// The work sent within the window,
+    /// Work received within the window.
     pub received_work: f64,
-    /// what it could bear,
+    /// Work that the worker can take within the window.
     pub limit: f64,
-    /// in so many jobs,
+    /// Jobs received within the window.
     pub job_count: usize,
-    /// the largest of this size.
+    /// Work of the largest of these jobs.
     pub largest_job: f64,
-    /// The part of its capacity that it had.
+    /// Fraction of its capacity that the worker had.
     pub capacity_share: f64,
 }
 
@@ -92,21 +92,22 @@
     next_progress_at: Nanos,
 }
 
-/// A worker's process.
+/// The process of a worker.
 #[derive(Clone, Debug)]
 pub struct Worker {
-    /// What it is made of.
+    /// The properties.
     pub spec: Spec,
     updated_at: Nanos,
     started: Nanos,
     running: Vec<Running>,
     waiting: VecDeque<Job>,
     paused_until: Nanos,
-    /// Work owed to handshakes and probes: it takes one core until it is done.
+    /// Work of handshakes and probes; it takes one core until it is done.
     overhead: f64,
-    /// Work received within the last `fall` while it is cold: time, work, and whether the sender knew.
+    /// Work received within the last `overload_window` while the worker is cold: time, work, and whether the sender
+    /// knew of the start.
     received: VecDeque<(Nanos, f64, bool)>,
-    /// Work done for jobs: all of it, that of jobs that ended, and that of jobs that were dropped.
+    /// Work done for all jobs, for jobs that completed, and for jobs that were cancelled or lost.
     pub delivered: f64,
     /// See `delivered`.
     pub finished: f64,
@@ -115,7 +116,7 @@
 }
 
 impl Worker {
-    /// A process that started at `started`; 0 for long ago.
+    /// Creates a process that was started at `started`; 0 for long ago.
     pub fn new(spec: Spec, now: Nanos, started: Nanos) -> Self {
         Worker {
             spec,
@@ -132,19 +133,19 @@
         }
     }
 
-    /// Slots that are taken.
+    /// Returns the number of slots in use.
     pub fn used_slots(&self) -> u32 {
         self.running.iter().map(|r| r.job.slots).sum()
     }
-    /// Jobs that it holds.
+    /// Returns the number of running and queued jobs.
     pub fn job_count(&self) -> usize {
         self.running.len() + self.waiting.len()
     }
-    /// Jobs that wait.
+    /// Returns the number of queued jobs.
     pub fn queue_length(&self) -> usize {
         self.waiting.len()
     }
-    /// The part of its capacity that it has now.
+    /// Returns the fraction of its capacity that the worker has at `now`.
     pub fn capacity_share(&self, now: Nanos) -> f64 {
         let age = now.saturating_sub(self.started);
         if self.started == 0 || age >= self.spec.warm_up_time {
@@ -153,12 +154,12 @@
         self.spec.initial_capacity_share
             + (1.0 - self.spec.initial_capacity_share) * age as f64 / self.spec.warm_up_time as f64
     }
-    /// Work done for running jobs that have not ended.
+    /// Returns the work done for running jobs.
     pub fn unfinished_work(&self) -> f64 {
         self.running.iter().map(|r| r.job.work - r.remaining_work).sum()
     }
 
-    /// Nanoseconds of work done for each running job in a nanosecond.
+    /// Returns the work that each running job gets per nanosecond.
     fn rate(&self) -> f64 {
         if self.updated_at < self.paused_until || self.running.is_empty() {
             return 0.0;
@@ -178,7 +179,7 @@
         }
     }
 
-    /// The next moment at which something happens of itself.
+    /// Returns the time of the next event, if there is one without further calls.
     pub fn next_event_time(&self) -> Option<Nanos> {
         if self.running.is_empty() && self.waiting.is_empty() && self.overhead <= 0.0 {
             return None;
@@ -197,7 +198,7 @@
         job_ends.chain(rate_update).chain(overhead_end).min()
     }
 
-    /// Brings it up to now, and adds what it has to say in the order of time.
+    /// Advances the worker to `now` and appends the events of its jobs in the order of time.
     pub fn advance(&mut self, now: Nanos, out: &mut Vec<(Nanos, JobEvent)>) {
         while self.updated_at < now {
             let to = self.next_event_time().map_or(now, |t| t.min(now)).max(self.updated_at + 1);
@@ -221,7 +222,7 @@
         let finished = &mut self.finished;
         self.running.retain_mut(|r| {
             if r.remaining_work <= WORK_TOLERANCE {
-                // What is left is a rounding error; it counts as done, so that the sums agree.
+                // The remaining work is a rounding error and counts as done, so that the sums agree.
                 *finished += r.job.work - r.remaining_work;
                 out.push((at, JobEvent::Done(r.job.id)));
                 ended = true;
@@ -248,7 +249,7 @@
             let next = match self.spec.order {
                 QueueOrder::Fifo => Some(0),
                 QueueOrder::Backfill => self.waiting.iter().position(fits),
-                // The first of the highest priority.
+                // The first job of the highest priority.
                 QueueOrder::Priority => {
                     let top = self.waiting.iter().map(|j| j.priority).max();
                     self.waiting.iter().position(|j| Some(j.priority) == top)
@@ -268,7 +269,8 @@
         }
     }
 
-    /// Takes a job, or turns it away: no room, or more slots than it has. Bring it up to now first.
+    /// Accepts a job, unless the queue is full or the job has more slots than the worker. The worker must have been
+    /// advanced to the current time.
     pub fn offer(&mut self, job: Job, out: &mut Vec<(Nanos, JobEvent)>) -> bool {
         let fits_now =
             self.waiting.is_empty() && job.slots <= self.spec.slots.saturating_sub(self.used_slots());
@@ -280,12 +282,12 @@
         true
     }
 
-    /// Work that serves no job: a handshake or a probe.
+    /// Adds work that belongs to no job: a handshake or a probe.
     pub fn add_overhead(&mut self, work: f64) {
         self.overhead += work;
     }
 
-    /// Counts work that reaches a cold worker; what it was sent, if it falls overhead from this.
+    /// Records work that arrives at a cold worker, and returns the overload if the worker fails from it.
     pub fn record_received_work(&mut self, now: Nanos, work: f64, informed: bool) -> Option<Overload> {
         let capacity_share = self.capacity_share(now);
         if capacity_share >= 1.0 || self.spec.overload_factor <= 0.0 {
@@ -299,7 +301,7 @@
         let sum: f64 = self.received.iter().map(|r| r.1).sum();
         let capacity = self.spec.cores * self.spec.speed * capacity_share;
         let limit = self.spec.overload_factor * capacity * self.spec.overload_window as f64;
-        // One job is the slack for chance: the largest may be in the window or just outside it.
+        // The largest job is not counted, since whether it falls into the window may be chance.
         let largest = self.received.iter().map(|r| r.1).fold(0.0, f64::max);
         if sum - largest <= limit {
             return None;
@@ -315,7 +317,8 @@
         })
     }
 
-    /// Drops a job if it waits, or if it runs and running jobs stop; whether it was dropped.
+    /// Cancels a queued job, or a running one if the worker can stop running jobs. Returns whether the job was
+    /// removed.
     pub fn cancel(&mut self, id: u64) -> bool {
         if let Some(i) = self.waiting.iter().position(|j| j.id == id) {
             self.waiting.remove(i);
@@ -330,17 +333,17 @@
         true
     }
 
-    /// Hands back what waits, as it does when it drains.
+    /// Removes all queued jobs from a draining worker and returns their ids.
     pub fn take_queued(&mut self) -> Vec<u64> {
         self.waiting.drain(..).map(|j| j.id).collect()
     }
 
-    /// Stands still until then.
+    /// Pauses the worker until a time.
     pub fn pause(&mut self, until: Nanos) {
         self.paused_until = self.paused_until.max(until);
     }
 
-    /// The process ends; the jobs that it held, running ones first.
+    /// Ends the process and returns the ids of its jobs, running ones first.
     pub fn stop(&mut self) -> Vec<u64> {
         self.wasted += self.unfinished_work();
         let running: Vec<u64> = self.running.drain(..).map(|r| r.job.id).collect();
@@ -349,7 +352,7 @@
         running.into_iter().chain(self.waiting.drain(..).map(|j| j.id)).collect()
     }
 
-    /// A new process starts cold.
+    /// Starts a new, cold process.
     pub fn start(&mut self, now: Nanos) {
         (self.updated_at, self.started, self.paused_until) = (now.max(self.updated_at), now.max(1), 0);
     }
