--- a/crates/emulator/src/agent.rs
+++ b/crates/emulator/src/agent.rs
@@ -6,7 +6,7 @@
 use hyper::body::Incoming;
 use hyper::{Request, Response};
 use loomlb_policy::Nanos;
-use loomlb_simulation::scenario::Mode;
+use loomlb_simulation::scenario::DiscoveryMode;
 use loomlb_simulation::settings;
 use loomlb_simulation::world::{Health, WorkerEntry};
 use serde_json::{Value, json};
@@ -114,7 +114,7 @@
 /// Where discovery is asked, a new call waits for its turn among all schedulers' calls; no if that would take too long.
 async fn has_its_turn(stage: &Rc<Stage>, s: usize) -> bool {
     let now = stage.now();
-    let asked = stage.world.borrow().scenario.discovery.mode == Mode::Poll;
+    let asked = stage.world.borrow().scenario.discovery.mode == DiscoveryMode::Poll;
     if !asked || now <= stage.agents[s].goes_on.get() {
         return true;
     }
--- a/crates/emulator/src/stage.rs
+++ b/crates/emulator/src/stage.rs
@@ -411,7 +411,7 @@
 /// A request's worker and class as the clients think of it.
 pub(crate) fn sent(day: &Scenario, request: &Request) -> Sent {
     let class = &day.classes[request.class];
-    let key = class.effect.keyed().then(|| format!("key-{:x}", request.number));
+    let key = class.effect.is_deduplicated().then(|| format!("key-{:x}", request.number));
     Sent {
         class: request.class,
         slots: request.slots,
--- a/crates/simulation/src/clients.rs
+++ b/crates/simulation/src/clients.rs
@@ -1,6 +1,6 @@
 //! Clients: the arrival of requests, their properties, and retries.
 
-use crate::scenario::{Backoff, Effect, FaultKind, Scenario, Shape};
+use crate::scenario::{Backoff, FaultKind, Idempotency, Scenario, Shape};
 use crate::seed::{RandomStream, RandomStreams};
 use loomlb_policy::Nanos;
 
@@ -265,7 +265,7 @@
     }
     let retry_allowed = match outcome {
         Outcome::Refused(_) | Outcome::Unreachable => true,
-        _ => scenario.classes[class].effect == Effect::Safe,
+        _ => scenario.classes[class].effect == Idempotency::Idempotent,
     };
     if !retry_allowed {
         return None;
--- a/crates/simulation/src/invariants.rs
+++ b/crates/simulation/src/invariants.rs
@@ -4,7 +4,7 @@
 //! the [`InvariantChecker`], which records violations with the history of the request. It does not know the reasons
 //! for a scheduler's decisions.
 
-use crate::scenario::{Effect, Scenario};
+use crate::scenario::{Idempotency, Scenario};
 use loomlb_policy::Nanos;
 use rustc_hash::{FxHashMap, FxHashSet};
 use serde::Serialize;
@@ -231,7 +231,7 @@
 /// Checks the invariants during a scenario.
 #[derive(Debug)]
 pub struct InvariantChecker {
-    effects: Vec<(Effect, Nanos)>,
+    effects: Vec<(Idempotency, Nanos)>,
     answer_grace: Nanos,
     drain_grace: Nanos,
     hedging_allowed: bool,
@@ -299,9 +299,9 @@
     }
 
     /// Returns the idempotency and the deduplication window of a request's class, also for an ended request.
-    fn repeat_policy(&self, request: u64) -> (Effect, Nanos) {
+    fn repeat_policy(&self, request: u64) -> (Idempotency, Nanos) {
         let record = self.open.get(&request).or_else(|| self.ended.get(&request));
-        record.and_then(|s| self.effects.get(s.class)).copied().unwrap_or((Effect::Safe, 0))
+        record.and_then(|s| self.effects.get(s.class)).copied().unwrap_or((Idempotency::Idempotent, 0))
     }
 
     fn archive_if_finished(&mut self, request: u64) {
@@ -356,20 +356,20 @@
         record.attempts.push(Attempt { worker, cell, at: sent, job, ended: None, started: false });
         if let Some(first) = first {
             match repeat_policy {
-                Effect::Safe => {}
-                Effect::Unsafe => self.record_violation(
+                Idempotency::Idempotent => {}
+                Idempotency::AtMostOnce => self.record_violation(
                     Invariant::AtMostOnce,
                     at,
                     request,
                     format!("sent again, to worker {worker}, though worker {} may have run it", first.worker),
                 ),
-                e if e.keyed() && cell != first.cell => self.record_violation(
+                e if e.is_deduplicated() && cell != first.cell => self.record_violation(
                     Invariant::KeyedRepeat,
                     at,
                     request,
                     format!("repeated in cell {cell}, first sent to cell {}", first.cell),
                 ),
-                e if e.keyed() && sent > first.at + window => {
+                e if e.is_deduplicated() && sent > first.at + window => {
                     self.record_violation(
                         Invariant::KeyedRepeat,
                         at,
@@ -377,7 +377,7 @@
                         "repeated after the window of its key".into(),
                     );
                 }
-                Effect::Keyed | Effect::KeyedByZone => {}
+                Idempotency::DeduplicatedInCell | Idempotency::DeduplicatedInZone => {}
             }
         }
         if let Some(after) = after.filter(|after| *after > CLIENT_LEFT_GRACE) {
@@ -418,7 +418,9 @@
         if let Some(a) = record.attempts.iter_mut().find(|a| a.job == job) {
             a.started = true;
         }
-        if repeat_policy == Effect::Unsafe && record.attempts.iter().filter(|a| a.started).count() > 1 {
+        if repeat_policy == Idempotency::AtMostOnce
+            && record.attempts.iter().filter(|a| a.started).count() > 1
+        {
             self.record_violation(Invariant::AtMostOnce, at, request, "ran twice".into());
         }
         self.archive_if_finished(request);
@@ -489,7 +491,7 @@
                 "served with a result that no worker made for it".into(),
             );
         }
-        if answered == FinalResponse::Refused && may_have_run && repeat_policy != Effect::Safe {
+        if answered == FinalResponse::Refused && may_have_run && repeat_policy != Idempotency::Idempotent {
             self.record_violation(
                 Invariant::HonestRefusal,
                 at,
--- a/crates/simulation/src/scenario.rs
+++ b/crates/simulation/src/scenario.rs
@@ -84,7 +84,7 @@
     pub zones: usize,
     /// Caches of the workers; without them no job has to fetch its subject.
     #[serde(default)]
-    pub keeps: Option<Keeps>,
+    pub keeps: Option<SubjectCache>,
     /// The order in which workers serve their queues.
     #[serde(default)]
     pub queue: Queue,
@@ -103,7 +103,8 @@
 /// The cache of a worker, which holds the subjects of its latest jobs.
 #[derive(Clone, Copy, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
-pub struct Keeps {
+#[serde(expecting = "struct Keeps")]
+pub struct SubjectCache {
     /// Cached subjects per slot.
     pub per_slot: f64,
     /// Extra work of a job whose subject is not cached, as a fraction of the mean work of its class.
@@ -371,7 +372,7 @@
 #[serde(deny_unknown_fields, default)]
 pub struct Discovery {
     /// How schedulers receive the list.
-    pub mode: Mode,
+    pub mode: DiscoveryMode,
     /// Range of the time from a change until it is published, in milliseconds.
     pub notice_ms: [f64; 2],
     /// Largest time between schedulers that receive the same change, in milliseconds.
@@ -387,7 +388,7 @@
 impl Default for Discovery {
     fn default() -> Self {
         Discovery {
-            mode: Mode::Push,
+            mode: DiscoveryMode::Push,
             notice_ms: [560.0, 3400.0],
             spread_ms: 60.0,
             weights_ms: 1000.0,
@@ -400,7 +401,8 @@
 /// How schedulers receive the list.
 #[derive(Clone, Copy, Debug, Deserialize, Serialize, PartialEq, Eq)]
 #[serde(rename_all = "snake_case")]
-pub enum Mode {
+#[serde(expecting = "enum Mode")]
+pub enum DiscoveryMode {
     /// Changes are pushed.
     Push,
     /// Schedulers request changes.
@@ -478,7 +480,7 @@
     #[serde(default = "one")]
     pub worth: f64,
     /// Whether requests may be repeated.
-    pub effect: Effect,
+    pub effect: Idempotency,
     /// Time in which workers recognize a repeated request, in milliseconds.
     #[serde(default)]
     pub window_ms: f64,
@@ -497,21 +499,26 @@
 /// Whether a request may be repeated after an attempt that may have run.
 #[derive(Clone, Copy, Debug, Deserialize, Serialize, PartialEq, Eq)]
 #[serde(rename_all = "snake_case")]
-pub enum Effect {
+#[serde(expecting = "enum Effect")]
+pub enum Idempotency {
     /// It may be repeated freely.
-    Safe,
+    #[serde(rename = "safe")]
+    Idempotent,
     /// Repeats are deduplicated by the workers of a cell.
-    Keyed,
+    #[serde(rename = "keyed")]
+    DeduplicatedInCell,
     /// Repeats are deduplicated by the workers of a zone.
-    KeyedByZone,
+    #[serde(rename = "keyed_by_zone")]
+    DeduplicatedInZone,
     /// It must not be repeated.
-    Unsafe,
+    #[serde(rename = "unsafe")]
+    AtMostOnce,
 }
 
-impl Effect {
+impl Idempotency {
     /// Returns whether workers deduplicate its requests.
-    pub fn keyed(self) -> bool {
-        matches!(self, Effect::Keyed | Effect::KeyedByZone)
+    pub fn is_deduplicated(self) -> bool {
+        matches!(self, Idempotency::DeduplicatedInCell | Idempotency::DeduplicatedInZone)
     }
 }
 
@@ -530,10 +537,17 @@
         slots: vec![0.6, 0.25, 0.15],
         priority: 0,
     };
-    let view = Class { slots: one_slot(), ..class("view", 0.47, 280.0, 1.0, Effect::Safe) };
-    let sign = Class { stretch: 1.75, priority: 1, ..class("sign", 0.36, 140.0, 5.0, Effect::Keyed) };
-    let lodge =
-        Class { stretch: 2.5, deadline_ms: 6000.0, ..class("lodge", 0.17, 560.0, 3.0, Effect::Unsafe) };
+    let view = Class { slots: one_slot(), ..class("view", 0.47, 280.0, 1.0, Idempotency::Idempotent) };
+    let sign = Class {
+        stretch: 1.75,
+        priority: 1,
+        ..class("sign", 0.36, 140.0, 5.0, Idempotency::DeduplicatedInCell)
+    };
+    let lodge = Class {
+        stretch: 2.5,
+        deadline_ms: 6000.0,
+        ..class("lodge", 0.17, 560.0, 3.0, Idempotency::AtMostOnce)
+    };
     vec![view, sign, lodge]
 }
 
--- a/crates/simulation/src/settings.rs
+++ b/crates/simulation/src/settings.rs
@@ -1,7 +1,7 @@
 //! The settings of a scheduler and the entries of the worker list, for the decision module and in the formats of the
 //! platform.
 
-use crate::scenario::{Effect, Mode, Queue, Scenario};
+use crate::scenario::{DiscoveryMode, Idempotency, Queue, Scenario};
 use crate::world::{Health, WorkerEntry, World};
 use loomlb_policy::raw_settings::{RawSettings, SettingNames};
 use loomlb_policy::{CellId, Settings, Worker, WorkerId, WorkerState};
@@ -24,10 +24,10 @@
         .iter()
         .map(|c| {
             let (effect, group) = match c.effect {
-                Effect::Safe => ("idempotent", "all"),
-                Effect::Keyed => ("deduplicated", "cell"),
-                Effect::KeyedByZone => ("deduplicated", "zone"),
-                Effect::Unsafe => ("at_most_once", "all"),
+                Idempotency::Idempotent => ("idempotent", "all"),
+                Idempotency::DeduplicatedInCell => ("deduplicated", "cell"),
+                Idempotency::DeduplicatedInZone => ("deduplicated", "zone"),
+                Idempotency::AtMostOnce => ("at_most_once", "all"),
             };
             json!({"name": c.name, "aim": nanos_from_ms(c.aim_ms), "give_up": nanos_from_ms(c.deadline_ms), "worth": c.worth, "late_worth": 0.0,
                 "effect": effect, "group": group, "repeat_window": nanos_from_ms(c.window_ms), "stream": false})
@@ -57,7 +57,7 @@
     json!({
         "balancers": scenario.schedulers.count, "rank": scheduler, "my_zone": zone_name(scenario, scheduler), "zones": zones, "kinds": kinds,
         "classes": classes, "tenants": tenants, "over_share_worth": scenario.terms.over_share_worth, "worth_by": "work",
-        "registry_mode": if scenario.discovery.mode == Mode::Poll { "subscribe" } else { "automatic" },
+        "registry_mode": if scenario.discovery.mode == DiscoveryMode::Poll { "subscribe" } else { "automatic" },
         "weights": if scenario.discovery.weights_ms > 0.0 { "live" } else { "off" }, "tick": nanos_from_ms(scenario.tick_ms),
         "load_report": {"how": how, "fields": ["rif", "rate", "x0"]},
         "ceilings": {
--- a/crates/simulation/src/world.rs
+++ b/crates/simulation/src/world.rs
@@ -544,7 +544,8 @@
     /// Returns the group of workers that deduplicate a class's requests together with a worker: its cell or its
     /// zone.
     fn group(&self, class: usize, w: usize) -> usize {
-        let by_zone = |c: &crate::scenario::Class| c.effect == crate::scenario::Effect::KeyedByZone;
+        let by_zone =
+            |c: &crate::scenario::Class| c.effect == crate::scenario::Idempotency::DeduplicatedInZone;
         if self.scenario.classes.get(class).is_some_and(by_zone) { self.zone(w) } else { self.nodes[w].cell }
     }
     /// Returns whether messages pass between two schedulers, and counts those that don't.
@@ -796,7 +797,7 @@
 
     fn is_repeat(&mut self, now: Nanos, attempt: &Attempt, cell: usize) -> bool {
         let Some(class) = self.scenario.classes.get(attempt.class) else { return false };
-        if !class.effect.keyed() {
+        if !class.effect.is_deduplicated() {
             return false;
         }
         let window = ms(class.window_ms);
