--- a/crates/simulation/src/invariants.rs
+++ b/crates/simulation/src/invariants.rs
@@ -151,22 +151,22 @@
 impl fmt::Display for Fact {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Fact::Accepted { scheduler } => write!(f, "taken by scheduler {scheduler}"),
+            Fact::Accepted { scheduler } => write!(f, "accepted by scheduler {scheduler}"),
             Fact::Received { worker, cell, job } => {
                 write!(f, "received by worker {worker} of cell {cell} as job {job}")
             }
             Fact::Started { worker } => write!(f, "started at worker {worker}"),
             Fact::AttemptEnded { worker, ended: AttemptEnd::NeverRan } => {
-                write!(f, "ended at worker {worker}, and never ran")
+                write!(f, "ended at worker {worker}, never ran")
             }
             Fact::AttemptEnded { worker, ended: AttemptEnd::MayHaveRun } => {
                 write!(f, "ended at worker {worker}, may have run")
             }
             Fact::ResponseSent { kind } => write!(f, "answered: {kind}"),
             Fact::ConnectionBroken { scheduler } => {
-                write!(f, "its connection to scheduler {scheduler} ended without an answer")
+                write!(f, "the connection to scheduler {scheduler} closed without an answer")
             }
-            Fact::ClientLeft => write!(f, "its client left"),
+            Fact::ClientLeft => write!(f, "the client left"),
         }
     }
 }
@@ -361,7 +361,10 @@
                     Invariant::AtMostOnce,
                     at,
                     request,
-                    format!("sent again, to worker {worker}, though worker {} may have run it", first.worker),
+                    format!(
+                        "sent again to worker {worker}, although worker {} may have run it",
+                        first.worker
+                    ),
                 ),
                 e if e.is_deduplicated() && cell != first.cell => self.record_violation(
                     Invariant::KeyedRepeat,
@@ -374,7 +377,7 @@
                         Invariant::KeyedRepeat,
                         at,
                         request,
-                        "repeated after the window of its key".into(),
+                        "repeated after its deduplication window".into(),
                     );
                 }
                 Idempotency::DeduplicatedInCell | Idempotency::DeduplicatedInZone => {}
@@ -385,7 +388,7 @@
             self.left_before_first_attempt.1 += u64::from(is_first_attempt && after >= WAITING_SEND_GRACE);
             if self.sent_after_client_left > MAX_SENDS_AFTER_CLIENT_LEFT {
                 let description =
-                    format!("sent to worker {worker} {} ms after its client had gone", after / 1_000_000);
+                    format!("sent to worker {worker} {} ms after its client left", after / 1_000_000);
                 self.record_violation(Invariant::ClientGone, at, request, description);
             }
         }
@@ -394,7 +397,7 @@
                 Invariant::SecondCopy,
                 at,
                 request,
-                "a second copy while the first is out".into(),
+                "a second attempt was sent while another one was in flight".into(),
             );
         }
         if let Some(known_since) = drain_known_since
@@ -405,7 +408,7 @@
                 Invariant::Drain,
                 at,
                 request,
-                format!("sent to worker {worker} {late} ms after its drain was told"),
+                format!("sent to worker {worker} {late} ms after its scheduler learned of the drain"),
             );
         }
     }
@@ -472,7 +475,7 @@
             FinalResponse::Failed => self.counts.failed += 1,
         }
         if twice || !taken {
-            let description = if twice { "answered twice" } else { "answered, but never taken" };
+            let description = if twice { "answered twice" } else { "answered, but never accepted" };
             self.record_violation(Invariant::AnsweredOnce, at, request, description.into());
         }
         if late {
@@ -480,7 +483,7 @@
                 Invariant::InTime,
                 at,
                 request,
-                format!("answered {late_ms} ms after its client gave up"),
+                format!("answered {late_ms} ms after its client timed out"),
             );
         }
         if unknown_result {
@@ -496,7 +499,7 @@
                 Invariant::HonestRefusal,
                 at,
                 request,
-                "refused as harmless, though it may have run".into(),
+                "refused, although an attempt may have run".into(),
             );
         }
         self.archive_if_finished(request);
@@ -551,7 +554,7 @@
                 SchedulerExit::ShutdownTimedOut(asked) => taken > asked + SHUTDOWN_NOTICE,
             };
             if lost {
-                let description = format!("scheduler {scheduler} ended and had not answered it");
+                let description = format!("scheduler {scheduler} ended without answering it");
                 self.record_violation(Invariant::NothingLostAtEnd, at, request, description);
             }
             self.counts.excused += 1;
@@ -566,8 +569,8 @@
     pub fn worker_overloaded(&mut self, at: Nanos, worker: usize, overload: &crate::worker::Overload) {
         if overload.informed_share >= 2.0 / 3.0 {
             let description = format!(
-                "worker {worker} fell over at {:.0} % of its capacity: sent {:.2} s of work in {} jobs (the largest {:.2}), \
-                 able to bear {:.2}, {:.0} % of it by schedulers that knew",
+                "worker {worker} failed from overload at {:.0} % of its capacity: received {:.2} s of work in {} jobs (largest {:.2} s), \
+                 limit {:.2} s, {:.0} % of it from schedulers that knew of its start",
                 overload.capacity_share * 100.0,
                 overload.received_work / 1e9,
                 overload.job_count,
@@ -588,8 +591,9 @@
     pub fn finish(&mut self, at: Nanos) {
         let (waited, sent) = self.left_before_first_attempt;
         if sent * 4 > waited {
-            let description =
-                format!("{sent} of {waited} requests whose clients went while they waited were sent on");
+            let description = format!(
+                "{sent} of {waited} requests whose clients left before the first attempt were still sent"
+            );
             self.record_violation(Invariant::ClientGone, at, 0, description);
         }
         let is_pending = |s: &RequestRecord| s.taken && !s.answered && !s.excused;
--- a/crates/simulation/src/scenario.rs
+++ b/crates/simulation/src/scenario.rs
@@ -22,7 +22,7 @@
     /// Seconds in which requests arrive; the scenario then runs until all have ended.
     pub seconds: f64,
     /// Time between two ticks at which schedulers handle their events, in milliseconds (virtual time only).
-    #[serde(default = "two")]
+    #[serde(default = "default_tick_ms")]
     pub tick_ms: f64,
     /// The workers.
     pub fleet: Fleet,
@@ -47,7 +47,7 @@
     #[serde(default)]
     pub terms: Terms,
     /// Classes of requests; there are three default classes.
-    #[serde(default = "usual_classes", rename = "class")]
+    #[serde(default = "default_classes", rename = "class")]
     pub classes: Vec<Class>,
     /// Tenants; may be empty.
     #[serde(default, rename = "tenant")]
@@ -60,13 +60,13 @@
     pub faults: Vec<Fault>,
 }
 
-fn two() -> f64 {
+fn default_tick_ms() -> f64 {
     2.0
 }
-fn one() -> f64 {
+fn default_one() -> f64 {
     1.0
 }
-fn yes() -> bool {
+fn default_true() -> bool {
     true
 }
 
@@ -77,10 +77,10 @@
     /// Number of workers.
     pub workers: usize,
     /// Number of workers in a cell, which deduplicate requests together.
-    #[serde(default = "six")]
+    #[serde(default = "default_cell_size")]
     pub cell_size: usize,
     /// Number of zones; workers and schedulers are assigned to them round-robin.
-    #[serde(default = "one_zone")]
+    #[serde(default = "default_zones")]
     pub zones: usize,
     /// Caches of the workers; without them no job has to fetch its subject.
     #[serde(default)]
@@ -89,14 +89,14 @@
     #[serde(default)]
     pub queue: Queue,
     /// Kinds of machine; there are two default kinds.
-    #[serde(default = "usual_kinds", rename = "kind")]
+    #[serde(default = "default_kinds", rename = "kind")]
     pub kinds: Vec<Kind>,
 }
 
-fn six() -> usize {
+fn default_cell_size() -> usize {
     6
 }
-fn one_zone() -> usize {
+fn default_zones() -> usize {
     1
 }
 
@@ -131,68 +131,68 @@
     /// The name.
     pub name: String,
     /// Its weight among the kinds.
-    #[serde(default = "one")]
+    #[serde(default = "default_one")]
     pub share: f64,
     /// Cores.
     pub cores: f64,
     /// Speed of a core, relative to a reference core.
     pub speed: [f64; 2],
     /// Slots per core.
-    #[serde(default = "slots")]
+    #[serde(default = "default_slots_per_core")]
     pub slots_per_core: [f64; 2],
     /// Queue length per core.
-    #[serde(default = "room")]
+    #[serde(default = "default_queue_per_core")]
     pub queue_per_core: [f64; 2],
     /// Efficiency lost per request per core beyond `thrash_at`.
     #[serde(default)]
     pub thrash: f64,
     /// Requests per core above which efficiency falls.
-    #[serde(default = "six_f")]
+    #[serde(default = "default_thrash_at")]
     pub thrash_at: f64,
     /// Fraction of its capacity that a worker has when it starts.
-    #[serde(default = "cold_from")]
+    #[serde(default = "default_cold_from")]
     pub cold_from: f64,
     /// Seconds until a started worker has its full capacity.
-    #[serde(default = "cold_s")]
+    #[serde(default = "default_cold_s")]
     pub cold_s: f64,
     /// Whether cancelling stops running jobs as well as queued ones.
-    #[serde(default = "yes")]
+    #[serde(default = "default_true")]
     pub cancel_stops_running: bool,
     /// Connections that a worker accepts, per core.
-    #[serde(default = "connections")]
+    #[serde(default = "default_connections_per_core")]
     pub connections_per_core: f64,
     /// Fraction of requests that fail without any fault.
     #[serde(default)]
     pub error_rate: f64,
 }
 
-fn slots() -> [f64; 2] {
+fn default_slots_per_core() -> [f64; 2] {
     [1.0, 1.3]
 }
-fn room() -> [f64; 2] {
+fn default_queue_per_core() -> [f64; 2] {
     [7.0, 12.0]
 }
-fn six_f() -> f64 {
+fn default_thrash_at() -> f64 {
     6.0
 }
-fn cold_from() -> f64 {
+fn default_cold_from() -> f64 {
     0.2
 }
-fn cold_s() -> f64 {
+fn default_cold_s() -> f64 {
     18.0
 }
-fn connections() -> f64 {
+fn default_connections_per_core() -> f64 {
     700.0
 }
 
-fn usual_kinds() -> Vec<Kind> {
+fn default_kinds() -> Vec<Kind> {
     let kind = |name: &str, share, cores, speed| Kind {
         name: name.into(),
         share,
         cores,
         speed,
-        slots_per_core: slots(),
-        queue_per_core: room(),
+        slots_per_core: default_slots_per_core(),
+        queue_per_core: default_queue_per_core(),
         thrash: 0.08,
         thrash_at: 6.0,
         cold_from: 0.2,
@@ -243,7 +243,7 @@
     #[serde(default)]
     pub swing: f64,
     /// Number of subjects of requests; 0 for requests without a subject.
-    #[serde(default = "subjects")]
+    #[serde(default = "default_subjects")]
     pub subjects: usize,
     /// Exponent of the Zipf distribution of the subjects; 0 for a uniform distribution.
     #[serde(default)]
@@ -253,7 +253,7 @@
     pub hints: Option<f64>,
 }
 
-fn subjects() -> usize {
+fn default_subjects() -> usize {
     2000
 }
 
@@ -462,7 +462,7 @@
     /// The name.
     pub name: String,
     /// Its weight among the classes.
-    #[serde(default = "one")]
+    #[serde(default = "default_one")]
     pub share: f64,
     /// Mean work of a job, in milliseconds of a reference core.
     pub work_ms: f64,
@@ -477,7 +477,7 @@
     /// The client times out after this time, in milliseconds.
     pub deadline_ms: f64,
     /// Worth per unit of work.
-    #[serde(default = "one")]
+    #[serde(default = "default_one")]
     pub worth: f64,
     /// Whether requests may be repeated.
     pub effect: Idempotency,
@@ -485,14 +485,14 @@
     #[serde(default)]
     pub window_ms: f64,
     /// Weights of jobs with 1, 2, 4 and 8 slots.
-    #[serde(default = "one_slot")]
+    #[serde(default = "default_slots")]
     pub slots: Vec<f64>,
     /// Priority in queues that are ordered by priority.
     #[serde(default)]
     pub priority: i32,
 }
 
-fn one_slot() -> Vec<f64> {
+fn default_slots() -> Vec<f64> {
     vec![1.0]
 }
 
@@ -522,7 +522,7 @@
     }
 }
 
-fn usual_classes() -> Vec<Class> {
+fn default_classes() -> Vec<Class> {
     let class = |name: &str, share, work_ms, worth, effect| Class {
         name: name.into(),
         share,
@@ -537,7 +537,7 @@
         slots: vec![0.6, 0.25, 0.15],
         priority: 0,
     };
-    let view = Class { slots: one_slot(), ..class("view", 0.47, 280.0, 1.0, Idempotency::Idempotent) };
+    let view = Class { slots: default_slots(), ..class("view", 0.47, 280.0, 1.0, Idempotency::Idempotent) };
     let sign = Class {
         stretch: 1.75,
         priority: 1,
@@ -560,7 +560,7 @@
     /// Its share of the fleet, relative to the other tenants.
     pub share: f64,
     /// Its load as a multiple of its share.
-    #[serde(default = "one")]
+    #[serde(default = "default_one")]
     pub usage: f64,
 }
 
@@ -577,7 +577,7 @@
     #[serde(default)]
     pub for_s: f64,
     /// Fraction of the workers, schedulers, connections or requests that it affects.
-    #[serde(default = "fifth")]
+    #[serde(default = "default_part")]
     pub part: f64,
     /// Its magnitude; see the kinds.
     #[serde(default)]
@@ -586,14 +586,14 @@
     #[serde(default)]
     pub tenant: Option<String>,
     /// Seconds between two repetitions, for kinds that repeat.
-    #[serde(default = "three")]
+    #[serde(default = "default_every_s")]
     pub every_s: f64,
 }
 
-fn fifth() -> f64 {
+fn default_part() -> f64 {
     0.2
 }
-fn three() -> f64 {
+fn default_every_s() -> f64 {
     3.0
 }
 
@@ -701,72 +701,102 @@
     /// Returns the first key with an impossible value, and the reason.
     pub fn check(&self) -> Result<(), (String, String)> {
         let mut first_error = None;
-        let mut need = |key: &str, good: bool, reason: &str| {
-            if !good && first_error.is_none() {
+        let mut require = |key: &str, valid: bool, reason: &str| {
+            if !valid && first_error.is_none() {
                 first_error = Some((key.to_string(), reason.to_string()));
             }
         };
-        let part = |x: f64| (0.0..=1.0).contains(&x);
-        let time = |x: f64| x.is_finite() && (0.0..=1e9).contains(&x);
-        let above = |x: f64| x.is_finite() && x > 0.0;
-        let range = |[a, b]: [f64; 2]| above(a) && b.is_finite() && b >= a;
-        let later = |[a, b]: [f64; 2]| time(a) && time(b) && b >= a;
-        need(
+        let fraction = |x: f64| (0.0..=1.0).contains(&x);
+        let non_negative = |x: f64| x.is_finite() && (0.0..=1e9).contains(&x);
+        let positive = |x: f64| x.is_finite() && x > 0.0;
+        let positive_range = |[a, b]: [f64; 2]| positive(a) && b.is_finite() && b >= a;
+        let non_negative_range = |[a, b]: [f64; 2]| non_negative(a) && non_negative(b) && b >= a;
+        require(
             "seconds",
-            above(self.seconds) && self.seconds <= 86_400.0,
-            "a day takes more than 0 and at most 86400 s",
+            positive(self.seconds) && self.seconds <= 86_400.0,
+            "a scenario lasts more than 0 and at most 86400 s",
         );
-        need(
+        require(
             "tick_ms",
-            above(self.tick_ms) && self.tick_ms <= 1000.0,
-            "a tick takes more than 0 and at most 1000 ms",
+            positive(self.tick_ms) && self.tick_ms <= 1000.0,
+            "a tick lasts more than 0 and at most 1000 ms",
         );
         let f = &self.fleet;
-        need("fleet.workers", (1..=100_000).contains(&f.workers), "a fleet has 1 to 100000 workers");
-        need("fleet.cell_size", f.cell_size > 0, "a cell has one worker at least");
-        need("fleet.zones", (1..=64).contains(&f.zones), "1 to 64 zones are possible");
+        require("fleet.workers", (1..=100_000).contains(&f.workers), "a fleet has 1 to 100000 workers");
+        require("fleet.cell_size", f.cell_size > 0, "a cell has at least one worker");
+        require("fleet.zones", (1..=64).contains(&f.zones), "1 to 64 zones are possible");
         if let Some(k) = f.keeps {
-            need("fleet.keeps.per_slot", time(k.per_slot), "0 or more");
-            need("fleet.keeps.fetch", time(k.fetch), "0 or more");
+            require("fleet.keeps.per_slot", non_negative(k.per_slot), "0 or more");
+            require("fleet.keeps.fetch", non_negative(k.fetch), "0 or more");
         }
-        need("load.skew", time(self.load.skew), "0 or more");
-        need("load.hints", self.load.hints.is_none_or(time), "0 or more");
-        need("fleet.kind", !f.kinds.is_empty() && f.kinds.len() <= 64, "1 to 64 kinds of machine are needed");
+        require("load.skew", non_negative(self.load.skew), "0 or more");
+        require("load.hints", self.load.hints.is_none_or(non_negative), "0 or more");
+        require(
+            "fleet.kind",
+            !f.kinds.is_empty() && f.kinds.len() <= 64,
+            "1 to 64 kinds of machine are needed",
+        );
         for (i, k) in f.kinds.iter().enumerate() {
             let key = |name: &str| format!("fleet.kind[{i}].{name}");
-            need(&key("name"), !k.name.is_empty(), "a kind needs a name");
-            need(&key("share"), above(k.share), "a share is above 0");
-            need(&key("cores"), above(k.cores) && k.cores <= 4096.0, "cores are above 0 and at most 4096");
-            need(&key("speed"), range(k.speed), "a range of speeds is [least, most], both above 0");
-            need(&key("slots_per_core"), range(k.slots_per_core), "a range is [least, most], both above 0");
-            need(&key("queue_per_core"), later(k.queue_per_core), "a range is [least, most], 0 or more");
-            need(&key("thrash"), time(k.thrash), "0 or more");
-            need(&key("thrash_at"), time(k.thrash_at), "0 or more");
-            need(&key("cold_from"), above(k.cold_from) && k.cold_from <= 1.0, "a part above 0 and at most 1");
-            need(&key("cold_s"), time(k.cold_s), "a time is 0 or more");
-            need(&key("connections_per_core"), above(k.connections_per_core), "above 0");
-            need(&key("error_rate"), part(k.error_rate), "a part is from 0 to 1");
+            require(&key("name"), !k.name.is_empty(), "a kind needs a name");
+            require(&key("share"), positive(k.share), "a share is above 0");
+            require(
+                &key("cores"),
+                positive(k.cores) && k.cores <= 4096.0,
+                "cores are above 0 and at most 4096",
+            );
+            require(
+                &key("speed"),
+                positive_range(k.speed),
+                "a range of speeds is [least, most], both above 0",
+            );
+            require(
+                &key("slots_per_core"),
+                positive_range(k.slots_per_core),
+                "a range is [least, most], both above 0",
+            );
+            require(
+                &key("queue_per_core"),
+                non_negative_range(k.queue_per_core),
+                "a range is [least, most], 0 or more",
+            );
+            require(&key("thrash"), non_negative(k.thrash), "0 or more");
+            require(&key("thrash_at"), non_negative(k.thrash_at), "0 or more");
+            require(
+                &key("cold_from"),
+                positive(k.cold_from) && k.cold_from <= 1.0,
+                "a part above 0 and at most 1",
+            );
+            require(&key("cold_s"), non_negative(k.cold_s), "a time is 0 or more");
+            require(&key("connections_per_core"), positive(k.connections_per_core), "above 0");
+            require(&key("error_rate"), fraction(k.error_rate), "a part is from 0 to 1");
         }
         let s = &self.schedulers;
-        need("schedulers.count", (1..=128).contains(&s.count), "1 to 128 schedulers are possible");
-        need("schedulers.notice_ms", later(s.notice_ms), "a range of times is [least, most], 0 or more");
-        need("schedulers.restart_ms", time(s.restart_ms), "a time is 0 or more");
+        require("schedulers.count", (1..=128).contains(&s.count), "1 to 128 schedulers are possible");
+        require(
+            "schedulers.notice_ms",
+            non_negative_range(s.notice_ms),
+            "a range of times is [least, most], 0 or more",
+        );
+        require("schedulers.restart_ms", non_negative(s.restart_ms), "a time is 0 or more");
         match (self.load.part, self.load.rate_per_s) {
-            (None, None) => need("load", false, "one of `part` and `rate_per_s` is needed"),
+            (None, None) => require("load", false, "one of `part` and `rate_per_s` is needed"),
             (Some(_), Some(_)) => {
-                need("load.rate_per_s", false, "`part` is given as well; leave one of them out")
+                require("load.rate_per_s", false, "`part` is given as well; leave one of them out")
+            }
+            (Some(p), None) => {
+                require("load.part", positive(p) && p <= 100.0, "a part of the capacity is above 0")
             }
-            (Some(p), None) => need("load.part", above(p) && p <= 100.0, "a part of the capacity is above 0"),
             (None, Some(r)) => {
-                need("load.rate_per_s", above(r) && r <= 1e7, "a rate is above 0 and at most 1e7")
+                require("load.rate_per_s", positive(r) && r <= 1e7, "a rate is above 0 and at most 1e7")
             }
         }
-        need("load.swing", part(self.load.swing), "a swing is from 0 to 1");
+        require("load.swing", fraction(self.load.swing), "a swing is from 0 to 1");
         let c = &self.clients;
-        need("clients.retries", c.retries <= 14, "at most 14 retries are possible");
-        need("clients.backoff_ms", time(c.backoff_ms), "a time is 0 or more");
-        need("clients.honour", part(c.honour), "a part is from 0 to 1");
-        need("clients.impatient", part(c.impatient), "a part is from 0 to 1");
+        require("clients.retries", c.retries <= 14, "at most 14 retries are possible");
+        require("clients.backoff_ms", non_negative(c.backoff_ms), "a time is 0 or more");
+        require("clients.honour", fraction(c.honour), "a part is from 0 to 1");
+        require("clients.impatient", fraction(c.impatient), "a part is from 0 to 1");
         let n = &self.network;
         for (key, value) in [
             ("network.one_way_ms", n.one_way_ms),
@@ -792,67 +822,75 @@
             ("terms.answer_grace_ms", self.terms.answer_grace_ms),
             ("terms.progress_ms", self.terms.progress_ms),
         ] {
-            need(key, time(value), "0 or more is needed");
+            require(key, non_negative(value), "0 or more is needed");
         }
-        need("network.peer_ms", later(n.peer_ms), "a range of times is [least, most], 0 or more");
-        need("network.peer_loss", part(n.peer_loss), "a part is from 0 to 1");
-        need("reports.period_ms", above(self.reports.period_ms), "a period is above 0");
-        need(
+        require(
+            "network.peer_ms",
+            non_negative_range(n.peer_ms),
+            "a range of times is [least, most], 0 or more",
+        );
+        require("network.peer_loss", fraction(n.peer_loss), "a part is from 0 to 1");
+        require("reports.period_ms", positive(self.reports.period_ms), "a period is above 0");
+        require(
             "discovery.notice_ms",
-            later(self.discovery.notice_ms),
+            non_negative_range(self.discovery.notice_ms),
             "a range of times is [least, most], 0 or more",
         );
-        need(
+        require(
             "terms.max_attempts",
             (1..=64).contains(&self.terms.max_attempts),
             "1 to 64 attempts are possible",
         );
-        need("terms.over_share_worth", part(self.terms.over_share_worth), "a part is from 0 to 1");
-        need("class", (1..=64).contains(&self.classes.len()), "1 to 64 classes are needed");
+        require("terms.over_share_worth", fraction(self.terms.over_share_worth), "a part is from 0 to 1");
+        require("class", (1..=64).contains(&self.classes.len()), "1 to 64 classes are needed");
         for (i, c) in self.classes.iter().enumerate() {
             let key = |name: &str| format!("class[{i}].{name}");
-            let same = self.classes[..i].iter().any(|o| o.name == c.name);
-            need(&key("name"), !c.name.is_empty() && !same, "a class needs a name of its own");
-            need(&key("share"), time(c.share), "a share is 0 or more");
-            need(&key("work_ms"), above(c.work_ms), "work is above 0");
-            need(&key("cv"), time(c.cv), "0 or more");
-            need(&key("aim_ms"), above(c.aim_ms), "an aim is above 0");
-            need(&key("stretch"), time(c.stretch), "0 or more");
-            need(&key("deadline_ms"), above(c.deadline_ms), "a deadline is above 0");
-            need(&key("worth"), time(c.worth), "0 or more");
-            need(&key("window_ms"), time(c.window_ms), "a time is 0 or more");
-            let slots = (1..=4).contains(&c.slots.len()) && c.slots.iter().all(|s| time(*s));
-            need(&key("slots"), slots && c.slots.iter().sum::<f64>() > 0.0, "1 to 4 shares, not all 0");
+            let duplicate = self.classes[..i].iter().any(|o| o.name == c.name);
+            require(&key("name"), !c.name.is_empty() && !duplicate, "a class needs a name of its own");
+            require(&key("share"), non_negative(c.share), "a share is 0 or more");
+            require(&key("work_ms"), positive(c.work_ms), "work is above 0");
+            require(&key("cv"), non_negative(c.cv), "0 or more");
+            require(&key("aim_ms"), positive(c.aim_ms), "an aim is above 0");
+            require(&key("stretch"), non_negative(c.stretch), "0 or more");
+            require(&key("deadline_ms"), positive(c.deadline_ms), "a deadline is above 0");
+            require(&key("worth"), non_negative(c.worth), "0 or more");
+            require(&key("window_ms"), non_negative(c.window_ms), "a time is 0 or more");
+            let slots = (1..=4).contains(&c.slots.len()) && c.slots.iter().all(|s| non_negative(*s));
+            require(&key("slots"), slots && c.slots.iter().sum::<f64>() > 0.0, "1 to 4 shares, not all 0");
         }
-        need(
+        require(
             "class",
             self.classes.iter().map(|c| c.share).sum::<f64>() > 0.0,
             "a class needs a share above 0",
         );
         for (i, t) in self.tenants.iter().enumerate() {
             let key = |name: &str| format!("tenant[{i}].{name}");
-            let same = self.tenants[..i].iter().any(|o| o.name == t.name);
-            need(&key("name"), !t.name.is_empty() && !same, "a tenant needs a name of its own");
-            need(&key("share"), above(t.share), "a share is above 0");
-            need(&key("usage"), time(t.usage), "0 or more");
+            let duplicate = self.tenants[..i].iter().any(|o| o.name == t.name);
+            require(&key("name"), !t.name.is_empty() && !duplicate, "a tenant needs a name of its own");
+            require(&key("share"), positive(t.share), "a share is above 0");
+            require(&key("usage"), non_negative(t.usage), "0 or more");
         }
         for (i, t) in self.faults.iter().enumerate() {
             let key = |name: &str| format!("trouble[{i}].{name}");
-            need(&key("at_s"), time(t.at_s) && t.at_s < self.seconds, "it begins within the day");
-            need(&key("for_s"), time(t.for_s), "a time is 0 or more");
-            need(&key("part"), part(t.part), "a part is from 0 to 1");
-            need(&key("size"), t.size.is_none_or(time), "0 or more");
+            require(
+                &key("at_s"),
+                non_negative(t.at_s) && t.at_s < self.seconds,
+                "a fault starts within the scenario, at 0 or later and before `seconds`",
+            );
+            require(&key("for_s"), non_negative(t.for_s), "a time is 0 or more");
+            require(&key("part"), fraction(t.part), "a part is from 0 to 1");
+            require(&key("size"), t.size.is_none_or(non_negative), "0 or more");
             let named = |n: &String| t.kind == FaultKind::Burst && self.tenants.iter().any(|x| x.name == *n);
-            need(
+            require(
                 &key("tenant"),
                 t.tenant.as_ref().is_none_or(named),
-                "a burst may name one of the day's tenants",
+                "only a burst may name a tenant, and only one of the scenario's tenants",
             );
-            need(&key("every_s"), above(t.every_s), "a time between strokes is above 0");
+            require(&key("every_s"), positive(t.every_s), "a time between repetitions is above 0");
         }
         if let Some(Err(e)) = self.quota.as_ref().map(Spec::check) {
             let node = e.node.map_or(String::new(), |i| format!("node[{i}]."));
-            need(&format!("quota.{node}{}", e.key), false, &e.reason);
+            require(&format!("quota.{node}{}", e.key), false, &e.reason);
         }
         first_error.map_or(Ok(()), Err)
     }
--- a/crates/simulation/tests/scenario.rs
+++ b/crates/simulation/tests/scenario.rs
@@ -20,7 +20,11 @@
             "part = 0.5\nrate_per_s = 5",
             "line 9: load.rate_per_s: `part` is given as well; leave one of them out",
         ),
-        ("seconds = 10", "seconds = nan", "line 2: seconds: a day takes more than 0 and at most 86400 s"),
+        (
+            "seconds = 10",
+            "seconds = nan",
+            "line 2: seconds: a scenario lasts more than 0 and at most 86400 s",
+        ),
         (
             "part = 0.5",
             "part = 0.5\n[[trouble]]\nkind = \"flood\"\nat_s = 1",
@@ -29,7 +33,7 @@
         (
             "part = 0.5",
             "part = 0.5\n[[trouble]]\nkind = \"burst\"\nat_s = 11",
-            "line 11: trouble[0].at_s: it begins within the day",
+            "line 11: trouble[0].at_s: a fault starts within the scenario, at 0 or later and before `seconds`",
         ),
         ("part = 0.5", "part = 0.5\ncolour = 1", "line 9: unknown field `colour`"),
         ("part = 0.5", "part = 0.5\n[network]\njitter = -1", "line 10: network.jitter: 0 or more is needed"),
