--- a/crates/simulation/tests/scenario.rs
+++ b/crates/simulation/tests/scenario.rs
@@ -1,14 +1,14 @@
-//! A scenario file that asks for the impossible is refused with its line and a reason.
+//! Reading of scenario files, and the settings that result from a scenario.
 
 use loomlb_policy::raw_settings::RawSettings;
 use loomlb_simulation::Scenario;
 use loomlb_simulation::settings;
 
-const GOOD: &str = "name = \"d\"\nseconds = 10\n\n[fleet]\nworkers = 4\n\n[load]\npart = 0.5\n";
+const VALID_SCENARIO: &str = "name = \"d\"\nseconds = 10\n\n[fleet]\nworkers = 4\n\n[load]\npart = 0.5\n";
 
 #[test]
-fn a_faulty_day_is_named_by_line_key_and_reason() {
-    assert!(Scenario::read(GOOD).is_ok());
+fn an_invalid_scenario_is_rejected_with_line_key_and_reason() {
+    assert!(Scenario::read(VALID_SCENARIO).is_ok());
     let cases = [
         ("workers = 4", "workers = 0", "line 5: fleet.workers: a fleet has 1 to 100000 workers"),
         ("workers = 4", "workers = -4", "line 5: invalid value: integer `-4`, expected usize"),
@@ -44,23 +44,37 @@
             "line 11: class[0].work_ms: work is above 0",
         ),
     ];
-    for (old, new, wanted) in cases {
-        let said = Scenario::read(&GOOD.replace(old, new)).unwrap_err().to_string();
-        assert!(said.starts_with(wanted), "{new:?}: {said}");
+    for (old, new, expected) in cases {
+        let error = Scenario::read(&VALID_SCENARIO.replace(old, new)).unwrap_err().to_string();
+        assert!(error.starts_with(expected), "{new:?}: {error}");
     }
 }
 
-/// The settings are made as words and read by the one parser that the scheduler uses: nothing gets lost between.
+/// The settings are generated as JSON and read by the same parser as those of a scheduler.
 #[test]
-fn the_words_of_a_day_are_the_settings_that_the_module_reads() {
-    let scenario = Scenario::read(&format!("{GOOD}[[tenant]]\nname = \"t\"\nshare = 1\n")).unwrap();
+fn the_decision_module_reads_the_generated_settings() {
+    let scenario = Scenario::read(&format!("{VALID_SCENARIO}[[tenant]]\nname = \"t\"\nshare = 1\n")).unwrap();
     assert!(serde_json::from_value::<RawSettings>(settings::raw_settings(&scenario, 0, &[9.0])).is_ok());
-    let (set, names) = settings::dispatcher_settings(&scenario, 0, &[9.0]);
-    assert_eq!((set.classes.len(), set.tenants.len(), set.kind_count, set.dispatcher_count), (3, 1, 2, 1));
+    let (policy_settings, names) = settings::dispatcher_settings(&scenario, 0, &[9.0]);
+    assert_eq!(
+        (
+            policy_settings.classes.len(),
+            policy_settings.tenants.len(),
+            policy_settings.kind_count,
+            policy_settings.dispatcher_count
+        ),
+        (3, 1, 2, 1)
+    );
     assert_eq!(names.classes, ["view", "sign", "lodge"]);
-    assert_eq!(set.tenants[0].quota_per_s, 9.0);
+    assert_eq!(policy_settings.tenants[0].quota_per_s, 9.0);
     assert!(
-        set.limits.cancel && set.limits.probing && set.limits.max_attempts == 4 && set.job_starts_reported
+        policy_settings.limits.cancel
+            && policy_settings.limits.probing
+            && policy_settings.limits.max_attempts == 4
+            && policy_settings.job_starts_reported
+    );
+    assert_eq!(
+        (policy_settings.obligations.overload_factor, policy_settings.obligations.warm_up_time),
+        (2.5, 18_000_000_000)
     );
-    assert_eq!((set.obligations.overload_factor, set.obligations.warm_up_time), (2.5, 18_000_000_000));
 }
--- a/crates/simulation/tests/worker.rs
+++ b/crates/simulation/tests/worker.rs
@@ -1,4 +1,4 @@
-//! Invariants of a worker under any order of events (property tests; a failing case is printed and replays).
+//! Property tests of workers and random streams.
 
 use loomlb_policy::QueueOrder;
 use loomlb_simulation::seed::RandomStreams;
@@ -53,11 +53,11 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 200, failure_persistence: None, rng_seed: RngSeed::Fixed(7), ..ProptestConfig::default() })]
 
-    /// Slots are never negative nor overdrawn, the queue keeps its bound, time never runs backwards, a job starts
-    /// before it ends and ends once, and all work done is in jobs that ended, were dropped, or still run.
+    /// Slots and queue stay within their limits, time never runs backwards, a job starts before it ends and ends once,
+    /// and all work done belongs to jobs that completed, were cancelled, or are running.
     #[test]
-    fn slots_time_and_work_are_kept(ops in ops(), order in 0u8..3, stops in any::<bool>()) {
-        let mut w = Worker::new(spec(order, stops), 0, 0);
+    fn a_worker_keeps_its_limits_and_accounts_for_all_work(ops in ops(), order in 0u8..3, cancel_stops_running in any::<bool>()) {
+        let mut w = Worker::new(spec(order, cancel_stops_running), 0, 0);
         let (mut now, mut events, mut last_id, mut last_event_time) = (0, Vec::new(), 0, 0);
         let mut state: BTreeMap<u64, &str> = BTreeMap::new();
         for op in ops {
@@ -71,7 +71,7 @@
                         state.insert(last_id, "waits");
                         prop_assert!(w.job_count() == held + 1);
                     } else {
-                        prop_assert!(slots > 5 || waiting == 12, "turned away with room: {slots} {waiting}");
+                        prop_assert!(slots > 5 || waiting == 12, "rejected although the queue is not full: {slots} {waiting}");
                     }
                 }
                 Op::Cancel(id) => {
@@ -107,7 +107,7 @@
             let sum = w.finished + w.wasted + w.unfinished_work();
             prop_assert!((w.delivered - sum).abs() < 1e-3 * w.delivered.max(1.0), "{} {sum}", w.delivered);
         }
-        // Left alone, it finishes all that it holds.
+        // Without further operations the worker finishes all its jobs.
         for _ in 0..100_000 {
             let Some(t) = w.next_event_time() else { break };
             w.advance(t, &mut events);
@@ -115,9 +115,9 @@
         prop_assert_eq!(w.job_count(), 0);
     }
 
-    /// A draw more from one stream leaves all others as they were.
+    /// Additional draws from one stream don't change the others.
     #[test]
-    fn streams_are_independent(seed in any::<u64>(), extra in 0usize..5) {
+    fn random_streams_are_independent(seed in any::<u64>(), extra in 0usize..5) {
         let streams = RandomStreams::new(seed);
         let (mut a, mut b) = (streams.stream("a"), streams.stream("b"));
         (0..extra).for_each(|_| { a.next_u64(); });
