--- a/crates/emulator/src/clients.rs
+++ b/crates/emulator/src/clients.rs
@@ -25,7 +25,7 @@
     loop {
         let next = stage.arrivals.borrow_mut().next(&day);
         let Some(request) = next else { return };
-        stage.until(request.at).await;
+        stage.until(request.sent_at).await;
         if stage.stop.asked() {
             return;
         }
@@ -40,7 +40,7 @@
 
 /// One request with all its tries.
 async fn one(stage: &Rc<Stage>, request: Request) {
-    let leaves = request.at + request.client_timeout;
+    let leaves = request.sent_at + request.client_timeout;
     let mut tries = 0;
     let end = loop {
         tries += 1;
@@ -105,7 +105,7 @@
 
 async fn exchange(stage: &Rc<Stage>, request: &Request, id: u64, s: usize) -> Outcome {
     let at = stage.schedulers[s].listen;
-    let class_end = request.at + ms(stage.world.borrow().scenario.classes[request.class].deadline_ms);
+    let class_end = request.sent_at + ms(stage.world.borrow().scenario.classes[request.class].deadline_ms);
     let mut taken = false;
     // A kept connection may have been closed in this very moment: then the request goes out once more on a new one.
     for fresh in [false, true] {
--- a/crates/simulation/src/clients.rs
+++ b/crates/simulation/src/clients.rs
@@ -15,7 +15,7 @@
     /// The number, from 1.
     pub number: u64,
     /// When the client sends the first try.
-    pub at: Nanos,
+    pub sent_at: Nanos,
     /// Index of the class.
     pub class: usize,
     /// Index of the tenant.
@@ -202,7 +202,7 @@
         };
         Some(Request {
             number: self.number,
-            at: (self.at * 1e9) as Nanos,
+            sent_at: (self.at * 1e9) as Nanos,
             class,
             tenant,
             subject: (scenario.load.subjects > 0).then(|| self.draw_subject(scenario.load.subjects)),
--- a/crates/simulation/src/figures.rs
+++ b/crates/simulation/src/figures.rs
@@ -113,9 +113,10 @@
         self.requests += 1;
         self.tries += u64::from(tries);
         let class = &scenario.classes[request.class];
-        let taken = at.saturating_sub(request.at);
-        let wanted = class.aim_ms * 1e6 + class.stretch * request.work;
-        let in_time = end == RequestOutcome::Served && taken as f64 <= wanted.min(class.deadline_ms * 1e6);
+        let latency = at.saturating_sub(request.sent_at);
+        let objective = class.aim_ms * 1e6 + class.stretch * request.work;
+        let in_time =
+            end == RequestOutcome::Served && latency as f64 <= objective.min(class.deadline_ms * 1e6);
         match end {
             RequestOutcome::Served => self.served += 1,
             RequestOutcome::Refused => self.refused += 1,
@@ -125,20 +126,20 @@
         }
         self.in_time += u64::from(in_time);
         if end == RequestOutcome::Served {
-            self.latency.saturating_record((taken / 1000).max(1));
+            self.latency.saturating_record((latency / 1000).max(1));
         }
         let share = if request.in_share { 1.0 } else { scenario.terms.over_share_worth };
         let worth = class.worth * request.work / 1e9 * f64::from(request.slots) * share;
         let earned = if in_time { worth } else { 0.0 };
-        let second = (request.at / 1_000_000_000) as usize;
+        let second = (request.sent_at / 1_000_000_000) as usize;
         let size = request.work / 1e9 * f64::from(request.slots);
         if let Some(work) = request.tenant.and_then(|t| self.work.get_mut(t)) {
             let ended = (at / 1_000_000_000) as usize;
-            if let Some(asked) = work.get_mut(second) {
-                asked[0] += size;
+            if let Some(offered) = work.get_mut(second) {
+                offered[0] += size;
             }
-            if let Some(got) = work.get_mut(ended).filter(|_| end == RequestOutcome::Served) {
-                got[1] += size;
+            if let Some(served) = work.get_mut(ended).filter(|_| end == RequestOutcome::Served) {
+                served[1] += size;
             }
         }
         let tenant = request.tenant.filter(|_| request.in_share).and_then(|t| self.tenants.get_mut(t));
@@ -151,7 +152,7 @@
 
     /// Returns the statistics of the requests recorded so far.
     pub fn figures(&self) -> Figures {
-        let part = |s: &[f64; 2]| if s[0] > 0.0 { s[1] / s[0] } else { 1.0 };
+        let fraction = |s: &[f64; 2]| if s[0] > 0.0 { s[1] / s[0] } else { 1.0 };
         let sum = |all: &[[f64; 2]]| all.iter().fold([0.0; 2], |a, s| [a[0] + s[0], a[1] + s[1]]);
         let windows = self.seconds.windows(WORST_WINDOW_S.min(self.seconds.len().max(1)));
         let ms = |q: f64| self.latency.value_at_quantile(q) as f64 / 1e3;
@@ -164,10 +165,10 @@
             failed: self.failed,
             unreachable: self.unreachable,
             left: self.left,
-            service: part(&sum(&self.classes)),
-            worst_window: windows.map(|w| part(&sum(w))).fold(1.0, f64::min),
-            classes: self.classes.iter().map(part).collect(),
-            tenants: self.tenants.iter().map(part).collect(),
+            service: fraction(&sum(&self.classes)),
+            worst_window: windows.map(|w| fraction(&sum(w))).fold(1.0, f64::min),
+            classes: self.classes.iter().map(fraction).collect(),
+            tenants: self.tenants.iter().map(fraction).collect(),
             tenant_work: self.work.clone(),
             p50_ms: ms(0.5),
             p99_ms: ms(0.99),
--- a/crates/simulation/src/invariants.rs
+++ b/crates/simulation/src/invariants.rs
@@ -129,8 +129,8 @@
     Killed,
     /// It exited. All requests without a response are lost.
     Exited,
-    /// It was asked to shut down at this time and killed after a timeout. Requests accepted after
-    /// [`SHUTDOWN_NOTICE`] are lost.
+    /// It was asked to shut down at this time and killed after a timeout. Requests that it accepted after a
+    /// notice period are lost.
     ShutdownTimedOut(Nanos),
 }
 
@@ -138,7 +138,7 @@
 const SHUTDOWN_NOTICE: Nanos = 700_000_000;
 
 #[derive(Clone, Debug)]
-enum Fact {
+enum RequestEvent {
     Accepted { scheduler: usize },
     Received { worker: usize, cell: usize, job: u64 },
     Started { worker: usize },
@@ -148,25 +148,25 @@
     ClientLeft,
 }
 
-impl fmt::Display for Fact {
+impl fmt::Display for RequestEvent {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Fact::Accepted { scheduler } => write!(f, "accepted by scheduler {scheduler}"),
-            Fact::Received { worker, cell, job } => {
+            RequestEvent::Accepted { scheduler } => write!(f, "accepted by scheduler {scheduler}"),
+            RequestEvent::Received { worker, cell, job } => {
                 write!(f, "received by worker {worker} of cell {cell} as job {job}")
             }
-            Fact::Started { worker } => write!(f, "started at worker {worker}"),
-            Fact::AttemptEnded { worker, ended: AttemptEnd::NeverRan } => {
+            RequestEvent::Started { worker } => write!(f, "started at worker {worker}"),
+            RequestEvent::AttemptEnded { worker, ended: AttemptEnd::NeverRan } => {
                 write!(f, "ended at worker {worker}, never ran")
             }
-            Fact::AttemptEnded { worker, ended: AttemptEnd::MayHaveRun } => {
+            RequestEvent::AttemptEnded { worker, ended: AttemptEnd::MayHaveRun } => {
                 write!(f, "ended at worker {worker}, may have run")
             }
-            Fact::ResponseSent { kind } => write!(f, "answered: {kind}"),
-            Fact::ConnectionBroken { scheduler } => {
+            RequestEvent::ResponseSent { kind } => write!(f, "answered: {kind}"),
+            RequestEvent::ConnectionBroken { scheduler } => {
                 write!(f, "the connection to scheduler {scheduler} closed without an answer")
             }
-            Fact::ClientLeft => write!(f, "the client left"),
+            RequestEvent::ClientLeft => write!(f, "the client left"),
         }
     }
 }
@@ -186,20 +186,20 @@
     class: usize,
     scheduler: usize,
     deadline: Nanos,
-    taken: bool,
+    accepted: bool,
     answered: bool,
     /// No response is expected, because the client has left or the scheduler was killed.
     excused: bool,
     /// When the client left without a response.
-    left: Option<Nanos>,
+    left_at: Option<Nanos>,
     attempts: Vec<Attempt>,
     results: Vec<u64>,
-    facts: Vec<(Nanos, Fact)>,
+    events: Vec<(Nanos, RequestEvent)>,
 }
 
 impl RequestRecord {
     fn format_history(&self) -> Vec<String> {
-        self.facts.iter().map(|(at, fact)| format!("{:>12.6} s  {fact}", *at as f64 / 1e9)).collect()
+        self.events.iter().map(|(at, event)| format!("{:>12.6} s  {event}", *at as f64 / 1e9)).collect()
     }
     fn is_finished(&self) -> bool {
         (self.answered || self.excused) && self.attempts.iter().all(|a| a.ended.is_some())
@@ -231,7 +231,7 @@
 /// Checks the invariants during a scenario.
 #[derive(Debug)]
 pub struct InvariantChecker {
-    effects: Vec<(Idempotency, Nanos)>,
+    repeat_policies: Vec<(Idempotency, Nanos)>,
     answer_grace: Nanos,
     drain_grace: Nanos,
     hedging_allowed: bool,
@@ -258,7 +258,7 @@
     pub fn new(scenario: &Scenario, slack: Nanos) -> Self {
         let ms = |x: f64| (x * 1e6) as Nanos;
         InvariantChecker {
-            effects: scenario.classes.iter().map(|c| (c.effect, ms(c.window_ms))).collect(),
+            repeat_policies: scenario.classes.iter().map(|c| (c.effect, ms(c.window_ms))).collect(),
             answer_grace: ms(scenario.terms.answer_grace_ms) + slack,
             drain_grace: ms(scenario.terms.drain_grace_ms) + slack,
             hedging_allowed: scenario.terms.second_copies,
@@ -288,20 +288,23 @@
         }
     }
 
-    fn append_fact(&mut self, request: u64, at: Nanos, fact: Fact) -> &mut RequestRecord {
+    fn append_event(&mut self, request: u64, at: Nanos, event: RequestEvent) -> &mut RequestRecord {
         if let Some(record) = self.ended.remove(&request) {
             // An ended request is reopened by any further event.
             self.open.insert(request, record);
         }
         let record = self.open.entry(request).or_default();
-        record.facts.push((at, fact));
+        record.events.push((at, event));
         record
     }
 
     /// Returns the idempotency and the deduplication window of a request's class, also for an ended request.
     fn repeat_policy(&self, request: u64) -> (Idempotency, Nanos) {
         let record = self.open.get(&request).or_else(|| self.ended.get(&request));
-        record.and_then(|s| self.effects.get(s.class)).copied().unwrap_or((Idempotency::Idempotent, 0))
+        record
+            .and_then(|s| self.repeat_policies.get(s.class))
+            .copied()
+            .unwrap_or((Idempotency::Idempotent, 0))
     }
 
     fn archive_if_finished(&mut self, request: u64) {
@@ -328,8 +331,9 @@
         deadline: Nanos,
     ) {
         self.counts.taken += 1;
-        let record = self.append_fact(request, at, Fact::Accepted { scheduler });
-        (record.taken, record.class, record.scheduler, record.deadline) = (true, class, scheduler, deadline);
+        let record = self.append_event(request, at, RequestEvent::Accepted { scheduler });
+        (record.accepted, record.class, record.scheduler, record.deadline) =
+            (true, class, scheduler, deadline);
     }
 
     /// Reports that a worker has received an attempt. `drain_known_since` is when the scheduler learned that the worker drains or
@@ -348,10 +352,10 @@
         self.counts.attempts += 1;
         let (hedging_allowed, slack) = (self.hedging_allowed, self.slack);
         let (repeat_policy, window) = self.repeat_policy(request);
-        let record = self.append_fact(request, at, Fact::Received { worker, cell, job });
-        let after = record.left.and_then(|left| sent.checked_sub(left + slack));
+        let record = self.append_event(request, at, RequestEvent::Received { worker, cell, job });
+        let sent_after_leaving = record.left_at.and_then(|left| sent.checked_sub(left + slack));
         let is_first_attempt = record.attempts.is_empty();
-        let open = record.attempts.iter().any(|a| a.ended.is_none());
+        let in_flight = record.attempts.iter().any(|a| a.ended.is_none());
         let first = record.attempts.iter().find(|a| a.ended != Some(AttemptEnd::NeverRan)).cloned();
         record.attempts.push(Attempt { worker, cell, at: sent, job, ended: None, started: false });
         if let Some(first) = first {
@@ -383,16 +387,19 @@
                 Idempotency::DeduplicatedInCell | Idempotency::DeduplicatedInZone => {}
             }
         }
-        if let Some(after) = after.filter(|after| *after > CLIENT_LEFT_GRACE) {
+        if let Some(sent_after_leaving) = sent_after_leaving.filter(|time| *time > CLIENT_LEFT_GRACE) {
             self.sent_after_client_left += 1;
-            self.left_before_first_attempt.1 += u64::from(is_first_attempt && after >= WAITING_SEND_GRACE);
+            self.left_before_first_attempt.1 +=
+                u64::from(is_first_attempt && sent_after_leaving >= WAITING_SEND_GRACE);
             if self.sent_after_client_left > MAX_SENDS_AFTER_CLIENT_LEFT {
-                let description =
-                    format!("sent to worker {worker} {} ms after its client left", after / 1_000_000);
+                let description = format!(
+                    "sent to worker {worker} {} ms after its client left",
+                    sent_after_leaving / 1_000_000
+                );
                 self.record_violation(Invariant::ClientGone, at, request, description);
             }
         }
-        if open && !hedging_allowed {
+        if in_flight && !hedging_allowed {
             self.record_violation(
                 Invariant::SecondCopy,
                 at,
@@ -417,7 +424,7 @@
     pub fn job_started(&mut self, at: Nanos, request: u64, worker: usize, job: u64) {
         self.counts.started += 1;
         let (repeat_policy, _) = self.repeat_policy(request);
-        let record = self.append_fact(request, at, Fact::Started { worker });
+        let record = self.append_event(request, at, RequestEvent::Started { worker });
         if let Some(a) = record.attempts.iter_mut().find(|a| a.job == job) {
             a.started = true;
         }
@@ -434,11 +441,11 @@
         if !self.open.contains_key(&request) {
             return;
         }
-        let record = self.append_fact(request, at, Fact::AttemptEnded { worker: usize::MAX, ended });
+        let record = self.append_event(request, at, RequestEvent::AttemptEnded { worker: usize::MAX, ended });
         if let Some(a) = record.attempts.iter_mut().find(|a| a.job == job) {
             a.ended.get_or_insert(ended);
             let worker = a.worker;
-            if let Some((_, Fact::AttemptEnded { worker: w, .. })) = record.facts.last_mut() {
+            if let Some((_, RequestEvent::AttemptEnded { worker: w, .. })) = record.events.last_mut() {
                 *w = worker;
             }
         }
@@ -462,9 +469,9 @@
         };
         let grace = self.answer_grace;
         let (repeat_policy, _) = self.repeat_policy(request);
-        let record = self.append_fact(request, at, Fact::ResponseSent { kind });
-        let (twice, taken) = (std::mem::replace(&mut record.answered, true), record.taken);
-        let late = taken && at > record.deadline.saturating_add(grace);
+        let record = self.append_event(request, at, RequestEvent::ResponseSent { kind });
+        let (already_answered, accepted) = (std::mem::replace(&mut record.answered, true), record.accepted);
+        let late = accepted && at > record.deadline.saturating_add(grace);
         let late_ms = at.saturating_sub(record.deadline) / 1_000_000;
         let may_have_run = record.attempts.iter().any(|a| a.ended != Some(AttemptEnd::NeverRan));
         let unknown_result =
@@ -474,8 +481,9 @@
             FinalResponse::Refused => self.counts.refused += 1,
             FinalResponse::Failed => self.counts.failed += 1,
         }
-        if twice || !taken {
-            let description = if twice { "answered twice" } else { "answered, but never accepted" };
+        if already_answered || !accepted {
+            let description =
+                if already_answered { "answered twice" } else { "answered, but never accepted" };
             self.record_violation(Invariant::AnsweredOnce, at, request, description.into());
         }
         if late {
@@ -514,14 +522,14 @@
     /// Reports that a client's connection closed without a response. If the scheduler is running, the request is
     /// reported as lost when the scenario ends.
     pub fn connection_broken(&mut self, at: Nanos, request: u64, scheduler: usize) {
-        self.append_fact(request, at, Fact::ConnectionBroken { scheduler });
+        self.append_event(request, at, RequestEvent::ConnectionBroken { scheduler });
     }
 
     /// Reports that a request never reached the scheduler, because the scheduler closed an idle connection at the
     /// same time and no other connection could be opened.
     pub fn request_not_accepted(&mut self, at: Nanos, request: u64) {
         self.counts.excused += 1;
-        self.append_fact(request, at, Fact::ClientLeft).excused = true;
+        self.append_event(request, at, RequestEvent::ClientLeft).excused = true;
         self.archive_if_finished(request);
     }
 
@@ -529,8 +537,8 @@
     pub fn client_left(&mut self, at: Nanos, request: u64) {
         if self.open.get(&request).is_some_and(|s| !s.answered) {
             self.counts.excused += 1;
-            let record = self.append_fact(request, at, Fact::ClientLeft);
-            (record.excused, record.left) = (true, Some(at));
+            let record = self.append_event(request, at, RequestEvent::ClientLeft);
+            (record.excused, record.left_at) = (true, Some(at));
             let waiting = record.attempts.is_empty();
             self.left_before_first_attempt.0 += u64::from(waiting);
             self.archive_if_finished(request);
@@ -539,12 +547,13 @@
 
     /// Reports the end of a scheduler's process.
     pub fn scheduler_ended(&mut self, at: Nanos, scheduler: usize, exit: SchedulerExit) {
-        let is_pending = |s: &RequestRecord| s.scheduler == scheduler && s.taken && !s.answered && !s.excused;
+        let is_pending =
+            |s: &RequestRecord| s.scheduler == scheduler && s.accepted && !s.answered && !s.excused;
         let mut is_pending: Vec<(u64, Nanos)> = self
             .open
             .iter()
             .filter(|(_, s)| is_pending(s))
-            .map(|(r, s)| (*r, s.facts.first().map_or(0, |f| f.0)))
+            .map(|(r, s)| (*r, s.events.first().map_or(0, |f| f.0)))
             .collect();
         is_pending.sort_unstable();
         for (request, taken) in is_pending {
@@ -584,7 +593,7 @@
 
     /// Returns the number of requests that still expect a response.
     pub fn pending_responses(&self) -> usize {
-        self.open.values().filter(|s| s.taken && !s.answered && !s.excused).count()
+        self.open.values().filter(|s| s.accepted && !s.answered && !s.excused).count()
     }
 
     /// Ends the scenario. Requests that still expect a response are violations.
@@ -596,7 +605,7 @@
             );
             self.record_violation(Invariant::ClientGone, at, 0, description);
         }
-        let is_pending = |s: &RequestRecord| s.taken && !s.answered && !s.excused;
+        let is_pending = |s: &RequestRecord| s.accepted && !s.answered && !s.excused;
         let mut lost: Vec<u64> = self.open.iter().filter(|(_, s)| is_pending(s)).map(|(r, _)| *r).collect();
         lost.sort_unstable();
         for request in lost {
--- a/crates/simulation/src/simulate.rs
+++ b/crates/simulation/src/simulate.rs
@@ -28,7 +28,7 @@
 use std::collections::BinaryHeap;
 
 /// Time for which clients still send to a scheduler that was asked to shut down.
-const SHUTDOWN_NOTICE: Nanos = 300_000_000;
+const SHUTDOWN_VISIBLE_TIME: Nanos = 300_000_000;
 /// Time after which a scheduler that was asked to shut down is killed, in addition to the longest deadline.
 const SHUTDOWN_KILL_MARGIN: Nanos = 700_000_000;
 /// The longest deadline counts as this at most.
@@ -131,7 +131,7 @@
     sent: Nanos,
     job: Option<u64>,
     ended: bool,
-    /// Whether the attempt was sent on an open connection.
+    /// Whether there is a connection over which the attempt can reach the worker.
     connected: bool,
 }
 
@@ -158,7 +158,7 @@
     /// The front proxy sends requests until this time, although the process may have ended.
     visible_until: Nanos,
     shutdown_started: Option<Nanos>,
-    run: u32,
+    incarnation: u32,
     inbox: Vec<Event>,
     outbox: Vec<Action>,
     /// Requests by id.
@@ -171,7 +171,7 @@
     request: Request,
     tries: u32,
     /// The scheduler of the current try.
-    at: Option<usize>,
+    scheduler: Option<usize>,
     /// When the client stops waiting.
     leaves: Nanos,
     answered: bool,
@@ -351,7 +351,7 @@
             is_running: true,
             visible_until: Nanos::MAX,
             shutdown_started: None,
-            run: 0,
+            incarnation: 0,
             inbox: Vec::new(),
             outbox: Vec::new(),
             flows: FxHashMap::default(),
@@ -439,7 +439,7 @@
 
     fn perform_action(&mut self, s: usize, action: Action) {
         let scheduler = s as u64;
-        let run = self.nodes[s].run;
+        let incarnation = self.nodes[s].incarnation;
         match action {
             Action::Send { id, worker, timeout } => {
                 self.digest_values(32, &[scheduler, id.0, worker.0, timeout]);
@@ -460,7 +460,7 @@
             }
             Action::SetTimer { after, token } => {
                 self.digest_values(36, &[scheduler, after, token]);
-                self.push(self.now + after.max(1), ScheduledEvent::Timer(s, run, token));
+                self.push(self.now + after.max(1), ScheduledEvent::Timer(s, incarnation, token));
             }
             Action::Probe(worker) => {
                 self.digest_values(37, &[scheduler, worker.0]);
@@ -468,7 +468,10 @@
                 let back = self.link_delay(s, w) + self.link_delay(s, w);
                 let up = !self.world.is_silent(worker.0 as usize - 1);
                 let after = if up { back } else { ms(self.world.scenario.network.dial_ms) };
-                self.push(self.now + after, ScheduledEvent::ProbeEnded(s, run, worker.0 as usize - 1, up));
+                self.push(
+                    self.now + after,
+                    ScheduledEvent::ProbeEnded(s, incarnation, worker.0 as usize - 1, up),
+                );
             }
             Action::CloseIdleConnections(worker) => {
                 self.digest_values(38, &[scheduler, worker.0]);
@@ -481,8 +484,10 @@
                 self.digest_values(39, &[scheduler]);
                 let (there, back) = (self.discovery_delay(), self.discovery_delay());
                 match self.world.request_list(self.now + there) {
-                    Ok(done) => self.push(done + back, ScheduledEvent::ListReply(s, run)),
-                    Err(failed) => self.push(failed + back, ScheduledEvent::ListRequestFailed(s, run)),
+                    Ok(done) => self.push(done + back, ScheduledEvent::ListReply(s, incarnation)),
+                    Err(failed) => {
+                        self.push(failed + back, ScheduledEvent::ListRequestFailed(s, incarnation))
+                    }
                 }
             }
             Action::SendToPeers(to, bytes) => {
@@ -504,13 +509,13 @@
             return;
         }
         let at = self.datagrams.insert((s, bytes.to_vec()));
-        let run = self.nodes[peer].run;
-        self.push(self.now + after, ScheduledEvent::Datagram(peer, run, at));
+        let incarnation = self.nodes[peer].incarnation;
+        self.push(self.now + after, ScheduledEvent::Datagram(peer, incarnation, at));
     }
 
     /// Sends an attempt.
     fn send_attempt(&mut self, s: usize, id: u64, w: usize, timeout: Nanos) {
-        let (now, run) = (self.now, self.nodes[s].run);
+        let (now, incarnation) = (self.now, self.nodes[s].incarnation);
         let max_attempts = self.world.scenario.terms.max_attempts as usize;
         let Some(flow) = self.nodes[s].flows.get_mut(&id) else { return };
         let n = flow.forwards.len() as u32;
@@ -527,7 +532,7 @@
         if not_allowed || w >= self.world.workers() {
             return self.end_attempt(s, id, n, Outcome::NotSent, None);
         }
-        self.push(until, ScheduledEvent::AttemptTimeout(s, run, id, n));
+        self.push(until, ScheduledEvent::AttemptTimeout(s, incarnation, id, n));
         let max_idle = crate::world::secs(self.world.scenario.network.idle_s) * 3 / 4;
         let idle = self.nodes[s].idle_connections.get_mut(&w).and_then(|p| {
             let last = p.pop();
@@ -538,7 +543,7 @@
                 f.connected = true;
             }
             let way = self.link_delay(s, w);
-            return self.push(now + way, ScheduledEvent::DeliverAttempt(s, run, id, n));
+            return self.push(now + way, ScheduledEvent::DeliverAttempt(s, incarnation, id, n));
         }
         if idle == Some(false) {
             let old = self.nodes[s].idle_connections.remove(&w).map_or(0, |p| p.len()) + 1;
@@ -550,17 +555,17 @@
                 if let Some(f) = self.forward_mut(s, id, n) {
                     f.connected = true;
                 }
-                self.push(now + way, ScheduledEvent::DeliverAttempt(s, run, id, n));
+                self.push(now + way, ScheduledEvent::DeliverAttempt(s, incarnation, id, n));
             }
             ConnectResult::Refused => self.push(
                 now + way,
-                ScheduledEvent::AttemptEnded(s, run, id, n, outcome_code(Outcome::NoConnection)),
+                ScheduledEvent::AttemptEnded(s, incarnation, id, n, outcome_code(Outcome::NoConnection)),
             ),
             ConnectResult::NoResponse => {
                 let dial = ms(self.world.scenario.network.dial_ms);
                 self.push(
                     now + dial,
-                    ScheduledEvent::AttemptEnded(s, run, id, n, outcome_code(Outcome::NoConnection)),
+                    ScheduledEvent::AttemptEnded(s, incarnation, id, n, outcome_code(Outcome::NoConnection)),
                 );
             }
         }
@@ -571,7 +576,7 @@
     }
 
     /// Delivers an attempt to its worker.
-    fn deliver_attempt(&mut self, s: usize, run: u32, id: u64, n: u32) {
+    fn deliver_attempt(&mut self, s: usize, incarnation: u32, id: u64, n: u32) {
         let Some(flow) = self.nodes[s].flows.get(&id) else { return };
         let Some(f) = flow.forwards.get(n as usize) else { return };
         let (w, sent) = (f.worker, f.sent);
@@ -596,19 +601,19 @@
                 self.nodes[s].idle_connections.entry(w).or_default().push(self.now);
                 self.push(
                     self.now + way,
-                    ScheduledEvent::AttemptEnded(s, run, id, n, outcome_code(Outcome::Full)),
+                    ScheduledEvent::AttemptEnded(s, incarnation, id, n, outcome_code(Outcome::Full)),
                 );
             }
             AttemptReply::Error => {
                 self.nodes[s].idle_connections.entry(w).or_default().push(self.now);
                 self.push(
                     self.now + way + ms(2.0),
-                    ScheduledEvent::AttemptEnded(s, run, id, n, outcome_code(Outcome::Error)),
+                    ScheduledEvent::AttemptEnded(s, incarnation, id, n, outcome_code(Outcome::Error)),
                 );
             }
             AttemptReply::ConnectionRefused => self.push(
                 self.now + way,
-                ScheduledEvent::AttemptEnded(s, run, id, n, outcome_code(Outcome::Reset)),
+                ScheduledEvent::AttemptEnded(s, incarnation, id, n, outcome_code(Outcome::Reset)),
             ),
             AttemptReply::NoResponse => {}
         }
@@ -666,12 +671,12 @@
     }
 
     /// Sends a final response to a client.
-    fn respond(&mut self, s: usize, id: u64, answered: FinalResponse, said: TryOutcome) {
+    fn respond(&mut self, s: usize, id: u64, answered: FinalResponse, outcome: TryOutcome) {
         let Some(flow) = self.nodes[s].flows.get_mut(&id).filter(|f| !f.answered) else { return };
         flow.answered = true;
         self.world.invariant_checker.response_sent(self.now, id, answered);
         let way = self.delay(self.world.scenario.network.client_ms);
-        let code = match said {
+        let code = match outcome {
             TryOutcome::Served => 0,
             TryOutcome::Failed => 1,
             TryOutcome::Unreachable => 2,
@@ -686,43 +691,46 @@
 
     fn process_event(&mut self, event: ScheduledEvent) {
         let now = self.now;
-        let is_current_run =
-            |host: &Self, s: usize, run: u32| host.nodes[s].is_running && host.nodes[s].run == run;
+        let is_current_run = |host: &Self, s: usize, incarnation: u32| {
+            host.nodes[s].is_running && host.nodes[s].incarnation == incarnation
+        };
         match event {
             ScheduledEvent::NextRequest => self.next_request(),
             ScheduledEvent::SendTry(number) => self.send_try(number),
-            ScheduledEvent::ReceiveRequest(id, s, run) => self.receive_request(id, s, run),
+            ScheduledEvent::ReceiveRequest(id, s, incarnation) => self.receive_request(id, s, incarnation),
             ScheduledEvent::RunSchedulers => self.run_schedulers(),
-            ScheduledEvent::Timer(s, run, token) if is_current_run(self, s, run) => {
+            ScheduledEvent::Timer(s, incarnation, token) if is_current_run(self, s, incarnation) => {
                 self.enqueue_event(s, Event::TimerFired(token))
             }
-            ScheduledEvent::DeliverAttempt(s, run, id, n) if is_current_run(self, s, run) => {
-                self.deliver_attempt(s, run, id, n)
+            ScheduledEvent::DeliverAttempt(s, incarnation, id, n) if is_current_run(self, s, incarnation) => {
+                self.deliver_attempt(s, incarnation, id, n)
             }
-            ScheduledEvent::AttemptEnded(s, run, id, n, outcome) if is_current_run(self, s, run) => {
+            ScheduledEvent::AttemptEnded(s, incarnation, id, n, outcome)
+                if is_current_run(self, s, incarnation) =>
+            {
                 let outcome = OUTCOMES[outcome as usize];
                 let w = self.forward_mut(s, id, n).map(|f| f.worker);
                 let report = w.filter(|_| matches!(outcome, Outcome::Full | Outcome::Error));
                 let report = report.and_then(|w| self.world.report(now, w)).map(load_report);
                 self.end_attempt(s, id, n, outcome, report);
             }
-            ScheduledEvent::AttemptTimeout(s, run, id, n) if is_current_run(self, s, run) => {
+            ScheduledEvent::AttemptTimeout(s, incarnation, id, n) if is_current_run(self, s, incarnation) => {
                 self.cancel_attempt(s, id, n, Outcome::Timeout)
             }
             ScheduledEvent::CancelJob(job) => self.world.cancel_job(now, job),
-            ScheduledEvent::JobUpdate(s, run, at) => {
+            ScheduledEvent::JobUpdate(s, incarnation, at) => {
                 let Some((id, job, update, report)) = self.job_updates.try_remove(at) else { return };
-                if is_current_run(self, s, run) {
+                if is_current_run(self, s, incarnation) {
                     self.receive_job_update(s, id, job, update, report);
                 }
             }
-            ScheduledEvent::Datagram(s, run, at) => {
+            ScheduledEvent::Datagram(s, incarnation, at) => {
                 let Some((from, bytes)) = self.datagrams.try_remove(at) else { return };
-                if is_current_run(self, s, run) {
+                if is_current_run(self, s, incarnation) {
                     self.enqueue_event(s, Event::PeerMessage(PeerId(from as u32), bytes));
                 }
             }
-            ScheduledEvent::ProbeEnded(s, run, w, up) if is_current_run(self, s, run) => {
+            ScheduledEvent::ProbeEnded(s, incarnation, w, up) if is_current_run(self, s, incarnation) => {
                 let report = if up { self.world.probe(now, s, w) } else { None };
                 let outcome = if report.is_some() { Outcome::Served } else { Outcome::NoConnection };
                 let ended = AttemptResult {
@@ -739,24 +747,24 @@
             ScheduledEvent::Response(id, code) => self.receive_response(id, code),
             ScheduledEvent::ClientTimeout(id) => self.handle_client_timeout(id),
             ScheduledEvent::StartScheduler(s) => self.start_scheduler(s),
-            ScheduledEvent::CheckShutdown(s, run) if is_current_run(self, s, run) => {
+            ScheduledEvent::CheckShutdown(s, incarnation) if is_current_run(self, s, incarnation) => {
                 if self.nodes[s].flows.values().all(|f| f.answered) {
                     self.stop_scheduler(s, SchedulerExit::Exited);
                 } else {
-                    self.push(now + 5_000_000, ScheduledEvent::CheckShutdown(s, run));
+                    self.push(now + 5_000_000, ScheduledEvent::CheckShutdown(s, incarnation));
                 }
             }
-            ScheduledEvent::KillScheduler(s, run) if is_current_run(self, s, run) => {
+            ScheduledEvent::KillScheduler(s, incarnation) if is_current_run(self, s, incarnation) => {
                 let asked = self.nodes[s].shutdown_started.unwrap_or(now);
                 self.stop_scheduler(s, SchedulerExit::ShutdownTimedOut(asked));
             }
-            ScheduledEvent::ListReply(s, run) if is_current_run(self, s, run) => {
+            ScheduledEvent::ListReply(s, incarnation) if is_current_run(self, s, incarnation) => {
                 if !self.world.discovery_up() {
                     return self.enqueue_event(s, Event::ListRequestFailed);
                 }
                 self.send_list(s, ListKind::Complete);
             }
-            ScheduledEvent::ListRequestFailed(s, run) if is_current_run(self, s, run) => {
+            ScheduledEvent::ListRequestFailed(s, incarnation) if is_current_run(self, s, incarnation) => {
                 self.enqueue_event(s, Event::ListRequestFailed)
             }
             // Events for an earlier process of a scheduler are dropped.
@@ -771,8 +779,8 @@
                     return;
                 }
                 let at = self.job_updates.insert((request, job, update, report.map(load_report)));
-                let (way, run) = (self.link_delay(s, worker), self.nodes[s].run);
-                self.push(self.now + way, ScheduledEvent::JobUpdate(s, run, at));
+                let (way, incarnation) = (self.link_delay(s, worker), self.nodes[s].incarnation);
+                self.push(self.now + way, ScheduledEvent::JobUpdate(s, incarnation, at));
             }
             HostAction::WorkerList { scheduler: s, entries, .. } => {
                 let names = &self.nodes[s].names;
@@ -783,18 +791,21 @@
             HostAction::Signal(s, Signal::Kill) => self.stop_scheduler(s, SchedulerExit::Killed),
             HostAction::Signal(s, Signal::Term) => {
                 if self.nodes[s].is_running && self.nodes[s].shutdown_started.is_none() {
-                    let (now, run) = (self.now, self.nodes[s].run);
+                    let (now, incarnation) = (self.now, self.nodes[s].incarnation);
                     self.nodes[s].shutdown_started = Some(now);
-                    self.nodes[s].visible_until = now + SHUTDOWN_NOTICE;
-                    self.push(now + SHUTDOWN_NOTICE + ms(10.0), ScheduledEvent::CheckShutdown(s, run));
-                    self.push(self.shutdown_deadline(now), ScheduledEvent::KillScheduler(s, run));
+                    self.nodes[s].visible_until = now + SHUTDOWN_VISIBLE_TIME;
+                    self.push(
+                        now + SHUTDOWN_VISIBLE_TIME + ms(10.0),
+                        ScheduledEvent::CheckShutdown(s, incarnation),
+                    );
+                    self.push(self.shutdown_deadline(now), ScheduledEvent::KillScheduler(s, incarnation));
                 }
             }
             // Discovery has no address in virtual time. The scheduler receives the complete list, as it would after
             // a reload.
             HostAction::Signal(s, Signal::Moved) => {
-                let run = self.nodes[s].run;
-                self.push(self.now + ms(5.0), ScheduledEvent::ListReply(s, run));
+                let incarnation = self.nodes[s].incarnation;
+                self.push(self.now + ms(5.0), ScheduledEvent::ListReply(s, incarnation));
             }
             HostAction::ResetConnections(w) => {
                 for node in &mut self.nodes {
@@ -851,7 +862,7 @@
         let notice = ms(self.front_rng.uniform(self.world.scenario.schedulers.notice_ms));
         let node = &mut self.nodes[s];
         node.is_running = false;
-        node.run += 1;
+        node.incarnation += 1;
         node.inbox.clear();
         node.visible_until = node.visible_until.min(now + notice);
         let mut flows: Vec<u64> = node.flows.iter().filter(|(_, f)| !f.answered).map(|(id, _)| *id).collect();
@@ -870,8 +881,8 @@
     }
 
     fn start_scheduler(&mut self, s: usize) {
-        let run = self.nodes[s].run;
-        self.nodes[s] = SchedulerNode { run, ..self.new_scheduler(s) };
+        let incarnation = self.nodes[s].incarnation;
+        self.nodes[s] = SchedulerNode { incarnation, ..self.new_scheduler(s) };
         self.send_list(s, ListKind::Persisted);
     }
 
@@ -880,14 +891,15 @@
     fn next_request(&mut self) {
         if let Some(request) = self.next_arrival.take() {
             let number = request.number;
-            let leaves = request.at + request.client_timeout;
-            self.clients.insert(number, ClientState { request, tries: 0, at: None, leaves, answered: false });
+            let leaves = request.sent_at + request.client_timeout;
+            self.clients
+                .insert(number, ClientState { request, tries: 0, scheduler: None, leaves, answered: false });
             self.send_try(number);
         }
         let scenario = &self.world.scenario;
         match self.arrivals.next(scenario) {
             Some(request) => {
-                let at = request.at;
+                let at = request.sent_at;
                 self.next_arrival = Some(request);
                 self.push(at, ScheduledEvent::NextRequest);
             }
@@ -903,13 +915,13 @@
         let chosen = seen.get(self.front_rng.index_below(seen.len())).copied();
         let Some(client) = self.clients.get_mut(&number) else { return };
         client.tries += 1;
-        (client.at, client.answered) = (chosen, false);
+        (client.scheduler, client.answered) = (chosen, false);
         let id = number << 4 | u64::from(client.tries);
         let leaves = client.leaves;
         match chosen {
             Some(s) => {
-                let run = self.nodes[s].run;
-                self.push(now + way, ScheduledEvent::ReceiveRequest(id, s, run));
+                let incarnation = self.nodes[s].incarnation;
+                self.push(now + way, ScheduledEvent::ReceiveRequest(id, s, incarnation));
                 if is_first_try(id) {
                     self.push(leaves, ScheduledEvent::ClientTimeout(id));
                 }
@@ -918,15 +930,15 @@
         }
     }
 
-    fn receive_request(&mut self, id: u64, s: usize, run: u32) {
+    fn receive_request(&mut self, id: u64, s: usize, incarnation: u32) {
         let now = self.now;
-        if !self.nodes[s].is_running || self.nodes[s].run != run {
+        if !self.nodes[s].is_running || self.nodes[s].incarnation != incarnation {
             let way = self.delay(self.world.scenario.network.client_ms);
             return self.push(now + way, ScheduledEvent::Response(id, 2));
         }
         let Some(client) = self.clients.get(&(id >> 4)) else { return };
         let r = &client.request;
-        let class_end = r.at + ms(self.world.scenario.classes[r.class].deadline_ms);
+        let class_end = r.sent_at + ms(self.world.scenario.classes[r.class].deadline_ms);
         let by = self.nodes[s]
             .shutdown_started
             .map_or(class_end, |at| class_end.min(self.shutdown_deadline(at) - 200_000_000));
@@ -983,7 +995,7 @@
     }
 
     fn receive_response(&mut self, id: u64, code: usize) {
-        let said = match code {
+        let outcome = match code {
             0 => TryOutcome::Served,
             1 => TryOutcome::Failed,
             2 => TryOutcome::Unreachable,
@@ -997,11 +1009,11 @@
         };
         client.answered = true;
         let (class, tries, leaves) = (client.request.class, client.tries, client.leaves);
-        let again = clients::retry_delay(&self.world.scenario, &mut self.retry_rng, class, tries, said);
-        match again.filter(|wait| now + wait < leaves) {
+        let delay = clients::retry_delay(&self.world.scenario, &mut self.retry_rng, class, tries, outcome);
+        match delay.filter(|wait| now + wait < leaves) {
             Some(wait) => self.push(now + wait, ScheduledEvent::SendTry(number)),
             None => {
-                let end = match said {
+                let end = match outcome {
                     TryOutcome::Served => RequestOutcome::Served,
                     TryOutcome::Refused(_) => RequestOutcome::Refused,
                     TryOutcome::Failed => RequestOutcome::Failed,
@@ -1022,7 +1034,8 @@
     fn handle_client_timeout(&mut self, id: u64) {
         let (number, now) = (id >> 4, self.now);
         let Some(client) = self.clients.get(&number) else { return };
-        let (id, answered, at) = (number << 4 | u64::from(client.tries), client.answered, client.at);
+        let (id, answered, scheduler) =
+            (number << 4 | u64::from(client.tries), client.answered, client.scheduler);
         let early =
             client.request.client_timeout < ms(self.world.scenario.classes[client.request.class].deadline_ms);
         let grace = ms(self.world.scenario.terms.answer_grace_ms);
@@ -1032,7 +1045,8 @@
         }
         if !answered && early {
             self.world.invariant_checker.client_left(now, id);
-            if let Some(s) = at.filter(|s| self.nodes[*s].flows.get(&id).is_some_and(|f| !f.answered)) {
+            if let Some(s) = scheduler.filter(|s| self.nodes[*s].flows.get(&id).is_some_and(|f| !f.answered))
+            {
                 if let Some(flow) = self.nodes[s].flows.get_mut(&id) {
                     flow.answered = true;
                 }
--- a/crates/simulation/src/world.rs
+++ b/crates/simulation/src/world.rs
@@ -282,7 +282,7 @@
     /// The cached subjects, least recently used first.
     cached_subjects: VecDeque<u64>,
     reports: VecDeque<(Nanos, WorkerLoad)>,
-    ended: u64,
+    ended_since_measurement: u64,
     /// The time of its earliest event in the queue, or 0.
     queued_for: Nanos,
 }
@@ -328,12 +328,12 @@
     job_events: Vec<(Nanos, JobEvent)>,
     /// The requests that each group of workers deduplicates, with the time of the first attempt.
     cells: Vec<FxHashMap<u64, Nanos>>,
-    rng: RandomStream,
+    failure_rng: RandomStream,
     discovery_rng: RandomStream,
     report_rng: RandomStream,
     stuck_rng: RandomStream,
     /// The workers, zones or schedulers that each fault affects.
-    chosen: Vec<Vec<usize>>,
+    affected: Vec<Vec<usize>>,
     /// The current list, and the entries that each scheduler has received, with the time of the last change of
     /// state.
     listed: Vec<WorkerEntry>,
@@ -345,8 +345,8 @@
     /// Discovery serves requests for the list one after the other, and is busy until this time.
     list_busy_until: Nanos,
     extra_report_delay: Nanos,
-    stuck: f64,
-    cut: FxHashSet<(usize, usize)>,
+    stuck_share: f64,
+    cut_links: FxHashSet<(usize, usize)>,
     /// Zones that are isolated from all others.
     cut_zones: FxHashSet<usize>,
     cut_peers: FxHashSet<usize>,
@@ -398,7 +398,7 @@
                     connections: 0,
                     cached_subjects: VecDeque::new(),
                     reports: VecDeque::new(),
-                    ended: 0,
+                    ended_since_measurement: 0,
                     queued_for: 0,
                 }
             })
@@ -428,11 +428,11 @@
                 FxHashMap::default();
                 scenario.fleet.workers.div_ceil(scenario.fleet.cell_size).max(scenario.fleet.zones)
             ],
-            rng: streams.stream("errors"),
+            failure_rng: streams.stream("errors"),
             discovery_rng: streams.stream("news"),
             report_rng: streams.stream("reports"),
             stuck_rng: streams.stream("stuck"),
-            chosen: vec![Vec::new(); scenario.faults.len()],
+            affected: vec![Vec::new(); scenario.faults.len()],
             listed,
             known_entries: vec![known; schedulers],
             withheld_entries: vec![Vec::new(); schedulers],
@@ -441,8 +441,8 @@
             peer_cuts: 0,
             list_busy_until: 0,
             extra_report_delay: 0,
-            stuck: 0.0,
-            cut: FxHashSet::default(),
+            stuck_share: 0.0,
+            cut_links: FxHashSet::default(),
             cut_zones: FxHashSet::default(),
             cut_peers: FxHashSet::default(),
             streams,
@@ -526,7 +526,7 @@
     }
     /// Returns whether messages pass between a scheduler and a worker, and counts those that don't.
     pub fn reachable(&mut self, scheduler: usize, worker: usize) -> bool {
-        let cut = self.cut.contains(&(scheduler, worker));
+        let cut = self.cut_links.contains(&(scheduler, worker));
         self.counters.cut += u64::from(cut);
         !cut && self.zones_meet(scheduler, worker) && !self.nodes[worker].is_silent
     }
@@ -644,7 +644,7 @@
             match update {
                 JobUpdate::Started => self.invariant_checker.job_started(at, request, w, job),
                 JobUpdate::Done => {
-                    self.nodes[w].ended += 1;
+                    self.nodes[w].ended_since_measurement += 1;
                     self.invariant_checker.result_produced(request, &World::result(w, job));
                     self.invariant_checker.attempt_ended(at, request, job, AttemptEnd::MayHaveRun);
                     self.jobs.remove(&job);
@@ -721,19 +721,19 @@
         if self.nodes[w].is_down {
             return AttemptReply::ConnectionRefused;
         }
-        if self.stuck > 0.0 && self.stuck_rng.chance(self.stuck) {
+        if self.stuck_share > 0.0 && self.stuck_rng.chance(self.stuck_share) {
             self.counters.stuck += 1;
             return AttemptReply::NoResponse;
         }
         self.advance_worker(now, w);
         self.last_job += 1;
         let (job, request) = (self.last_job, attempt.request);
-        let told = self.known_entries[attempt.scheduler].get(&w);
+        let known_entry = self.known_entries[attempt.scheduler].get(&w);
         // A scheduler that has no entry for the worker has not been informed of a drain.
-        let drained = told.filter(|(e, _)| e.health != Health::Active).map(|(_, at)| *at);
-        let informed = told.is_some_and(|(e, _)| e.started_at == self.nodes[w].started_at);
+        let drain_known_since = known_entry.filter(|(e, _)| e.health != Health::Active).map(|(_, at)| *at);
+        let informed = known_entry.is_some_and(|(e, _)| e.started_at == self.nodes[w].started_at);
         let cell = self.group(attempt.class, w);
-        self.invariant_checker.attempt_received(now, attempt.sent, request, w, cell, job, drained);
+        self.invariant_checker.attempt_received(now, attempt.sent, request, w, cell, job, drain_known_since);
         if let Some(back) = self.nodes[w].crash_on_next_request.take() {
             self.counters.crashed += 1;
             self.invariant_checker.attempt_ended(now, request, job, AttemptEnd::MayHaveRun);
@@ -755,7 +755,7 @@
             return AttemptReply::ConnectionRefused;
         }
         let failure_share = if node.failure_share > 0.0 { node.failure_share } else { node.error_rate };
-        if failure_share > 0.0 && self.rng.chance(failure_share) {
+        if failure_share > 0.0 && self.failure_rng.chance(failure_share) {
             let fast = self.nodes[w].failure_share > 0.0;
             self.counters.fast_errors += u64::from(fast);
             self.invariant_checker.attempt_ended(now, request, job, AttemptEnd::MayHaveRun);
@@ -867,10 +867,10 @@
         let spec = &node.worker.spec;
         let report = WorkerLoad {
             in_flight: (node.worker.job_count() as f64 * noise_factor).max(0.0),
-            rate: node.ended as f64 / (period as f64 / 1e9) * noise_factor,
+            rate: node.ended_since_measurement as f64 / (period as f64 / 1e9) * noise_factor,
             free_slots: f64::from(spec.slots.saturating_sub(node.worker.used_slots())),
         };
-        node.ended = 0;
+        node.ended_since_measurement = 0;
         node.reports.push_back((at, report));
         if node.reports.len() > MAX_STORED_REPORTS {
             node.reports.pop_front();
@@ -970,7 +970,7 @@
         let mut rng = self.streams.numbered_stream(t.kind.name(), i as u64);
         let (workers, schedulers) = (self.nodes.len(), self.scenario.schedulers.count);
         let end = at + secs(t.for_s);
-        self.chosen[i] = match t.kind {
+        self.affected[i] = match t.kind {
             FaultKind::Vanish
             | FaultKind::Crash
             | FaultKind::FastErrors
@@ -982,10 +982,10 @@
             FaultKind::SchedulerKill | FaultKind::SchedulerTerm => rng.sample_indices(t.part, schedulers),
             _ => Vec::new(),
         };
-        let chosen = self.chosen[i].clone();
+        let affected = self.affected[i].clone();
         match t.kind {
             FaultKind::Vanish => {
-                for w in chosen {
+                for w in affected {
                     self.counters.vanished += 1;
                     self.advance_worker(at, w);
                     self.nodes[w].is_silent = true;
@@ -995,12 +995,12 @@
                 }
             }
             FaultKind::Crash => {
-                for w in chosen {
+                for w in affected {
                     self.nodes[w].crash_on_next_request = Some(end);
                 }
             }
             FaultKind::FastErrors => {
-                for w in chosen {
+                for w in affected {
                     self.nodes[w].failure_share = t.size.unwrap_or(0.6);
                 }
                 self.push(end, ScheduledEvent::EndFault(i));
@@ -1011,7 +1011,7 @@
                 self.push(end, ScheduledEvent::EndFault(i));
             }
             FaultKind::Drain => {
-                for w in chosen {
+                for w in affected {
                     self.drain(at, w);
                     self.push(end.max(at + MAX_DRAIN_TIME + 1), ScheduledEvent::Restart(w));
                 }
@@ -1019,7 +1019,7 @@
             FaultKind::SchedulerKill | FaultKind::SchedulerTerm => {
                 let kill = t.kind == FaultKind::SchedulerKill;
                 let signal = if kill { Signal::Kill } else { Signal::Term };
-                for s in chosen {
+                for s in affected {
                     self.counters.killed += u64::from(kill);
                     self.counters.termed += u64::from(!kill);
                     self.host_actions.push_back(HostAction::Signal(s, signal));
@@ -1037,14 +1037,14 @@
             }
             FaultKind::Partition => {
                 let s = rng.index_below(schedulers);
-                self.cut.extend(chosen.iter().map(|w| (s, *w)));
+                self.cut_links.extend(affected.iter().map(|w| (s, *w)));
                 if schedulers > 1 {
                     self.cut_peers.insert(s);
                 }
                 self.push(end, ScheduledEvent::EndFault(i));
             }
             FaultKind::ZoneCut => {
-                self.cut_zones.extend(chosen);
+                self.cut_zones.extend(affected);
                 self.push(end, ScheduledEvent::EndFault(i));
             }
             FaultKind::PeersCut => {
@@ -1052,7 +1052,7 @@
                 self.push(end, ScheduledEvent::EndFault(i));
             }
             FaultKind::StuckConnection => {
-                self.stuck = t.part;
+                self.stuck_share = t.part;
                 self.push(end, ScheduledEvent::EndFault(i));
             }
             // These faults affect the clients; see `Arrivals`.
@@ -1065,7 +1065,7 @@
         match t.kind {
             FaultKind::Pauses => {
                 let until = at + ms(t.size.unwrap_or(90.0));
-                for w in self.chosen[i].clone() {
+                for w in self.affected[i].clone() {
                     self.advance_worker(at, w);
                     self.nodes[w].worker.pause(until);
                     self.counters.pauses += 1;
@@ -1076,7 +1076,7 @@
                 }
             }
             FaultKind::RollingRestart => {
-                if let Some(w) = self.chosen[i].pop() {
+                if let Some(w) = self.affected[i].pop() {
                     self.counters.rolled += 1;
                     self.drain(at, w);
                     self.push(at + MAX_DRAIN_TIME + ROLLING_RESTART_PAUSE, ScheduledEvent::Restart(w));
@@ -1091,7 +1091,7 @@
         let t = self.scenario.faults[i].clone();
         match t.kind {
             FaultKind::FastErrors => {
-                for w in self.chosen[i].clone() {
+                for w in self.affected[i].clone() {
                     self.nodes[w].failure_share = 0.0;
                 }
             }
@@ -1110,13 +1110,13 @@
                 }
             }
             FaultKind::Partition => {
-                let chosen: FxHashSet<usize> = self.chosen[i].iter().copied().collect();
-                self.cut.retain(|(_, w)| !chosen.contains(w));
+                let affected: FxHashSet<usize> = self.affected[i].iter().copied().collect();
+                self.cut_links.retain(|(_, w)| !affected.contains(w));
                 self.cut_peers.clear();
             }
             FaultKind::ZoneCut => self.cut_zones.clear(),
             FaultKind::PeersCut => self.peer_cuts = self.peer_cuts.saturating_sub(1),
-            FaultKind::StuckConnection => self.stuck = 0.0,
+            FaultKind::StuckConnection => self.stuck_share = 0.0,
             _ => {}
         }
     }
