--- a/crates/simulation/src/simulate.rs
+++ b/crates/simulation/src/simulate.rs
@@ -173,7 +173,7 @@
     /// The scheduler of the current try.
     scheduler: Option<usize>,
     /// When the client stops waiting.
-    leaves: Nanos,
+    leaves_at: Nanos,
     answered: bool,
 }
 
@@ -189,7 +189,7 @@
     nodes: Vec<SchedulerNode>,
     clients: FxHashMap<u64, ClientState>,
     queue: BinaryHeap<Reverse<(Nanos, u64, ScheduledEvent)>>,
-    next_sequence: u64,
+    last_sequence: u64,
     next_tick: Option<Nanos>,
     now: Nanos,
     job_updates: Slab<JobUpdateInTransit>,
@@ -231,7 +231,7 @@
         nodes: Vec::new(),
         clients: FxHashMap::default(),
         queue: BinaryHeap::new(),
-        next_sequence: 0,
+        last_sequence: 0,
         next_tick: None,
         now: 0,
         job_updates: Slab::new(),
@@ -279,8 +279,8 @@
 
 impl VirtualHost<'_> {
     fn push(&mut self, at: Nanos, event: ScheduledEvent) {
-        self.next_sequence += 1;
-        self.queue.push(Reverse((at.max(self.now), self.next_sequence, event)));
+        self.last_sequence += 1;
+        self.queue.push(Reverse((at.max(self.now), self.last_sequence, event)));
     }
 
     fn digest_values(&mut self, tag: u8, values: &[u64]) {
@@ -542,23 +542,23 @@
             if let Some(f) = self.forward_mut(s, id, n) {
                 f.connected = true;
             }
-            let way = self.link_delay(s, w);
-            return self.push(now + way, ScheduledEvent::DeliverAttempt(s, incarnation, id, n));
+            let delay = self.link_delay(s, w);
+            return self.push(now + delay, ScheduledEvent::DeliverAttempt(s, incarnation, id, n));
         }
         if idle == Some(false) {
             let old = self.nodes[s].idle_connections.remove(&w).map_or(0, |p| p.len()) + 1;
             (0..old).for_each(|_| self.world.disconnect(w));
         }
-        let way = self.link_delay(s, w) + self.link_delay(s, w) + self.link_delay(s, w);
+        let delay = self.link_delay(s, w) + self.link_delay(s, w) + self.link_delay(s, w);
         match self.world.connect(now, s, w) {
             ConnectResult::Connected => {
                 if let Some(f) = self.forward_mut(s, id, n) {
                     f.connected = true;
                 }
-                self.push(now + way, ScheduledEvent::DeliverAttempt(s, incarnation, id, n));
+                self.push(now + delay, ScheduledEvent::DeliverAttempt(s, incarnation, id, n));
             }
             ConnectResult::Refused => self.push(
-                now + way,
+                now + delay,
                 ScheduledEvent::AttemptEnded(s, incarnation, id, n, outcome_code(Outcome::NoConnection)),
             ),
             ConnectResult::NoResponse => {
@@ -588,7 +588,7 @@
         let subject = self.clients.get(&(id >> 4)).and_then(|c| c.request.subject);
         let attempt = Attempt { request: id, scheduler: s, slots, work, class, subject, sent };
         let reply = self.world.receive_attempt(self.now, w, &attempt);
-        let way = self.link_delay(s, w);
+        let delay = self.link_delay(s, w);
         match reply {
             AttemptReply::Accepted(job) => {
                 if let Some(f) = self.forward_mut(s, id, n) {
@@ -600,19 +600,19 @@
             AttemptReply::Full => {
                 self.nodes[s].idle_connections.entry(w).or_default().push(self.now);
                 self.push(
-                    self.now + way,
+                    self.now + delay,
                     ScheduledEvent::AttemptEnded(s, incarnation, id, n, outcome_code(Outcome::Full)),
                 );
             }
             AttemptReply::Error => {
                 self.nodes[s].idle_connections.entry(w).or_default().push(self.now);
                 self.push(
-                    self.now + way + ms(2.0),
+                    self.now + delay + ms(2.0),
                     ScheduledEvent::AttemptEnded(s, incarnation, id, n, outcome_code(Outcome::Error)),
                 );
             }
             AttemptReply::ConnectionRefused => self.push(
-                self.now + way,
+                self.now + delay,
                 ScheduledEvent::AttemptEnded(s, incarnation, id, n, outcome_code(Outcome::Reset)),
             ),
             AttemptReply::NoResponse => {}
@@ -657,7 +657,7 @@
 
     fn cancel_attempt(&mut self, s: usize, id: u64, n: u32, why: Outcome) {
         let Some(w) = self.forward_mut(s, id, n).filter(|f| !f.ended).map(|f| f.worker) else { return };
-        let way = self.link_delay(s, w);
+        let delay = self.link_delay(s, w);
         let Some(f) = self.forward_mut(s, id, n) else { return };
         let outcome = match (f.connected, why) {
             (false, Outcome::Timeout) => Outcome::NoConnection,
@@ -665,7 +665,7 @@
             _ => why,
         };
         if let Some(job) = f.job {
-            self.push(self.now + way, ScheduledEvent::CancelJob(job));
+            self.push(self.now + delay, ScheduledEvent::CancelJob(job));
         }
         self.end_attempt(s, id, n, outcome, None);
     }
@@ -675,7 +675,7 @@
         let Some(flow) = self.nodes[s].flows.get_mut(&id).filter(|f| !f.answered) else { return };
         flow.answered = true;
         self.world.invariant_checker.response_sent(self.now, id, answered);
-        let way = self.delay(self.world.scenario.network.client_ms);
+        let delay = self.delay(self.world.scenario.network.client_ms);
         let code = match outcome {
             TryOutcome::Served => 0,
             TryOutcome::Failed => 1,
@@ -683,7 +683,7 @@
             TryOutcome::Refused(after) => 3 + after as usize,
         };
         let slow = self.clients.get(&(id >> 4)).map_or(0, |c| c.request.read_delay);
-        self.push(self.now + way + slow, ScheduledEvent::Response(id, code));
+        self.push(self.now + delay + slow, ScheduledEvent::Response(id, code));
         self.remove_if_finished(s, id);
     }
 
@@ -779,8 +779,8 @@
                     return;
                 }
                 let at = self.job_updates.insert((request, job, update, report.map(load_report)));
-                let (way, incarnation) = (self.link_delay(s, worker), self.nodes[s].incarnation);
-                self.push(self.now + way, ScheduledEvent::JobUpdate(s, incarnation, at));
+                let (delay, incarnation) = (self.link_delay(s, worker), self.nodes[s].incarnation);
+                self.push(self.now + delay, ScheduledEvent::JobUpdate(s, incarnation, at));
             }
             HostAction::WorkerList { scheduler: s, entries, .. } => {
                 let names = &self.nodes[s].names;
@@ -873,8 +873,8 @@
         self.world.invariant_checker.scheduler_ended(now, s, exit);
         self.world.abandon_jobs(now, s);
         for id in flows {
-            let way = self.delay(self.world.scenario.network.client_ms);
-            self.push(now + way, ScheduledEvent::Response(id, 2));
+            let delay = self.delay(self.world.scenario.network.client_ms);
+            self.push(now + delay, ScheduledEvent::Response(id, 2));
         }
         let restart = ms(self.world.scenario.schedulers.restart_ms);
         self.push(now + restart, ScheduledEvent::StartScheduler(s));
@@ -891,9 +891,11 @@
     fn next_request(&mut self) {
         if let Some(request) = self.next_arrival.take() {
             let number = request.number;
-            let leaves = request.sent_at + request.client_timeout;
-            self.clients
-                .insert(number, ClientState { request, tries: 0, scheduler: None, leaves, answered: false });
+            let leaves_at = request.sent_at + request.client_timeout;
+            self.clients.insert(
+                number,
+                ClientState { request, tries: 0, scheduler: None, leaves_at, answered: false },
+            );
             self.send_try(number);
         }
         let scenario = &self.world.scenario;
@@ -910,31 +912,32 @@
     fn send_try(&mut self, number: u64) {
         let now = self.now;
         // The front proxy also picks schedulers whose end it has not noticed yet.
-        let seen: Vec<usize> = (0..self.nodes.len()).filter(|s| now < self.nodes[*s].visible_until).collect();
-        let way = self.delay(self.world.scenario.network.client_ms);
-        let chosen = seen.get(self.front_rng.index_below(seen.len())).copied();
+        let visible: Vec<usize> =
+            (0..self.nodes.len()).filter(|s| now < self.nodes[*s].visible_until).collect();
+        let delay = self.delay(self.world.scenario.network.client_ms);
+        let chosen = visible.get(self.front_rng.index_below(visible.len())).copied();
         let Some(client) = self.clients.get_mut(&number) else { return };
         client.tries += 1;
         (client.scheduler, client.answered) = (chosen, false);
         let id = number << 4 | u64::from(client.tries);
-        let leaves = client.leaves;
+        let leaves_at = client.leaves_at;
         match chosen {
             Some(s) => {
                 let incarnation = self.nodes[s].incarnation;
-                self.push(now + way, ScheduledEvent::ReceiveRequest(id, s, incarnation));
+                self.push(now + delay, ScheduledEvent::ReceiveRequest(id, s, incarnation));
                 if is_first_try(id) {
-                    self.push(leaves, ScheduledEvent::ClientTimeout(id));
+                    self.push(leaves_at, ScheduledEvent::ClientTimeout(id));
                 }
             }
-            None => self.push(now + way, ScheduledEvent::Response(id, 2)),
+            None => self.push(now + delay, ScheduledEvent::Response(id, 2)),
         }
     }
 
     fn receive_request(&mut self, id: u64, s: usize, incarnation: u32) {
         let now = self.now;
         if !self.nodes[s].is_running || self.nodes[s].incarnation != incarnation {
-            let way = self.delay(self.world.scenario.network.client_ms);
-            return self.push(now + way, ScheduledEvent::Response(id, 2));
+            let delay = self.delay(self.world.scenario.network.client_ms);
+            return self.push(now + delay, ScheduledEvent::Response(id, 2));
         }
         let Some(client) = self.clients.get(&(id >> 4)) else { return };
         let r = &client.request;
@@ -961,8 +964,8 @@
                 Verdict::Refused(refusal) => {
                     self.world.invariant_checker.response_sent(now, id, FinalResponse::Refused);
                     let after = refusal.after.min(ms(self.world.scenario.terms.max_retry_after_ms));
-                    let way = self.delay(self.world.scenario.network.client_ms);
-                    return self.push(now + way, ScheduledEvent::Response(id, 3 + after as usize));
+                    let delay = self.delay(self.world.scenario.network.client_ms);
+                    return self.push(now + delay, ScheduledEvent::Response(id, 3 + after as usize));
                 }
             }
         }
@@ -1008,9 +1011,9 @@
             return;
         };
         client.answered = true;
-        let (class, tries, leaves) = (client.request.class, client.tries, client.leaves);
+        let (class, tries, leaves_at) = (client.request.class, client.tries, client.leaves_at);
         let delay = clients::retry_delay(&self.world.scenario, &mut self.retry_rng, class, tries, outcome);
-        match delay.filter(|wait| now + wait < leaves) {
+        match delay.filter(|wait| now + wait < leaves_at) {
             Some(wait) => self.push(now + wait, ScheduledEvent::SendTry(number)),
             None => {
                 let end = match outcome {
@@ -1039,9 +1042,9 @@
         let early =
             client.request.client_timeout < ms(self.world.scenario.classes[client.request.class].deadline_ms);
         let grace = ms(self.world.scenario.terms.answer_grace_ms);
-        if !early && now < client.leaves + grace && !answered {
+        if !early && now < client.leaves_at + grace && !answered {
             // A response may still be on its way; the invariant checker decides whether it is late.
-            return self.push(client.leaves + grace, ScheduledEvent::ClientTimeout(id));
+            return self.push(client.leaves_at + grace, ScheduledEvent::ClientTimeout(id));
         }
         if !answered && early {
             self.world.invariant_checker.client_left(now, id);
--- a/crates/simulation/src/world.rs
+++ b/crates/simulation/src/world.rs
@@ -323,7 +323,7 @@
     jobs: FxHashMap<u64, AcceptedJob>,
     last_job: u64,
     queue: BinaryHeap<Reverse<(Nanos, u64, ScheduledEvent)>>,
-    next_sequence: u64,
+    last_sequence: u64,
     host_actions: VecDeque<HostAction>,
     job_events: Vec<(Nanos, JobEvent)>,
     /// The requests that each group of workers deduplicates, with the time of the first attempt.
@@ -421,7 +421,7 @@
             jobs: FxHashMap::default(),
             last_job: 0,
             queue: BinaryHeap::new(),
-            next_sequence: 0,
+            last_sequence: 0,
             host_actions: VecDeque::new(),
             job_events: Vec::new(),
             cells: vec![
@@ -469,8 +469,8 @@
     }
 
     fn push(&mut self, at: Nanos, event: ScheduledEvent) {
-        self.next_sequence += 1;
-        self.queue.push(Reverse((at, self.next_sequence, event)));
+        self.last_sequence += 1;
+        self.queue.push(Reverse((at, self.last_sequence, event)));
     }
 
     /// Returns the random streams of the scenario.
@@ -632,15 +632,15 @@
     }
 
     fn report_job_events(&mut self, w: usize, job_events: &mut Vec<(Nanos, JobEvent)>) {
-        for (at, job_events) in job_events.drain(..) {
-            let (job, update) = match job_events {
+        for (at, job_event) in job_events.drain(..) {
+            let (job, update) = match job_event {
                 JobEvent::Started(job) => (job, JobUpdate::Started),
                 JobEvent::Progress(job, x) => (job, JobUpdate::Progress(x)),
                 JobEvent::Done(job) => (job, JobUpdate::Done),
             };
-            let Some(accepted) = self.jobs.get(&job) else { continue };
+            let Some(accepted_job) = self.jobs.get(&job) else { continue };
             let (request, scheduler, is_cancelled) =
-                (accepted.request, accepted.scheduler, accepted.is_cancelled);
+                (accepted_job.request, accepted_job.scheduler, accepted_job.is_cancelled);
             match update {
                 JobUpdate::Started => self.invariant_checker.job_started(at, request, w, job),
                 JobUpdate::Done => {
@@ -782,9 +782,9 @@
         let work = Job { id: job, slots, work, priority };
         let taken = node.health == Health::Active && node.worker.offer(work, &mut job_events);
         if taken {
-            let accepted =
+            let accepted_job =
                 AcceptedJob { worker: w, scheduler: attempt.scheduler, request, is_cancelled: false };
-            self.jobs.insert(job, accepted);
+            self.jobs.insert(job, accepted_job);
         } else {
             self.counters.full += 1;
             self.invariant_checker.attempt_ended(now, request, job, AttemptEnd::NeverRan);
@@ -825,8 +825,8 @@
 
     /// Cancels a job.
     pub fn cancel_job(&mut self, now: Nanos, job: u64) {
-        let Some(accepted) = self.jobs.get(&job) else { return };
-        let (w, request, scheduler) = (accepted.worker, accepted.request, accepted.scheduler);
+        let Some(accepted_job) = self.jobs.get(&job) else { return };
+        let (w, request, scheduler) = (accepted_job.worker, accepted_job.request, accepted_job.scheduler);
         if !self.reachable(scheduler, w) {
             return;
         }
@@ -837,8 +837,8 @@
         if self.nodes[w].worker.cancel(job) {
             self.jobs.remove(&job);
             self.invariant_checker.attempt_ended(now, request, job, AttemptEnd::MayHaveRun);
-        } else if let Some(accepted) = self.jobs.get_mut(&job) {
-            accepted.is_cancelled = true;
+        } else if let Some(accepted_job) = self.jobs.get_mut(&job) {
+            accepted_job.is_cancelled = true;
         }
         self.advance_worker(now, w);
     }
@@ -850,8 +850,8 @@
             self.jobs.iter().filter(|(_, o)| o.scheduler == scheduler).map(|(j, _)| *j).collect();
         jobs.sort_unstable();
         for job in jobs {
-            let Some(accepted) = self.jobs.get(&job) else { continue };
-            let request = accepted.request;
+            let Some(accepted_job) = self.jobs.get(&job) else { continue };
+            let request = accepted_job.request;
             self.invariant_checker.attempt_ended(now, request, job, AttemptEnd::MayHaveRun);
         }
     }
@@ -1129,12 +1129,12 @@
         self.advance_worker(at, w);
         self.nodes[w].health = Health::Leaving;
         for job in self.nodes[w].worker.take_queued() {
-            let Some(accepted) = self.jobs.remove(&job) else { continue };
+            let Some(accepted_job) = self.jobs.remove(&job) else { continue };
             self.counters.handed_back += 1;
-            self.invariant_checker.attempt_ended(at, accepted.request, job, AttemptEnd::NeverRan);
-            if !accepted.is_cancelled {
+            self.invariant_checker.attempt_ended(at, accepted_job.request, job, AttemptEnd::NeverRan);
+            if !accepted_job.is_cancelled {
                 let report = self.report(at, w);
-                let (scheduler, request) = (accepted.scheduler, accepted.request);
+                let (scheduler, request) = (accepted_job.scheduler, accepted_job.request);
                 let update = JobUpdate::Returned;
                 self.host_actions.push_back(HostAction::JobUpdate {
                     job,
@@ -1169,10 +1169,10 @@
 
     fn drop_jobs(&mut self, at: Nanos, w: usize, notify: bool) {
         for job in self.nodes[w].worker.stop() {
-            let Some(accepted) = self.jobs.remove(&job) else { continue };
-            self.invariant_checker.attempt_ended(at, accepted.request, job, AttemptEnd::MayHaveRun);
-            if notify && !accepted.is_cancelled {
-                let (scheduler, request) = (accepted.scheduler, accepted.request);
+            let Some(accepted_job) = self.jobs.remove(&job) else { continue };
+            self.invariant_checker.attempt_ended(at, accepted_job.request, job, AttemptEnd::MayHaveRun);
+            if notify && !accepted_job.is_cancelled {
+                let (scheduler, request) = (accepted_job.scheduler, accepted_job.request);
                 let update = JobUpdate::Lost;
                 self.host_actions.push_back(HostAction::JobUpdate {
                     job,
