--- a/crates/emulator/src/clients.rs
+++ b/crates/emulator/src/clients.rs
@@ -5,8 +5,8 @@
 use hyper::{Request as Http, Response};
 use loomlb_policy::Nanos;
 use loomlb_simulation::clients::{self, Outcome, Request};
-use loomlb_simulation::figures::Final;
-use loomlb_simulation::referee::Answered;
+use loomlb_simulation::figures::RequestOutcome;
+use loomlb_simulation::invariants::FinalResponse;
 use loomlb_simulation::world::ms;
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -25,7 +25,7 @@
     loop {
         let next = stage.arrivals.borrow_mut().next(&day);
         let Some(request) = next else { return };
-        stage.until(request.at).await;
+        stage.until(request.sent_at).await;
         if stage.stop.asked() {
             return;
         }
@@ -40,33 +40,39 @@
 
 /// One request with all its tries.
 async fn one(stage: &Rc<Stage>, request: Request) {
-    let leaves = request.at + request.patience;
+    let leaves = request.sent_at + request.client_timeout;
     let mut tries = 0;
     let end = loop {
         tries += 1;
         let id = request.number << 4 | u64::from(tries);
         let outcome = match attempt(stage, &request, id, leaves).await {
             Some(outcome) => outcome,
-            None => break Final::Left,
+            None => break RequestOutcome::ClientLeft,
         };
         let again = {
             let world = stage.world.borrow();
-            clients::again(&world.day, &mut stage.habits.borrow_mut(), request.class, tries, outcome)
+            clients::retry_delay(
+                &world.scenario,
+                &mut stage.habits.borrow_mut(),
+                request.class,
+                tries,
+                outcome,
+            )
         };
         match again.filter(|wait| stage.now() + wait < leaves && !stage.stop.asked()) {
             Some(wait) => tokio::time::sleep(Duration::from_nanos(wait)).await,
             None => {
                 break match outcome {
-                    Outcome::Served => Final::Served,
-                    Outcome::Refused(_) => Final::Refused,
-                    Outcome::Failed => Final::Failed,
-                    Outcome::Unreachable => Final::Unreachable,
+                    Outcome::Served => RequestOutcome::Served,
+                    Outcome::Refused(_) => RequestOutcome::Refused,
+                    Outcome::Failed => RequestOutcome::Failed,
+                    Outcome::Unreachable => RequestOutcome::Unreachable,
                 };
             }
         }
     };
     let (now, world) = (stage.now(), stage.world.borrow());
-    stage.collector.borrow_mut().ended(&world.day, &request, now, tries, end);
+    stage.collector.borrow_mut().record(&world.scenario, &request, now, tries, end);
 }
 
 /// One try; none if its client left early.
@@ -74,14 +80,14 @@
     let now = stage.now();
     let seen: Vec<usize> =
         (0..stage.schedulers.len()).filter(|s| now < stage.schedulers[*s].seen_until.get()).collect();
-    let Some(&s) = seen.get(stage.front.borrow_mut().below(seen.len())) else {
+    let Some(&s) = seen.get(stage.front.borrow_mut().index_below(seen.len())) else {
         return Some(Outcome::Unreachable);
     };
     let (early, last) = {
         let world = stage.world.borrow();
-        let early = request.patience < ms(world.day.classes[request.class].deadline_ms);
-        let grace = if early { 0 } else { ms(world.day.terms.answer_grace_ms) };
-        stage.tries.borrow_mut().insert(id, sent(&world.day, request));
+        let early = request.client_timeout < ms(world.scenario.classes[request.class].deadline_ms);
+        let grace = if early { 0 } else { ms(world.scenario.terms.answer_grace_ms) };
+        stage.tries.borrow_mut().insert(id, sent(&world.scenario, request));
         (early, leaves + grace + if early { 0 } else { stage.options.slack.as_nanos() as Nanos })
     };
     let wait = Duration::from_nanos(last.saturating_sub(stage.now()));
@@ -89,7 +95,7 @@
     match tokio::time::timeout(wait, exchange(stage, request, id, s)).await {
         Ok(outcome) => Some(outcome),
         Err(_) if early => {
-            stage.world.borrow_mut().referee.left(stage.now(), id);
+            stage.world.borrow_mut().invariant_checker.client_left(stage.now(), id);
             None
         }
         // Its time is over: what was taken and is not answered by now is found by the referee.
@@ -99,7 +105,7 @@
 
 async fn exchange(stage: &Rc<Stage>, request: &Request, id: u64, s: usize) -> Outcome {
     let at = stage.schedulers[s].listen;
-    let class_end = request.at + ms(stage.world.borrow().day.classes[request.class].deadline_ms);
+    let class_end = request.sent_at + ms(stage.world.borrow().scenario.classes[request.class].deadline_ms);
     let mut taken = false;
     // A kept connection may have been closed in this very moment: then the request goes out once more on a new one.
     for fresh in [false, true] {
@@ -112,7 +118,7 @@
                 Err(_) => {
                     if taken {
                         // The first connection was closed while the request crossed: it was never read.
-                        stage.world.borrow_mut().referee.crossed(stage.now(), id);
+                        stage.world.borrow_mut().invariant_checker.request_not_accepted(stage.now(), id);
                     }
                     return Outcome::Unreachable;
                 }
@@ -122,7 +128,13 @@
         let message = message(stage, request, id, at, left);
         let before = stage.now();
         if !taken {
-            stage.world.borrow_mut().referee.taken(before, id, s, request.class, class_end);
+            stage.world.borrow_mut().invariant_checker.request_accepted(
+                before,
+                id,
+                s,
+                request.class,
+                class_end,
+            );
             taken = true;
         }
         match line.ask(message).await {
@@ -132,7 +144,7 @@
         }
     }
     // Nobody is there to answer, or it hung up; whether it may do so is for the referee, once it has ended.
-    stage.world.borrow_mut().referee.unread(stage.now(), id, s);
+    stage.world.borrow_mut().invariant_checker.connection_broken(stage.now(), id, s);
     Outcome::Unreachable
 }
 
@@ -149,8 +161,8 @@
 
 fn message(stage: &Stage, request: &Request, id: u64, at: std::net::SocketAddr, left: Nanos) -> Http<Body> {
     let world = stage.world.borrow();
-    let class = &world.day.classes[request.class];
-    let sent = sent(&world.day, request);
+    let class = &world.scenario.classes[request.class];
+    let sent = sent(&world.scenario, request);
     let mut headers = vec![
         ("X-Correlation-Id", format!("{id:016x}")),
         ("X-Service-Class", class.name.clone()),
@@ -161,7 +173,7 @@
         headers.push(("X-Weight-Hint", (hint / 1000).to_string()));
     }
     if let Some(tenant) = request.tenant {
-        headers.push(("X-Account", world.day.tenants[tenant].name.clone()));
+        headers.push(("X-Account", world.scenario.tenants[tenant].name.clone()));
     }
     if let Some(key) = sent.key {
         headers.push(("Idempotency-Key", key));
@@ -179,8 +191,8 @@
 ) -> Outcome {
     let status = response.status().as_u16();
     let after = response.headers().get("Retry-After").and_then(|v| v.to_str().ok()?.parse::<f64>().ok());
-    if request.slow > 0 {
-        tokio::time::sleep(Duration::from_nanos(request.slow)).await;
+    if request.read_delay > 0 {
+        tokio::time::sleep(Duration::from_nanos(request.read_delay)).await;
     }
     let body = wire::whole(response.into_body()).await;
     let now = stage.now();
@@ -189,12 +201,16 @@
         return Outcome::Failed;
     };
     let (answered, outcome) = match status {
-        200 => (Answered::Served(String::from_utf8_lossy(&body).into_owned()), Outcome::Served),
-        429 | 503 => (Answered::Refused, Outcome::Refused((after.unwrap_or(0.0) * 1e9) as Nanos)),
-        _ => (Answered::Failed, Outcome::Failed),
+        200 => (FinalResponse::Served(String::from_utf8_lossy(&body).into_owned()), Outcome::Served),
+        429 | 503 => (FinalResponse::Refused, Outcome::Refused((after.unwrap_or(0.0) * 1e9) as Nanos)),
+        _ => (FinalResponse::Failed, Outcome::Failed),
     };
     // A slow reader's last byte came when the scheduler wrote it; only the reading took long.
-    stage.world.borrow_mut().referee.answered(now.saturating_sub(request.slow), id, answered);
+    stage.world.borrow_mut().invariant_checker.response_sent(
+        now.saturating_sub(request.read_delay),
+        id,
+        answered,
+    );
     IDLE.with_borrow_mut(|idle| idle[s].push(line));
     outcome
 }
--- a/crates/emulator/src/stage.rs
+++ b/crates/emulator/src/stage.rs
@@ -5,11 +5,11 @@
 use hdrhistogram::Histogram;
 use loomlb_policy::Nanos;
 use loomlb_simulation::clients::{Arrivals, Request};
-use loomlb_simulation::day::Day;
 use loomlb_simulation::figures::{Collector, Figures};
-use loomlb_simulation::referee::{Breach, Seen};
-use loomlb_simulation::seed::Stream;
-use loomlb_simulation::world::{Counters, Deed, World, secs};
+use loomlb_simulation::invariants::{CheckerCounts, Violation};
+use loomlb_simulation::scenario::Scenario;
+use loomlb_simulation::seed::RandomStream;
+use loomlb_simulation::world::{Counters, HostAction, World, secs};
 use rustc_hash::FxHashMap;
 use serde::Serialize;
 use std::cell::{Cell, RefCell};
@@ -81,7 +81,7 @@
     /// Figures so far.
     pub figures: Figures,
     /// What the referee saw so far.
-    pub seen: Seen,
+    pub seen: CheckerCounts,
     /// Breaches so far.
     pub breaches: u64,
     /// Workers that serve.
@@ -114,9 +114,9 @@
     /// All figures.
     pub figures: Figures,
     /// What the referee saw.
-    pub seen: Seen,
+    pub seen: CheckerCounts,
     /// The first breaches, with their stories.
-    pub first: Vec<Breach>,
+    pub first: Vec<Violation>,
     /// What the troubles did.
     pub counters: Counters,
     /// Schedulers that ended by themselves.
@@ -186,10 +186,10 @@
     pub(crate) words: Vec<workers::Words>,
     /// Each worker's connections end when its number here changes.
     pub(crate) resets: Vec<watch::Sender<u64>>,
-    pub(crate) habits: RefCell<Stream>,
-    pub(crate) front: RefCell<Stream>,
-    pub(crate) whims: RefCell<Stream>,
-    pub(crate) delays: RefCell<Stream>,
+    pub(crate) habits: RefCell<RandomStream>,
+    pub(crate) front: RefCell<RandomStream>,
+    pub(crate) whims: RefCell<RandomStream>,
+    pub(crate) delays: RefCell<RandomStream>,
     pub(crate) stop: Stop,
     /// The day is over: schedulers that end stay down.
     pub(crate) over: Cell<bool>,
@@ -224,14 +224,14 @@
     pub(crate) fn stir(&self) {
         self.wake.notify_one();
     }
-    pub(crate) fn day(&self) -> Day {
-        self.world.borrow().day.clone()
+    pub(crate) fn day(&self) -> Scenario {
+        self.world.borrow().scenario.clone()
     }
 }
 
 /// Plays a day on sockets; `tell` hears of it once a second. The runtime is this call's own.
 pub fn run(
-    day: &Day,
+    day: &Scenario,
     seed: u64,
     options: Options,
     stop: Stop,
@@ -242,7 +242,7 @@
 }
 
 async fn play(
-    day: Day,
+    day: Scenario,
     seed: u64,
     options: Options,
     stop: Stop,
@@ -269,10 +269,10 @@
         schedulers,
         words,
         resets: (0..workers).map(|_| watch::channel(0).0).collect(),
-        habits: RefCell::new(streams.named("retries")),
-        front: RefCell::new(streams.named("front")),
-        whims: RefCell::new(streams.named("whims")),
-        delays: RefCell::new(streams.named("datagrams")),
+        habits: RefCell::new(streams.stream("retries")),
+        front: RefCell::new(streams.stream("front")),
+        whims: RefCell::new(streams.stream("whims")),
+        delays: RefCell::new(streams.stream("datagrams")),
         stop,
         over: Cell::new(false),
         guests: RefCell::default(),
@@ -312,22 +312,22 @@
     }
     driver.abort();
     schedulers::finish(&stage).await;
-    stage.world.borrow_mut().referee.finish(stage.now());
+    stage.world.borrow_mut().invariant_checker.finish(stage.now());
     Ok(played(&stage))
 }
 
 fn live(stage: &Stage, second: u64, at: Nanos) -> Live {
     let world = stage.world.borrow();
     let at = at as f64 / 1e9;
-    let on = |t: &&loomlb_simulation::day::Trouble| at >= t.at_s && at < t.at_s + t.for_s.max(1.0);
+    let on = |t: &&loomlb_simulation::scenario::Fault| at >= t.at_s && at < t.at_s + t.for_s.max(1.0);
     Live {
         second,
         listen: stage.schedulers.iter().map(|s| s.listen.to_string()).collect(),
         figures: stage.collector.borrow().figures(),
-        seen: world.referee.seen,
-        breaches: world.referee.count,
-        workers_up: (0..world.workers()).filter(|w| !world.silent(*w) && !world.down(*w)).count(),
-        troubles: world.day.troubles.iter().filter(on).map(|t| t.kind.name()).collect(),
+        seen: world.invariant_checker.counts,
+        breaches: world.invariant_checker.violation_count,
+        workers_up: (0..world.workers()).filter(|w| !world.is_silent(*w) && !world.is_down(*w)).count(),
+        troubles: world.scenario.faults.iter().filter(on).map(|t| t.kind.name()).collect(),
     }
 }
 
@@ -337,19 +337,20 @@
         (stage.collector.borrow().figures(), stage.counts.borrow(), stage.lag.borrow());
     let arrivals = stage.arrivals.borrow();
     let mut counters = world.counters.clone();
-    (counters.burst, counters.heavy, counters.slow_readers) = (arrivals.burst, arrivals.heavy, arrivals.slow);
+    (counters.burst, counters.heavy, counters.slow_readers) =
+        (arrivals.burst_requests, arrivals.heavy_requests, arrivals.slow_readers);
     Played {
-        taken: world.referee.seen.taken,
-        answered: world.referee.seen.answered,
+        taken: world.invariant_checker.counts.taken,
+        answered: world.invariant_checker.counts.answered,
         served: figures.served,
         in_time: figures.in_time,
         refused: figures.refused,
         failed: figures.failed + figures.unreachable,
-        breaches: world.referee.count,
+        breaches: world.invariant_checker.violation_count,
         p50_ms: figures.p50_ms,
         p99_ms: figures.p99_ms,
-        seen: world.referee.seen,
-        first: world.referee.breaches.clone(),
+        seen: world.invariant_checker.counts,
+        first: world.invariant_checker.violations.clone(),
         counters,
         crashes: counts.crashes,
         mangled: counts.mangled,
@@ -373,14 +374,14 @@
     loop {
         let now = stage.now();
         loop {
-            let deed = stage.world.borrow_mut().turn(now);
+            let deed = stage.world.borrow_mut().next_action(now);
             match deed {
                 Some(deed) => carry_out(&stage, deed),
                 None => break,
             }
         }
         // Something measures or changes in every second of a day; without that a minute is as good.
-        let next = stage.world.borrow().next().unwrap_or(now + 60_000_000_000);
+        let next = stage.world.borrow().next_event_time().unwrap_or(now + 60_000_000_000);
         tokio::select! {
             () = stage.until(next) => {}
             () = stage.wake.notified() => {}
@@ -388,14 +389,14 @@
     }
 }
 
-fn carry_out(stage: &Rc<Stage>, deed: Deed) {
+fn carry_out(stage: &Rc<Stage>, deed: HostAction) {
     match deed {
-        Deed::Word { job, worker, scheduler, request, word, report } => {
+        HostAction::JobUpdate { job, worker, scheduler, request, update: word, report } => {
             workers::say(stage, worker, scheduler, request, job, word, report);
         }
-        Deed::List { scheduler, .. } => stage.agents[scheduler].news.notify_waiters(),
-        Deed::Signal(s, signal) => schedulers::signal(stage, s, signal),
-        Deed::Reset(w) => stage.resets[w].send_modify(|n| *n += 1),
+        HostAction::WorkerList { scheduler, .. } => stage.agents[scheduler].news.notify_waiters(),
+        HostAction::Signal(s, signal) => schedulers::signal(stage, s, signal),
+        HostAction::ResetConnections(w) => stage.resets[w].send_modify(|n| *n += 1),
     }
 }
 
@@ -408,9 +409,9 @@
 }
 
 /// A request's worker and class as the clients think of it.
-pub(crate) fn sent(day: &Day, request: &Request) -> Sent {
+pub(crate) fn sent(day: &Scenario, request: &Request) -> Sent {
     let class = &day.classes[request.class];
-    let key = class.effect.keyed().then(|| format!("key-{:x}", request.number));
+    let key = class.effect.is_deduplicated().then(|| format!("key-{:x}", request.number));
     Sent {
         class: request.class,
         slots: request.slots,
--- a/crates/lab/src/capacity/probe.rs
+++ b/crates/lab/src/capacity/probe.rs
@@ -5,9 +5,9 @@
     LoadReport, LoadReporting, Nanos, Outcome, Request, RequestId, Settings, Tenant, TenantId, Worker,
     WorkerId,
 };
-use loomlb_simulation::Day;
-use loomlb_simulation::settings::entry;
-use loomlb_simulation::world::{Entry, Health, World};
+use loomlb_simulation::Scenario;
+use loomlb_simulation::settings::discovery_entry;
+use loomlb_simulation::world::{Health, WorkerEntry, World};
 use serde_json::Value;
 use std::collections::VecDeque;
 
@@ -136,7 +136,7 @@
     let text = format!(
         "name = \"capacity\"\nabout = \"A list.\"\nseconds = 1\n[fleet]\nworkers = {workers}\nzones = 27\n[schedulers]\ncount = 1\n[load]\npart = 0.5\n"
     );
-    let day = Day::read(&text).map_err(|e| e.to_string())?;
+    let day = Scenario::read(&text).map_err(|e| e.to_string())?;
     Ok(World::new(day, 1, 0))
 }
 
@@ -145,6 +145,6 @@
     // An address as long as most are in a network of this size, and the birth of a process that was started once.
     let dial =
         format!("10.{}.{}.{}:8080", 100 + worker / 40_000, 100 + worker / 150 % 150, 100 + worker % 150);
-    let said = Entry { worker, health: Health::Active, weight: 1.0, born: 3_600_000_000_000 };
-    entry(world, &said, &dial, 1_790_000_000_000)
+    let said = WorkerEntry { worker, health: Health::Active, weight: 1.0, started_at: 3_600_000_000_000 };
+    discovery_entry(world, &said, &dial, 1_790_000_000_000)
 }
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -8,7 +8,7 @@
 use loomlb_lab::baselines::{Baseline, Idea};
 use loomlb_lab::processes::{self, Schedule};
 use loomlb_lab::{capacity, days, fleet, scale, tables, trial};
-use loomlb_simulation::Day;
+use loomlb_simulation::Scenario;
 use loomlb_simulation::simulate::{self, Decider};
 use rayon::prelude::*;
 use std::ffi::OsString;
@@ -335,7 +335,7 @@
     }
 }
 
-fn play(day: &Day, seed: u64, threads: usize, policy: Policy) -> simulate::Played {
+fn play(day: &Scenario, seed: u64, threads: usize, policy: Policy) -> simulate::SimulationResult {
     match policy.idea() {
         None => simulate::run(day, seed, threads),
         Some(idea) => simulate::run_with(day, seed, threads, &|set, seed| -> Box<dyn Decider> {
@@ -360,10 +360,10 @@
     } else {
         args.days.clone()
     };
-    let days = named.iter().map(|d| days::load(d)).collect::<Result<Vec<Day>, String>>()?;
+    let days = named.iter().map(|d| days::load(d)).collect::<Result<Vec<Scenario>, String>>()?;
     let policies =
         [Policy::Module, Policy::LeastInFlight, Policy::TwoChoices, Policy::RoundRobin, Policy::Random];
-    let pairs: Vec<(&Day, Policy)> = days.iter().flat_map(|d| policies.map(|p| (d, p))).collect();
+    let pairs: Vec<(&Scenario, Policy)> = days.iter().flat_map(|d| policies.map(|p| (d, p))).collect();
     let bar = indicatif::ProgressBar::new(pairs.len() as u64 * args.seeds);
     let compared: Vec<Compared> = pairs
         .par_iter()
@@ -373,9 +373,9 @@
                 bar.inc(1);
                 played
             };
-            let all: Vec<simulate::Played> = (1..=args.seeds).map(played).collect();
+            let all: Vec<simulate::SimulationResult> = (1..=args.seeds).map(played).collect();
             let service = all.iter().map(|p| p.figures.service).collect();
-            let breaches = all.iter().map(|p| p.breaches).sum();
+            let breaches = all.iter().map(|p| p.violations).sum();
             Compared { day: day.name.clone(), policy: *policy, service, breaches }
         })
         .collect();
@@ -531,7 +531,7 @@
     let day = days::load(&args.day)?;
     let played = play(&day, args.seed, args.threads, args.policy);
     report(args.json, &played, || tables::played(&day, args.seed, &played))?;
-    Ok(verdict(played.breaches))
+    Ok(verdict(played.violations))
 }
 
 /// The scheduler's program: the one named, or the one that is built in.
@@ -578,10 +578,10 @@
 const DEMO: &str = include_str!("../days/demo.toml");
 
 fn demo(args: &Demo) -> Result<ExitCode, String> {
-    let mut day = Day::read(DEMO).map_err(|e| e.to_string())?;
+    let mut day = Scenario::read(DEMO).map_err(|e| e.to_string())?;
     day.seconds = args.seconds;
     // Troubles lie where they do in the day of 20 s.
-    for t in &mut day.troubles {
+    for t in &mut day.faults {
         (t.at_s, t.for_s) = (t.at_s / 20.0 * args.seconds, t.for_s / 20.0 * args.seconds);
     }
     day.check().map_err(|(key, reason)| format!("--seconds {}: {key}: {reason}", args.seconds))?;
@@ -639,7 +639,7 @@
         }
         Command::Days => {
             for (name, text) in days::SHIPPED {
-                match loomlb_simulation::Day::read(text) {
+                match loomlb_simulation::Scenario::read(text) {
                     Ok(day) => println!("{name:18} {}", day.about),
                     Err(e) => println!("{name:18} {e}"),
                 }
--- a/crates/lab/src/tables.rs
+++ b/crates/lab/src/tables.rs
@@ -1,7 +1,7 @@
 //! Tables for people.
 
-use loomlb_simulation::Day;
-use loomlb_simulation::simulate::Played;
+use loomlb_simulation::Scenario;
+use loomlb_simulation::simulate::SimulationResult;
 use std::fmt::Write;
 
 /// Lays out rows in columns, the first to the left and the others to the right.
@@ -23,7 +23,7 @@
 }
 
 /// The figures of a day on sockets.
-pub fn emulated(day: &Day, seed: u64, p: &loomlb_emulator::Played) -> String {
+pub fn emulated(day: &Scenario, seed: u64, p: &loomlb_emulator::Played) -> String {
     let row = |a: &str, b: String| vec![a.to_string(), b];
     let mut rows = vec![
         row("taken", p.taken.to_string()),
@@ -40,7 +40,7 @@
         row("service", format!("{:.3}", p.figures.service)),
         row("service, worst 10 s", format!("{:.3}", p.figures.worst_window)),
     ];
-    for t in &day.troubles {
+    for t in &day.faults {
         rows.push(row(&format!("trouble {}", t.kind.name()), p.counters.of(t.kind).to_string()));
     }
     rows.push(row("call-backs before their 202", p.overtaken.to_string()));
@@ -66,7 +66,7 @@
 }
 
 /// The figures of a day in virtual time.
-pub fn played(day: &Day, seed: u64, p: &Played) -> String {
+pub fn played(day: &Scenario, seed: u64, p: &SimulationResult) -> String {
     let f = &p.figures;
     let mut out = format!(
         "{} (seed {seed}): {} workers, {} schedulers, {:.0} requests a second for {} s\n",
@@ -101,13 +101,13 @@
             .map(|(t, x)| row(&format!("service, tenant {}", t.name), format!("{x:.3}"))),
     );
     rows.push(row("work wasted", format!("{:.1} %", p.wasted * 100.0)));
-    for t in &day.troubles {
+    for t in &day.faults {
         rows.push(row(&format!("trouble {}", t.kind.name()), p.counters.of(t.kind).to_string()));
     }
-    rows.push(row("breaches", p.breaches.to_string()));
+    rows.push(row("breaches", p.violations.to_string()));
     out += &columns(&rows);
     out += &format!("digest {}\n", p.digest);
-    if let Some(first) = p.first.first() {
+    if let Some(first) = p.first_violations.first() {
         out += &format!("first breach: {first}");
     }
     out
--- a/crates/lab/tests/days.rs
+++ b/crates/lab/tests/days.rs
@@ -2,16 +2,16 @@
 
 use loomlb_lab::baselines::{Baseline, Idea};
 use loomlb_lab::days::SHIPPED;
-use loomlb_simulation::simulate::{self, Decider, Played};
-use loomlb_simulation::{Day, TroubleKind};
+use loomlb_simulation::simulate::{self, Decider, SimulationResult};
+use loomlb_simulation::{FaultKind, Scenario};
 use std::process::Command;
 
-fn day(name: &str) -> Day {
-    Day::read(SHIPPED.iter().find(|d| d.0 == name).unwrap().1).unwrap()
+fn day(name: &str) -> Scenario {
+    Scenario::read(SHIPPED.iter().find(|d| d.0 == name).unwrap().1).unwrap()
 }
 
 /// A day as a textbook policy decides it.
-fn textbook(day: &Day, seed: u64, threads: usize, idea: Idea) -> Played {
+fn textbook(day: &Scenario, seed: u64, threads: usize, idea: Idea) -> SimulationResult {
     let make = move |set, seed| -> Box<dyn Decider> { Box::new(Baseline::new(idea, set, seed)) };
     simulate::run_with(day, seed, threads, &make)
 }
@@ -21,24 +21,24 @@
 fn each_day_that_ships_does_what_it_says_without_a_breach() {
     let mut kinds = Vec::new();
     for (name, text) in SHIPPED.iter().filter(|d| d.0 != "huge") {
-        let mut day = Day::read(text).unwrap_or_else(|e| panic!("{name}: {e}"));
+        let mut day = Scenario::read(text).unwrap_or_else(|e| panic!("{name}: {e}"));
         assert_eq!(&day.name, name);
         if *name == "large" {
             // A debug build plays a tenth of it, in size and in time.
-            (day.fleet.workers, day.seconds, day.troubles[0].at_s) = (100, 6.0, 2.0);
+            (day.fleet.workers, day.seconds, day.faults[0].at_s) = (100, 6.0, 2.0);
         }
         let played = simulate::run(&day, 11, 2);
-        let stories: Vec<String> = played.first.iter().map(ToString::to_string).collect();
-        assert_eq!(played.breaches, 0, "{name}: {}", stories.join("\n"));
-        assert_eq!(played.seen.taken, played.seen.answered + played.seen.void, "{name}");
-        for t in &day.troubles {
+        let stories: Vec<String> = played.first_violations.iter().map(ToString::to_string).collect();
+        assert_eq!(played.violations, 0, "{name}: {}", stories.join("\n"));
+        assert_eq!(played.seen.taken, played.seen.answered + played.seen.excused, "{name}");
+        for t in &day.faults {
             assert!(played.counters.of(t.kind) > 0, "{name}: {} did nothing", t.kind.name());
             kinds.push(t.kind);
         }
         // A day that offers more than there is serves less; its shares are what is looked at, below.
         assert!(played.figures.service > 0.4 || *name == "surge", "{name}: {:?}", played.figures);
     }
-    assert!(TroubleKind::ALL.iter().all(|k| kinds.contains(k)));
+    assert!(FaultKind::ALL.iter().all(|k| kinds.contains(k)));
 }
 
 /// Where a hundred schedulers each see few requests, those that look first at workers of their own know what is held there.
@@ -113,7 +113,7 @@
     let played = simulate::run(&day, 2, 2);
     let counters = &played.counters;
     assert!(counters.list_calls_failed > 20 && counters.list_calls >= 60, "{counters:?}");
-    assert_eq!(played.breaches, 0);
+    assert_eq!(played.violations, 0);
     assert!(played.figures.service > 0.6, "{:?}", played.figures);
     day.discovery.call_ms = 0.0;
     assert_eq!(simulate::run(&day, 2, 2).counters.list_calls_failed, 0);
@@ -142,7 +142,7 @@
     let day = day("calm");
     let with = |idea: Idea| {
         let played = textbook(&day, 3, 0, idea);
-        assert_eq!(played.breaches, 0, "{idea:?}");
+        assert_eq!(played.violations, 0, "{idea:?}");
         played.figures.service
     };
     let [random, round, least, two] = Idea::ALL.map(|(_, idea)| with(idea));
--- a/crates/simulation/src/lib.rs
+++ b/crates/simulation/src/lib.rs
@@ -1,22 +1,23 @@
-//! The platform as a model: workers, discovery, network, clients and troubles, without input or output.
+//! A model of the platform: workers, discovery, network, clients and faults, without input or output.
 //!
-//! A [`day::Day`] says what is played, a [`world::World`] plays the workers' side of it, [`clients`] make the
-//! requests, and the [`referee::Referee`] watches what must never go wrong. Two hosts drive them: [`simulate`] in
-//! virtual time, with any number of schedulers in one process, and the emulator on loopback sockets. Times are
-//! nanoseconds from the start of the day. All random numbers come from named streams of one seed ([`seed`]).
+//! A [`scenario::Scenario`] is the input of a run. A [`world::World`] models the workers and the worker list,
+//! [`clients`] generate the requests, and an [`invariants::InvariantChecker`] checks what happens. They are driven
+//! by one of two hosts: [`simulate`] in virtual time, with any number of schedulers in one process, or the emulator
+//! on loopback sockets. Times are nanoseconds from the start of the scenario. All random numbers come from named
+//! streams of one seed ([`seed`]).
 #![forbid(unsafe_code)]
 
 pub mod clients;
-pub mod day;
 pub mod figures;
-pub mod referee;
+pub mod invariants;
+pub mod scenario;
 pub mod seed;
 pub mod settings;
 pub mod simulate;
 pub mod worker;
 pub mod world;
 
-pub use day::{ConfigError, Day, TroubleKind};
 pub use figures::Figures;
-pub use referee::{Breach, Referee, Rule};
+pub use invariants::{Invariant, InvariantChecker, Violation};
+pub use scenario::{ConfigError, FaultKind, Scenario};
 pub use world::World;
--- a/crates/simulation/src/simulate.rs
+++ b/crates/simulation/src/simulate.rs
@@ -1,20 +1,23 @@
-//! The host in virtual time: any number of schedulers in one process, and the same result for the same seed.
+//! Runs a scenario in virtual time, with any number of schedulers in one process. Results are reproducible from the
+//! seed.
 //!
-//! Schedulers act once a tick on all that has come in. Within a tick they know nothing of each other, so they may
-//! decide on several threads; what they want done is carried out in the order of their numbers, and the digest over
-//! every event and action is the same for any number of threads.
-
-use crate::clients::{self, Arrivals, Outcome as Try, Request};
-use crate::day::Day;
-use crate::figures::{Collector, Figures, Final};
-use crate::referee::{Answered, Breach, End, Seen};
-use crate::seed::Stream;
+//! Schedulers handle their events once per tick. They don't interact within a tick and can run on several threads;
+//! their actions are performed in the order of the schedulers' numbers. So the digest over all events and actions
+//! does not depend on the number of threads.
+
+use crate::clients::{self, Arrivals, Outcome as TryOutcome, Request};
+use crate::figures::{Collector, Figures, RequestOutcome};
+use crate::invariants::{CheckerCounts, FinalResponse, SchedulerExit, Violation};
+use crate::scenario::Scenario;
+use crate::seed::RandomStream;
 use crate::settings;
-use crate::world::{Attempt, Counters, Deed, Dial, Reply, Signal, Word, World, ms};
+use crate::world::{
+    Attempt, AttemptReply, ConnectResult, Counters, HostAction, JobUpdate, Signal, World, ms,
+};
 use loomlb_policy::raw_settings::{SettingNames, affinity_key};
 use loomlb_policy::{
     Action, AttemptResult, ClassId, Dispatcher, Event, JobProgress, ListKind, LoadReport, Nanos, Outcome,
-    PeerId, Recipient, Request as Asked, RequestId, Settings, TenantId,
+    PeerId, Recipient, Request as PolicyRequest, RequestId, Settings, TenantId,
 };
 use loomlb_quota::{Ask, Quota, Standing, Ticket, Verdict};
 use rayon::prelude::*;
@@ -24,20 +27,20 @@
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
-/// Clients still reach a scheduler for so long after it was asked to end.
-const TERM_NOTICE: Nanos = 300_000_000;
-/// A scheduler that was asked to end is killed after this time and the longest deadline.
-const TERM_KILL: Nanos = 700_000_000;
-/// Of that deadline no more than this counts.
-const TERM_LONGEST: Nanos = 3_000_000_000;
-/// After the last arrival a day runs on for so long at most.
-const TAIL: Nanos = 120_000_000_000;
-/// Fewer events than this in a tick are not worth the threads.
-const WORTH_THREADS: usize = 16;
-
-/// Whoever decides: the decision module, or a baseline to compare it with.
+/// Time for which clients still send to a scheduler that was asked to shut down.
+const SHUTDOWN_VISIBLE_TIME: Nanos = 300_000_000;
+/// Time after which a scheduler that was asked to shut down is killed, in addition to the longest deadline.
+const SHUTDOWN_KILL_MARGIN: Nanos = 700_000_000;
+/// The longest deadline counts as this at most.
+const MAX_SHUTDOWN_WAIT: Nanos = 3_000_000_000;
+/// Time after the last arrival at which a scenario ends at the latest.
+const MAX_TIME_AFTER_ARRIVALS: Nanos = 120_000_000_000;
+/// Schedulers run on one thread if there are fewer events than this in a tick.
+const MIN_EVENTS_FOR_THREADS: usize = 16;
+
+/// Makes the decisions of a scheduler: the decision module, or a baseline for comparison.
 pub trait Decider: Send {
-    /// Takes in one event and adds what is to be done; see [`Dispatcher::handle`].
+    /// Handles an event and appends the resulting actions; see [`Dispatcher::handle`].
     fn handle(&mut self, now: Nanos, event: Event, out: &mut Vec<Action>);
 }
 
@@ -47,87 +50,89 @@
     }
 }
 
-/// Makes the decider of a scheduler from its settings and a seed.
-pub type Maker<'a> = dyn Fn(Settings, u64) -> Box<dyn Decider> + Sync + 'a;
+/// Creates the decider of a scheduler from its settings and a seed.
+pub type DeciderFactory<'a> = dyn Fn(Settings, u64) -> Box<dyn Decider> + Sync + 'a;
 
-/// The decision module.
-pub fn module(settings: Settings, seed: u64) -> Box<dyn Decider> {
+/// Creates a dispatcher of the decision module.
+pub fn new_dispatcher(settings: Settings, seed: u64) -> Box<dyn Decider> {
     Box::new(Dispatcher::new(settings, seed))
 }
 
-/// What a day came to.
+/// The result of a scenario.
 #[derive(Clone, Debug, Serialize)]
-pub struct Played {
+pub struct SimulationResult {
     /// The figures.
     pub figures: Figures,
-    /// What the referee saw.
-    pub seen: Seen,
-    /// Breaches in all.
-    pub breaches: u64,
-    /// The first of them, with their stories.
-    pub first: Vec<Breach>,
-    /// What the troubles did.
+    /// The events that were reported to the invariant checker.
+    pub seen: CheckerCounts,
+    /// Number of violations.
+    #[serde(rename = "breaches")]
+    pub violations: u64,
+    /// The first violations, with the history of their requests.
+    #[serde(rename = "first")]
+    pub first_violations: Vec<Violation>,
+    /// Counts of events in the world.
     pub counters: Counters,
-    /// Requests a second that were aimed at.
+    /// The configured rate of requests per second.
     pub rate: f64,
-    /// Events told to schedulers, and actions of theirs.
+    /// Events handled by schedulers, and the actions that they returned.
     pub events: u64,
     /// See `events`.
     pub actions: u64,
-    /// Work done by workers, in seconds of a yardstick core, and the part of it that served no answer.
+    /// Work done by workers, in seconds of a reference core, and the fraction of it that was wasted.
     pub work_s: f64,
     /// See `work_s`.
     pub wasted: f64,
-    /// Length of the day until all was over, in seconds.
+    /// Duration until all requests had ended, in seconds.
     pub length_s: f64,
-    /// A digest over every event and action with its time.
+    /// A digest over all events and actions with their times.
     pub digest: String,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Due {
-    /// The next request is made.
-    Next,
-    /// A try leaves its client.
-    Try(u64),
-    /// A try reaches its scheduler.
-    Reach(u64, usize, u32),
-    /// Schedulers act.
-    Tick,
+enum ScheduledEvent {
+    /// A client makes its next request.
+    NextRequest,
+    /// A client sends a try.
+    SendTry(u64),
+    /// A try arrives at a scheduler.
+    ReceiveRequest(u64, usize, u32),
+    /// Schedulers handle their events.
+    RunSchedulers,
     Timer(usize, u32, u64),
-    /// An attempt reaches its worker, after a new connection or not.
-    Arrive(usize, u32, u64, u32),
-    /// An attempt has ended, as its scheduler hears.
-    End(usize, u32, u64, u32, u8),
-    Timeout(usize, u32, u64, u32),
-    /// A give-up reaches its worker.
-    GiveUp(u64),
-    /// A word of a worker reaches a scheduler: its place in the store of words.
-    Word(usize, u32, usize),
+    /// An attempt arrives at its worker.
+    DeliverAttempt(usize, u32, u64, u32),
+    /// A scheduler learns that an attempt has ended.
+    AttemptEnded(usize, u32, u64, u32, u8),
+    AttemptTimeout(usize, u32, u64, u32),
+    /// A cancellation arrives at a worker.
+    CancelJob(u64),
+    /// A worker's report arrives at a scheduler; the last value is its index in `job_updates`.
+    JobUpdate(usize, u32, usize),
     Datagram(usize, u32, usize),
-    Probed(usize, u32, usize, bool),
-    /// An answer reaches its client.
-    Answer(u64, usize),
-    /// A client leaves.
-    Leave(u64),
-    Start(usize),
-    Ending(usize, u32),
-    Kill(usize, u32),
-    List(usize, u32),
-    /// A call for the list has failed.
-    NoList(usize, u32),
+    ProbeEnded(usize, u32, usize, bool),
+    /// A response arrives at its client.
+    Response(u64, usize),
+    /// A client stops waiting.
+    ClientTimeout(u64),
+    StartScheduler(usize),
+    CheckShutdown(usize, u32),
+    KillScheduler(usize, u32),
+    ListReply(usize, u32),
+    /// A request for the list has failed.
+    ListRequestFailed(usize, u32),
 }
 
 #[derive(Debug)]
 struct Forward {
-    /// When its worker told that the job started.
+    /// When the worker reported the start of the job.
     started: Option<Nanos>,
     worker: usize,
     sent: Nanos,
     job: Option<u64>,
     ended: bool,
-    /// It is through to its worker, or on the way there over a connection that is up.
-    up: bool,
+    /// Whether there is a connection over which the attempt can reach the worker.
+    connected: bool,
 }
 
 #[derive(Debug)]
@@ -138,124 +143,129 @@
     deadline: Nanos,
     answered: bool,
     forwards: Vec<Forward>,
-    /// What it holds of its tenant's shares, and the seconds that its jobs ran.
-    holding: Option<Ticket>,
-    ran: f64,
+    /// The tenant's quota that it holds, and the seconds that its jobs ran.
+    quota_ticket: Option<Ticket>,
+    run_time_s: f64,
 }
 
-struct Node {
+struct SchedulerNode {
     decider: Box<dyn Decider>,
-    /// Nested quotas, where the day has them, and the mean seconds of each class's jobs.
+    /// Nested quotas, if the scenario has them, and the mean running time of each class's jobs in seconds.
     quota: Option<Quota>,
-    mean: Vec<f64>,
+    mean_job_s: Vec<f64>,
     names: SettingNames,
-    up: bool,
-    /// Seen by the front until then, though it is down.
-    seen_until: Nanos,
-    ending: Option<Nanos>,
-    run: u32,
+    is_running: bool,
+    /// The front proxy sends requests until this time, although the process may have ended.
+    visible_until: Nanos,
+    shutdown_started: Option<Nanos>,
+    incarnation: u32,
     inbox: Vec<Event>,
     outbox: Vec<Action>,
-    /// Sorted by the scheduler's own numbers.
+    /// Requests by id.
     flows: FxHashMap<u64, Flow>,
-    pool: FxHashMap<usize, Vec<Nanos>>,
+    idle_connections: FxHashMap<usize, Vec<Nanos>>,
 }
 
 #[derive(Debug)]
-struct Client {
+struct ClientState {
     request: Request,
     tries: u32,
-    /// The scheduler of the try under way.
-    at: Option<usize>,
-    /// The time by which it leaves.
-    leaves: Nanos,
+    /// The scheduler of the current try.
+    scheduler: Option<usize>,
+    /// When the client stops waiting.
+    leaves_at: Nanos,
     answered: bool,
 }
 
-/// A word on its way: request, job, what is said, and the worker's load.
-type Said = (u64, u64, Word, Option<LoadReport>);
+/// A worker's report in transit: request, job, update, and the worker's load.
+type JobUpdateInTransit = (u64, u64, JobUpdate, Option<LoadReport>);
 
-struct Host<'a> {
+struct VirtualHost<'a> {
     world: World,
-    make: &'a Maker<'a>,
-    pool: Option<rayon::ThreadPool>,
+    make_decider: &'a DeciderFactory<'a>,
+    thread_pool: Option<rayon::ThreadPool>,
     arrivals: Arrivals,
-    upcoming: Option<Request>,
-    nodes: Vec<Node>,
-    clients: FxHashMap<u64, Client>,
-    queue: BinaryHeap<Reverse<(Nanos, u64, Due)>>,
-    pushed: u64,
-    ticking: Option<Nanos>,
+    next_arrival: Option<Request>,
+    nodes: Vec<SchedulerNode>,
+    clients: FxHashMap<u64, ClientState>,
+    queue: BinaryHeap<Reverse<(Nanos, u64, ScheduledEvent)>>,
+    last_sequence: u64,
+    next_tick: Option<Nanos>,
     now: Nanos,
-    words: Slab<Said>,
+    job_updates: Slab<JobUpdateInTransit>,
     datagrams: Slab<(usize, Vec<u8>)>,
     collector: Collector,
-    delays: Stream,
-    front: Stream,
-    habits: Stream,
-    restarts: Stream,
+    delay_rng: RandomStream,
+    front_rng: RandomStream,
+    retry_rng: RandomStream,
+    restart_rng: RandomStream,
     digest: blake3::Hasher,
     events: u64,
     actions: u64,
-    drawn: bool,
+    arrivals_finished: bool,
 }
 
-/// Plays a day in virtual time with the decision module; on so many threads, 0 for one.
-pub fn run(day: &Day, seed: u64, threads: usize) -> Played {
-    run_with(day, seed, threads, &module)
+/// Runs a scenario in virtual time with the decision module, on `threads` threads (0 for one).
+pub fn run(scenario: &Scenario, seed: u64, threads: usize) -> SimulationResult {
+    run_with(scenario, seed, threads, &new_dispatcher)
 }
 
-/// Plays a day in virtual time with deciders of any make.
-pub fn run_with(day: &Day, seed: u64, threads: usize, make: &Maker) -> Played {
-    let world = World::new(day.clone(), seed, 0);
+/// Runs a scenario in virtual time with the given deciders.
+pub fn run_with(
+    scenario: &Scenario,
+    seed: u64,
+    threads: usize,
+    make_decider: &DeciderFactory,
+) -> SimulationResult {
+    let world = World::new(scenario.clone(), seed, 0);
     let streams = world.streams();
-    let arrivals = Arrivals::new(day, &streams, world.capacity());
-    let threads = if day.schedulers.count > 1 { threads } else { 0 };
-    let pool =
+    let arrivals = Arrivals::new(scenario, &streams, world.capacity());
+    let threads = if scenario.schedulers.count > 1 { threads } else { 0 };
+    let thread_pool =
         (threads > 1).then(|| rayon::ThreadPoolBuilder::new().num_threads(threads).build().ok()).flatten();
-    let mut host = Host {
-        make,
-        pool,
+    let mut host = VirtualHost {
+        make_decider,
+        thread_pool,
         arrivals,
-        upcoming: None,
+        next_arrival: None,
         nodes: Vec::new(),
         clients: FxHashMap::default(),
         queue: BinaryHeap::new(),
-        pushed: 0,
-        ticking: None,
+        last_sequence: 0,
+        next_tick: None,
         now: 0,
-        words: Slab::new(),
+        job_updates: Slab::new(),
         datagrams: Slab::new(),
-        collector: Collector::new(day),
-        delays: streams.named("delays"),
-        front: streams.named("front"),
-        habits: streams.named("retries"),
-        restarts: streams.named("restarts"),
+        collector: Collector::new(scenario),
+        delay_rng: streams.stream("delays"),
+        front_rng: streams.stream("front"),
+        retry_rng: streams.stream("retries"),
+        restart_rng: streams.stream("restarts"),
         digest: blake3::Hasher::new(),
         events: 0,
         actions: 0,
-        drawn: false,
+        arrivals_finished: false,
         world,
     };
-    for s in 0..day.schedulers.count {
-        let node = host.fresh(s);
+    for s in 0..scenario.schedulers.count {
+        let node = host.new_scheduler(s);
         host.nodes.push(node);
-        host.tell_list(s, ListKind::Persisted);
+        host.send_list(s, ListKind::Persisted);
     }
-    host.push(0, Due::Next);
-    host.play(day);
+    host.push(0, ScheduledEvent::NextRequest);
+    host.run_events(scenario);
     let world = &mut host.world;
-    world.referee.finish(host.now);
+    world.invariant_checker.finish(host.now);
     let workers = (0..world.workers()).map(|w| world.worker(w));
     let (delivered, wasted) = workers.fold((0.0, 0.0), |s, w| (s.0 + w.delivered, s.1 + w.wasted));
     let mut counters = world.counters.clone();
     (counters.burst, counters.heavy, counters.slow_readers) =
-        (host.arrivals.burst, host.arrivals.heavy, host.arrivals.slow);
-    Played {
+        (host.arrivals.burst_requests, host.arrivals.heavy_requests, host.arrivals.slow_readers);
+    SimulationResult {
         figures: host.collector.figures(),
-        seen: world.referee.seen,
-        breaches: world.referee.count,
-        first: world.referee.breaches.clone(),
+        seen: world.invariant_checker.counts,
+        violations: world.invariant_checker.violation_count,
+        first_violations: world.invariant_checker.violations.clone(),
         counters,
         rate: host.arrivals.rate(),
         events: host.events,
@@ -267,13 +277,13 @@
     }
 }
 
-impl Host<'_> {
-    fn push(&mut self, at: Nanos, due: Due) {
-        self.pushed += 1;
-        self.queue.push(Reverse((at.max(self.now), self.pushed, due)));
+impl VirtualHost<'_> {
+    fn push(&mut self, at: Nanos, event: ScheduledEvent) {
+        self.last_sequence += 1;
+        self.queue.push(Reverse((at.max(self.now), self.last_sequence, event)));
     }
 
-    fn mark(&mut self, tag: u8, values: &[u64]) {
+    fn digest_values(&mut self, tag: u8, values: &[u64]) {
         self.digest.update(&[tag]);
         self.digest.update(&self.now.to_le_bytes());
         values.iter().for_each(|v| {
@@ -282,40 +292,44 @@
     }
 
     fn delay(&mut self, mean_ms: f64) -> Nanos {
-        ms(mean_ms * self.delays.log_normal(self.world.day.network.jitter)).max(1)
+        ms(mean_ms * self.delay_rng.log_normal(self.world.scenario.network.jitter)).max(1)
     }
-    /// One way between a scheduler and a worker.
-    fn way(&mut self, s: usize, w: usize) -> Nanos {
-        let network = &self.world.day.network;
+    /// Draws the one-way delay between a scheduler and a worker.
+    fn link_delay(&mut self, s: usize, w: usize) -> Nanos {
+        let network = &self.world.scenario.network;
         let near = self.world.zone(s) == self.world.zone(w);
         self.delay(if near { network.one_way_ms } else { network.cross_ms })
     }
-    /// One way to discovery, which is near to all.
-    fn way_to_list(&mut self) -> Nanos {
-        self.delay(self.world.day.network.one_way_ms)
+    /// Draws the one-way delay between a scheduler and discovery.
+    fn discovery_delay(&mut self) -> Nanos {
+        self.delay(self.world.scenario.network.one_way_ms)
     }
 
-    fn play(&mut self, day: &Day) {
-        let end = crate::world::secs(day.seconds) + TAIL;
+    fn run_events(&mut self, scenario: &Scenario) {
+        let end = crate::world::secs(scenario.seconds) + MAX_TIME_AFTER_ARRIVALS;
         loop {
-            let mine = self.queue.peek().map(|Reverse((at, _, _))| *at);
-            let theirs = self.world.next();
-            let Some(at) = [mine, theirs].into_iter().flatten().min() else { return };
-            if at > end || (self.drawn && self.clients.is_empty() && self.world.referee.owed() == 0) {
+            let own_next = self.queue.peek().map(|Reverse((at, _, _))| *at);
+            let world_next = self.world.next_event_time();
+            let Some(at) = [own_next, world_next].into_iter().flatten().min() else { return };
+            if at > end
+                || (self.arrivals_finished
+                    && self.clients.is_empty()
+                    && self.world.invariant_checker.pending_responses() == 0)
+            {
                 return;
             }
             self.now = self.now.max(at);
-            while let Some(deed) = self.world.turn(self.now) {
-                self.deed(deed);
+            while let Some(action) = self.world.next_action(self.now) {
+                self.perform_host_action(action);
             }
             while let Some(Reverse((at, _, _))) = self.queue.peek() {
                 if *at > self.now {
                     break;
                 }
-                let Some(Reverse((_, _, due))) = self.queue.pop() else { break };
-                self.due(due);
-                while let Some(deed) = self.world.turn(self.now) {
-                    self.deed(deed);
+                let Some(Reverse((_, _, event))) = self.queue.pop() else { break };
+                self.process_event(event);
+                while let Some(action) = self.world.next_action(self.now) {
+                    self.perform_host_action(action);
                 }
             }
         }
@@ -323,177 +337,189 @@
 
     // ---- schedulers
 
-    fn fresh(&mut self, s: usize) -> Node {
-        let (settings, names) = settings::settings(&self.world.day, s, self.arrivals.tenant_rates());
-        let part = 1.0 / self.world.day.schedulers.count as f64;
-        let quota = self.world.day.quota.clone().and_then(|spec| Quota::new(spec.part(part), self.now).ok());
-        Node {
-            decider: (self.make)(settings, self.restarts.bits()),
+    fn new_scheduler(&mut self, s: usize) -> SchedulerNode {
+        let (settings, names) =
+            settings::dispatcher_settings(&self.world.scenario, s, self.arrivals.tenant_rates());
+        let part = 1.0 / self.world.scenario.schedulers.count as f64;
+        let quota =
+            self.world.scenario.quota.clone().and_then(|spec| Quota::new(spec.part(part), self.now).ok());
+        SchedulerNode {
+            decider: (self.make_decider)(settings, self.restart_rng.next_u64()),
             quota,
-            mean: self.world.day.classes.iter().map(|c| c.aim_ms / 1e3).collect(),
+            mean_job_s: self.world.scenario.classes.iter().map(|c| c.aim_ms / 1e3).collect(),
             names,
-            up: true,
-            seen_until: Nanos::MAX,
-            ending: None,
-            run: 0,
+            is_running: true,
+            visible_until: Nanos::MAX,
+            shutdown_started: None,
+            incarnation: 0,
             inbox: Vec::new(),
             outbox: Vec::new(),
             flows: FxHashMap::default(),
-            pool: FxHashMap::default(),
+            idle_connections: FxHashMap::default(),
         }
     }
 
-    /// Tells a scheduler of the whole list as it was last told.
-    fn tell_list(&mut self, s: usize, kind: ListKind) {
-        let (_, entries) = self.world.told(s);
+    /// Sends a scheduler the complete list, as of the changes that it has received.
+    fn send_list(&mut self, s: usize, kind: ListKind) {
+        let (_, entries) = self.world.known_list(s);
         let names = &self.nodes[s].names;
-        let mut entries: Vec<_> = entries.iter().map(|e| settings::worker(&self.world, names, e)).collect();
+        let mut entries: Vec<_> =
+            entries.iter().map(|e| settings::listed_worker(&self.world, names, e)).collect();
         entries.retain(|e| e.state != loomlb_policy::WorkerState::Removed);
-        self.feed(s, Event::WorkerList { kind, entries });
+        self.enqueue_event(s, Event::WorkerList { kind, entries });
     }
 
-    fn feed(&mut self, s: usize, event: Event) {
-        if !self.nodes[s].up {
+    fn enqueue_event(&mut self, s: usize, event: Event) {
+        if !self.nodes[s].is_running {
             return;
         }
         self.nodes[s].inbox.push(event);
-        if self.ticking.is_none() {
-            let tick = ms(self.world.day.tick_ms).max(1);
+        if self.next_tick.is_none() {
+            let tick = ms(self.world.scenario.tick_ms).max(1);
             let at = (self.now / tick + 1) * tick;
-            self.ticking = Some(at);
-            self.push(at, Due::Tick);
+            self.next_tick = Some(at);
+            self.push(at, ScheduledEvent::RunSchedulers);
         }
     }
 
-    fn tick(&mut self) {
-        self.ticking = None;
+    fn run_schedulers(&mut self) {
+        self.next_tick = None;
         let now = self.now;
         let events: usize = self.nodes.iter().map(|n| n.inbox.len()).sum();
         for s in 0..self.nodes.len() {
             let inbox = std::mem::take(&mut self.nodes[s].inbox);
             self.events += inbox.len() as u64;
-            inbox.iter().for_each(|event| self.mark_event(s, event));
+            inbox.iter().for_each(|event| self.digest_event(s, event));
             self.nodes[s].inbox = inbox;
         }
-        let decide = |node: &mut Node| {
+        let decide = |node: &mut SchedulerNode| {
             let (decider, out) = (&mut node.decider, &mut node.outbox);
             node.inbox.drain(..).for_each(|event| decider.handle(now, event, out));
         };
-        match self.pool.as_ref().filter(|_| events >= WORTH_THREADS) {
+        match self.thread_pool.as_ref().filter(|_| events >= MIN_EVENTS_FOR_THREADS) {
             Some(pool) => pool.install(|| self.nodes.par_iter_mut().with_max_len(1).for_each(decide)),
             None => self.nodes.iter_mut().for_each(decide),
         }
         for s in 0..self.nodes.len() {
             let mut outbox = std::mem::take(&mut self.nodes[s].outbox);
             self.actions += outbox.len() as u64;
-            outbox.drain(..).for_each(|action| self.act(s, action));
+            outbox.drain(..).for_each(|action| self.perform_action(s, action));
             self.nodes[s].outbox = outbox;
         }
     }
 
-    fn mark_event(&mut self, s: usize, event: &Event) {
+    fn digest_event(&mut self, s: usize, event: &Event) {
         let s = s as u64;
         match event {
             Event::WorkerList { entries, .. } => {
-                self.mark(1, &[s, entries.len() as u64]);
-                entries
-                    .iter()
-                    .for_each(|e| self.mark(2, &[e.id.0, e.state as u64, e.weight.to_bits(), e.started_at]));
-            }
-            Event::ListRequestFailed => self.mark(3, &[s]),
-            Event::Request(r) => self.mark(4, &[s, r.id.0, r.class.0 as u64, r.remaining]),
-            Event::RequestAbandoned(id) => self.mark(5, &[s, id.0]),
-            Event::JobProgress(id, n, _) => self.mark(6, &[s, id.0, u64::from(*n)]),
-            Event::ResponseStarted(id, n) => self.mark(7, &[s, id.0, u64::from(*n)]),
+                self.digest_values(1, &[s, entries.len() as u64]);
+                entries.iter().for_each(|e| {
+                    self.digest_values(2, &[e.id.0, e.state as u64, e.weight.to_bits(), e.started_at])
+                });
+            }
+            Event::ListRequestFailed => self.digest_values(3, &[s]),
+            Event::Request(r) => self.digest_values(4, &[s, r.id.0, r.class.0 as u64, r.remaining]),
+            Event::RequestAbandoned(id) => self.digest_values(5, &[s, id.0]),
+            Event::JobProgress(id, n, _) => self.digest_values(6, &[s, id.0, u64::from(*n)]),
+            Event::ResponseStarted(id, n) => self.digest_values(7, &[s, id.0, u64::from(*n)]),
             Event::AttemptEnded { id, attempt, result: ended } => {
-                self.mark(8, &[s, id.0, u64::from(*attempt), ended.outcome as u64, ended.latency]);
+                self.digest_values(8, &[s, id.0, u64::from(*attempt), ended.outcome as u64, ended.latency]);
+            }
+            Event::ProbeEnded { worker, result: ended } => {
+                self.digest_values(9, &[s, worker.0, ended.outcome as u64])
             }
-            Event::ProbeEnded { worker, result: ended } => self.mark(9, &[s, worker.0, ended.outcome as u64]),
-            Event::TimerFired(token) => self.mark(10, &[s, *token]),
-            Event::PeerMessage(from, bytes) => self.mark(11, &[s, u64::from(from.0), bytes.len() as u64]),
-            // The model plays no reload.
-            Event::SettingsChanged(..) => self.mark(12, &[s]),
+            Event::TimerFired(token) => self.digest_values(10, &[s, *token]),
+            Event::PeerMessage(from, bytes) => {
+                self.digest_values(11, &[s, u64::from(from.0), bytes.len() as u64])
+            }
+            // Settings don't change in a simulation.
+            Event::SettingsChanged(..) => self.digest_values(12, &[s]),
         }
     }
 
-    fn act(&mut self, s: usize, action: Action) {
-        let me = s as u64;
-        let run = self.nodes[s].run;
+    fn perform_action(&mut self, s: usize, action: Action) {
+        let scheduler = s as u64;
+        let incarnation = self.nodes[s].incarnation;
         match action {
             Action::Send { id, worker, timeout } => {
-                self.mark(32, &[me, id.0, worker.0, timeout]);
-                self.forward(s, id.0, worker.0 as usize - 1, timeout);
+                self.digest_values(32, &[scheduler, id.0, worker.0, timeout]);
+                self.send_attempt(s, id.0, worker.0 as usize - 1, timeout);
             }
             Action::Refuse { id, retry_after } => {
-                self.mark(33, &[me, id.0, retry_after]);
-                let retry_after = retry_after.min(ms(self.world.day.terms.max_retry_after_ms));
-                self.answer(s, id.0, Answered::Refused, Try::Refused(retry_after));
+                self.digest_values(33, &[scheduler, id.0, retry_after]);
+                let retry_after = retry_after.min(ms(self.world.scenario.terms.max_retry_after_ms));
+                self.respond(s, id.0, FinalResponse::Refused, TryOutcome::Refused(retry_after));
             }
             Action::Fail(id) => {
-                self.mark(34, &[me, id.0]);
-                self.answer(s, id.0, Answered::Failed, Try::Failed);
+                self.digest_values(34, &[scheduler, id.0]);
+                self.respond(s, id.0, FinalResponse::Failed, TryOutcome::Failed);
             }
             Action::Cancel(id, n) => {
-                self.mark(35, &[me, id.0, u64::from(n)]);
-                self.give_up(s, id.0, n, Outcome::Cancelled);
+                self.digest_values(35, &[scheduler, id.0, u64::from(n)]);
+                self.cancel_attempt(s, id.0, n, Outcome::Cancelled);
             }
             Action::SetTimer { after, token } => {
-                self.mark(36, &[me, after, token]);
-                self.push(self.now + after.max(1), Due::Timer(s, run, token));
+                self.digest_values(36, &[scheduler, after, token]);
+                self.push(self.now + after.max(1), ScheduledEvent::Timer(s, incarnation, token));
             }
             Action::Probe(worker) => {
-                self.mark(37, &[me, worker.0]);
+                self.digest_values(37, &[scheduler, worker.0]);
                 let w = worker.0 as usize - 1;
-                let back = self.way(s, w) + self.way(s, w);
-                let up = !self.world.silent(worker.0 as usize - 1);
-                let after = if up { back } else { ms(self.world.day.network.dial_ms) };
-                self.push(self.now + after, Due::Probed(s, run, worker.0 as usize - 1, up));
+                let back = self.link_delay(s, w) + self.link_delay(s, w);
+                let up = !self.world.is_silent(worker.0 as usize - 1);
+                let after = if up { back } else { ms(self.world.scenario.network.dial_ms) };
+                self.push(
+                    self.now + after,
+                    ScheduledEvent::ProbeEnded(s, incarnation, worker.0 as usize - 1, up),
+                );
             }
             Action::CloseIdleConnections(worker) => {
-                self.mark(38, &[me, worker.0]);
+                self.digest_values(38, &[scheduler, worker.0]);
                 let w = worker.0 as usize - 1;
-                for _ in self.nodes[s].pool.remove(&w).unwrap_or_default() {
+                for _ in self.nodes[s].idle_connections.remove(&w).unwrap_or_default() {
                     self.world.disconnect(w);
                 }
             }
             Action::WatchList => {
-                self.mark(39, &[me]);
-                let (there, back) = (self.way_to_list(), self.way_to_list());
-                match self.world.list_call(self.now + there) {
-                    Ok(done) => self.push(done + back, Due::List(s, run)),
-                    Err(failed) => self.push(failed + back, Due::NoList(s, run)),
+                self.digest_values(39, &[scheduler]);
+                let (there, back) = (self.discovery_delay(), self.discovery_delay());
+                match self.world.request_list(self.now + there) {
+                    Ok(done) => self.push(done + back, ScheduledEvent::ListReply(s, incarnation)),
+                    Err(failed) => {
+                        self.push(failed + back, ScheduledEvent::ListRequestFailed(s, incarnation))
+                    }
                 }
             }
             Action::SendToPeers(to, bytes) => {
-                self.mark(40, &[me, bytes.len() as u64]);
+                self.digest_values(40, &[scheduler, bytes.len() as u64]);
                 let to: Vec<usize> = match to {
                     Recipient::One(peer) => vec![peer.0 as usize],
                     Recipient::All => (0..self.nodes.len()).filter(|p| *p != s).collect(),
                 };
                 let known = self.nodes.len();
-                to.into_iter().filter(|p| *p < known).for_each(|peer| self.tell(s, peer, &bytes));
+                to.into_iter().filter(|p| *p < known).for_each(|peer| self.send_datagram(s, peer, &bytes));
             }
         }
     }
 
-    fn tell(&mut self, s: usize, peer: usize, bytes: &[u8]) {
-        let lost = self.delays.chance(self.world.day.network.peer_loss);
-        let after = ms(self.delays.within(self.world.day.network.peer_ms));
+    fn send_datagram(&mut self, s: usize, peer: usize, bytes: &[u8]) {
+        let lost = self.delay_rng.chance(self.world.scenario.network.peer_loss);
+        let after = ms(self.delay_rng.uniform(self.world.scenario.network.peer_ms));
         if lost || !self.world.peers_reachable(s, peer) {
             return;
         }
         let at = self.datagrams.insert((s, bytes.to_vec()));
-        let run = self.nodes[peer].run;
-        self.push(self.now + after, Due::Datagram(peer, run, at));
+        let incarnation = self.nodes[peer].incarnation;
+        self.push(self.now + after, ScheduledEvent::Datagram(peer, incarnation, at));
     }
 
-    /// One send of a decider.
-    fn forward(&mut self, s: usize, id: u64, w: usize, timeout: Nanos) {
-        let (now, run) = (self.now, self.nodes[s].run);
-        let most = self.world.day.terms.max_attempts as usize;
+    /// Sends an attempt.
+    fn send_attempt(&mut self, s: usize, id: u64, w: usize, timeout: Nanos) {
+        let (now, incarnation) = (self.now, self.nodes[s].incarnation);
+        let max_attempts = self.world.scenario.terms.max_attempts as usize;
         let Some(flow) = self.nodes[s].flows.get_mut(&id) else { return };
         let n = flow.forwards.len() as u32;
-        let barred = flow.answered || flow.forwards.len() >= most;
+        let not_allowed = flow.answered || flow.forwards.len() >= max_attempts;
         let until = if timeout == 0 { flow.deadline } else { flow.deadline.min(now.saturating_add(timeout)) };
         flow.forwards.push(Forward {
             started: None,
@@ -501,85 +527,100 @@
             sent: now,
             job: None,
             ended: false,
-            up: false,
+            connected: false,
         });
-        if barred || w >= self.world.workers() {
-            return self.end(s, id, n, Outcome::NotSent, None);
+        if not_allowed || w >= self.world.workers() {
+            return self.end_attempt(s, id, n, Outcome::NotSent, None);
         }
-        self.push(until, Due::Timeout(s, run, id, n));
-        let keep = crate::world::secs(self.world.day.network.idle_s) * 3 / 4;
-        let idle = self.nodes[s].pool.get_mut(&w).and_then(|p| {
+        self.push(until, ScheduledEvent::AttemptTimeout(s, incarnation, id, n));
+        let max_idle = crate::world::secs(self.world.scenario.network.idle_s) * 3 / 4;
+        let idle = self.nodes[s].idle_connections.get_mut(&w).and_then(|p| {
             let last = p.pop();
-            last.filter(|since| *since + keep > now).map(|_| true).or(last.map(|_| false))
+            last.filter(|since| *since + max_idle > now).map(|_| true).or(last.map(|_| false))
         });
         if idle == Some(true) {
-            if let Some(f) = self.forward_of(s, id, n) {
-                f.up = true;
+            if let Some(f) = self.forward_mut(s, id, n) {
+                f.connected = true;
             }
-            let way = self.way(s, w);
-            return self.push(now + way, Due::Arrive(s, run, id, n));
+            let delay = self.link_delay(s, w);
+            return self.push(now + delay, ScheduledEvent::DeliverAttempt(s, incarnation, id, n));
         }
         if idle == Some(false) {
-            let old = self.nodes[s].pool.remove(&w).map_or(0, |p| p.len()) + 1;
+            let old = self.nodes[s].idle_connections.remove(&w).map_or(0, |p| p.len()) + 1;
             (0..old).for_each(|_| self.world.disconnect(w));
         }
-        let way = self.way(s, w) + self.way(s, w) + self.way(s, w);
+        let delay = self.link_delay(s, w) + self.link_delay(s, w) + self.link_delay(s, w);
         match self.world.connect(now, s, w) {
-            Dial::Up => {
-                if let Some(f) = self.forward_of(s, id, n) {
-                    f.up = true;
+            ConnectResult::Connected => {
+                if let Some(f) = self.forward_mut(s, id, n) {
+                    f.connected = true;
                 }
-                self.push(now + way, Due::Arrive(s, run, id, n));
+                self.push(now + delay, ScheduledEvent::DeliverAttempt(s, incarnation, id, n));
             }
-            Dial::Refused => self.push(now + way, Due::End(s, run, id, n, code(Outcome::NoConnection))),
-            Dial::Nothing => {
-                let dial = ms(self.world.day.network.dial_ms);
-                self.push(now + dial, Due::End(s, run, id, n, code(Outcome::NoConnection)));
+            ConnectResult::Refused => self.push(
+                now + delay,
+                ScheduledEvent::AttemptEnded(s, incarnation, id, n, outcome_code(Outcome::NoConnection)),
+            ),
+            ConnectResult::NoResponse => {
+                let dial = ms(self.world.scenario.network.dial_ms);
+                self.push(
+                    now + dial,
+                    ScheduledEvent::AttemptEnded(s, incarnation, id, n, outcome_code(Outcome::NoConnection)),
+                );
             }
         }
     }
 
-    fn forward_of(&mut self, s: usize, id: u64, n: u32) -> Option<&mut Forward> {
+    fn forward_mut(&mut self, s: usize, id: u64, n: u32) -> Option<&mut Forward> {
         self.nodes[s].flows.get_mut(&id)?.forwards.get_mut(n as usize)
     }
 
-    /// An attempt reaches its worker.
-    fn arrive(&mut self, s: usize, run: u32, id: u64, n: u32) {
+    /// Delivers an attempt to its worker.
+    fn deliver_attempt(&mut self, s: usize, incarnation: u32, id: u64, n: u32) {
         let Some(flow) = self.nodes[s].flows.get(&id) else { return };
         let Some(f) = flow.forwards.get(n as usize) else { return };
         let (w, sent) = (f.worker, f.sent);
         if f.ended {
-            // Given up on the way: its connection was closed before the last byte.
+            // The attempt was cancelled on its way, and its connection was closed.
             return self.world.disconnect(w);
         }
         let (slots, work, class) = (flow.slots, flow.work, flow.class);
         let subject = self.clients.get(&(id >> 4)).and_then(|c| c.request.subject);
         let attempt = Attempt { request: id, scheduler: s, slots, work, class, subject, sent };
-        let reply = self.world.arrive(self.now, w, &attempt);
-        let way = self.way(s, w);
+        let reply = self.world.receive_attempt(self.now, w, &attempt);
+        let delay = self.link_delay(s, w);
         match reply {
-            Reply::Taken(job) => {
-                if let Some(f) = self.forward_of(s, id, n) {
+            AttemptReply::Accepted(job) => {
+                if let Some(f) = self.forward_mut(s, id, n) {
                     f.job = Some(job);
                 }
                 let (now, node) = (self.now, &mut self.nodes[s]);
-                node.pool.entry(w).or_default().push(now);
+                node.idle_connections.entry(w).or_default().push(now);
             }
-            Reply::Full => {
-                self.nodes[s].pool.entry(w).or_default().push(self.now);
-                self.push(self.now + way, Due::End(s, run, id, n, code(Outcome::Full)));
+            AttemptReply::Full => {
+                self.nodes[s].idle_connections.entry(w).or_default().push(self.now);
+                self.push(
+                    self.now + delay,
+                    ScheduledEvent::AttemptEnded(s, incarnation, id, n, outcome_code(Outcome::Full)),
+                );
             }
-            Reply::Error => {
-                self.nodes[s].pool.entry(w).or_default().push(self.now);
-                self.push(self.now + way + ms(2.0), Due::End(s, run, id, n, code(Outcome::Error)));
+            AttemptReply::Error => {
+                self.nodes[s].idle_connections.entry(w).or_default().push(self.now);
+                self.push(
+                    self.now + delay + ms(2.0),
+                    ScheduledEvent::AttemptEnded(s, incarnation, id, n, outcome_code(Outcome::Error)),
+                );
             }
-            Reply::Refused => self.push(self.now + way, Due::End(s, run, id, n, code(Outcome::Reset))),
-            Reply::Silent => {}
+            AttemptReply::ConnectionRefused => self.push(
+                self.now + delay,
+                ScheduledEvent::AttemptEnded(s, incarnation, id, n, outcome_code(Outcome::Reset)),
+            ),
+            AttemptReply::NoResponse => {}
         }
     }
 
-    /// An attempt has ended, as its scheduler hears.
-    fn end(&mut self, s: usize, id: u64, n: u32, outcome: Outcome, report: Option<LoadReport>) {
+    /// Ends an attempt at its scheduler.
+    fn end_attempt(&mut self, s: usize, id: u64, n: u32, outcome: Outcome, report: Option<LoadReport>) {
         let now = self.now;
         let Some(flow) = self.nodes[s].flows.get_mut(&id) else { return };
         let answered = flow.answered;
@@ -587,8 +628,8 @@
         f.ended = true;
         let latency = now.saturating_sub(f.sent);
         let started = f.started.filter(|_| !outcome.never_ran());
-        flow.ran += started.map_or(0.0, |at| now.saturating_sub(at) as f64 / 1e9);
-        self.feed(
+        flow.run_time_s += started.map_or(0.0, |at| now.saturating_sub(at) as f64 / 1e9);
+        self.enqueue_event(
             s,
             Event::AttemptEnded {
                 id: RequestId(id),
@@ -596,308 +637,339 @@
                 result: AttemptResult { outcome, latency, request_finished: answered, load_report: report },
             },
         );
-        self.tidy(s, id);
+        self.remove_if_finished(s, id);
     }
 
-    fn tidy(&mut self, s: usize, id: u64) {
+    fn remove_if_finished(&mut self, s: usize, id: u64) {
         let over = |f: &Flow| f.answered && f.forwards.iter().all(|x| x.ended);
         if !self.nodes[s].flows.get(&id).is_some_and(over) {
             return;
         }
         let (now, node) = (self.now, &mut self.nodes[s]);
         let Some(flow) = node.flows.remove(&id) else { return };
-        if let (Some(quota), Some(ticket)) = (&mut node.quota, flow.holding) {
-            if flow.ran > 0.0 {
-                node.mean[flow.class] += (flow.ran - node.mean[flow.class]) * 0.05;
+        if let (Some(quota), Some(ticket)) = (&mut node.quota, flow.quota_ticket) {
+            if flow.run_time_s > 0.0 {
+                node.mean_job_s[flow.class] += (flow.run_time_s - node.mean_job_s[flow.class]) * 0.05;
             }
-            quota.settle(now, ticket, flow.ran * f64::from(flow.slots));
+            quota.settle(now, ticket, flow.run_time_s * f64::from(flow.slots));
         }
     }
 
-    fn give_up(&mut self, s: usize, id: u64, n: u32, why: Outcome) {
-        let Some(w) = self.forward_of(s, id, n).filter(|f| !f.ended).map(|f| f.worker) else { return };
-        let way = self.way(s, w);
-        let Some(f) = self.forward_of(s, id, n) else { return };
-        let outcome = match (f.up, why) {
+    fn cancel_attempt(&mut self, s: usize, id: u64, n: u32, why: Outcome) {
+        let Some(w) = self.forward_mut(s, id, n).filter(|f| !f.ended).map(|f| f.worker) else { return };
+        let delay = self.link_delay(s, w);
+        let Some(f) = self.forward_mut(s, id, n) else { return };
+        let outcome = match (f.connected, why) {
             (false, Outcome::Timeout) => Outcome::NoConnection,
             (false, _) => Outcome::NotSent,
             _ => why,
         };
         if let Some(job) = f.job {
-            self.push(self.now + way, Due::GiveUp(job));
+            self.push(self.now + delay, ScheduledEvent::CancelJob(job));
         }
-        self.end(s, id, n, outcome, None);
+        self.end_attempt(s, id, n, outcome, None);
     }
 
-    /// A scheduler gives a request its final answer.
-    fn answer(&mut self, s: usize, id: u64, answered: Answered, said: Try) {
+    /// Sends a final response to a client.
+    fn respond(&mut self, s: usize, id: u64, answered: FinalResponse, outcome: TryOutcome) {
         let Some(flow) = self.nodes[s].flows.get_mut(&id).filter(|f| !f.answered) else { return };
         flow.answered = true;
-        self.world.referee.answered(self.now, id, answered);
-        let way = self.delay(self.world.day.network.client_ms);
-        let code = match said {
-            Try::Served => 0,
-            Try::Failed => 1,
-            Try::Unreachable => 2,
-            Try::Refused(after) => 3 + after as usize,
+        self.world.invariant_checker.response_sent(self.now, id, answered);
+        let delay = self.delay(self.world.scenario.network.client_ms);
+        let code = match outcome {
+            TryOutcome::Served => 0,
+            TryOutcome::Failed => 1,
+            TryOutcome::Unreachable => 2,
+            TryOutcome::Refused(after) => 3 + after as usize,
         };
-        let slow = self.clients.get(&(id >> 4)).map_or(0, |c| c.request.slow);
-        self.push(self.now + way + slow, Due::Answer(id, code));
-        self.tidy(s, id);
+        let slow = self.clients.get(&(id >> 4)).map_or(0, |c| c.request.read_delay);
+        self.push(self.now + delay + slow, ScheduledEvent::Response(id, code));
+        self.remove_if_finished(s, id);
     }
 
-    // ---- what falls due
+    // ---- events
 
-    fn due(&mut self, due: Due) {
+    fn process_event(&mut self, event: ScheduledEvent) {
         let now = self.now;
-        let lives = |host: &Self, s: usize, run: u32| host.nodes[s].up && host.nodes[s].run == run;
-        match due {
-            Due::Next => self.next_request(),
-            Due::Try(number) => self.try_now(number),
-            Due::Reach(id, s, run) => self.reach(id, s, run),
-            Due::Tick => self.tick(),
-            Due::Timer(s, run, token) if lives(self, s, run) => self.feed(s, Event::TimerFired(token)),
-            Due::Arrive(s, run, id, n) if lives(self, s, run) => self.arrive(s, run, id, n),
-            Due::End(s, run, id, n, outcome) if lives(self, s, run) => {
+        let is_current_run = |host: &Self, s: usize, incarnation: u32| {
+            host.nodes[s].is_running && host.nodes[s].incarnation == incarnation
+        };
+        match event {
+            ScheduledEvent::NextRequest => self.next_request(),
+            ScheduledEvent::SendTry(number) => self.send_try(number),
+            ScheduledEvent::ReceiveRequest(id, s, incarnation) => self.receive_request(id, s, incarnation),
+            ScheduledEvent::RunSchedulers => self.run_schedulers(),
+            ScheduledEvent::Timer(s, incarnation, token) if is_current_run(self, s, incarnation) => {
+                self.enqueue_event(s, Event::TimerFired(token))
+            }
+            ScheduledEvent::DeliverAttempt(s, incarnation, id, n) if is_current_run(self, s, incarnation) => {
+                self.deliver_attempt(s, incarnation, id, n)
+            }
+            ScheduledEvent::AttemptEnded(s, incarnation, id, n, outcome)
+                if is_current_run(self, s, incarnation) =>
+            {
                 let outcome = OUTCOMES[outcome as usize];
-                let w = self.forward_of(s, id, n).map(|f| f.worker);
+                let w = self.forward_mut(s, id, n).map(|f| f.worker);
                 let report = w.filter(|_| matches!(outcome, Outcome::Full | Outcome::Error));
-                let report = report.and_then(|w| self.world.report(now, w)).map(told);
-                self.end(s, id, n, outcome, report);
-            }
-            Due::Timeout(s, run, id, n) if lives(self, s, run) => self.give_up(s, id, n, Outcome::Timeout),
-            Due::GiveUp(job) => self.world.give_up(now, job),
-            Due::Word(s, run, at) => {
-                let Some((id, job, word, report)) = self.words.try_remove(at) else { return };
-                if lives(self, s, run) {
-                    self.word(s, id, job, word, report);
+                let report = report.and_then(|w| self.world.report(now, w)).map(load_report);
+                self.end_attempt(s, id, n, outcome, report);
+            }
+            ScheduledEvent::AttemptTimeout(s, incarnation, id, n) if is_current_run(self, s, incarnation) => {
+                self.cancel_attempt(s, id, n, Outcome::Timeout)
+            }
+            ScheduledEvent::CancelJob(job) => self.world.cancel_job(now, job),
+            ScheduledEvent::JobUpdate(s, incarnation, at) => {
+                let Some((id, job, update, report)) = self.job_updates.try_remove(at) else { return };
+                if is_current_run(self, s, incarnation) {
+                    self.receive_job_update(s, id, job, update, report);
                 }
             }
-            Due::Datagram(s, run, at) => {
+            ScheduledEvent::Datagram(s, incarnation, at) => {
                 let Some((from, bytes)) = self.datagrams.try_remove(at) else { return };
-                if lives(self, s, run) {
-                    self.feed(s, Event::PeerMessage(PeerId(from as u32), bytes));
+                if is_current_run(self, s, incarnation) {
+                    self.enqueue_event(s, Event::PeerMessage(PeerId(from as u32), bytes));
                 }
             }
-            Due::Probed(s, run, w, up) if lives(self, s, run) => {
+            ScheduledEvent::ProbeEnded(s, incarnation, w, up) if is_current_run(self, s, incarnation) => {
                 let report = if up { self.world.probe(now, s, w) } else { None };
                 let outcome = if report.is_some() { Outcome::Served } else { Outcome::NoConnection };
                 let ended = AttemptResult {
                     outcome,
                     latency: 0,
                     request_finished: false,
-                    load_report: report.map(told),
+                    load_report: report.map(load_report),
                 };
-                self.feed(
+                self.enqueue_event(
                     s,
                     Event::ProbeEnded { worker: loomlb_policy::WorkerId(w as u64 + 1), result: ended },
                 );
             }
-            Due::Answer(id, code) => self.answered(id, code),
-            Due::Leave(id) => self.leave(id),
-            Due::Start(s) => self.start(s),
-            Due::Ending(s, run) if lives(self, s, run) => {
+            ScheduledEvent::Response(id, code) => self.receive_response(id, code),
+            ScheduledEvent::ClientTimeout(id) => self.handle_client_timeout(id),
+            ScheduledEvent::StartScheduler(s) => self.start_scheduler(s),
+            ScheduledEvent::CheckShutdown(s, incarnation) if is_current_run(self, s, incarnation) => {
                 if self.nodes[s].flows.values().all(|f| f.answered) {
-                    self.stop(s, End::ByItself);
+                    self.stop_scheduler(s, SchedulerExit::Exited);
                 } else {
-                    self.push(now + 5_000_000, Due::Ending(s, run));
+                    self.push(now + 5_000_000, ScheduledEvent::CheckShutdown(s, incarnation));
                 }
             }
-            Due::Kill(s, run) if lives(self, s, run) => {
-                let asked = self.nodes[s].ending.unwrap_or(now);
-                self.stop(s, End::Overran(asked));
+            ScheduledEvent::KillScheduler(s, incarnation) if is_current_run(self, s, incarnation) => {
+                let asked = self.nodes[s].shutdown_started.unwrap_or(now);
+                self.stop_scheduler(s, SchedulerExit::ShutdownTimedOut(asked));
             }
-            Due::List(s, run) if lives(self, s, run) => {
+            ScheduledEvent::ListReply(s, incarnation) if is_current_run(self, s, incarnation) => {
                 if !self.world.discovery_up() {
-                    return self.feed(s, Event::ListRequestFailed);
+                    return self.enqueue_event(s, Event::ListRequestFailed);
                 }
-                self.tell_list(s, ListKind::Complete);
+                self.send_list(s, ListKind::Complete);
+            }
+            ScheduledEvent::ListRequestFailed(s, incarnation) if is_current_run(self, s, incarnation) => {
+                self.enqueue_event(s, Event::ListRequestFailed)
             }
-            Due::NoList(s, run) if lives(self, s, run) => self.feed(s, Event::ListRequestFailed),
-            // Of a run that is over.
+            // Events for an earlier process of a scheduler are dropped.
             _ => {}
         }
     }
 
-    fn deed(&mut self, deed: Deed) {
-        match deed {
-            Deed::Word { job, worker, scheduler: s, request, word, report } => {
+    fn perform_host_action(&mut self, action: HostAction) {
+        match action {
+            HostAction::JobUpdate { job, worker, scheduler: s, request, update, report } => {
                 if !self.world.reachable(s, worker) {
                     return;
                 }
-                let at = self.words.insert((request, job, word, report.map(told)));
-                let (way, run) = (self.way(s, worker), self.nodes[s].run);
-                self.push(self.now + way, Due::Word(s, run, at));
+                let at = self.job_updates.insert((request, job, update, report.map(load_report)));
+                let (delay, incarnation) = (self.link_delay(s, worker), self.nodes[s].incarnation);
+                self.push(self.now + delay, ScheduledEvent::JobUpdate(s, incarnation, at));
             }
-            Deed::List { scheduler: s, entries, .. } => {
+            HostAction::WorkerList { scheduler: s, entries, .. } => {
                 let names = &self.nodes[s].names;
-                let entries = entries.iter().map(|e| settings::worker(&self.world, names, e)).collect();
-                self.feed(s, Event::WorkerList { kind: ListKind::Partial, entries });
-            }
-            Deed::Signal(s, Signal::Kill) => self.stop(s, End::Killed),
-            Deed::Signal(s, Signal::Term) => {
-                if self.nodes[s].up && self.nodes[s].ending.is_none() {
-                    let (now, run) = (self.now, self.nodes[s].run);
-                    self.nodes[s].ending = Some(now);
-                    self.nodes[s].seen_until = now + TERM_NOTICE;
-                    self.push(now + TERM_NOTICE + ms(10.0), Due::Ending(s, run));
-                    self.push(self.ends_by(now), Due::Kill(s, run));
+                let entries =
+                    entries.iter().map(|e| settings::listed_worker(&self.world, names, e)).collect();
+                self.enqueue_event(s, Event::WorkerList { kind: ListKind::Partial, entries });
+            }
+            HostAction::Signal(s, Signal::Kill) => self.stop_scheduler(s, SchedulerExit::Killed),
+            HostAction::Signal(s, Signal::Term) => {
+                if self.nodes[s].is_running && self.nodes[s].shutdown_started.is_none() {
+                    let (now, incarnation) = (self.now, self.nodes[s].incarnation);
+                    self.nodes[s].shutdown_started = Some(now);
+                    self.nodes[s].visible_until = now + SHUTDOWN_VISIBLE_TIME;
+                    self.push(
+                        now + SHUTDOWN_VISIBLE_TIME + ms(10.0),
+                        ScheduledEvent::CheckShutdown(s, incarnation),
+                    );
+                    self.push(self.shutdown_deadline(now), ScheduledEvent::KillScheduler(s, incarnation));
                 }
             }
-            // In virtual time discovery has no address: the whole list comes again, as it does after the move.
-            Deed::Signal(s, Signal::Moved) => {
-                let run = self.nodes[s].run;
-                self.push(self.now + ms(5.0), Due::List(s, run));
+            // Discovery has no address in virtual time. The scheduler receives the complete list, as it would after
+            // a reload.
+            HostAction::Signal(s, Signal::Moved) => {
+                let incarnation = self.nodes[s].incarnation;
+                self.push(self.now + ms(5.0), ScheduledEvent::ListReply(s, incarnation));
             }
-            Deed::Reset(w) => {
+            HostAction::ResetConnections(w) => {
                 for node in &mut self.nodes {
-                    node.pool.remove(&w);
+                    node.idle_connections.remove(&w);
                 }
             }
         }
     }
 
-    fn ends_by(&self, asked: Nanos) -> Nanos {
-        let longest = self.world.day.classes.iter().map(|c| c.deadline_ms).fold(0.0, f64::max);
-        asked + TERM_KILL + ms(longest).min(TERM_LONGEST)
+    fn shutdown_deadline(&self, asked: Nanos) -> Nanos {
+        let longest = self.world.scenario.classes.iter().map(|c| c.deadline_ms).fold(0.0, f64::max);
+        asked + SHUTDOWN_KILL_MARGIN + ms(longest).min(MAX_SHUTDOWN_WAIT)
     }
 
-    /// A word may be late, or of a job that an earlier run of this scheduler sent: it counts only while its forward
-    /// is out.
-    fn word(&mut self, s: usize, id: u64, job: u64, word: Word, report: Option<LoadReport>) {
+    /// Handles a worker's report. A report for an attempt that has ended, or of an earlier process, is ignored.
+    fn receive_job_update(
+        &mut self,
+        s: usize,
+        id: u64,
+        job: u64,
+        update: JobUpdate,
+        report: Option<LoadReport>,
+    ) {
         let out = |f: &Flow| f.forwards.iter().position(|x| x.job == Some(job) && !x.ended);
         let Some(n) = self.nodes[s].flows.get(&id).and_then(out) else { return };
         let n = n as u32;
-        match word {
-            Word::Started => {
+        match update {
+            JobUpdate::Started => {
                 let now = self.now;
-                if let Some(f) = self.forward_of(s, id, n) {
+                if let Some(f) = self.forward_mut(s, id, n) {
                     f.started = Some(now);
                 }
-                self.feed(s, Event::JobProgress(RequestId(id), n, JobProgress::Started));
+                self.enqueue_event(s, Event::JobProgress(RequestId(id), n, JobProgress::Started));
+            }
+            JobUpdate::Progress(x) => {
+                self.enqueue_event(s, Event::JobProgress(RequestId(id), n, JobProgress::Fraction(x)))
             }
-            Word::Progress(x) => self.feed(s, Event::JobProgress(RequestId(id), n, JobProgress::Fraction(x))),
-            Word::Done => {
-                let w = self.forward_of(s, id, n).map_or(0, |f| f.worker);
-                self.answer(s, id, Answered::Served(World::result(w, job)), Try::Served);
-                self.end(s, id, n, Outcome::Served, report);
+            JobUpdate::Done => {
+                let w = self.forward_mut(s, id, n).map_or(0, |f| f.worker);
+                self.respond(s, id, FinalResponse::Served(World::result(w, job)), TryOutcome::Served);
+                self.end_attempt(s, id, n, Outcome::Served, report);
             }
-            Word::Returned => self.end(s, id, n, Outcome::Full, report),
-            Word::Lost => self.end(s, id, n, Outcome::Reset, report),
+            JobUpdate::Returned => self.end_attempt(s, id, n, Outcome::Full, report),
+            JobUpdate::Lost => self.end_attempt(s, id, n, Outcome::Reset, report),
         }
     }
 
-    /// A scheduler is gone, outright or after it was asked to end.
-    fn stop(&mut self, s: usize, end: End) {
-        if !self.nodes[s].up {
+    /// Ends the process of a scheduler, whether it was killed or has shut down.
+    fn stop_scheduler(&mut self, s: usize, exit: SchedulerExit) {
+        if !self.nodes[s].is_running {
             return;
         }
         let now = self.now;
-        let notice = ms(self.front.within(self.world.day.schedulers.notice_ms));
+        let notice = ms(self.front_rng.uniform(self.world.scenario.schedulers.notice_ms));
         let node = &mut self.nodes[s];
-        node.up = false;
-        node.run += 1;
+        node.is_running = false;
+        node.incarnation += 1;
         node.inbox.clear();
-        node.seen_until = node.seen_until.min(now + notice);
+        node.visible_until = node.visible_until.min(now + notice);
         let mut flows: Vec<u64> = node.flows.iter().filter(|(_, f)| !f.answered).map(|(id, _)| *id).collect();
         flows.sort_unstable();
         node.flows.clear();
-        let pools = std::mem::take(&mut node.pool);
+        let pools = std::mem::take(&mut node.idle_connections);
         pools.into_iter().for_each(|(w, idle)| idle.iter().for_each(|_| self.world.disconnect(w)));
-        self.world.referee.scheduler_ended(now, s, end);
-        self.world.forget_scheduler(now, s);
+        self.world.invariant_checker.scheduler_ended(now, s, exit);
+        self.world.abandon_jobs(now, s);
         for id in flows {
-            let way = self.delay(self.world.day.network.client_ms);
-            self.push(now + way, Due::Answer(id, 2));
+            let delay = self.delay(self.world.scenario.network.client_ms);
+            self.push(now + delay, ScheduledEvent::Response(id, 2));
         }
-        let restart = ms(self.world.day.schedulers.restart_ms);
-        self.push(now + restart, Due::Start(s));
+        let restart = ms(self.world.scenario.schedulers.restart_ms);
+        self.push(now + restart, ScheduledEvent::StartScheduler(s));
     }
 
-    fn start(&mut self, s: usize) {
-        let run = self.nodes[s].run;
-        self.nodes[s] = Node { run, ..self.fresh(s) };
-        self.tell_list(s, ListKind::Persisted);
+    fn start_scheduler(&mut self, s: usize) {
+        let incarnation = self.nodes[s].incarnation;
+        self.nodes[s] = SchedulerNode { incarnation, ..self.new_scheduler(s) };
+        self.send_list(s, ListKind::Persisted);
     }
 
     // ---- clients
 
     fn next_request(&mut self) {
-        if let Some(request) = self.upcoming.take() {
+        if let Some(request) = self.next_arrival.take() {
             let number = request.number;
-            let leaves = request.at + request.patience;
-            self.clients.insert(number, Client { request, tries: 0, at: None, leaves, answered: false });
-            self.try_now(number);
+            let leaves_at = request.sent_at + request.client_timeout;
+            self.clients.insert(
+                number,
+                ClientState { request, tries: 0, scheduler: None, leaves_at, answered: false },
+            );
+            self.send_try(number);
         }
-        let day = &self.world.day;
-        match self.arrivals.next(day) {
+        let scenario = &self.world.scenario;
+        match self.arrivals.next(scenario) {
             Some(request) => {
-                let at = request.at;
-                self.upcoming = Some(request);
-                self.push(at, Due::Next);
+                let at = request.sent_at;
+                self.next_arrival = Some(request);
+                self.push(at, ScheduledEvent::NextRequest);
             }
-            None => self.drawn = true,
+            None => self.arrivals_finished = true,
         }
     }
 
-    fn try_now(&mut self, number: u64) {
+    fn send_try(&mut self, number: u64) {
         let now = self.now;
-        // The front offers what it has not noticed to be dead.
-        let seen: Vec<usize> = (0..self.nodes.len()).filter(|s| now < self.nodes[*s].seen_until).collect();
-        let way = self.delay(self.world.day.network.client_ms);
-        let chosen = seen.get(self.front.below(seen.len())).copied();
+        // The front proxy also picks schedulers whose end it has not noticed yet.
+        let visible: Vec<usize> =
+            (0..self.nodes.len()).filter(|s| now < self.nodes[*s].visible_until).collect();
+        let delay = self.delay(self.world.scenario.network.client_ms);
+        let chosen = visible.get(self.front_rng.index_below(visible.len())).copied();
         let Some(client) = self.clients.get_mut(&number) else { return };
         client.tries += 1;
-        (client.at, client.answered) = (chosen, false);
+        (client.scheduler, client.answered) = (chosen, false);
         let id = number << 4 | u64::from(client.tries);
-        let leaves = client.leaves;
+        let leaves_at = client.leaves_at;
         match chosen {
             Some(s) => {
-                let run = self.nodes[s].run;
-                self.push(now + way, Due::Reach(id, s, run));
-                if client_first(id) {
-                    self.push(leaves, Due::Leave(id));
+                let incarnation = self.nodes[s].incarnation;
+                self.push(now + delay, ScheduledEvent::ReceiveRequest(id, s, incarnation));
+                if is_first_try(id) {
+                    self.push(leaves_at, ScheduledEvent::ClientTimeout(id));
                 }
             }
-            None => self.push(now + way, Due::Answer(id, 2)),
+            None => self.push(now + delay, ScheduledEvent::Response(id, 2)),
         }
     }
 
-    fn reach(&mut self, id: u64, s: usize, run: u32) {
+    fn receive_request(&mut self, id: u64, s: usize, incarnation: u32) {
         let now = self.now;
-        if !self.nodes[s].up || self.nodes[s].run != run {
-            let way = self.delay(self.world.day.network.client_ms);
-            return self.push(now + way, Due::Answer(id, 2));
+        if !self.nodes[s].is_running || self.nodes[s].incarnation != incarnation {
+            let delay = self.delay(self.world.scenario.network.client_ms);
+            return self.push(now + delay, ScheduledEvent::Response(id, 2));
         }
         let Some(client) = self.clients.get(&(id >> 4)) else { return };
         let r = &client.request;
-        let class_end = r.at + ms(self.world.day.classes[r.class].deadline_ms);
-        let by = self.nodes[s].ending.map_or(class_end, |at| class_end.min(self.ends_by(at) - 200_000_000));
-        // A process that ends answers sooner, which says nothing of its client.
+        let class_end = r.sent_at + ms(self.world.scenario.classes[r.class].deadline_ms);
+        let by = self.nodes[s]
+            .shutdown_started
+            .map_or(class_end, |at| class_end.min(self.shutdown_deadline(at) - 200_000_000));
+        // A scheduler that shuts down has to respond earlier; this is not the client's timeout.
         let (remaining, within) = (class_end.saturating_sub(now), by.saturating_sub(now));
         let (class, tenant, slots, work, subject) = (r.class, r.tenant, r.slots, r.work, r.subject);
         let expected = r.hint;
-        self.world.referee.taken(now, id, s, class, by);
-        let (mut holding, mut in_share) = (None, None);
-        let mean = self.nodes[s].mean[class];
+        self.world.invariant_checker.request_accepted(now, id, s, class, by);
+        let (mut quota_ticket, mut in_share) = (None, None);
+        let mean = self.nodes[s].mean_job_s[class];
         if let Some(quota) = &mut self.nodes[s].quota {
-            let tenant = tenant.map_or("", |t| self.world.day.tenants[t].name.as_str());
+            let tenant = tenant.map_or("", |t| self.world.scenario.tenants[t].name.as_str());
             let size = f64::from(slots.max(1));
             let ask = Ask { slots: size, work: mean * size, retry: false, spread: id };
             match quota.admit(now, tenant, &ask) {
                 Verdict::Admitted(ticket, standing) => {
-                    (holding, in_share) = (Some(ticket), Some(standing != Standing::Over));
+                    (quota_ticket, in_share) = (Some(ticket), Some(standing != Standing::Over));
                 }
                 Verdict::Unknown => in_share = Some(false),
                 Verdict::Refused(refusal) => {
-                    self.world.referee.answered(now, id, Answered::Refused);
-                    let after = refusal.after.min(ms(self.world.day.terms.max_retry_after_ms));
-                    let way = self.delay(self.world.day.network.client_ms);
-                    return self.push(now + way, Due::Answer(id, 3 + after as usize));
+                    self.world.invariant_checker.response_sent(now, id, FinalResponse::Refused);
+                    let after = refusal.after.min(ms(self.world.scenario.terms.max_retry_after_ms));
+                    let delay = self.delay(self.world.scenario.network.client_ms);
+                    return self.push(now + delay, ScheduledEvent::Response(id, 3 + after as usize));
                 }
             }
         }
-        let asked = Asked {
+        let policy_request = PolicyRequest {
             in_share,
             id: RequestId(id),
             class: ClassId(class),
@@ -907,7 +979,7 @@
             remaining,
             answer_within: Some(within),
             expected_work: expected,
-            ..Asked::default()
+            ..PolicyRequest::default()
         };
         self.nodes[s].flows.insert(
             id,
@@ -918,19 +990,19 @@
                 deadline: by,
                 answered: false,
                 forwards: Vec::new(),
-                holding,
-                ran: 0.0,
+                quota_ticket,
+                run_time_s: 0.0,
             },
         );
-        self.feed(s, Event::Request(asked));
+        self.enqueue_event(s, Event::Request(policy_request));
     }
 
-    fn answered(&mut self, id: u64, code: usize) {
-        let said = match code {
-            0 => Try::Served,
-            1 => Try::Failed,
-            2 => Try::Unreachable,
-            after => Try::Refused(after as Nanos - 3),
+    fn receive_response(&mut self, id: u64, code: usize) {
+        let outcome = match code {
+            0 => TryOutcome::Served,
+            1 => TryOutcome::Failed,
+            2 => TryOutcome::Unreachable,
+            after => TryOutcome::Refused(after as Nanos - 3),
         };
         let (number, now) = (id >> 4, self.now);
         let Some(client) =
@@ -939,64 +1011,67 @@
             return;
         };
         client.answered = true;
-        let (class, tries, leaves) = (client.request.class, client.tries, client.leaves);
-        let again = clients::again(&self.world.day, &mut self.habits, class, tries, said);
-        match again.filter(|wait| now + wait < leaves) {
-            Some(wait) => self.push(now + wait, Due::Try(number)),
+        let (class, tries, leaves_at) = (client.request.class, client.tries, client.leaves_at);
+        let delay = clients::retry_delay(&self.world.scenario, &mut self.retry_rng, class, tries, outcome);
+        match delay.filter(|wait| now + wait < leaves_at) {
+            Some(wait) => self.push(now + wait, ScheduledEvent::SendTry(number)),
             None => {
-                let end = match said {
-                    Try::Served => Final::Served,
-                    Try::Refused(_) => Final::Refused,
-                    Try::Failed => Final::Failed,
-                    Try::Unreachable => Final::Unreachable,
+                let end = match outcome {
+                    TryOutcome::Served => RequestOutcome::Served,
+                    TryOutcome::Refused(_) => RequestOutcome::Refused,
+                    TryOutcome::Failed => RequestOutcome::Failed,
+                    TryOutcome::Unreachable => RequestOutcome::Unreachable,
                 };
-                self.finish(number, end);
+                self.finish_request(number, end);
             }
         }
     }
 
-    fn finish(&mut self, number: u64, end: Final) {
+    fn finish_request(&mut self, number: u64, end: RequestOutcome) {
         if let Some(client) = self.clients.remove(&number) {
-            self.collector.ended(&self.world.day, &client.request, self.now, client.tries, end);
+            self.collector.record(&self.world.scenario, &client.request, self.now, client.tries, end);
         }
     }
 
-    /// A client's patience is over.
-    fn leave(&mut self, id: u64) {
+    /// Ends the wait of a client.
+    fn handle_client_timeout(&mut self, id: u64) {
         let (number, now) = (id >> 4, self.now);
         let Some(client) = self.clients.get(&number) else { return };
-        let (id, answered, at) = (number << 4 | u64::from(client.tries), client.answered, client.at);
-        let early = client.request.patience < ms(self.world.day.classes[client.request.class].deadline_ms);
-        let grace = ms(self.world.day.terms.answer_grace_ms);
-        if !early && now < client.leaves + grace && !answered {
-            // An answer may be a little late on its way: it is waited for, and the referee says whether it was.
-            return self.push(client.leaves + grace, Due::Leave(id));
+        let (id, answered, scheduler) =
+            (number << 4 | u64::from(client.tries), client.answered, client.scheduler);
+        let early =
+            client.request.client_timeout < ms(self.world.scenario.classes[client.request.class].deadline_ms);
+        let grace = ms(self.world.scenario.terms.answer_grace_ms);
+        if !early && now < client.leaves_at + grace && !answered {
+            // A response may still be on its way; the invariant checker decides whether it is late.
+            return self.push(client.leaves_at + grace, ScheduledEvent::ClientTimeout(id));
         }
         if !answered && early {
-            self.world.referee.left(now, id);
-            if let Some(s) = at.filter(|s| self.nodes[*s].flows.get(&id).is_some_and(|f| !f.answered)) {
+            self.world.invariant_checker.client_left(now, id);
+            if let Some(s) = scheduler.filter(|s| self.nodes[*s].flows.get(&id).is_some_and(|f| !f.answered))
+            {
                 if let Some(flow) = self.nodes[s].flows.get_mut(&id) {
                     flow.answered = true;
                 }
-                self.feed(s, Event::RequestAbandoned(RequestId(id)));
-                self.tidy(s, id);
+                self.enqueue_event(s, Event::RequestAbandoned(RequestId(id)));
+                self.remove_if_finished(s, id);
             }
         }
-        self.finish(number, if early { Final::Left } else { Final::Failed });
+        self.finish_request(number, if early { RequestOutcome::ClientLeft } else { RequestOutcome::Failed });
     }
 }
 
-fn client_first(id: u64) -> bool {
+fn is_first_try(id: u64) -> bool {
     id & 15 == 1
 }
 
-fn told(r: crate::world::Report) -> LoadReport {
-    LoadReport { in_flight: Some(r.held), free_slots: Some(r.free), ..LoadReport::default() }
+fn load_report(load: crate::world::WorkerLoad) -> LoadReport {
+    LoadReport { in_flight: Some(load.in_flight), free_slots: Some(load.free_slots), ..LoadReport::default() }
 }
 
 const OUTCOMES: [Outcome; 5] =
     [Outcome::NoConnection, Outcome::Full, Outcome::Error, Outcome::Reset, Outcome::Timeout];
 
-fn code(outcome: Outcome) -> u8 {
+fn outcome_code(outcome: Outcome) -> u8 {
     OUTCOMES.iter().position(|o| *o == outcome).unwrap_or(0) as u8
 }
