--- a/crates/emulator/src/lib.rs
+++ b/crates/emulator/src/lib.rs
@@ -13,9 +13,9 @@
 mod clients;
 mod cost;
 mod peers;
-pub mod rig;
 mod schedulers;
 mod stage;
+pub mod tier_harness;
 mod wire;
 mod workers;
 
--- a/crates/emulator/src/rig.rs
+++ b/crates/emulator/src/tier_harness.rs
@@ -54,22 +54,22 @@
     /// Those of them that vote.
     pub voters: usize,
     /// Words that every operator file has beside the rig's, in `[tier]`.
-    pub tier: String,
+    pub tier_settings: String,
     /// Time between two jobs to each scheduler; none for no load.
-    pub load: Option<Duration>,
+    pub job_interval: Option<Duration>,
     /// Logs go to standard error rather than nowhere.
     pub show_logs: bool,
 }
 
 /// What one direction of a link does to the bytes on it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Way {
+pub enum LinkState {
     /// They pass.
-    Whole,
+    Open,
     /// They wait until it is another.
     Cut,
     /// They are late by so much.
-    Slow(Duration),
+    Delayed(Duration),
 }
 
 /// A job of the rig's clients, as it went.
@@ -78,13 +78,13 @@
     /// Which scheduler it was sent to.
     pub scheduler: usize,
     /// When, since the rig's start.
-    pub sent: Duration,
+    pub sent_at: Duration,
     /// The status of its answer; none if the connection broke or nothing came in time.
     pub status: Option<u16>,
     /// Its client waits no more.
-    pub over: bool,
+    pub finished: bool,
     /// How often a worker was sent it,
-    pub runs: u32,
+    pub worker_attempts: u32,
     /// and which was the last.
     pub worker: usize,
 }
@@ -100,7 +100,7 @@
     /// Each scheduler's list: its version, and which worker is leaving.
     lists: Mutex<Vec<(u64, Option<usize>)>>,
     /// Whole lists that were asked for.
-    whole_lists: AtomicU64,
+    full_list_requests: AtomicU64,
     over: AtomicBool,
 }
 
@@ -113,7 +113,7 @@
     }
 }
 
-/// One scheduler of the rig.
+/// One scheduler of the harness.
 #[derive(Debug)]
 struct Node {
     /// Where staff call.
@@ -126,7 +126,7 @@
 }
 
 /// Several processes and all that stands between them.
-pub struct Rig {
+pub struct TierHarness {
     options: Options,
     files: tempfile::TempDir,
     nodes: Vec<Node>,
@@ -134,9 +134,9 @@
     thread: Option<std::thread::JoinHandle<()>>,
 }
 
-impl std::fmt::Debug for Rig {
+impl std::fmt::Debug for TierHarness {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        f.debug_struct("Rig").field("nodes", &self.nodes).finish_non_exhaustive()
+        f.debug_struct("TierHarness").field("nodes", &self.nodes).finish_non_exhaustive()
     }
 }
 
@@ -186,9 +186,9 @@
     Ok(places)
 }
 
-impl Rig {
-    /// Opens everything and starts all schedulers. They serve once they have a lease: see [`Rig::ready`].
-    pub fn start(options: Options) -> io::Result<Rig> {
+impl TierHarness {
+    /// Opens everything and starts all schedulers. They serve once they have a lease: see [`TierHarness::wait_until_ready`].
+    pub fn start(options: Options) -> io::Result<TierHarness> {
         let count = options.schedulers;
         let shared = Arc::new(Shared {
             start: Instant::now(),
@@ -197,7 +197,7 @@
             broken: (0..count * count).map(|_| AtomicU64::new(0)).collect(),
             jobs: Mutex::default(),
             lists: Mutex::new(vec![(1, None); count]),
-            whole_lists: AtomicU64::new(0),
+            full_list_requests: AtomicU64::new(0),
             over: AtomicBool::new(false),
         });
         let (send, receive) = mpsc::channel();
@@ -228,11 +228,11 @@
         });
         let nodes = receive.recv().map_err(io::Error::other)??;
         let files = tempfile::tempdir()?;
-        let mut rig = Rig { options, files, nodes, shared, thread: Some(thread) };
+        let mut harness = TierHarness { options, files, nodes, shared, thread: Some(thread) };
         for n in 0..count {
-            rig.launch(n, true)?;
+            harness.launch(n, true)?;
         }
-        Ok(rig)
+        Ok(harness)
     }
 
     fn path(&self, n: usize, ending: &str) -> PathBuf {
@@ -248,7 +248,7 @@
             "[tier]\nfound = {found}\nstore = {store:?}\ntrial_clock = {}\nhistory = {:?}\n{}\n{}",
             CLOCKS[n % CLOCKS.len()],
             self.path(n, "history"),
-            self.options.tier,
+            self.options.tier_settings,
             self.nodes[n].operator
         );
         std::fs::write(&operator, text)?;
@@ -282,22 +282,24 @@
     }
 
     /// The file of a voter.
-    pub fn store(&self, n: usize) -> PathBuf {
+    pub fn store_path(&self, n: usize) -> PathBuf {
         self.path(n, "log")
     }
 
     /// Loses what a voter has written.
-    pub fn lose_store(&self, n: usize) {
+    pub fn delete_store(&self, n: usize) {
         let _ = std::fs::remove_file(self.path(n, "log"));
     }
 
     /// Waits until a scheduler serves; false if it does not in time.
-    pub fn ready(&self, n: usize) -> bool {
-        self.until(|rig| rig.call(n, "GET /control/ready", "").is_some_and(|c| c.0 == 200))
+    pub fn wait_until_ready(&self, n: usize) -> bool {
+        self.wait_until(|harness| {
+            harness.call_control(n, "GET /control/ready", "").is_some_and(|c| c.0 == 200)
+        })
     }
 
     /// Waits until something is so; false if it does not come in time.
-    pub fn until(&self, so: impl Fn(&Rig) -> bool) -> bool {
+    pub fn wait_until(&self, so: impl Fn(&TierHarness) -> bool) -> bool {
         let end = Instant::now() + LONG;
         while Instant::now() < end {
             if so(self) {
@@ -309,7 +311,7 @@
     }
 
     /// Time since the rig's start.
-    pub fn now(&self) -> Duration {
+    pub fn elapsed(&self) -> Duration {
         self.shared.start.elapsed()
     }
 
@@ -333,17 +335,17 @@
     }
 
     /// Whether the latest process of a scheduler still runs.
-    pub fn runs(&mut self, n: usize) -> bool {
+    pub fn is_running(&mut self, n: usize) -> bool {
         self.nodes[n].child.last_mut().is_some_and(|child| matches!(child.try_wait(), Ok(None)))
     }
 
     /// Stops a scheduler's processes where they are.
-    pub fn stop(&mut self, n: usize) {
+    pub fn pause(&mut self, n: usize) {
         self.signal(n, Signal::STOP);
     }
 
     /// Has stopped processes go on.
-    pub fn go_on(&mut self, n: usize) {
+    pub fn resume(&mut self, n: usize) {
         self.signal(n, Signal::CONT);
     }
 
@@ -361,30 +363,30 @@
     }
 
     /// Changes one direction between two schedulers: what `from` says to `to`, on whichever link.
-    pub fn way(&self, from: usize, to: usize, way: Way) {
+    pub fn set_link(&self, from: usize, to: usize, way: LinkState) {
         let word = match way {
-            Way::Whole => 0,
-            Way::Cut => u64::MAX,
-            Way::Slow(by) => by.as_millis() as u64,
+            LinkState::Open => 0,
+            LinkState::Cut => u64::MAX,
+            LinkState::Delayed(by) => by.as_millis() as u64,
         };
         self.shared.ways[from * self.shared.count + to].store(word, Ordering::Relaxed);
     }
 
     /// Changes both directions between a scheduler and all others.
-    pub fn around(&self, n: usize, way: Way) {
+    pub fn set_all_links(&self, n: usize, way: LinkState) {
         for other in (0..self.shared.count).filter(|o| *o != n) {
-            self.way(n, other, way);
-            self.way(other, n, way);
+            self.set_link(n, other, way);
+            self.set_link(other, n, way);
         }
     }
 
     /// Breaks the connections that one scheduler holds to another.
-    pub fn break_links(&self, from: usize, to: usize) {
+    pub fn break_connections(&self, from: usize, to: usize) {
         self.shared.broken[from * self.shared.count + to].fetch_add(1, Ordering::Relaxed);
     }
 
     /// A call of staff at a scheduler's second address: status and body; none without an answer within 2 s.
-    pub fn call(&self, n: usize, call: &str, body: &str) -> Option<(u16, Value)> {
+    pub fn call_control(&self, n: usize, call: &str, body: &str) -> Option<(u16, Value)> {
         let limit = Duration::from_secs(2);
         let mut stream = Caller::connect_timeout(&self.nodes[n].control, limit).ok()?;
         stream.set_read_timeout(Some(limit)).ok()?;
@@ -399,30 +401,31 @@
     }
 
     /// Where staff call a scheduler.
-    pub fn control(&self, n: usize) -> SocketAddr {
+    pub fn control_address(&self, n: usize) -> SocketAddr {
         self.nodes[n].control
     }
 
     /// One scheduler's discovery has a newer list, in which a worker may be leaving.
-    pub fn list(&self, n: usize, leaving: Option<usize>) {
+    pub fn publish_worker_list(&self, n: usize, leaving: Option<usize>) {
         let list = &mut self.shared.lists()[n];
         *list = (list.0 + 1, leaving);
     }
 
     /// Whole lists that schedulers have asked for so far.
-    pub fn whole_lists(&self) -> u64 {
-        self.shared.whole_lists.load(Ordering::Relaxed)
+    pub fn full_list_requests(&self) -> u64 {
+        self.shared.full_list_requests.load(Ordering::Relaxed)
     }
 
     /// What a scheduler says of the tier.
-    pub fn tier(&self, n: usize) -> Option<Value> {
-        self.call(n, "GET /control/tier", "").map(|c| c.1)
+    pub fn tier_status(&self, n: usize) -> Option<Value> {
+        self.call_control(n, "GET /control/tier", "").map(|c| c.1)
     }
 
     /// Whether all of these act on this version's own rules, with a lease.
-    pub fn all_on(&self, nodes: &[usize], version: u64) -> bool {
+    pub fn all_follow_version(&self, nodes: &[usize], version: u64) -> bool {
         nodes.iter().all(|n| {
-            self.tier(*n).is_some_and(|t| t["acting"] == json!({ "On": version }) && t["may_act"] == true)
+            self.tier_status(*n)
+                .is_some_and(|t| t["acting"] == json!({ "On": version }) && t["may_act"] == true)
         })
     }
 
@@ -442,7 +445,7 @@
     }
 }
 
-impl Drop for Rig {
+impl Drop for TierHarness {
     fn drop(&mut self) {
         self.shared.over.store(true, Ordering::Relaxed);
         for n in 0..self.nodes.len() {
@@ -497,7 +500,7 @@
             spawn_local(work(Arc::clone(shared), host, listener, places.own[i][0]));
         }
     }
-    if let Some(every) = options.load {
+    if let Some(every) = options.job_interval {
         for (i, own) in places.own.iter().enumerate() {
             spawn_local(clients(Arc::clone(shared), i, own[0], every));
         }
@@ -584,7 +587,7 @@
                 }
                 let (seq, leaving) = list();
                 if from.is_none() {
-                    shared.whole_lists.fetch_add(1, Ordering::Relaxed);
+                    shared.full_list_requests.fetch_add(1, Ordering::Relaxed);
                 }
                 let whole = from.is_none_or(|from| from != seq);
                 let entries = if whole { hosts(&dials, leaving) } else { Vec::new() };
@@ -621,7 +624,7 @@
     }
     wire::whole(request.into_body()).await?;
     if let Some(job) = shared.jobs().get_mut(&id) {
-        job.runs += 1;
+        job.worker_attempts += 1;
         job.worker = HOSTS.iter().position(|h| *h == host).unwrap_or(0);
     }
     spawn_local(async move {
@@ -653,7 +656,7 @@
         number += 1;
         let class = if number.is_multiple_of(2) { "view" } else { "lodge" };
         let id = format!("{scheduler:04x}{number:012x}");
-        let job = Job { scheduler, sent: shared.start.elapsed(), ..Job::default() };
+        let job = Job { scheduler, sent_at: shared.start.elapsed(), ..Job::default() };
         shared.jobs().insert(id.clone(), job);
         let (shared, idle) = (Arc::clone(&shared), Rc::clone(&idle));
         spawn_local(async move {
@@ -686,7 +689,7 @@
             };
             let status = tokio::time::timeout(Duration::from_secs(4), asked).await.ok().flatten();
             if let Some(job) = shared.jobs().get_mut(&id) {
-                (job.status, job.over) = (status, true);
+                (job.status, job.finished) = (status, true);
             }
         });
     }
--- a/crates/lab/src/processes.rs
+++ b/crates/lab/src/processes.rs
@@ -1,8 +1,8 @@
-//! Trials of the tier with real processes: schedules of faults, drawn from a seed or read from a file, played in the fault
-//! rig and judged by the checker. A schedule that fails is made as short as it still fails.
+//! Trials of the tier with real processes: schedules of faults, drawn from a seed or read from a file, played in the
+//! tier harness and judged by the checker. A schedule that fails is made as short as it still fails.
 
 use loomlb_consensus::history_check::check_history;
-use loomlb_emulator::rig::{Job, Options, Rig, Way};
+use loomlb_emulator::tier_harness::{Job, LinkState, Options, TierHarness};
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 use std::ffi::OsString;
@@ -10,7 +10,7 @@
 
 /// Plays of one schedule while it is made shorter.
 const PLAYS: usize = 40;
-/// The rig's clients wait so long for an answer.
+/// The clients of the tier harness wait so long for an answer.
 const WAITS: Duration = Duration::from_secs(4);
 /// What may pass between a process's look at its lease and its line, if it is stopped in between, in milliseconds.
 const MOMENT_MS: u64 = 250;
@@ -132,18 +132,18 @@
         program: program.to_vec(),
         schedulers: schedule.schedulers,
         voters: schedule.voters,
-        tier: format!("bound_s = {}", schedule.bound_s),
-        load: Some(Duration::from_millis(40)),
+        tier_settings: format!("bound_s = {}", schedule.bound_s),
+        job_interval: Some(Duration::from_millis(40)),
         show_logs: false,
     };
-    let mut rig = Rig::start(options)?;
+    let mut rig = TierHarness::start(options)?;
     let mut breaches = Vec::new();
     let all: Vec<usize> = (0..schedule.schedulers).collect();
-    if !all.iter().all(|n| rig.ready(*n)) {
+    if !all.iter().all(|n| rig.wait_until_ready(*n)) {
         breaches.push("all serve at the start: not in time".to_string());
     }
     // Before that nobody listened.
-    let up = rig.now();
+    let up = rig.elapsed();
     // Whose processes did not run, from when to when.
     let mut away: Vec<Away> = Vec::new();
     // What ends: when, and what it was.
@@ -159,11 +159,11 @@
             let (_, act) = ends.remove(0);
             end(&mut rig, &act, &ends)?;
             // A process that was started anew serves in a moment.
-            let until = rig.now() + Duration::from_secs(1);
+            let until = rig.elapsed() + Duration::from_secs(1);
             away.iter_mut().filter(|a| a.by == act).for_each(|a| a.to = until);
         } else if let Some(act) = acts.next_if(|a| a.at_ms <= now) {
             begin(&mut rig, &act, schedule.voters)?;
-            let from = rig.now();
+            let from = rig.elapsed();
             let of = |node| Away { node, from, to: Duration::MAX, by: act.clone() };
             away.extend(gone(&act, schedule.voters).into_iter().map(of));
             ends.push((now + act.for_ms, act));
@@ -172,9 +172,9 @@
         }
     }
     let healed = Instant::now();
-    let version = |rig: &Rig| rig.tier(0).and_then(|t| t["version"].as_u64()).unwrap_or(0);
-    let agree = rig.until(|rig| {
-        let tiers: Option<Vec<Value>> = all.iter().map(|n| rig.tier(*n)).collect();
+    let version = |rig: &TierHarness| rig.tier_status(0).and_then(|t| t["version"].as_u64()).unwrap_or(0);
+    let agree = rig.wait_until(|rig| {
+        let tiers: Option<Vec<Value>> = all.iter().map(|n| rig.tier_status(*n)).collect();
         tiers.is_some_and(|t| {
             t.iter().all(|x| x["may_act"] == true && x["acting"] == t[0]["acting"] && x["coming"].is_null())
         })
@@ -182,23 +182,24 @@
     if !agree {
         let said: Vec<String> = all
             .iter()
-            .map(|n| rig.tier(*n).map_or("silent".into(), |t| format!("{}", t["acting"])))
+            .map(|n| rig.tier_status(*n).map_or("silent".into(), |t| format!("{}", t["acting"])))
             .collect();
         breaches.push(format!("all agree in the end: {}", said.join(", ")));
     }
     let settled_ms = healed.elapsed().as_secs_f64() * 1e3;
-    let sent = rig.now();
-    rig.until(|rig| rig.jobs().iter().filter(|j| j.sent < sent).all(|j| j.over));
-    let jobs: Vec<_> = rig.jobs().into_iter().filter(|j| (up..sent).contains(&j.sent)).collect();
+    let sent = rig.elapsed();
+    rig.wait_until(|rig| rig.jobs().iter().filter(|j| j.sent_at < sent).all(|j| j.finished));
+    let jobs: Vec<_> = rig.jobs().into_iter().filter(|j| (up..sent).contains(&j.sent_at)).collect();
     // A client whose scheduler stands still or dies gets nothing: that is the fault's doing.
-    let excused =
-        |j: &Job| away.iter().any(|a| a.node == j.scheduler && j.sent <= a.to && j.sent + WAITS >= a.from);
+    let excused = |j: &Job| {
+        away.iter().any(|a| a.node == j.scheduler && j.sent_at <= a.to && j.sent_at + WAITS >= a.from)
+    };
     let unanswered: Vec<&Job> = jobs.iter().filter(|j| j.status.is_none()).collect();
     if let Some(job) = unanswered.iter().find(|j| !excused(j)) {
         breaches.push(format!("all that is taken is answered: {job:?}"));
     }
     let lost = unanswered.len();
-    if let Some(job) = jobs.iter().find(|j| j.runs > 2) {
+    if let Some(job) = jobs.iter().find(|j| j.worker_attempts > 2) {
         breaches.push(format!("no more attempts than there may be: {job:?}"));
     }
     let verdict = check_history(&rig.history(), MOMENT_MS * 1_000_000, |_| true);
@@ -230,22 +231,22 @@
     }
 }
 
-fn begin(rig: &mut Rig, act: &Act, voters: usize) -> std::io::Result<()> {
+fn begin(rig: &mut TierHarness, act: &Act, voters: usize) -> std::io::Result<()> {
     let n = act.node;
     match act.what {
         What::Reload => rig.reload(n, |s| effect(s, act.at_ms))?,
         What::Propose => {
             let mut settings = rig.settings(n);
             effect(&mut settings, act.at_ms);
-            rig.call(n, "PUT /control/tier/settings", &settings.to_string());
+            rig.call_control(n, "PUT /control/tier/settings", &settings.to_string());
         }
-        What::Offline => _ = rig.call(n, "PUT /control/workers/s-00000002/offline", ""),
-        What::Cut => rig.around(n, Way::Cut),
-        What::CutOut => (0..voters).filter(|o| *o != n).for_each(|o| rig.way(n, o, Way::Cut)),
-        What::CutIn => (0..voters).filter(|o| *o != n).for_each(|o| rig.way(o, n, Way::Cut)),
-        What::Slow => rig.around(n, Way::Slow(Duration::from_millis(200))),
-        What::Break => (0..voters).filter(|o| *o != n).for_each(|o| rig.break_links(n, o)),
-        What::Stop => rig.stop(n),
+        What::Offline => _ = rig.call_control(n, "PUT /control/workers/s-00000002/offline", ""),
+        What::Cut => rig.set_all_links(n, LinkState::Cut),
+        What::CutOut => (0..voters).filter(|o| *o != n).for_each(|o| rig.set_link(n, o, LinkState::Cut)),
+        What::CutIn => (0..voters).filter(|o| *o != n).for_each(|o| rig.set_link(o, n, LinkState::Cut)),
+        What::Slow => rig.set_all_links(n, LinkState::Delayed(Duration::from_millis(200))),
+        What::Break => (0..voters).filter(|o| *o != n).for_each(|o| rig.break_connections(n, o)),
+        What::Stop => rig.pause(n),
         What::Kill => rig.kill(n),
         What::KillVoters => (0..voters).for_each(|n| rig.kill(n)),
         What::Twice => rig.launch(n, false)?,
@@ -253,21 +254,21 @@
     Ok(())
 }
 
-fn end(rig: &mut Rig, act: &Act, others: &[(u64, Act)]) -> std::io::Result<()> {
+fn end(rig: &mut TierHarness, act: &Act, others: &[(u64, Act)]) -> std::io::Result<()> {
     let n = act.node;
     let still = |what: &[What]| others.iter().any(|(_, o)| o.node == n && what.contains(&o.what));
     match act.what {
-        What::Offline => _ = rig.call(n, "PUT /control/workers/s-00000002/online", ""),
+        What::Offline => _ = rig.call_control(n, "PUT /control/workers/s-00000002/online", ""),
         What::Cut | What::CutOut | What::CutIn | What::Slow => {
             let links = [What::Cut, What::CutOut, What::CutIn, What::Slow];
-            let way = if still(&links) { None } else { Some(Way::Whole) };
-            way.into_iter().for_each(|way| rig.around(n, way));
+            let way = if still(&links) { None } else { Some(LinkState::Open) };
+            way.into_iter().for_each(|way| rig.set_all_links(n, way));
         }
-        What::Stop if !still(&[What::Stop]) => rig.go_on(n),
-        What::Kill if !rig.runs(n) => rig.launch(n, false)?,
+        What::Stop if !still(&[What::Stop]) => rig.resume(n),
+        What::Kill if !rig.is_running(n) => rig.launch(n, false)?,
         What::KillVoters => {
             for n in 0..3 {
-                if !rig.runs(n) {
+                if !rig.is_running(n) {
                     rig.launch(n, false)?;
                 }
             }
--- a/tests/pins/tier.rs
+++ b/tests/pins/tier.rs
@@ -1,7 +1,7 @@
 //! The tier as staff see it: status, proposals and their answers, and the command line's view of them.
 
 use crate::golden;
-use loomlb_emulator::rig::{Options, Rig};
+use loomlb_emulator::tier_harness::{Options, TierHarness};
 use serde_json::{Value, json};
 use std::fmt::Write as _;
 use std::io::{Read, Write};
@@ -9,8 +9,8 @@
 use std::process::Command;
 
 /// A call of staff as bytes: the head and the body.
-fn call(rig: &Rig, n: usize, call: &str, body: &str) -> String {
-    let mut stream = TcpStream::connect(rig.control(n)).unwrap();
+fn call(rig: &TierHarness, n: usize, call: &str, body: &str) -> String {
+    let mut stream = TcpStream::connect(rig.control_address(n)).unwrap();
     let length = body.len();
     write!(stream, "{call} HTTP/1.1\r\nHost: h\r\nContent-Length: {length}\r\n\r\n{body}").unwrap();
     let mut answer = String::new();
@@ -19,7 +19,7 @@
 }
 
 /// The same, again while no majority has agreed in time: on a busy machine that is an answer to any proposal.
-fn agreed(rig: &Rig, n: usize, what: &str, body: &str) -> String {
+fn agreed(rig: &TierHarness, n: usize, what: &str, body: &str) -> String {
     let mut answer = String::new();
     crate::stage::until(what, || {
         answer = call(rig, n, what, body);
@@ -66,9 +66,9 @@
     status
 }
 
-fn command_line(rig: &Rig, args: &[&str], masks: &[(&str, &str)]) -> String {
+fn command_line(rig: &TierHarness, args: &[&str], masks: &[(&str, &str)]) -> String {
     let mut command = Command::new(env!("CARGO_BIN_EXE_loomlb"));
-    command.args(["tier", "--at", &rig.control(0).to_string()]).args(args).env_clear();
+    command.args(["tier", "--at", &rig.control_address(0).to_string()]).args(args).env_clear();
     let out = command.output().unwrap();
     let mut text = format!(
         "==== loomlb tier {}\nexit code {}\nstandard output:\n{}standard error:\n{}\n",
@@ -89,14 +89,14 @@
         program: vec![env!("CARGO_BIN_EXE_loomlb").into()],
         schedulers: 3,
         voters: 3,
-        tier: "bound_s = 3\n".into(),
-        load: None,
+        tier_settings: "bound_s = 3\n".into(),
+        job_interval: None,
         show_logs: false,
     };
-    let rig = Rig::start(options).unwrap();
+    let rig = TierHarness::start(options).unwrap();
     let all = [0, 1, 2];
-    assert!(all.iter().all(|n| rig.ready(*n)));
-    assert!(rig.until(|rig| rig.all_on(&all, 1)));
+    assert!(all.iter().all(|n| rig.wait_until_ready(*n)));
+    assert!(rig.wait_until(|rig| rig.all_follow_version(&all, 1)));
     let file = tempfile::NamedTempFile::new().unwrap();
     let path = file.path().to_str().unwrap();
     let mut text = String::new();
@@ -106,9 +106,9 @@
     // A change that harms nobody is in force within one call; on a busy machine it is asked for until it is.
     let mut settings = rig.settings(1);
     settings["classes"][0]["worth"] = 2.0.into();
-    assert!(rig.until(|rig| {
+    assert!(rig.wait_until(|rig| {
         call(rig, 1, "PUT /control/tier/settings/1", &settings.to_string());
-        rig.all_on(&all, 2)
+        rig.all_follow_version(&all, 2)
     }));
     add("the same again", &agreed(&rig, 1, "PUT /control/tier/settings", &settings.to_string()));
     add("after another version", &agreed(&rig, 1, "PUT /control/tier/settings/1", &settings.to_string()));
@@ -124,14 +124,14 @@
     add("an unknown worker", &call(&rig, 1, "PUT /control/workers/nobody/offline", ""));
     // A contradicting change takes as long as leases do: the call may end before it is in force.
     settings["classes"][1]["effect"] = "at_most_once".into();
-    assert!(rig.until(|rig| {
+    assert!(rig.wait_until(|rig| {
         call(rig, 1, "PUT /control/tier/settings/2", &settings.to_string());
-        rig.all_on(&all, 3)
+        rig.all_follow_version(&all, 3)
     }));
-    assert!(rig.until(|rig| {
+    assert!(rig.wait_until(|rig| {
         call(rig, 1, "PUT /control/workers/s-00000001/offline", "").contains("\"in_force\":true")
     }));
-    assert!(rig.until(|rig| rig.all_on(&all, 4)));
+    assert!(rig.wait_until(|rig| rig.all_follow_version(&all, 4)));
     add("a worker that is out already", &call(&rig, 1, "PUT /control/workers/s-00000001/offline", ""));
     let (mut head, mut status) = (String::new(), Value::Null);
     crate::stage::until("a status at rest", || {
@@ -148,7 +148,7 @@
     // The command line: its own status is the same value, printed for people.
     let printed = |args: &[&str]| {
         let mut command = Command::new(env!("CARGO_BIN_EXE_loomlb"));
-        command.args(["tier", "--at", &rig.control(0).to_string()]).args(args).env_clear();
+        command.args(["tier", "--at", &rig.control_address(0).to_string()]).args(args).env_clear();
         let out = command.output().unwrap();
         (out.status.code(), serde_json::from_slice::<Value>(&out.stdout).unwrap(), out.stdout)
     };
@@ -163,7 +163,7 @@
     value[0]["by"] = "<name>".into();
     add(&format!("loomlb tier history, exit code {code:?}"), &text_of(&value));
     std::fs::write(path, json!({ "settings": settings }).to_string()).unwrap();
-    let masks = [(path, "<file>"), (&*rig.control(0).to_string(), "<control>")];
+    let masks = [(path, "<file>"), (&*rig.control_address(0).to_string(), "<control>")];
     for args in [&["propose", path][..], &["propose", path, "--after", "1"], &["wait", "4"]] {
         let mut said = String::new();
         crate::stage::until("an outcome", || {
--- a/tests/system_calls.rs
+++ b/tests/system_calls.rs
@@ -2,7 +2,7 @@
 
 mod stage;
 
-use loomlb_emulator::rig::{self, Rig};
+use loomlb_emulator::tier_harness::{self, TierHarness};
 use loomlb_emulator::{Options, Stop};
 use loomlb_fault_plan::{Call, FaultPlan, Limit, WITHOUT_END};
 use loomlb_simulation::Scenario;
@@ -375,17 +375,17 @@
         6,
     );
     plan.limit_every(Limit::SocketRead, 40, 2).limit_every(Limit::SocketWrite, 40, 2);
-    let options = rig::Options {
+    let options = tier_harness::Options {
         program: plan.wrap(env!("CARGO_BIN_EXE_loomlb")),
         schedulers: 3,
         voters: 3,
-        tier: "bound_s = 3".into(),
-        load: Some(Duration::from_millis(40)),
+        tier_settings: "bound_s = 3".into(),
+        job_interval: Some(Duration::from_millis(40)),
         show_logs: std::env::var_os("RUST_LOG").is_some(),
     };
-    let rig = Rig::start(options).unwrap();
-    assert!((0..3).all(|n| rig.ready(n)), "not all serve");
-    assert!(rig.until(|rig| rig.all_on(&[0, 1, 2], 1)));
+    let rig = TierHarness::start(options).unwrap();
+    assert!((0..3).all(|n| rig.wait_until_ready(n)), "not all serve");
+    assert!(rig.wait_until(|rig| rig.all_follow_version(&[0, 1, 2], 1)));
     for call in [Call::Accept, Call::Connect, Call::Wait, Call::Socket, Call::Bind, Call::Listen] {
         assert!(plan.hits(call) > 0, "{call:?}");
     }
