--- a/crates/emulator/src/clients.rs
+++ b/crates/emulator/src/clients.rs
@@ -26,7 +26,7 @@
         let next = stage.arrivals.borrow_mut().next(&day);
         let Some(request) = next else { return };
         stage.until(request.at).await;
-        if stage.stop.asked() {
+        if stage.stop.is_requested() {
             return;
         }
         stage.open.set(stage.open.get() + 1);
@@ -59,7 +59,7 @@
                 outcome,
             )
         };
-        match again.filter(|wait| stage.now() + wait < leaves && !stage.stop.asked()) {
+        match again.filter(|wait| stage.now() + wait < leaves && !stage.stop.is_requested()) {
             Some(wait) => tokio::time::sleep(Duration::from_nanos(wait)).await,
             None => {
                 break match outcome {
--- a/crates/emulator/src/lib.rs
+++ b/crates/emulator/src/lib.rs
@@ -20,4 +20,4 @@
 mod workers;
 
 pub use cost::Cost;
-pub use stage::{Live, Options, Played, Stop, run};
+pub use stage::{EmulationResult, Options, Progress, StopFlag, run};
--- a/crates/emulator/src/stage.rs
+++ b/crates/emulator/src/stage.rs
@@ -39,7 +39,7 @@
     /// Schedulers' logs go to standard error rather than nowhere.
     pub show_logs: bool,
     /// Workers also serve requests that none of the day's clients sent, such as one typed by a person.
-    pub guests: bool,
+    pub allow_manual_requests: bool,
 }
 
 impl Options {
@@ -51,48 +51,48 @@
             memory_mb: 192,
             sockets: 1024,
             show_logs: false,
-            guests: false,
+            allow_manual_requests: false,
         }
     }
 }
 
 /// Ends a run early and in order, from any thread.
 #[derive(Clone, Debug, Default)]
-pub struct Stop(Arc<AtomicBool>);
+pub struct StopFlag(Arc<AtomicBool>);
 
-impl Stop {
+impl StopFlag {
     /// Ends it.
-    pub fn now(&self) {
+    pub fn request(&self) {
         self.0.store(true, Ordering::Relaxed);
     }
     /// Whether that was asked for.
-    pub fn asked(&self) -> bool {
+    pub fn is_requested(&self) -> bool {
         self.0.load(Ordering::Relaxed)
     }
 }
 
 /// How a run goes, told once a second.
 #[derive(Clone, Debug)]
-pub struct Live {
+pub struct Progress {
     /// Seconds since the first request.
     pub second: u64,
     /// Addresses of the schedulers.
-    pub listen: Vec<String>,
+    pub listen_addresses: Vec<String>,
     /// Figures so far.
     pub figures: Figures,
     /// What the referee saw so far.
-    pub seen: CheckerCounts,
+    pub checker_counts: CheckerCounts,
     /// Breaches so far.
-    pub breaches: u64,
+    pub violations: u64,
     /// Workers that serve.
     pub workers_up: usize,
     /// Troubles that are on.
-    pub troubles: Vec<&'static str>,
+    pub active_faults: Vec<&'static str>,
 }
 
 /// What a day on sockets came to.
 #[derive(Clone, Debug, Serialize)]
-pub struct Played {
+pub struct EmulationResult {
     /// Requests that schedulers took, tries counted one by one.
     pub taken: u64,
     /// Answers.
@@ -106,7 +106,8 @@
     /// Requests failed in the end.
     pub failed: u64,
     /// Breaches of the rules.
-    pub breaches: u64,
+    #[serde(rename = "breaches")]
+    pub violations: u64,
     /// Median time to a served answer, in milliseconds.
     pub p50_ms: f64,
     /// 99 % of served answers came within this time, in milliseconds.
@@ -114,23 +115,30 @@
     /// All figures.
     pub figures: Figures,
     /// What the referee saw.
-    pub seen: CheckerCounts,
+    #[serde(rename = "seen")]
+    pub checker_counts: CheckerCounts,
     /// The first breaches, with their stories.
-    pub first: Vec<Violation>,
+    #[serde(rename = "first")]
+    pub first_violations: Vec<Violation>,
     /// What the troubles did.
     pub counters: Counters,
     /// Schedulers that ended by themselves.
     pub crashes: u64,
     /// Requests that reached a worker with another path, key or body than their client sent.
-    pub mangled: u64,
+    #[serde(rename = "mangled")]
+    pub altered_requests: u64,
     /// Requests that reached a worker under an id that no client sent.
-    pub strangers: u64,
+    #[serde(rename = "strangers")]
+    pub unknown_requests: u64,
     /// Call-backs that a scheduler never answered.
-    pub call_backs_lost: u64,
+    #[serde(rename = "call_backs_lost")]
+    pub callbacks_lost: u64,
     /// Call-backs that were sent before the 202 of their job.
-    pub overtaken: u64,
+    #[serde(rename = "overtaken")]
+    pub early_callbacks: u64,
     /// Call-backs to a scheduler that started after their job was sent.
-    pub call_backs_to_successor: u64,
+    #[serde(rename = "call_backs_to_successor")]
+    pub callbacks_to_successor: u64,
     /// Datagrams between schedulers, and those longer than the platform allows.
     pub datagrams: u64,
     /// See `datagrams`.
@@ -140,11 +148,14 @@
     /// See `lag_p99_ms`.
     pub lag_max_ms: f64,
     /// Length of the run, in seconds.
-    pub length_s: f64,
+    #[serde(rename = "length_s")]
+    pub duration_s: f64,
     /// What each scheduler cost, restarts included.
-    pub schedulers: Vec<Cost>,
+    #[serde(rename = "schedulers")]
+    pub scheduler_costs: Vec<Cost>,
     /// What this process cost, with all stand-ins and clients.
-    pub host: Cost,
+    #[serde(rename = "host")]
+    pub host_cost: Cost,
 }
 
 /// A try as its client sent it.
@@ -190,7 +201,7 @@
     pub(crate) front: RefCell<RandomStream>,
     pub(crate) whims: RefCell<RandomStream>,
     pub(crate) delays: RefCell<RandomStream>,
-    pub(crate) stop: Stop,
+    pub(crate) stop: StopFlag,
     /// The day is over: schedulers that end stay down.
     pub(crate) over: Cell<bool>,
     /// The ids of guests' requests, by their numbers.
@@ -234,9 +245,9 @@
     day: &Scenario,
     seed: u64,
     options: Options,
-    stop: Stop,
-    tell: &mut dyn FnMut(&Live),
-) -> io::Result<Played> {
+    stop: StopFlag,
+    tell: &mut dyn FnMut(&Progress),
+) -> io::Result<EmulationResult> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     LocalSet::new().block_on(&runtime, play(day.clone(), seed, options, stop, tell))
 }
@@ -245,9 +256,9 @@
     day: Scenario,
     seed: u64,
     options: Options,
-    stop: Stop,
-    tell: &mut dyn FnMut(&Live),
-) -> io::Result<Played> {
+    stop: StopFlag,
+    tell: &mut dyn FnMut(&Progress),
+) -> io::Result<EmulationResult> {
     let slack = options.slack.as_nanos() as Nanos;
     let world = World::new(day.clone(), seed, slack);
     let streams = world.streams();
@@ -316,22 +327,22 @@
     Ok(played(&stage))
 }
 
-fn live(stage: &Stage, second: u64, at: Nanos) -> Live {
+fn live(stage: &Stage, second: u64, at: Nanos) -> Progress {
     let world = stage.world.borrow();
     let at = at as f64 / 1e9;
     let on = |t: &&loomlb_simulation::scenario::Fault| at >= t.at_s && at < t.at_s + t.for_s.max(1.0);
-    Live {
+    Progress {
         second,
-        listen: stage.schedulers.iter().map(|s| s.listen.to_string()).collect(),
+        listen_addresses: stage.schedulers.iter().map(|s| s.listen.to_string()).collect(),
         figures: stage.collector.borrow().figures(),
-        seen: world.invariant_checker.counts,
-        breaches: world.invariant_checker.violation_count,
+        checker_counts: world.invariant_checker.counts,
+        violations: world.invariant_checker.violation_count,
         workers_up: (0..world.workers()).filter(|w| !world.is_silent(*w) && !world.is_down(*w)).count(),
-        troubles: world.scenario.faults.iter().filter(on).map(|t| t.kind.name()).collect(),
+        active_faults: world.scenario.faults.iter().filter(on).map(|t| t.kind.name()).collect(),
     }
 }
 
-fn played(stage: &Stage) -> Played {
+fn played(stage: &Stage) -> EmulationResult {
     let world = stage.world.borrow();
     let (figures, counts, lag) =
         (stage.collector.borrow().figures(), stage.counts.borrow(), stage.lag.borrow());
@@ -339,32 +350,32 @@
     let mut counters = world.counters.clone();
     (counters.burst, counters.heavy, counters.slow_readers) =
         (arrivals.burst_requests, arrivals.heavy_requests, arrivals.slow_readers);
-    Played {
+    EmulationResult {
         taken: world.invariant_checker.counts.taken,
         answered: world.invariant_checker.counts.answered,
         served: figures.served,
         in_time: figures.in_time,
         refused: figures.refused,
         failed: figures.failed + figures.unreachable,
-        breaches: world.invariant_checker.violation_count,
+        violations: world.invariant_checker.violation_count,
         p50_ms: figures.p50_ms,
         p99_ms: figures.p99_ms,
-        seen: world.invariant_checker.counts,
-        first: world.invariant_checker.violations.clone(),
+        checker_counts: world.invariant_checker.counts,
+        first_violations: world.invariant_checker.violations.clone(),
         counters,
         crashes: counts.crashes,
-        mangled: counts.mangled,
-        strangers: counts.strangers,
-        call_backs_lost: counts.lost,
-        overtaken: counts.overtaken,
-        call_backs_to_successor: counts.successor,
+        altered_requests: counts.mangled,
+        unknown_requests: counts.strangers,
+        callbacks_lost: counts.lost,
+        early_callbacks: counts.overtaken,
+        callbacks_to_successor: counts.successor,
         datagrams: counts.datagrams,
         datagrams_too_long: counts.too_long,
         lag_p99_ms: lag.value_at_quantile(0.99) as f64 / 1e3,
         lag_max_ms: lag.max() as f64 / 1e3,
-        length_s: stage.now() as f64 / 1e9,
-        schedulers: stage.schedulers.iter().map(schedulers::Scheduler::cost).collect(),
-        host: cost::of("self"),
+        duration_s: stage.now() as f64 / 1e9,
+        scheduler_costs: stage.schedulers.iter().map(schedulers::Scheduler::cost).collect(),
+        host_cost: cost::of("self"),
         figures,
     }
 }
@@ -401,9 +412,9 @@
 }
 
 /// Whether the run was late by more than a scheduler can be judged by.
-impl Played {
+impl EmulationResult {
     /// The machine was too slow for the day, so figures say little.
-    pub fn late(&self) -> bool {
+    pub fn host_too_slow(&self) -> bool {
         self.lag_p99_ms * 1e6 > LATE as f64
     }
 }
--- a/crates/emulator/src/workers.rs
+++ b/crates/emulator/src/workers.rs
@@ -165,7 +165,7 @@
             }
             (n, known)
         }
-        None if stage.options.guests => guest(stage, &id, path)?,
+        None if stage.options.allow_manual_requests => guest(stage, &id, path)?,
         None => {
             stage.counts.borrow_mut().strangers += 1;
             return Some(wire::response(400, "no client sent this id"));
--- a/crates/lab/src/fleet/day.rs
+++ b/crates/lab/src/fleet/day.rs
@@ -82,7 +82,7 @@
     let mut descriptors = 0;
     let mut peer_messages = 0;
     while begun.elapsed() < length {
-        if options.stop.asked() {
+        if options.stop.is_requested() {
             return Err(Error::Stopped);
         }
         while let Some(change) = changes.next_if(|change| change.at <= begun.elapsed()) {
@@ -110,7 +110,7 @@
 ) -> Result<(), Error> {
     let begun = Instant::now();
     while TcpStream::connect(at).is_err() {
-        if options.stop.asked() {
+        if options.stop.is_requested() {
             return Err(Error::Stopped);
         }
         if scheduler.has_ended() || begun.elapsed() > START_LIMIT {
--- a/crates/lab/src/fleet/mod.rs
+++ b/crates/lab/src/fleet/mod.rs
@@ -11,7 +11,7 @@
 use crate::tables;
 use bounds::{BOUNDS, Bound, Quantity, Row, Side, Usage};
 pub use day::Day;
-use loomlb_emulator::Stop;
+use loomlb_emulator::StopFlag;
 use serde::Serialize;
 use std::ffi::OsString;
 use std::str::FromStr;
@@ -87,7 +87,7 @@
     /// The scheduler's logs go to standard error rather than nowhere.
     pub logs: bool,
     /// Ends the measurement.
-    pub stop: Stop,
+    pub stop: StopFlag,
 }
 
 /// All days at one size.
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -4,7 +4,7 @@
 use clap::{Parser, Subcommand, ValueEnum};
 use loomlb_capacity::plan;
 use loomlb_consensus::timing::TimingConfig;
-use loomlb_emulator::{Live, Options, Stop};
+use loomlb_emulator::{Options, Progress, StopFlag};
 use loomlb_lab::baselines::{Baseline, Idea};
 use loomlb_lab::processes::{self, Schedule};
 use loomlb_lab::{capacity, days, fleet, scale, tables, trial};
@@ -546,10 +546,10 @@
 }
 
 /// Ends a run in order on Ctrl-C or SIGTERM.
-fn stop_on_signal() -> Result<Stop, String> {
-    let stop = Stop::default();
+fn stop_on_signal() -> Result<StopFlag, String> {
+    let stop = StopFlag::default();
     let asked = stop.clone();
-    ctrlc::set_handler(move || asked.now()).map_err(|e| format!("Ctrl-C: {e}"))?;
+    ctrlc::set_handler(move || asked.request()).map_err(|e| format!("Ctrl-C: {e}"))?;
     Ok(stop)
 }
 
@@ -572,7 +572,7 @@
     let played = loomlb_emulator::run(&day, args.seed, options, stop_on_signal()?, &mut |_| {});
     let played = played.map_err(|e| e.to_string())?;
     report(args.json, &played, || tables::emulated(&day, args.seed, &played))?;
-    Ok(verdict(played.breaches + played.crashes))
+    Ok(verdict(played.violations + played.crashes))
 }
 
 const DEMO: &str = include_str!("../days/demo.toml");
@@ -585,22 +585,23 @@
         (t.at_s, t.for_s) = (t.at_s / 20.0 * args.seconds, t.for_s / 20.0 * args.seconds);
     }
     day.check().map_err(|(key, reason)| format!("--seconds {}: {key}: {reason}", args.seconds))?;
-    let options = Options { guests: true, ..Options::new(program(args.program.as_ref())?) };
+    let options = Options { allow_manual_requests: true, ..Options::new(program(args.program.as_ref())?) };
     eprintln!(
         "{} workers and {} scheduler(s) on loopback; requests for {} s. Ctrl-C ends it.",
         day.fleet.workers, day.schedulers.count, args.seconds
     );
     let mut shown = false;
-    let mut tell = |live: &Live| {
+    let mut tell = |live: &Progress| {
         if !std::mem::replace(&mut shown, true) {
-            let at = live.listen.first().map_or("", String::as_str);
+            let at = live.listen_addresses.first().map_or("", String::as_str);
             eprintln!("try it yourself while it runs:");
             eprintln!(
                 "  curl -i http://{at}/view/hello -H \"X-Correlation-Id: me-$RANDOM$RANDOM\" -H 'X-Service-Class: view' -H 'X-Time-Left: 5' -d hello"
             );
         }
-        let (f, s) = (&live.figures, &live.seen);
-        let troubles = if live.troubles.is_empty() { "-".to_string() } else { live.troubles.join(", ") };
+        let (f, s) = (&live.figures, &live.checker_counts);
+        let troubles =
+            if live.active_faults.is_empty() { "-".to_string() } else { live.active_faults.join(", ") };
         eprintln!(
             "{:>4} s  taken {:>5}  answered {:>5}  in time {:>5}  refused {:>3}  failed {:>3}  p99 {:>6.0} ms  workers up {:>2}  trouble: {troubles}  breaches {}",
             live.second,
@@ -611,14 +612,14 @@
             s.failed,
             f.p99_ms,
             live.workers_up,
-            live.breaches
+            live.violations
         );
         let _ = std::io::stderr().flush();
     };
     let played = loomlb_emulator::run(&day, args.seed, options, stop_on_signal()?, &mut tell);
     let played = played.map_err(|e| e.to_string())?;
     report(args.json, &played, || tables::emulated(&day, args.seed, &played))?;
-    Ok(verdict(played.breaches + played.crashes))
+    Ok(verdict(played.violations + played.crashes))
 }
 
 fn main() -> ExitCode {
--- a/crates/lab/src/scale/mod.rs
+++ b/crates/lab/src/scale/mod.rs
@@ -21,7 +21,7 @@
 use loomlb_capacity::report::Report as Slopes;
 use loomlb_capacity::{Costs, Workload};
 use loomlb_consensus::timing::{LeaseTiming, TimingConfig};
-use loomlb_emulator::Stop;
+use loomlb_emulator::StopFlag;
 use std::ffi::OsString;
 use std::io;
 use std::path::{Path, PathBuf};
@@ -134,7 +134,7 @@
     /// Logs go to standard error rather than nowhere.
     pub logs: bool,
     /// Ends the run.
-    pub stop: Stop,
+    pub stop: StopFlag,
 }
 
 /// Sizes that are set by themselves.
--- a/crates/lab/src/scale/play.rs
+++ b/crates/lab/src/scale/play.rs
@@ -345,7 +345,7 @@
 fn pause(options: &Options, time: Duration) -> Result<(), Error> {
     let end = Instant::now() + time;
     loop {
-        if options.stop.asked() {
+        if options.stop.is_requested() {
             return Err(Error::Stopped);
         }
         let left = end.saturating_duration_since(Instant::now());
--- a/crates/lab/src/tables.rs
+++ b/crates/lab/src/tables.rs
@@ -23,7 +23,7 @@
 }
 
 /// The figures of a day on sockets.
-pub fn emulated(day: &Scenario, seed: u64, p: &loomlb_emulator::Played) -> String {
+pub fn emulated(day: &Scenario, seed: u64, p: &loomlb_emulator::EmulationResult) -> String {
     let row = |a: &str, b: String| vec![a.to_string(), b];
     let mut rows = vec![
         row("taken", p.taken.to_string()),
@@ -34,7 +34,7 @@
         row("refused", p.refused.to_string()),
         row("failed", p.failed.to_string()),
         row("left early", p.figures.left.to_string()),
-        row("attempts", p.seen.attempts.to_string()),
+        row("attempts", p.checker_counts.attempts.to_string()),
         row("p50", format!("{:.1} ms", p.p50_ms)),
         row("p99", format!("{:.1} ms", p.p99_ms)),
         row("service", format!("{:.3}", p.figures.service)),
@@ -43,23 +43,26 @@
     for t in &day.faults {
         rows.push(row(&format!("trouble {}", t.kind.name()), p.counters.of(t.kind).to_string()));
     }
-    rows.push(row("call-backs before their 202", p.overtaken.to_string()));
-    rows.push(row("call-backs to a successor", p.call_backs_to_successor.to_string()));
+    rows.push(row("call-backs before their 202", p.early_callbacks.to_string()));
+    rows.push(row("call-backs to a successor", p.callbacks_to_successor.to_string()));
     rows.push(row("crashes", p.crashes.to_string()));
-    for (s, c) in p.schedulers.iter().enumerate() {
+    for (s, c) in p.scheduler_costs.iter().enumerate() {
         rows.push(row(
             &format!("scheduler {s}: CPU, peak memory"),
             format!("{:.2} s, {:.1} MB", c.cpu_s, c.peak_mb),
         ));
     }
-    rows.push(row("this host: CPU, peak memory", format!("{:.2} s, {:.1} MB", p.host.cpu_s, p.host.peak_mb)));
+    rows.push(row(
+        "this host: CPU, peak memory",
+        format!("{:.2} s, {:.1} MB", p.host_cost.cpu_s, p.host_cost.peak_mb),
+    ));
     rows.push(row("this host late by, p99", format!("{:.1} ms", p.lag_p99_ms)));
-    rows.push(row("breaches", p.breaches.to_string()));
-    let mut out = format!("{} (seed {seed}) on sockets, {:.1} s\n{}", day.name, p.length_s, columns(&rows));
-    if p.late() {
+    rows.push(row("breaches", p.violations.to_string()));
+    let mut out = format!("{} (seed {seed}) on sockets, {:.1} s\n{}", day.name, p.duration_s, columns(&rows));
+    if p.host_too_slow() {
         out += "this machine was too slow for the day: its figures say little\n";
     }
-    if let Some(first) = p.first.first() {
+    if let Some(first) = p.first_violations.first() {
         out += &format!("first breach: {first}");
     }
     out
--- a/tests/system_calls.rs
+++ b/tests/system_calls.rs
@@ -3,7 +3,7 @@
 mod stage;
 
 use loomlb_emulator::tier_harness::{self, TierHarness};
-use loomlb_emulator::{Options, Stop};
+use loomlb_emulator::{Options, StopFlag};
 use loomlb_fault_plan::{Call, FaultPlan, Limit, WITHOUT_END};
 use loomlb_simulation::Scenario;
 use stage::{Agent, Comers, Mode, Narrow, Platform, Server, Stage, job, response, until};
@@ -401,10 +401,10 @@
     plan.limit_every(Limit::SocketRead, 100, 2).limit_every(Limit::SocketWrite, 100, 2);
     let day = Scenario::read(include_str!("../crates/lab/days/every.toml")).unwrap();
     let options = Options::new(plan.wrap(env!("CARGO_BIN_EXE_loomlb")));
-    let played = loomlb_emulator::run(&day, 7, options, Stop::default(), &mut |_| {}).unwrap();
-    let stories: Vec<String> = played.first.iter().map(ToString::to_string).collect();
-    assert_eq!(played.breaches, 0, "{}", stories.join("\n"));
-    assert_eq!((played.crashes, played.mangled, played.strangers), (0, 0, 0));
+    let played = loomlb_emulator::run(&day, 7, options, StopFlag::default(), &mut |_| {}).unwrap();
+    let stories: Vec<String> = played.first_violations.iter().map(ToString::to_string).collect();
+    assert_eq!(played.violations, 0, "{}", stories.join("\n"));
+    assert_eq!((played.crashes, played.altered_requests, played.unknown_requests), (0, 0, 0));
     assert!(played.served * 10 > played.figures.requests * 6, "{played:?}");
     for call in [Call::Accept, Call::Connect, Call::Wait] {
         assert!(plan.hits(call) > 0, "{call:?}");
