--- a/crates/emulator/src/clients.rs
+++ b/crates/emulator/src/clients.rs
@@ -1,8 +1,8 @@
 //! Clients on sockets: they keep connections, send one request at a time on each, and judge the answers.
 
-use crate::stage::{Stage, sent};
-use crate::wire::{self, Body, Line};
-use hyper::{Request as Http, Response};
+use crate::emulation::{Emulation, sent_request};
+use crate::http::{self, Body, ClientConnection};
+use hyper::{Request as HttpRequest, Response};
 use loomlb_policy::Nanos;
 use loomlb_simulation::clients::{self, Outcome, Request};
 use loomlb_simulation::figures::RequestOutcome;
@@ -15,51 +15,53 @@
 
 thread_local! {
     /// Idle connections to each scheduler. A run has a thread of its own.
-    static IDLE: RefCell<Vec<Vec<Line>>> = const { RefCell::new(Vec::new()) };
+    static IDLE: RefCell<Vec<Vec<ClientConnection>>> = const { RefCell::new(Vec::new()) };
 }
 
 /// Sends the day's requests when they are due, whatever became of earlier ones.
-pub(crate) async fn feed(stage: Rc<Stage>) {
-    IDLE.with_borrow_mut(|idle| *idle = (0..stage.schedulers.len()).map(|_| Vec::new()).collect());
-    let day = stage.day();
+pub(crate) async fn send_requests(emulation: Rc<Emulation>) {
+    IDLE.with_borrow_mut(|idle| *idle = (0..emulation.schedulers.len()).map(|_| Vec::new()).collect());
+    let scenario = emulation.scenario();
     loop {
-        let next = stage.arrivals.borrow_mut().next(&day);
+        let next = emulation.arrivals.borrow_mut().next(&scenario);
         let Some(request) = next else { return };
-        stage.until(request.at).await;
-        if stage.stop.is_requested() {
+        emulation.sleep_until(request.at).await;
+        if emulation.stop.is_requested() {
             return;
         }
-        stage.open.set(stage.open.get() + 1);
-        let stage = Rc::clone(&stage);
+        emulation.open_requests.set(emulation.open_requests.get() + 1);
+        let emulation = Rc::clone(&emulation);
         spawn_local(async move {
-            one(&stage, request).await;
-            stage.open.set(stage.open.get() - 1);
+            run_request(&emulation, request).await;
+            emulation.open_requests.set(emulation.open_requests.get() - 1);
         });
     }
 }
 
 /// One request with all its tries.
-async fn one(stage: &Rc<Stage>, request: Request) {
-    let leaves = request.at + request.client_timeout;
+async fn run_request(emulation: &Rc<Emulation>, request: Request) {
+    let client_deadline = request.at + request.client_timeout;
     let mut tries = 0;
-    let end = loop {
+    let request_outcome = loop {
         tries += 1;
         let id = request.number << 4 | u64::from(tries);
-        let outcome = match attempt(stage, &request, id, leaves).await {
+        let outcome = match send_try(emulation, &request, id, client_deadline).await {
             Some(outcome) => outcome,
             None => break RequestOutcome::ClientLeft,
         };
-        let again = {
-            let world = stage.world.borrow();
+        let retry_delay = {
+            let world = emulation.world.borrow();
             clients::retry_delay(
                 &world.scenario,
-                &mut stage.habits.borrow_mut(),
+                &mut emulation.retry_random.borrow_mut(),
                 request.class,
                 tries,
                 outcome,
             )
         };
-        match again.filter(|wait| stage.now() + wait < leaves && !stage.stop.is_requested()) {
+        match retry_delay
+            .filter(|wait| emulation.now() + wait < client_deadline && !emulation.stop.is_requested())
+        {
             Some(wait) => tokio::time::sleep(Duration::from_nanos(wait)).await,
             None => {
                 break match outcome {
@@ -71,31 +73,42 @@
             }
         }
     };
-    let (now, world) = (stage.now(), stage.world.borrow());
-    stage.collector.borrow_mut().record(&world.scenario, &request, now, tries, end);
+    let (now, world) = (emulation.now(), emulation.world.borrow());
+    emulation.collector.borrow_mut().record(&world.scenario, &request, now, tries, request_outcome);
 }
 
 /// One try; none if its client left early.
-async fn attempt(stage: &Rc<Stage>, request: &Request, id: u64, leaves: Nanos) -> Option<Outcome> {
-    let now = stage.now();
-    let seen: Vec<usize> =
-        (0..stage.schedulers.len()).filter(|s| now < stage.schedulers[*s].seen_until.get()).collect();
-    let Some(&s) = seen.get(stage.front.borrow_mut().index_below(seen.len())) else {
+async fn send_try(
+    emulation: &Rc<Emulation>,
+    request: &Request,
+    id: u64,
+    client_deadline: Nanos,
+) -> Option<Outcome> {
+    let now = emulation.now();
+    let offered: Vec<usize> = (0..emulation.schedulers.len())
+        .filter(|s| now < emulation.schedulers[*s].offered_until.get())
+        .collect();
+    let Some(&s) = offered.get(emulation.front_random.borrow_mut().index_below(offered.len())) else {
         return Some(Outcome::Unreachable);
     };
-    let (early, last) = {
-        let world = stage.world.borrow();
-        let early = request.client_timeout < ms(world.scenario.classes[request.class].deadline_ms);
-        let grace = if early { 0 } else { ms(world.scenario.terms.answer_grace_ms) };
-        stage.tries.borrow_mut().insert(id, sent(&world.scenario, request));
-        (early, leaves + grace + if early { 0 } else { stage.options.slack.as_nanos() as Nanos })
+    let (leaves_early, wait_until) = {
+        let world = emulation.world.borrow();
+        let leaves_early = request.client_timeout < ms(world.scenario.classes[request.class].deadline_ms);
+        let grace = if leaves_early { 0 } else { ms(world.scenario.terms.answer_grace_ms) };
+        emulation.sent_requests.borrow_mut().insert(id, sent_request(&world.scenario, request));
+        (
+            leaves_early,
+            client_deadline
+                + grace
+                + if leaves_early { 0 } else { emulation.options.slack.as_nanos() as Nanos },
+        )
     };
-    let wait = Duration::from_nanos(last.saturating_sub(stage.now()));
+    let timeout = Duration::from_nanos(wait_until.saturating_sub(emulation.now()));
     // Its attempts may still reach workers for a while, so the id stays known until the run ends.
-    match tokio::time::timeout(wait, exchange(stage, request, id, s)).await {
+    match tokio::time::timeout(timeout, exchange(emulation, request, id, s)).await {
         Ok(outcome) => Some(outcome),
-        Err(_) if early => {
-            stage.world.borrow_mut().invariant_checker.client_left(stage.now(), id);
+        Err(_) if leaves_early => {
+            emulation.world.borrow_mut().invariant_checker.client_left(emulation.now(), id);
             None
         }
         // Its time is over: what was taken and is not answered by now is found by the referee.
@@ -103,70 +116,81 @@
     }
 }
 
-async fn exchange(stage: &Rc<Stage>, request: &Request, id: u64, s: usize) -> Outcome {
-    let at = stage.schedulers[s].listen;
-    let class_end = request.at + ms(stage.world.borrow().scenario.classes[request.class].deadline_ms);
-    let mut taken = false;
+async fn exchange(emulation: &Rc<Emulation>, request: &Request, id: u64, s: usize) -> Outcome {
+    let address = emulation.schedulers[s].listen;
+    let class_deadline =
+        request.at + ms(emulation.world.borrow().scenario.classes[request.class].deadline_ms);
+    let mut accepted = false;
     // A kept connection may have been closed in this very moment: then the request goes out once more on a new one.
-    for fresh in [false, true] {
-        let kept = if fresh { None } else { take(s) };
-        let reused = kept.is_some();
-        let mut line = match kept {
-            Some(line) => line,
-            None => match Line::open(at).await {
-                Ok(line) => line,
+    for use_new in [false, true] {
+        let idle = if use_new { None } else { take_idle_connection(s) };
+        let reused = idle.is_some();
+        let mut connection = match idle {
+            Some(connection) => connection,
+            None => match ClientConnection::open(address).await {
+                Ok(connection) => connection,
                 Err(_) => {
-                    if taken {
+                    if accepted {
                         // The first connection was closed while the request crossed: it was never read.
-                        stage.world.borrow_mut().invariant_checker.request_not_accepted(stage.now(), id);
+                        emulation
+                            .world
+                            .borrow_mut()
+                            .invariant_checker
+                            .request_not_accepted(emulation.now(), id);
                     }
                     return Outcome::Unreachable;
                 }
             },
         };
-        let left = class_end.saturating_sub(stage.now());
-        let message = message(stage, request, id, at, left);
-        let before = stage.now();
-        if !taken {
-            stage.world.borrow_mut().invariant_checker.request_accepted(
-                before,
+        let time_left = class_deadline.saturating_sub(emulation.now());
+        let http_request = build_request(emulation, request, id, address, time_left);
+        let sent_at = emulation.now();
+        if !accepted {
+            emulation.world.borrow_mut().invariant_checker.request_accepted(
+                sent_at,
                 id,
                 s,
                 request.class,
-                class_end,
+                class_deadline,
             );
-            taken = true;
+            accepted = true;
         }
-        match line.ask(message).await {
-            Ok(response) => return read(stage, request, id, s, line, response).await,
+        match connection.send(http_request).await {
+            Ok(response) => return read_response(emulation, request, id, s, connection, response).await,
             Err(_) if reused => continue,
             Err(_) => break,
         }
     }
     // Nobody is there to answer, or it hung up; whether it may do so is for the referee, once it has ended.
-    stage.world.borrow_mut().invariant_checker.connection_broken(stage.now(), id, s);
+    emulation.world.borrow_mut().invariant_checker.connection_broken(emulation.now(), id, s);
     Outcome::Unreachable
 }
 
-fn take(s: usize) -> Option<Line> {
+fn take_idle_connection(s: usize) -> Option<ClientConnection> {
     IDLE.with_borrow_mut(|idle| {
         loop {
-            let line = idle.get_mut(s)?.pop()?;
-            if line.fresh() {
-                return Some(line);
+            let connection = idle.get_mut(s)?.pop()?;
+            if connection.is_ready() {
+                return Some(connection);
             }
         }
     })
 }
 
-fn message(stage: &Stage, request: &Request, id: u64, at: std::net::SocketAddr, left: Nanos) -> Http<Body> {
-    let world = stage.world.borrow();
+fn build_request(
+    emulation: &Emulation,
+    request: &Request,
+    id: u64,
+    address: std::net::SocketAddr,
+    time_left: Nanos,
+) -> HttpRequest<Body> {
+    let world = emulation.world.borrow();
     let class = &world.scenario.classes[request.class];
-    let sent = sent(&world.scenario, request);
+    let sent = sent_request(&world.scenario, request);
     let mut headers = vec![
         ("X-Correlation-Id", format!("{id:016x}")),
         ("X-Service-Class", class.name.clone()),
-        ("X-Time-Left", format!("{:.3}", left as f64 / 1e9)),
+        ("X-Time-Left", format!("{:.3}", time_left as f64 / 1e9)),
         ("X-Facts", format!("slots={}", request.slots)),
     ];
     if let Some(hint) = request.hint {
@@ -178,39 +202,42 @@
     if let Some(key) = sent.key {
         headers.push(("Idempotency-Key", key));
     }
-    wire::request("POST", &sent.path, at, &headers, &sent.body)
+    http::request("POST", &sent.path, address, &headers, &sent.body)
 }
 
-async fn read(
-    stage: &Rc<Stage>,
+async fn read_response(
+    emulation: &Rc<Emulation>,
     request: &Request,
     id: u64,
     s: usize,
-    line: Line,
+    connection: ClientConnection,
     response: Response<hyper::body::Incoming>,
 ) -> Outcome {
     let status = response.status().as_u16();
-    let after = response.headers().get("Retry-After").and_then(|v| v.to_str().ok()?.parse::<f64>().ok());
+    let retry_after_s =
+        response.headers().get("Retry-After").and_then(|v| v.to_str().ok()?.parse::<f64>().ok());
     if request.read_delay > 0 {
         tokio::time::sleep(Duration::from_nanos(request.read_delay)).await;
     }
-    let body = wire::whole(response.into_body()).await;
-    let now = stage.now();
+    let body = http::read_body(response.into_body()).await;
+    let now = emulation.now();
     let Some(body) = body else {
         // It broke off half-way: not a whole answer.
         return Outcome::Failed;
     };
-    let (answered, outcome) = match status {
+    let (response, outcome) = match status {
         200 => (FinalResponse::Served(String::from_utf8_lossy(&body).into_owned()), Outcome::Served),
-        429 | 503 => (FinalResponse::Refused, Outcome::Refused((after.unwrap_or(0.0) * 1e9) as Nanos)),
+        429 | 503 => {
+            (FinalResponse::Refused, Outcome::Refused((retry_after_s.unwrap_or(0.0) * 1e9) as Nanos))
+        }
         _ => (FinalResponse::Failed, Outcome::Failed),
     };
     // A slow reader's last byte came when the scheduler wrote it; only the reading took long.
-    stage.world.borrow_mut().invariant_checker.response_sent(
+    emulation.world.borrow_mut().invariant_checker.response_sent(
         now.saturating_sub(request.read_delay),
         id,
-        answered,
+        response,
     );
-    IDLE.with_borrow_mut(|idle| idle[s].push(line));
+    IDLE.with_borrow_mut(|idle| idle[s].push(connection));
     outcome
 }
--- a/crates/emulator/src/cost.rs
+++ b/crates/emulator/src/cost.rs
@@ -13,22 +13,23 @@
 
 impl Cost {
     /// The sum of the times and the larger of the peaks: processes that follow each other.
-    pub(crate) fn and(self, other: Cost) -> Cost {
+    pub(crate) fn combine(self, other: Cost) -> Cost {
         Cost { cpu_s: self.cpu_s + other.cpu_s, peak_mb: self.peak_mb.max(other.peak_mb) }
     }
 }
 
 /// The cost of a process, `self` for this one.
-pub(crate) fn of(process: &str) -> Cost {
+pub(crate) fn read_cost(process: &str) -> Cost {
     let read = |name: &str| std::fs::read_to_string(format!("/proc/{process}/{name}")).unwrap_or_default();
     let (stat, status) = (read("stat"), read("status"));
     // The name may hold spaces, so fields are counted from behind it: user and system time are the 12th and 13th.
-    let after = stat.rsplit_once(')').map_or("", |s| s.1);
-    let ticks: u64 = after.split_whitespace().skip(11).take(2).filter_map(|f| f.parse::<u64>().ok()).sum();
-    let peak = status.lines().find_map(|l| l.strip_prefix("VmHWM:"));
-    let peak: f64 = peak.and_then(|p| p.split_whitespace().next()?.parse().ok()).unwrap_or(0.0);
+    let fields = stat.rsplit_once(')').map_or("", |s| s.1);
+    let cpu_ticks: u64 =
+        fields.split_whitespace().skip(11).take(2).filter_map(|f| f.parse::<u64>().ok()).sum();
+    let peak_line = status.lines().find_map(|l| l.strip_prefix("VmHWM:"));
+    let peak_kb: f64 = peak_line.and_then(|p| p.split_whitespace().next()?.parse().ok()).unwrap_or(0.0);
     Cost {
-        cpu_s: ticks as f64 / rustix::param::clock_ticks_per_second().max(1) as f64,
-        peak_mb: peak / 1024.0,
+        cpu_s: cpu_ticks as f64 / rustix::param::clock_ticks_per_second().max(1) as f64,
+        peak_mb: peak_kb / 1024.0,
     }
 }
--- a/crates/emulator/src/stage.rs
+++ b/crates/emulator/src/emulation.rs
@@ -1,7 +1,7 @@
-//! The stage: what all stand-ins share, and the run of a day from its start to its end.
+//! The emulation: what all stand-ins share, and the run of a day from its start to its end.
 
 use crate::cost::{self, Cost};
-use crate::{agent, clients, peers, schedulers, workers};
+use crate::{clients, discovery, peer_proxies, schedulers, workers};
 use hdrhistogram::Histogram;
 use loomlb_policy::Nanos;
 use loomlb_simulation::clients::{Arrivals, Request};
@@ -23,7 +23,7 @@
 use tokio::task::{LocalSet, spawn_local};
 
 /// How much later than planned things may happen here before the run says that the machine was too slow for it.
-const LATE: Nanos = 100_000_000;
+const MAX_LAG: Nanos = 100_000_000;
 
 /// How to play a day on sockets.
 #[derive(Clone, Debug)]
@@ -160,7 +160,7 @@
 
 /// A try as its client sent it.
 #[derive(Clone, Debug)]
-pub(crate) struct Sent {
+pub(crate) struct SentRequest {
     pub(crate) class: usize,
     pub(crate) slots: u32,
     pub(crate) work: f64,
@@ -173,180 +173,181 @@
 #[derive(Debug, Default)]
 pub(crate) struct Counts {
     pub(crate) crashes: u64,
-    pub(crate) mangled: u64,
-    pub(crate) strangers: u64,
-    pub(crate) lost: u64,
-    pub(crate) overtaken: u64,
-    pub(crate) successor: u64,
+    pub(crate) altered_requests: u64,
+    pub(crate) unknown_requests: u64,
+    pub(crate) callbacks_lost: u64,
+    pub(crate) early_callbacks: u64,
+    pub(crate) callbacks_to_successor: u64,
     pub(crate) datagrams: u64,
-    pub(crate) too_long: u64,
+    pub(crate) datagrams_too_long: u64,
 }
 
 /// What all stand-ins share.
-pub(crate) struct Stage {
+pub(crate) struct Emulation {
     pub(crate) options: Options,
     pub(crate) world: RefCell<World>,
     pub(crate) arrivals: RefCell<Arrivals>,
     pub(crate) collector: RefCell<Collector>,
-    pub(crate) tries: RefCell<FxHashMap<u64, Sent>>,
-    pub(crate) open: Cell<usize>,
+    pub(crate) sent_requests: RefCell<FxHashMap<u64, SentRequest>>,
+    pub(crate) open_requests: Cell<usize>,
     pub(crate) counts: RefCell<Counts>,
     pub(crate) lag: RefCell<Histogram<u64>>,
-    pub(crate) agents: Vec<agent::Agent>,
+    pub(crate) discovery_endpoints: Vec<discovery::Endpoint>,
     pub(crate) schedulers: Vec<schedulers::Scheduler>,
-    pub(crate) words: Vec<workers::Words>,
+    pub(crate) callback_queues: Vec<workers::CallbackQueue>,
     /// Each worker's connections end when its number here changes.
-    pub(crate) resets: Vec<watch::Sender<u64>>,
-    pub(crate) habits: RefCell<RandomStream>,
-    pub(crate) front: RefCell<RandomStream>,
-    pub(crate) whims: RefCell<RandomStream>,
-    pub(crate) delays: RefCell<RandomStream>,
+    pub(crate) connection_resets: Vec<watch::Sender<u64>>,
+    pub(crate) retry_random: RefCell<RandomStream>,
+    pub(crate) front_random: RefCell<RandomStream>,
+    pub(crate) worker_random: RefCell<RandomStream>,
+    pub(crate) datagram_random: RefCell<RandomStream>,
     pub(crate) stop: StopFlag,
     /// The day is over: schedulers that end stay down.
-    pub(crate) over: Cell<bool>,
+    pub(crate) shutting_down: Cell<bool>,
     /// The ids of guests' requests, by their numbers.
-    pub(crate) guests: RefCell<FxHashMap<u64, String>>,
+    pub(crate) manual_requests: RefCell<FxHashMap<u64, String>>,
     /// When the day began; what the start-up takes is no part of it.
     start: Cell<Option<Instant>>,
     /// Unix time of the day's begin, in milliseconds.
     pub(crate) epoch_ms: Cell<u64>,
-    wake: Notify,
+    driver_wakeup: Notify,
 }
 
-impl Stage {
+impl Emulation {
     /// Nanoseconds since the day began; 0 before it.
     pub(crate) fn now(&self) -> Nanos {
         self.start.get().map_or(0, |start| start.elapsed().as_nanos() as Nanos)
     }
     #[expect(clippy::disallowed_methods, reason = "discovery dates its workers by the wall clock")]
-    fn begin(&self) {
+    fn start_clock(&self) {
         self.start.set(Some(Instant::now()));
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         self.epoch_ms.set(unix.as_millis() as u64);
     }
     /// Waits for a moment of the day that has begun.
-    pub(crate) async fn until(&self, at: Nanos) {
+    pub(crate) async fn sleep_until(&self, at: Nanos) {
         let start = self.start.get().unwrap_or_else(Instant::now);
         tokio::time::sleep_until((start + Duration::from_nanos(at)).into()).await;
-        let late = self.now().saturating_sub(at);
-        self.lag.borrow_mut().saturating_record((late / 1000).max(1));
+        let lag = self.now().saturating_sub(at);
+        self.lag.borrow_mut().saturating_record((lag / 1000).max(1));
     }
     /// Something new may be due in the world.
-    pub(crate) fn stir(&self) {
-        self.wake.notify_one();
+    pub(crate) fn wake_driver(&self) {
+        self.driver_wakeup.notify_one();
     }
-    pub(crate) fn day(&self) -> Scenario {
+    pub(crate) fn scenario(&self) -> Scenario {
         self.world.borrow().scenario.clone()
     }
 }
 
-/// Plays a day on sockets; `tell` hears of it once a second. The runtime is this call's own.
+/// Plays a day on sockets; `report_progress` hears of it once a second. The runtime is this call's own.
 pub fn run(
-    day: &Scenario,
+    scenario: &Scenario,
     seed: u64,
     options: Options,
     stop: StopFlag,
-    tell: &mut dyn FnMut(&Progress),
+    report_progress: &mut dyn FnMut(&Progress),
 ) -> io::Result<EmulationResult> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
-    LocalSet::new().block_on(&runtime, play(day.clone(), seed, options, stop, tell))
+    LocalSet::new().block_on(&runtime, run_scenario(scenario.clone(), seed, options, stop, report_progress))
 }
 
-async fn play(
-    day: Scenario,
+async fn run_scenario(
+    scenario: Scenario,
     seed: u64,
     options: Options,
     stop: StopFlag,
-    tell: &mut dyn FnMut(&Progress),
+    report_progress: &mut dyn FnMut(&Progress),
 ) -> io::Result<EmulationResult> {
     let slack = options.slack.as_nanos() as Nanos;
-    let world = World::new(day.clone(), seed, slack);
+    let world = World::new(scenario.clone(), seed, slack);
     let streams = world.streams();
-    let arrivals = Arrivals::new(&day, &streams, world.capacity());
+    let arrivals = Arrivals::new(&scenario, &streams, world.capacity());
     let files = tempfile::tempdir()?;
-    let (count, workers) = (day.schedulers.count, day.fleet.workers);
-    let posts = workers::open(count, workers).await?;
-    let (agents, agent_listeners) = agent::open(count).await?;
-    let links = peers::open(count).await?;
-    let schedulers = schedulers::prepare(files.path(), count, &links).await?;
-    let (words, queues): (Vec<_>, Vec<_>) = (0..count * workers).map(|_| workers::words()).unzip();
-    let stage = Rc::new(Stage {
-        collector: RefCell::new(Collector::new(&day)),
-        tries: RefCell::default(),
-        open: Cell::new(0),
+    let (scheduler_count, worker_count) = (scenario.schedulers.count, scenario.fleet.workers);
+    let worker_listeners = workers::open(scheduler_count, worker_count).await?;
+    let (discovery_endpoints, discovery_listeners) = discovery::open(scheduler_count).await?;
+    let peer_proxies = peer_proxies::open(scheduler_count).await?;
+    let schedulers = schedulers::allocate(files.path(), scheduler_count, &peer_proxies).await?;
+    let (callback_queues, callback_receivers): (Vec<_>, Vec<_>) =
+        (0..scheduler_count * worker_count).map(|_| workers::callback_queue()).unzip();
+    let emulation = Rc::new(Emulation {
+        collector: RefCell::new(Collector::new(&scenario)),
+        sent_requests: RefCell::default(),
+        open_requests: Cell::new(0),
         counts: RefCell::default(),
         lag: RefCell::new(Histogram::new_with_bounds(1, 60_000_000, 3).map_err(io::Error::other)?),
-        agents,
+        discovery_endpoints,
         schedulers,
-        words,
-        resets: (0..workers).map(|_| watch::channel(0).0).collect(),
-        habits: RefCell::new(streams.stream("retries")),
-        front: RefCell::new(streams.stream("front")),
-        whims: RefCell::new(streams.stream("whims")),
-        delays: RefCell::new(streams.stream("datagrams")),
+        callback_queues,
+        connection_resets: (0..worker_count).map(|_| watch::channel(0).0).collect(),
+        retry_random: RefCell::new(streams.stream("retries")),
+        front_random: RefCell::new(streams.stream("front")),
+        worker_random: RefCell::new(streams.stream("whims")),
+        datagram_random: RefCell::new(streams.stream("datagrams")),
         stop,
-        over: Cell::new(false),
-        guests: RefCell::default(),
+        shutting_down: Cell::new(false),
+        manual_requests: RefCell::default(),
         start: Cell::new(None),
         epoch_ms: Cell::new(0),
-        wake: Notify::new(),
+        driver_wakeup: Notify::new(),
         arrivals: RefCell::new(arrivals),
         world: RefCell::new(world),
         options,
     });
-    workers::start(&stage, posts, queues);
-    agent::start(&stage, agent_listeners);
-    peers::start(&stage, links);
-    for s in 0..count {
-        schedulers::start(&stage, s).await?;
+    workers::start(&emulation, worker_listeners, callback_receivers);
+    discovery::start(&emulation, discovery_listeners);
+    peer_proxies::start(&emulation, peer_proxies);
+    for s in 0..scheduler_count {
+        schedulers::start(&emulation, s).await?;
     }
-    schedulers::ready(&stage).await?;
-    stage.begin();
-    let driver = spawn_local(drive(Rc::clone(&stage)));
-    let feeder = spawn_local(clients::feed(Rc::clone(&stage)));
-    let end = secs(day.seconds);
-    let longest = day.classes.iter().map(|c| c.deadline_ms).fold(0.0, f64::max);
-    let last = end + secs(longest / 1e3) + slack + secs(2.0);
+    schedulers::wait_until_ready(&emulation).await?;
+    emulation.start_clock();
+    let driver_task = spawn_local(drive_world(Rc::clone(&emulation)));
+    let client_task = spawn_local(clients::send_requests(Rc::clone(&emulation)));
+    let end = secs(scenario.seconds);
+    let longest_deadline_ms = scenario.classes.iter().map(|c| c.deadline_ms).fold(0.0, f64::max);
+    let time_limit = end + secs(longest_deadline_ms / 1e3) + slack + secs(2.0);
     let mut second = 0;
     loop {
         tokio::time::sleep(Duration::from_millis(100)).await;
-        let now = stage.now();
-        stage.schedulers.iter().for_each(schedulers::Scheduler::look);
+        let now = emulation.now();
+        emulation.schedulers.iter().for_each(schedulers::Scheduler::update_cost);
         if now / 1_000_000_000 > second {
             second = now / 1_000_000_000;
-            tell(&live(&stage, second, now));
+            report_progress(&progress(&emulation, second, now));
         }
-        let over = feeder.is_finished() && stage.open.get() == 0;
-        if over || now > last {
+        let all_done = client_task.is_finished() && emulation.open_requests.get() == 0;
+        if all_done || now > time_limit {
             break;
         }
     }
-    driver.abort();
-    schedulers::finish(&stage).await;
-    stage.world.borrow_mut().invariant_checker.finish(stage.now());
-    Ok(played(&stage))
+    driver_task.abort();
+    schedulers::shut_down(&emulation).await;
+    emulation.world.borrow_mut().invariant_checker.finish(emulation.now());
+    Ok(collect_result(&emulation))
 }
 
-fn live(stage: &Stage, second: u64, at: Nanos) -> Progress {
-    let world = stage.world.borrow();
+fn progress(emulation: &Emulation, second: u64, at: Nanos) -> Progress {
+    let world = emulation.world.borrow();
     let at = at as f64 / 1e9;
-    let on = |t: &&loomlb_simulation::scenario::Fault| at >= t.at_s && at < t.at_s + t.for_s.max(1.0);
+    let is_active = |t: &&loomlb_simulation::scenario::Fault| at >= t.at_s && at < t.at_s + t.for_s.max(1.0);
     Progress {
         second,
-        listen_addresses: stage.schedulers.iter().map(|s| s.listen.to_string()).collect(),
-        figures: stage.collector.borrow().figures(),
+        listen_addresses: emulation.schedulers.iter().map(|s| s.listen.to_string()).collect(),
+        figures: emulation.collector.borrow().figures(),
         checker_counts: world.invariant_checker.counts,
         violations: world.invariant_checker.violation_count,
         workers_up: (0..world.workers()).filter(|w| !world.is_silent(*w) && !world.is_down(*w)).count(),
-        active_faults: world.scenario.faults.iter().filter(on).map(|t| t.kind.name()).collect(),
+        active_faults: world.scenario.faults.iter().filter(is_active).map(|t| t.kind.name()).collect(),
     }
 }
 
-fn played(stage: &Stage) -> EmulationResult {
-    let world = stage.world.borrow();
+fn collect_result(emulation: &Emulation) -> EmulationResult {
+    let world = emulation.world.borrow();
     let (figures, counts, lag) =
-        (stage.collector.borrow().figures(), stage.counts.borrow(), stage.lag.borrow());
-    let arrivals = stage.arrivals.borrow();
+        (emulation.collector.borrow().figures(), emulation.counts.borrow(), emulation.lag.borrow());
+    let arrivals = emulation.arrivals.borrow();
     let mut counters = world.counters.clone();
     (counters.burst, counters.heavy, counters.slow_readers) =
         (arrivals.burst_requests, arrivals.heavy_requests, arrivals.slow_readers);
@@ -364,50 +365,52 @@
         first_violations: world.invariant_checker.violations.clone(),
         counters,
         crashes: counts.crashes,
-        altered_requests: counts.mangled,
-        unknown_requests: counts.strangers,
-        callbacks_lost: counts.lost,
-        early_callbacks: counts.overtaken,
-        callbacks_to_successor: counts.successor,
+        altered_requests: counts.altered_requests,
+        unknown_requests: counts.unknown_requests,
+        callbacks_lost: counts.callbacks_lost,
+        early_callbacks: counts.early_callbacks,
+        callbacks_to_successor: counts.callbacks_to_successor,
         datagrams: counts.datagrams,
-        datagrams_too_long: counts.too_long,
+        datagrams_too_long: counts.datagrams_too_long,
         lag_p99_ms: lag.value_at_quantile(0.99) as f64 / 1e3,
         lag_max_ms: lag.max() as f64 / 1e3,
-        duration_s: stage.now() as f64 / 1e9,
-        scheduler_costs: stage.schedulers.iter().map(schedulers::Scheduler::cost).collect(),
-        host_cost: cost::of("self"),
+        duration_s: emulation.now() as f64 / 1e9,
+        scheduler_costs: emulation.schedulers.iter().map(schedulers::Scheduler::cost).collect(),
+        host_cost: cost::read_cost("self"),
         figures,
     }
 }
 
 /// Carries out what the world wants done, when it is due.
-async fn drive(stage: Rc<Stage>) {
+async fn drive_world(emulation: Rc<Emulation>) {
     loop {
-        let now = stage.now();
+        let now = emulation.now();
         loop {
-            let deed = stage.world.borrow_mut().next_action(now);
-            match deed {
-                Some(deed) => carry_out(&stage, deed),
+            let action = emulation.world.borrow_mut().next_action(now);
+            match action {
+                Some(action) => perform_action(&emulation, action),
                 None => break,
             }
         }
         // Something measures or changes in every second of a day; without that a minute is as good.
-        let next = stage.world.borrow().next_event_time().unwrap_or(now + 60_000_000_000);
+        let next_event = emulation.world.borrow().next_event_time().unwrap_or(now + 60_000_000_000);
         tokio::select! {
-            () = stage.until(next) => {}
-            () = stage.wake.notified() => {}
+            () = emulation.sleep_until(next_event) => {}
+            () = emulation.driver_wakeup.notified() => {}
         }
     }
 }
 
-fn carry_out(stage: &Rc<Stage>, deed: HostAction) {
-    match deed {
-        HostAction::JobUpdate { job, worker, scheduler, request, update: word, report } => {
-            workers::say(stage, worker, scheduler, request, job, word, report);
+fn perform_action(emulation: &Rc<Emulation>, action: HostAction) {
+    match action {
+        HostAction::JobUpdate { job, worker, scheduler, request, update, report } => {
+            workers::send_callback(emulation, worker, scheduler, request, job, update, report);
         }
-        HostAction::WorkerList { scheduler, .. } => stage.agents[scheduler].news.notify_waiters(),
-        HostAction::Signal(s, signal) => schedulers::signal(stage, s, signal),
-        HostAction::ResetConnections(w) => stage.resets[w].send_modify(|n| *n += 1),
+        HostAction::WorkerList { scheduler, .. } => {
+            emulation.discovery_endpoints[scheduler].list_changed.notify_waiters()
+        }
+        HostAction::Signal(s, signal) => schedulers::signal(emulation, s, signal),
+        HostAction::ResetConnections(w) => emulation.connection_resets[w].send_modify(|n| *n += 1),
     }
 }
 
@@ -415,15 +418,15 @@
 impl EmulationResult {
     /// The machine was too slow for the day, so figures say little.
     pub fn host_too_slow(&self) -> bool {
-        self.lag_p99_ms * 1e6 > LATE as f64
+        self.lag_p99_ms * 1e6 > MAX_LAG as f64
     }
 }
 
 /// A request's worker and class as the clients think of it.
-pub(crate) fn sent(day: &Scenario, request: &Request) -> Sent {
-    let class = &day.classes[request.class];
+pub(crate) fn sent_request(scenario: &Scenario, request: &Request) -> SentRequest {
+    let class = &scenario.classes[request.class];
     let key = class.effect.is_deduplicated().then(|| format!("key-{:x}", request.number));
-    Sent {
+    SentRequest {
         class: request.class,
         slots: request.slots,
         work: request.work,
--- a/crates/emulator/src/wire.rs
+++ b/crates/emulator/src/http.rs
@@ -25,7 +25,7 @@
 }
 
 /// Serves one connection until it ends. `hang_up` ends it at once, whatever is under way.
-pub(crate) async fn serve<F, R>(stream: TcpStream, answer: F, hang_up: impl Future<Output = ()>)
+pub(crate) async fn serve<F, R>(stream: TcpStream, handler: F, hang_up: impl Future<Output = ()>)
 where
     F: Fn(Request<Incoming>) -> R,
     // None: the connection breaks without an answer.
@@ -33,8 +33,8 @@
 {
     let _ = stream.set_nodelay(true);
     let service = service_fn(|request| {
-        let answered = answer(request);
-        async move { answered.await.ok_or(io::Error::from(io::ErrorKind::ConnectionReset)) }
+        let response = handler(request);
+        async move { response.await.ok_or(io::Error::from(io::ErrorKind::ConnectionReset)) }
     });
     let connection =
         hyper::server::conn::http1::Builder::new().serve_connection(TokioIo::new(stream), service);
@@ -46,30 +46,30 @@
 }
 
 /// The whole body of a request; none if it breaks off.
-pub(crate) async fn whole(body: Incoming) -> Option<Bytes> {
+pub(crate) async fn read_body(body: Incoming) -> Option<Bytes> {
     body.collect().await.ok().map(|b| b.to_bytes())
 }
 
 /// A connection of a client.
 #[derive(Debug)]
-pub(crate) struct Line(SendRequest<Body>);
+pub(crate) struct ClientConnection(SendRequest<Body>);
 
-impl Line {
-    pub(crate) async fn open(at: SocketAddr) -> io::Result<Line> {
+impl ClientConnection {
+    pub(crate) async fn open(at: SocketAddr) -> io::Result<ClientConnection> {
         let stream = TcpStream::connect(at).await?;
         stream.set_nodelay(true)?;
-        let shaken = hyper::client::conn::http1::handshake(TokioIo::new(stream)).await;
-        let (send, connection) = shaken.map_err(io::Error::other)?;
+        let handshake_result = hyper::client::conn::http1::handshake(TokioIo::new(stream)).await;
+        let (sender, connection) = handshake_result.map_err(io::Error::other)?;
         spawn_local(async move {
             let _ = connection.await;
         });
-        Ok(Line(send))
+        Ok(ClientConnection(sender))
     }
     /// Whether it can take a request now.
-    pub(crate) fn fresh(&self) -> bool {
+    pub(crate) fn is_ready(&self) -> bool {
         self.0.is_ready() && !self.0.is_closed()
     }
-    pub(crate) async fn ask(&mut self, request: Request<Body>) -> hyper::Result<Response<Incoming>> {
+    pub(crate) async fn send(&mut self, request: Request<Body>) -> hyper::Result<Response<Incoming>> {
         self.0.ready().await?;
         self.0.send_request(request).await
     }
@@ -92,29 +92,34 @@
 }
 
 /// A short call and the status of its answer; none without one.
-pub(crate) async fn call(at: SocketAddr, method: &str, path: &str, limit: Duration) -> Option<u16> {
+pub(crate) async fn request_status(
+    at: SocketAddr,
+    method: &str,
+    path: &str,
+    timeout: Duration,
+) -> Option<u16> {
     let exchange = async {
-        let mut line = Line::open(at).await.ok()?;
-        let answer = line.ask(request(method, path, at, &[], "")).await.ok()?;
-        Some(answer.status().as_u16())
+        let mut connection = ClientConnection::open(at).await.ok()?;
+        let response = connection.send(request(method, path, at, &[], "")).await.ok()?;
+        Some(response.status().as_u16())
     };
-    tokio::time::timeout(limit, exchange).await.ok().flatten()
+    tokio::time::timeout(timeout, exchange).await.ok().flatten()
 }
 
 /// Binds to a port of the kernel's choice at a loopback address. Each stand-in has an address of its own, so that a
 /// port which is given up and bound again is not taken by anyone's outgoing connection meanwhile.
-pub(crate) async fn bind(net: u8, x: usize, y: usize) -> io::Result<TcpListener> {
-    let (x, y) = ((x % 250) as u8, y);
-    let ip = [127, net, x, (y % 250) as u8 + 1];
+pub(crate) async fn bind(network: u8, row: usize, column: usize) -> io::Result<TcpListener> {
+    let (row, column) = ((row % 250) as u8, column);
+    let ip = [127, network, row, (column % 250) as u8 + 1];
     TcpListener::bind(SocketAddr::from((ip, 0))).await
 }
 
 /// A hang-up that never comes.
-pub(crate) async fn silence_as_unit() {
+pub(crate) async fn never() {
     std::future::pending().await
 }
 
 /// Never returns.
-pub(crate) async fn silence() -> Infallible {
+pub(crate) async fn wait_forever() -> Infallible {
     std::future::pending().await
 }
--- a/crates/emulator/src/lib.rs
+++ b/crates/emulator/src/lib.rs
@@ -9,15 +9,15 @@
 //! does), and stays silent on them; in virtual time such a connection never comes up.
 #![forbid(unsafe_code)]
 
-mod agent;
 mod clients;
 mod cost;
-mod peers;
+mod discovery;
+mod emulation;
+mod http;
+mod peer_proxies;
 mod schedulers;
-mod stage;
 pub mod tier_harness;
-mod wire;
 mod workers;
 
 pub use cost::Cost;
-pub use stage::{EmulationResult, Options, Progress, StopFlag, run};
+pub use emulation::{EmulationResult, Options, Progress, StopFlag, run};
--- a/crates/emulator/src/tier_harness.rs
+++ b/crates/emulator/src/tier_harness.rs
@@ -6,7 +6,7 @@
 //! can be killed, stopped and continued, started again with another file, or twice. The rig runs in a thread of its own;
 //! its methods block, so a test reads as a story.
 
-use crate::wire::{self, Body, Line as Connection};
+use crate::http::{self, Body, ClientConnection};
 use hyper::body::Incoming;
 use hyper::{Request, Response};
 use loomlb_consensus::history_check::HistoryRecord;
@@ -16,7 +16,7 @@
 use std::collections::HashMap;
 use std::ffi::OsString;
 use std::io::{self, Read, Write};
-use std::net::{SocketAddr, TcpStream as Caller};
+use std::net::{SocketAddr, TcpStream as BlockingTcpStream};
 use std::path::PathBuf;
 use std::process::{Child, Command, Stdio};
 use std::rc::Rc;
@@ -29,20 +29,20 @@
 use tokio::task::{LocalSet, spawn_local};
 
 /// What everything here must happen within; only a failure waits for it.
-const LONG: Duration = Duration::from_secs(30);
+const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 /// How often a cut link looks whether it is whole again.
-const LOOK: Duration = Duration::from_millis(5);
-/// The key of every tier here.
-const KEY: &str = "a key for trials on one machine";
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
+/// The key of interval tier here.
+const TIER_KEY: &str = "a key for trials on one machine";
 
 /// Rates of the schedulers' clocks, as far apart as the tier's figures allow.
-const CLOCKS: [f64; 3] = [0.99, 1.0, 1.01];
+const CLOCK_RATES: [f64; 3] = [0.99, 1.0, 1.01];
 
 /// Rigs of this process, so that each has addresses of its own.
-static RIGS: AtomicUsize = AtomicUsize::new(0);
+static HARNESS_COUNT: AtomicUsize = AtomicUsize::new(0);
 
 /// The workers.
-const HOSTS: [&str; 3] = ["s-00000001", "s-00000002", "s-00000003"];
+const WORKERS: [&str; 3] = ["s-00000001", "s-00000002", "s-00000003"];
 
 /// How a rig is built.
 #[derive(Clone, Debug)]
@@ -53,7 +53,7 @@
     pub schedulers: usize,
     /// Those of them that vote.
     pub voters: usize,
-    /// Words that every operator file has beside the rig's, in `[tier]`.
+    /// CallbackQueue that interval operator file has beside the rig's, in `[tier]`.
     pub tier_settings: String,
     /// Time between two jobs to each scheduler; none for no load.
     pub job_interval: Option<Duration>,
@@ -90,23 +90,23 @@
 }
 
 struct Shared {
-    start: Instant,
+    started_at: Instant,
     count: usize,
     /// `from * count + to`: milliseconds late, or the most for a cut.
-    ways: Vec<AtomicU64>,
+    link_states: Vec<AtomicU64>,
     /// A link's connections end when its number changes.
-    broken: Vec<AtomicU64>,
+    link_generations: Vec<AtomicU64>,
     jobs: Mutex<HashMap<String, Job>>,
     /// Each scheduler's list: its version, and which worker is leaving.
-    lists: Mutex<Vec<(u64, Option<usize>)>>,
+    worker_lists: Mutex<Vec<(u64, Option<usize>)>>,
     /// Whole lists that were asked for.
     full_list_requests: AtomicU64,
-    over: AtomicBool,
+    shutting_down: AtomicBool,
 }
 
 impl Shared {
-    fn lists(&self) -> MutexGuard<'_, Vec<(u64, Option<usize>)>> {
-        self.lists.lock().unwrap_or_else(std::sync::PoisonError::into_inner)
+    fn worker_lists(&self) -> MutexGuard<'_, Vec<(u64, Option<usize>)>> {
+        self.worker_lists.lock().unwrap_or_else(std::sync::PoisonError::into_inner)
     }
     fn jobs(&self) -> MutexGuard<'_, HashMap<String, Job>> {
         self.jobs.lock().unwrap_or_else(std::sync::PoisonError::into_inner)
@@ -122,7 +122,7 @@
     operator: String,
     /// The program with its first arguments, where it is another than that of [`Options::program`].
     program: Option<Vec<OsString>>,
-    child: Vec<Child>,
+    children: Vec<Child>,
 }
 
 /// Several processes and all that stands between them.
@@ -152,38 +152,38 @@
 }
 
 /// Addresses: where everything listens.
-struct Places {
+struct Endpoints {
     /// Proxies of a pair: from which scheduler, to which voter, listening.
     links: Vec<(usize, usize, TcpListener)>,
     /// Some for each scheduler: a job that fails at one may go to the other.
-    workers: Vec<[TcpListener; HOSTS.len()]>,
+    workers: Vec<[TcpListener; WORKERS.len()]>,
     discoveries: Vec<TcpListener>,
     /// Where each scheduler listens for clients, staff and the tier.
     own: Vec<[SocketAddr; 3]>,
 }
 
-async fn open(options: &Options) -> io::Result<Places> {
-    let mut places =
-        Places { links: Vec::new(), workers: Vec::new(), discoveries: Vec::new(), own: Vec::new() };
-    let rig = RIGS.fetch_add(1, Ordering::Relaxed) % 15 * 16;
+async fn open(options: &Options) -> io::Result<Endpoints> {
+    let mut endpoints =
+        Endpoints { links: Vec::new(), workers: Vec::new(), discoveries: Vec::new(), own: Vec::new() };
+    let first_row = HARNESS_COUNT.fetch_add(1, Ordering::Relaxed) % 15 * 16;
     for i in 0..options.schedulers {
         let mut own = [SocketAddr::from(([127, 0, 0, 1], 0)); 3];
         for (k, at) in own.iter_mut().enumerate() {
             // Free in a moment, at an address of its own that nothing else here uses.
-            *at = wire::bind(34, rig + i, k).await?.local_addr()?;
+            *at = http::bind(34, first_row + i, k).await?.local_addr()?;
         }
-        places.own.push(own);
-        places.workers.push([
-            wire::bind(35, rig + i, 0).await?,
-            wire::bind(35, rig + i, 2).await?,
-            wire::bind(35, rig + i, 3).await?,
+        endpoints.own.push(own);
+        endpoints.workers.push([
+            http::bind(35, first_row + i, 0).await?,
+            http::bind(35, first_row + i, 2).await?,
+            http::bind(35, first_row + i, 3).await?,
         ]);
-        places.discoveries.push(wire::bind(35, rig + i, 1).await?);
+        endpoints.discoveries.push(http::bind(35, first_row + i, 1).await?);
         for j in (0..options.voters).filter(|j| *j != i) {
-            places.links.push((i, j, wire::bind(36, rig + i, j).await?));
+            endpoints.links.push((i, j, http::bind(36, first_row + i, j).await?));
         }
     }
-    Ok(places)
+    Ok(endpoints)
 }
 
 impl TierHarness {
@@ -191,42 +191,42 @@
     pub fn start(options: Options) -> io::Result<TierHarness> {
         let count = options.schedulers;
         let shared = Arc::new(Shared {
-            start: Instant::now(),
+            started_at: Instant::now(),
             count,
-            ways: (0..count * count).map(|_| AtomicU64::new(0)).collect(),
-            broken: (0..count * count).map(|_| AtomicU64::new(0)).collect(),
+            link_states: (0..count * count).map(|_| AtomicU64::new(0)).collect(),
+            link_generations: (0..count * count).map(|_| AtomicU64::new(0)).collect(),
             jobs: Mutex::default(),
-            lists: Mutex::new(vec![(1, None); count]),
+            worker_lists: Mutex::new(vec![(1, None); count]),
             full_list_requests: AtomicU64::new(0),
-            over: AtomicBool::new(false),
+            shutting_down: AtomicBool::new(false),
         });
-        let (send, receive) = mpsc::channel();
-        let (theirs, with) = (Arc::clone(&shared), options.clone());
+        let (sender, receiver) = mpsc::channel();
+        let (thread_shared, thread_options) = (Arc::clone(&shared), options.clone());
         let thread = std::thread::spawn(move || {
             let runtime = match tokio::runtime::Builder::new_current_thread().enable_all().build() {
                 Ok(runtime) => runtime,
-                Err(e) => return drop(send.send(Err(e))),
+                Err(e) => return drop(sender.send(Err(e))),
             };
             LocalSet::new().block_on(&runtime, async move {
-                let places = match open(&with).await {
-                    Ok(places) => places,
-                    Err(e) => return drop(send.send(Err(e))),
+                let endpoints = match open(&thread_options).await {
+                    Ok(endpoints) => endpoints,
+                    Err(e) => return drop(sender.send(Err(e))),
                 };
-                let dials = match dials(&places) {
-                    Ok(dials) => dials,
-                    Err(e) => return drop(send.send(Err(e))),
+                let worker_addresses = match worker_addresses(&endpoints) {
+                    Ok(worker_addresses) => worker_addresses,
+                    Err(e) => return drop(sender.send(Err(e))),
                 };
-                let told = nodes(&with, &places, &dials);
-                stand(&theirs, &with, places, dials);
-                if send.send(told).is_err() {
+                let nodes = build_nodes(&thread_options, &endpoints, &worker_addresses);
+                start_endpoints(&thread_shared, &thread_options, endpoints, worker_addresses);
+                if sender.send(nodes).is_err() {
                     return;
                 }
-                while !theirs.over.load(Ordering::Relaxed) {
-                    tokio::time::sleep(LOOK).await;
+                while !thread_shared.shutting_down.load(Ordering::Relaxed) {
+                    tokio::time::sleep(POLL_INTERVAL).await;
                 }
             });
         });
-        let nodes = receive.recv().map_err(io::Error::other)??;
+        let nodes = receiver.recv().map_err(io::Error::other)??;
         let files = tempfile::tempdir()?;
         let mut harness = TierHarness { options, files, nodes, shared, thread: Some(thread) };
         for n in 0..count {
@@ -235,24 +235,24 @@
         Ok(harness)
     }
 
-    fn path(&self, n: usize, ending: &str) -> PathBuf {
-        self.files.path().join(format!("n{n}.{ending}"))
+    fn path(&self, n: usize, extension: &str) -> PathBuf {
+        self.files.path().join(format!("n{n}.{extension}"))
     }
 
     /// Starts a process of a scheduler, beside one that may run already. `found`: its store may be missing.
-    pub fn launch(&mut self, n: usize, found: bool) -> io::Result<()> {
+    pub fn launch(&mut self, n: usize, may_create_store: bool) -> io::Result<()> {
         let (config, operator) = (self.path(n, "json"), self.path(n, "toml"));
         std::fs::write(&config, self.nodes[n].config.to_string())?;
         let store = self.path(n, "log");
         let text = format!(
-            "[tier]\nfound = {found}\nstore = {store:?}\ntrial_clock = {}\nhistory = {:?}\n{}\n{}",
-            CLOCKS[n % CLOCKS.len()],
+            "[tier]\nfound = {may_create_store}\nstore = {store:?}\ntrial_clock = {}\nhistory = {:?}\n{}\n{}",
+            CLOCK_RATES[n % CLOCK_RATES.len()],
             self.path(n, "history"),
             self.options.tier_settings,
             self.nodes[n].operator
         );
         std::fs::write(&operator, text)?;
-        let (program, first) = self.nodes[n]
+        let (program, first_arguments) = self.nodes[n]
             .program
             .as_ref()
             .unwrap_or(&self.options.program)
@@ -260,7 +260,7 @@
             .ok_or_else(|| io::Error::other("no program to start"))?;
         let mut command = Command::new(program);
         command
-            .args(first)
+            .args(first_arguments)
             .arg("serve")
             .env_clear()
             .env("LB_CONFIG", &config)
@@ -272,7 +272,7 @@
         if !self.options.show_logs {
             command.stderr(Stdio::null());
         }
-        self.nodes[n].child.push(command.spawn()?);
+        self.nodes[n].children.push(command.spawn()?);
         Ok(())
     }
 
@@ -299,26 +299,26 @@
     }
 
     /// Waits until something is so; false if it does not come in time.
-    pub fn wait_until(&self, so: impl Fn(&TierHarness) -> bool) -> bool {
-        let end = Instant::now() + LONG;
-        while Instant::now() < end {
-            if so(self) {
+    pub fn wait_until(&self, condition: impl Fn(&TierHarness) -> bool) -> bool {
+        let deadline = Instant::now() + WAIT_TIMEOUT;
+        while Instant::now() < deadline {
+            if condition(self) {
                 return true;
             }
-            std::thread::sleep(LOOK);
+            std::thread::sleep(POLL_INTERVAL);
         }
         false
     }
 
     /// Time since the rig's start.
     pub fn elapsed(&self) -> Duration {
-        self.shared.start.elapsed()
+        self.shared.started_at.elapsed()
     }
 
     fn signal(&mut self, n: usize, signal: Signal) {
         // A process that has ended and was waited for has no number any more.
-        self.nodes[n].child.retain_mut(|child| matches!(child.try_wait(), Ok(None)));
-        for child in &self.nodes[n].child {
+        self.nodes[n].children.retain_mut(|child| matches!(child.try_wait(), Ok(None)));
+        for child in &self.nodes[n].children {
             if let Some(pid) = Pid::from_raw(child.id() as i32) {
                 let _ = kill_process(pid, signal);
             }
@@ -327,16 +327,16 @@
 
     /// Kills a scheduler's processes outright.
     pub fn kill(&mut self, n: usize) {
-        for child in &mut self.nodes[n].child {
+        for child in &mut self.nodes[n].children {
             let _ = child.kill();
             let _ = child.wait();
         }
-        self.nodes[n].child.clear();
+        self.nodes[n].children.clear();
     }
 
     /// Whether the latest process of a scheduler still runs.
     pub fn is_running(&mut self, n: usize) -> bool {
-        self.nodes[n].child.last_mut().is_some_and(|child| matches!(child.try_wait(), Ok(None)))
+        self.nodes[n].children.last_mut().is_some_and(|child| matches!(child.try_wait(), Ok(None)))
     }
 
     /// Stops a scheduler's processes where they are.
@@ -363,35 +363,35 @@
     }
 
     /// Changes one direction between two schedulers: what `from` says to `to`, on whichever link.
-    pub fn set_link(&self, from: usize, to: usize, way: LinkState) {
-        let word = match way {
+    pub fn set_link(&self, from: usize, to: usize, state: LinkState) {
+        let encoded = match state {
             LinkState::Open => 0,
             LinkState::Cut => u64::MAX,
-            LinkState::Delayed(by) => by.as_millis() as u64,
+            LinkState::Delayed(delay) => delay.as_millis() as u64,
         };
-        self.shared.ways[from * self.shared.count + to].store(word, Ordering::Relaxed);
+        self.shared.link_states[from * self.shared.count + to].store(encoded, Ordering::Relaxed);
     }
 
     /// Changes both directions between a scheduler and all others.
-    pub fn set_all_links(&self, n: usize, way: LinkState) {
+    pub fn set_all_links(&self, n: usize, state: LinkState) {
         for other in (0..self.shared.count).filter(|o| *o != n) {
-            self.set_link(n, other, way);
-            self.set_link(other, n, way);
+            self.set_link(n, other, state);
+            self.set_link(other, n, state);
         }
     }
 
     /// Breaks the connections that one scheduler holds to another.
     pub fn break_connections(&self, from: usize, to: usize) {
-        self.shared.broken[from * self.shared.count + to].fetch_add(1, Ordering::Relaxed);
+        self.shared.link_generations[from * self.shared.count + to].fetch_add(1, Ordering::Relaxed);
     }
 
     /// A call of staff at a scheduler's second address: status and body; none without an answer within 2 s.
-    pub fn call_control(&self, n: usize, call: &str, body: &str) -> Option<(u16, Value)> {
+    pub fn call_control(&self, n: usize, method_and_path: &str, body: &str) -> Option<(u16, Value)> {
         let limit = Duration::from_secs(2);
-        let mut stream = Caller::connect_timeout(&self.nodes[n].control, limit).ok()?;
+        let mut stream = BlockingTcpStream::connect_timeout(&self.nodes[n].control, limit).ok()?;
         stream.set_read_timeout(Some(limit)).ok()?;
         let length = body.len();
-        let text = format!("{call} HTTP/1.1\r\nHost: h\r\nContent-Length: {length}\r\n\r\n{body}");
+        let text = format!("{method_and_path} HTTP/1.1\r\nHost: h\r\nContent-Length: {length}\r\n\r\n{body}");
         stream.write_all(text.as_bytes()).ok()?;
         let mut answer = String::new();
         stream.read_to_string(&mut answer).ok()?;
@@ -407,7 +407,7 @@
 
     /// One scheduler's discovery has a newer list, in which a worker may be leaving.
     pub fn publish_worker_list(&self, n: usize, leaving: Option<usize>) {
-        let list = &mut self.shared.lists()[n];
+        let list = &mut self.shared.worker_lists()[n];
         *list = (list.0 + 1, leaving);
     }
 
@@ -447,7 +447,7 @@
 
 impl Drop for TierHarness {
     fn drop(&mut self) {
-        self.shared.over.store(true, Ordering::Relaxed);
+        self.shared.shutting_down.store(true, Ordering::Relaxed);
         for n in 0..self.nodes.len() {
             self.kill(n);
         }
@@ -457,75 +457,91 @@
     }
 }
 
-fn nodes(options: &Options, places: &Places, dials: &[[SocketAddr; HOSTS.len()]]) -> io::Result<Vec<Node>> {
+fn build_nodes(
+    options: &Options,
+    endpoints: &Endpoints,
+    worker_addresses: &[[SocketAddr; WORKERS.len()]],
+) -> io::Result<Vec<Node>> {
     let mut nodes = Vec::new();
-    for (i, dials) in dials.iter().enumerate() {
-        let [listen, control, tier] = places.own[i];
-        let known = json!({"seq": 1, "whole": true, "hosts": hosts(dials, None)});
+    for (i, worker_addresses) in worker_addresses.iter().enumerate() {
+        let [listen, control, tier] = endpoints.own[i];
+        let known = json!({"seq": 1, "whole": true, "hosts": hosts(worker_addresses, None)});
         let config = json!({"name": format!("n{i}"), "listen": listen.to_string(), "control": control.to_string(),
-            "discovery": places.discoveries[i].local_addr()?.to_string(), "seed": format!("{i:x}"),
+            "discovery": endpoints.discoveries[i].local_addr()?.to_string(), "seed": format!("{i:x}"),
             "limits": {"cores": 1.0, "memory_mb": 64, "sockets": 512}, "known": known, "settings": settings()});
-        let mut operator = format!("key = \"{KEY}\"\n");
+        let mut operator = format!("key = \"{TIER_KEY}\"\n");
         if i < options.voters {
             operator += &format!("listen = \"{tier}\"\n");
         }
         for j in 0..options.voters {
-            let link = places.links.iter().find(|l| (l.0, l.1) == (i, j));
+            let link = endpoints.links.iter().find(|l| (l.0, l.1) == (i, j));
             let at = match link {
                 Some((.., listener)) => listener.local_addr()?,
                 None => tier,
             };
             operator += &format!("\n[[tier.voter]]\nname = \"n{j}\"\nat = \"{at}\"\n");
         }
-        nodes.push(Node { control, config, operator, program: None, child: Vec::new() });
+        nodes.push(Node { control, config, operator, program: None, children: Vec::new() });
     }
     Ok(nodes)
 }
 
 /// Where each scheduler's workers listen.
-fn dials(places: &Places) -> io::Result<Vec<[SocketAddr; HOSTS.len()]>> {
-    places.workers.iter().map(|[a, b, c]| Ok([a.local_addr()?, b.local_addr()?, c.local_addr()?])).collect()
+fn worker_addresses(endpoints: &Endpoints) -> io::Result<Vec<[SocketAddr; WORKERS.len()]>> {
+    endpoints
+        .workers
+        .iter()
+        .map(|[a, b, c]| Ok([a.local_addr()?, b.local_addr()?, c.local_addr()?]))
+        .collect()
 }
 
 /// Starts all stand-ins.
-fn stand(shared: &Arc<Shared>, options: &Options, places: Places, dials: Vec<[SocketAddr; HOSTS.len()]>) {
-    for (from, to, listener) in places.links {
-        spawn_local(proxy(Arc::clone(shared), from, to, listener, places.own[to][2]));
+fn start_endpoints(
+    shared: &Arc<Shared>,
+    options: &Options,
+    endpoints: Endpoints,
+    worker_addresses: Vec<[SocketAddr; WORKERS.len()]>,
+) {
+    for (from, to, listener) in endpoints.links {
+        spawn_local(run_link_proxy(Arc::clone(shared), from, to, listener, endpoints.own[to][2]));
     }
-    for (i, (listener, dials)) in places.discoveries.into_iter().zip(dials).enumerate() {
-        spawn_local(discover(Arc::clone(shared), i, listener, dials));
+    for (i, (listener, worker_addresses)) in
+        endpoints.discoveries.into_iter().zip(worker_addresses).enumerate()
+    {
+        spawn_local(serve_discovery(Arc::clone(shared), i, listener, worker_addresses));
     }
-    for (i, listeners) in places.workers.into_iter().enumerate() {
-        for (host, listener) in HOSTS.into_iter().zip(listeners) {
-            spawn_local(work(Arc::clone(shared), host, listener, places.own[i][0]));
+    for (i, listeners) in endpoints.workers.into_iter().enumerate() {
+        for (host, listener) in WORKERS.into_iter().zip(listeners) {
+            spawn_local(serve_worker(Arc::clone(shared), host, listener, endpoints.own[i][0]));
         }
     }
-    if let Some(every) = options.job_interval {
-        for (i, own) in places.own.iter().enumerate() {
-            spawn_local(clients(Arc::clone(shared), i, own[0], every));
+    if let Some(interval) = options.job_interval {
+        for (i, own) in endpoints.own.iter().enumerate() {
+            spawn_local(run_clients(Arc::clone(shared), i, own[0], interval));
         }
     }
 }
 
 // ---- links
 
-async fn proxy(shared: Arc<Shared>, from: usize, to: usize, listener: TcpListener, at: SocketAddr) {
+async fn run_link_proxy(shared: Arc<Shared>, from: usize, to: usize, listener: TcpListener, at: SocketAddr) {
     loop {
         let Ok((stream, _)) = listener.accept().await else { continue };
         let shared = Arc::clone(&shared);
         spawn_local(async move {
             // What asks to connect over a cut waits as well.
-            passes(&shared, from, to).await;
-            let Ok(onward) = TcpStream::connect(at).await else { return };
-            let (broken, was) = (from * shared.count + to, Arc::clone(&shared));
-            let number = was.broken[broken].load(Ordering::Relaxed);
-            let ((here_in, here_out), (there_in, there_out)) = (stream.into_split(), onward.into_split());
+            wait_for_link(&shared, from, to).await;
+            let Ok(upstream) = TcpStream::connect(at).await else { return };
+            let (link, generations) = (from * shared.count + to, Arc::clone(&shared));
+            let generation = generations.link_generations[link].load(Ordering::Relaxed);
+            let ((downstream_read, downstream_write), (upstream_read, upstream_write)) =
+                (stream.into_split(), upstream.into_split());
             tokio::select! {
-                () = pump(&shared, from, to, here_in, there_out) => {}
-                () = pump(&shared, to, from, there_in, here_out) => {}
+                () = forward_bytes(&shared, from, to, downstream_read, upstream_write) => {}
+                () = forward_bytes(&shared, to, from, upstream_read, downstream_write) => {}
                 () = async {
-                    while was.broken[broken].load(Ordering::Relaxed) == number {
-                        tokio::time::sleep(LOOK).await;
+                    while generations.link_generations[link].load(Ordering::Relaxed) == generation {
+                        tokio::time::sleep(POLL_INTERVAL).await;
                     }
                 } => {}
             }
@@ -534,19 +550,25 @@
 }
 
 /// Waits for as long as this direction holds bytes back now.
-async fn passes(shared: &Shared, from: usize, to: usize) {
-    let way = || shared.ways[from * shared.count + to].load(Ordering::Relaxed);
-    while way() == u64::MAX {
-        tokio::time::sleep(LOOK).await;
+async fn wait_for_link(shared: &Shared, from: usize, to: usize) {
+    let state = || shared.link_states[from * shared.count + to].load(Ordering::Relaxed);
+    while state() == u64::MAX {
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
-    tokio::time::sleep(Duration::from_millis(way())).await;
+    tokio::time::sleep(Duration::from_millis(state())).await;
 }
 
-async fn pump(shared: &Shared, from: usize, to: usize, mut read: OwnedReadHalf, mut write: OwnedWriteHalf) {
+async fn forward_bytes(
+    shared: &Shared,
+    from: usize,
+    to: usize,
+    mut read: OwnedReadHalf,
+    mut write: OwnedWriteHalf,
+) {
     let mut bytes = vec![0; 64 << 10];
     loop {
         let Ok(length @ 1..) = read.read(&mut bytes).await else { return };
-        passes(shared, from, to).await;
+        wait_for_link(shared, from, to).await;
         if write.write_all(&bytes[..length]).await.is_err() {
             return;
         }
@@ -556,21 +578,21 @@
 // ---- stand-ins
 
 /// The entries of a scheduler's list.
-fn hosts(dials: &[SocketAddr; HOSTS.len()], leaving: Option<usize>) -> Vec<Value> {
+fn hosts(worker_addresses: &[SocketAddr; WORKERS.len()], leaving: Option<usize>) -> Vec<Value> {
     let health = |at| if leaving == Some(at) { "leaving" } else { "active" };
     let entry = |(at, (host, dial)): (usize, (&&str, &SocketAddr))| {
         json!({"host": host, "dial": dial.to_string(), "site": "z", "class": "k", "block": 0,
             "health": health(at), "share": 1.0, "born_ms": 0})
     };
-    HOSTS.iter().zip(dials).enumerate().map(entry).collect()
+    WORKERS.iter().zip(worker_addresses).enumerate().map(entry).collect()
 }
 
 /// Discovery of one scheduler: a call is answered at once, a watch when there is something newer or after 4 s.
-async fn discover(
+async fn serve_discovery(
     shared: Arc<Shared>,
     scheduler: usize,
     listener: TcpListener,
-    dials: [SocketAddr; HOSTS.len()],
+    worker_addresses: [SocketAddr; WORKERS.len()],
 ) {
     loop {
         let Ok((stream, _)) = listener.accept().await else { continue };
@@ -581,82 +603,82 @@
                 let query = request.uri().query().unwrap_or("");
                 let from = query.split('&').find_map(|p| p.strip_prefix("from=")?.parse::<u64>().ok());
                 let end = Instant::now() + Duration::from_secs(4);
-                let list = || shared.lists()[scheduler];
+                let list = || shared.worker_lists()[scheduler];
                 while from.is_some_and(|from| list().0 <= from) && Instant::now() < end {
-                    tokio::time::sleep(LOOK).await;
+                    tokio::time::sleep(POLL_INTERVAL).await;
                 }
                 let (seq, leaving) = list();
                 if from.is_none() {
                     shared.full_list_requests.fetch_add(1, Ordering::Relaxed);
                 }
                 let whole = from.is_none_or(|from| from != seq);
-                let entries = if whole { hosts(&dials, leaving) } else { Vec::new() };
-                Some(wire::response(200, json!({"seq": seq, "whole": whole, "hosts": entries}).to_string()))
+                let entries = if whole { hosts(&worker_addresses, leaving) } else { Vec::new() };
+                Some(http::response(200, json!({"seq": seq, "whole": whole, "hosts": entries}).to_string()))
             }
         };
-        spawn_local(wire::serve(stream, answer, wire::silence_as_unit()));
+        spawn_local(http::serve(stream, answer, http::never()));
     }
 }
 
 /// A worker that ends each job of class `view` and fails each of any other, so that whether a job is repeated shows.
-async fn work(shared: Arc<Shared>, host: &'static str, listener: TcpListener, scheduler: SocketAddr) {
+async fn serve_worker(shared: Arc<Shared>, host: &'static str, listener: TcpListener, scheduler: SocketAddr) {
     loop {
         let Ok((stream, _)) = listener.accept().await else { continue };
         let shared = Arc::clone(&shared);
-        spawn_local(wire::serve(
+        spawn_local(http::serve(
             stream,
-            move |request: Request<Incoming>| job(Arc::clone(&shared), host, request, scheduler),
-            wire::silence_as_unit(),
+            move |request: Request<Incoming>| handle_job(Arc::clone(&shared), host, request, scheduler),
+            http::never(),
         ));
     }
 }
 
-async fn job(
+async fn handle_job(
     shared: Arc<Shared>,
     host: &'static str,
     request: Request<Incoming>,
     scheduler: SocketAddr,
 ) -> Option<Response<Body>> {
     let id = request.headers().get("X-Correlation-Id")?.to_str().ok()?.to_string();
-    let good = request.uri().path().starts_with("/view");
+    let succeeds = request.uri().path().starts_with("/view");
     if request.method() != "POST" {
-        return Some(wire::response(200, ""));
+        return Some(http::response(200, ""));
     }
-    wire::whole(request.into_body()).await?;
+    http::read_body(request.into_body()).await?;
     if let Some(job) = shared.jobs().get_mut(&id) {
         job.worker_attempts += 1;
-        job.worker = HOSTS.iter().position(|h| *h == host).unwrap_or(0);
+        job.worker = WORKERS.iter().position(|h| *h == host).unwrap_or(0);
     }
     spawn_local(async move {
         tokio::time::sleep(Duration::from_millis(10)).await;
-        let state = if good { "done" } else { "failed" };
+        let state = if succeeds { "done" } else { "failed" };
         let body = json!({"id": id, "from": host, "state": state, "result": "r"}).to_string();
         // Tried until it is answered.
         for _ in 0..10 {
-            let told = async {
-                let mut line = Connection::open(scheduler).await.ok()?;
-                let request = wire::request("POST", "/v1/job-events", scheduler, &[], &body);
-                Some(line.ask(request).await.ok()?.status().as_u16())
+            let callback = async {
+                let mut connection = ClientConnection::open(scheduler).await.ok()?;
+                let request = http::request("POST", "/v1/job-events", scheduler, &[], &body);
+                Some(connection.send(request).await.ok()?.status().as_u16())
             };
-            match tokio::time::timeout(Duration::from_secs(1), told).await {
+            match tokio::time::timeout(Duration::from_secs(1), callback).await {
                 Ok(Some(200 | 204)) => return,
                 _ => tokio::time::sleep(Duration::from_millis(50)).await,
             }
         }
     });
-    Some(wire::response(202, ""))
+    Some(http::response(202, ""))
 }
 
 /// A client that sends jobs of both classes in turn, whatever becomes of them.
-async fn clients(shared: Arc<Shared>, scheduler: usize, at: SocketAddr, every: Duration) {
-    let idle: Rc<RefCell<Vec<Connection>>> = Rc::default();
+async fn run_clients(shared: Arc<Shared>, scheduler: usize, at: SocketAddr, interval: Duration) {
+    let idle: Rc<RefCell<Vec<ClientConnection>>> = Rc::default();
     let mut number = 0u64;
     loop {
-        tokio::time::sleep(every).await;
+        tokio::time::sleep(interval).await;
         number += 1;
         let class = if number.is_multiple_of(2) { "view" } else { "lodge" };
         let id = format!("{scheduler:04x}{number:012x}");
-        let job = Job { scheduler, sent_at: shared.start.elapsed(), ..Job::default() };
+        let job = Job { scheduler, sent_at: shared.started_at.elapsed(), ..Job::default() };
         shared.jobs().insert(id.clone(), job);
         let (shared, idle) = (Arc::clone(&shared), Rc::clone(&idle));
         spawn_local(async move {
@@ -666,28 +688,28 @@
                 ("X-Time-Left", "2.000".to_string()),
                 ("Idempotency-Key", id.clone()),
             ];
-            let asked = async {
+            let exchange = async {
                 // A kept connection may close in the moment in which a request crosses: then it goes out once more.
                 loop {
-                    let kept = idle.borrow_mut().pop().filter(Connection::fresh);
-                    let again = kept.is_some();
-                    let mut line = match kept {
-                        Some(line) => line,
-                        None => Connection::open(at).await.ok()?,
+                    let idle_connection = idle.borrow_mut().pop().filter(ClientConnection::is_ready);
+                    let reused = idle_connection.is_some();
+                    let mut connection = match idle_connection {
+                        Some(connection) => connection,
+                        None => ClientConnection::open(at).await.ok()?,
                     };
-                    let request = wire::request("POST", &format!("/{class}/{id}"), at, &headers, "x");
-                    let answer = match line.ask(request).await {
+                    let request = http::request("POST", &format!("/{class}/{id}"), at, &headers, "x");
+                    let answer = match connection.send(request).await {
                         Ok(answer) => answer,
-                        Err(_) if again => continue,
+                        Err(_) if reused => continue,
                         Err(_) => return None,
                     };
                     let status = answer.status().as_u16();
-                    wire::whole(answer.into_body()).await?;
-                    idle.borrow_mut().push(line);
+                    http::read_body(answer.into_body()).await?;
+                    idle.borrow_mut().push(connection);
                     return Some(status);
                 }
             };
-            let status = tokio::time::timeout(Duration::from_secs(4), asked).await.ok().flatten();
+            let status = tokio::time::timeout(Duration::from_secs(4), exchange).await.ok().flatten();
             if let Some(job) = shared.jobs().get_mut(&id) {
                 (job.status, job.finished) = (status, true);
             }
