--- a/crates/emulator/src/clients.rs
+++ b/crates/emulator/src/clients.rs
@@ -1,4 +1,4 @@
-//! Clients on sockets: they keep connections, send one request at a time on each, and judge the answers.
+//! Clients on sockets: they keep connections open, send one request at a time on each, and evaluate the responses.
 
 use crate::emulation::{Emulation, sent_request};
 use crate::http::{self, Body, ClientConnection};
@@ -14,13 +14,14 @@
 use tokio::task::spawn_local;
 
 thread_local! {
-    /// Idle connections to each scheduler. A run has a thread of its own.
-    static IDLE: RefCell<Vec<Vec<ClientConnection>>> = const { RefCell::new(Vec::new()) };
+    /// Idle connections to each scheduler. Each run has its own thread.
+    static IDLE_CONNECTIONS: RefCell<Vec<Vec<ClientConnection>>> = const { RefCell::new(Vec::new()) };
 }
 
-/// Sends the day's requests when they are due, whatever became of earlier ones.
+/// Sends the requests of the scenario at their times, independently of the outcome of earlier ones.
 pub(crate) async fn send_requests(emulation: Rc<Emulation>) {
-    IDLE.with_borrow_mut(|idle| *idle = (0..emulation.schedulers.len()).map(|_| Vec::new()).collect());
+    IDLE_CONNECTIONS
+        .with_borrow_mut(|idle| *idle = (0..emulation.schedulers.len()).map(|_| Vec::new()).collect());
     let scenario = emulation.scenario();
     loop {
         let next = emulation.arrivals.borrow_mut().next(&scenario);
@@ -38,7 +39,7 @@
     }
 }
 
-/// One request with all its tries.
+/// Sends a request with all its tries and records the outcome.
 async fn run_request(emulation: &Rc<Emulation>, request: Request) {
     let client_deadline = request.at + request.client_timeout;
     let mut tries = 0;
@@ -77,7 +78,7 @@
     emulation.collector.borrow_mut().record(&world.scenario, &request, now, tries, request_outcome);
 }
 
-/// One try; none if its client left early.
+/// Sends one try of a request. Returns `None` if the client left before the deadline of its class.
 async fn send_try(
     emulation: &Rc<Emulation>,
     request: &Request,
@@ -104,14 +105,14 @@
         )
     };
     let timeout = Duration::from_nanos(wait_until.saturating_sub(emulation.now()));
-    // Its attempts may still reach workers for a while, so the id stays known until the run ends.
+    // Attempts of this try may still reach workers, so `sent_requests` keeps it until the run ends.
     match tokio::time::timeout(timeout, exchange(emulation, request, id, s)).await {
         Ok(outcome) => Some(outcome),
         Err(_) if leaves_early => {
             emulation.world.borrow_mut().invariant_checker.client_left(emulation.now(), id);
             None
         }
-        // Its time is over: what was taken and is not answered by now is found by the referee.
+        // The invariant checker reports accepted requests that have no response in time.
         Err(_) => Some(Outcome::Failed),
     }
 }
@@ -121,7 +122,7 @@
     let class_deadline =
         request.at + ms(emulation.world.borrow().scenario.classes[request.class].deadline_ms);
     let mut accepted = false;
-    // A kept connection may have been closed in this very moment: then the request goes out once more on a new one.
+    // The scheduler may close an idle connection while a request is on the way: retry once on a new connection.
     for use_new in [false, true] {
         let idle = if use_new { None } else { take_idle_connection(s) };
         let reused = idle.is_some();
@@ -131,7 +132,7 @@
                 Ok(connection) => connection,
                 Err(_) => {
                     if accepted {
-                        // The first connection was closed while the request crossed: it was never read.
+                        // The scheduler closed the first connection without reading the request.
                         emulation
                             .world
                             .borrow_mut()
@@ -161,13 +162,13 @@
             Err(_) => break,
         }
     }
-    // Nobody is there to answer, or it hung up; whether it may do so is for the referee, once it has ended.
+    // There was no response. The invariant checker decides when the scheduler ends whether that is a violation.
     emulation.world.borrow_mut().invariant_checker.connection_broken(emulation.now(), id, s);
     Outcome::Unreachable
 }
 
 fn take_idle_connection(s: usize) -> Option<ClientConnection> {
-    IDLE.with_borrow_mut(|idle| {
+    IDLE_CONNECTIONS.with_borrow_mut(|idle| {
         loop {
             let connection = idle.get_mut(s)?.pop()?;
             if connection.is_ready() {
@@ -222,22 +223,22 @@
     let body = http::read_body(response.into_body()).await;
     let now = emulation.now();
     let Some(body) = body else {
-        // It broke off half-way: not a whole answer.
+        // The connection broke before the response was complete.
         return Outcome::Failed;
     };
-    let (response, outcome) = match status {
+    let (final_response, outcome) = match status {
         200 => (FinalResponse::Served(String::from_utf8_lossy(&body).into_owned()), Outcome::Served),
         429 | 503 => {
             (FinalResponse::Refused, Outcome::Refused((retry_after_s.unwrap_or(0.0) * 1e9) as Nanos))
         }
         _ => (FinalResponse::Failed, Outcome::Failed),
     };
-    // A slow reader's last byte came when the scheduler wrote it; only the reading took long.
+    // The scheduler had written the response before the client's read delay.
     emulation.world.borrow_mut().invariant_checker.response_sent(
         now.saturating_sub(request.read_delay),
         id,
-        response,
+        final_response,
     );
-    IDLE.with_borrow_mut(|idle| idle[s].push(connection));
+    IDLE_CONNECTIONS.with_borrow_mut(|idle| idle[s].push(connection));
     outcome
 }
--- a/crates/emulator/src/cost.rs
+++ b/crates/emulator/src/cost.rs
@@ -1,8 +1,8 @@
-//! What processes cost: CPU time and peak memory, as the kernel counts them. Zero where it does not tell.
+//! CPU time and peak memory of processes as the kernel reports them; zero where they are not available.
 
 use serde::Serialize;
 
-/// The cost of a process so far.
+/// The resources that a process has used so far.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct Cost {
     /// CPU time, in seconds.
@@ -12,17 +12,17 @@
 }
 
 impl Cost {
-    /// The sum of the times and the larger of the peaks: processes that follow each other.
+    /// Combines the costs of processes that run one after the other: the sum of the CPU times and the higher peak.
     pub(crate) fn combine(self, other: Cost) -> Cost {
         Cost { cpu_s: self.cpu_s + other.cpu_s, peak_mb: self.peak_mb.max(other.peak_mb) }
     }
 }
 
-/// The cost of a process, `self` for this one.
+/// Reads the cost of the process with this id; `self` is the current process.
 pub(crate) fn read_cost(process: &str) -> Cost {
     let read = |name: &str| std::fs::read_to_string(format!("/proc/{process}/{name}")).unwrap_or_default();
     let (stat, status) = (read("stat"), read("status"));
-    // The name may hold spaces, so fields are counted from behind it: user and system time are the 12th and 13th.
+    // The process name may contain spaces, so fields are counted after it: user and system time are the 12th and 13th.
     let fields = stat.rsplit_once(')').map_or("", |s| s.1);
     let cpu_ticks: u64 =
         fields.split_whitespace().skip(11).take(2).filter_map(|f| f.parse::<u64>().ok()).sum();
--- a/crates/emulator/src/discovery.rs
+++ b/crates/emulator/src/discovery.rs
@@ -1,5 +1,5 @@
-//! Discovery's endpoints, one for each scheduler: they answer at once with what they have been sent, hold a watch until
-//! there is news, and say nothing while discovery is down.
+//! Discovery endpoints, one for each scheduler. They respond to a plain request at once, hold a watch until the list
+//! changes, and do not respond while discovery is down.
 
 use crate::emulation::Emulation;
 use crate::http::{self, Body};
@@ -20,30 +20,30 @@
 use tokio::sync::{Notify, watch};
 use tokio::task::spawn_local;
 
-/// Changes that an agent remembers; a watch from before them gets the whole list.
+/// Changes that an endpoint stores. A watch from an earlier version gets the full list.
 const MAX_CHANGES: usize = 4096;
-/// Longest hold of a watch that the platform grants.
+/// Longest time for which the platform holds a watch.
 const MAX_HOLD: Duration = Duration::from_secs(60);
-/// After a move the old address closes its connections after this time.
+/// Time from a change of address until the connections to the old address are closed.
 const CLOSE_DELAY: Duration = Duration::from_millis(1500);
-/// How often an agent looks whether discovery is up again.
+/// Interval at which an endpoint checks whether discovery is up again.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
-/// A call that comes so soon after the last answer goes on with the same watch.
+/// A request within this time of the last response, in nanoseconds, continues the same watch.
 const WATCH_RESUME_WINDOW: Nanos = 200_000_000;
 
-/// Its version, its entries, and what has changed by which version.
+/// The version of the list, its entries, and the changed entries with the versions that changed them.
 type ListHistory = (u64, Vec<WorkerEntry>, VecDeque<(u64, WorkerEntry)>);
 
-/// The agent of a scheduler.
+/// The discovery endpoint of a scheduler.
 #[derive(Debug)]
 pub(crate) struct Endpoint {
     pub(crate) list_changed: Notify,
-    /// Where it answers now.
+    /// The current address.
     pub(crate) address: Cell<SocketAddr>,
-    /// The list as it was last told, to make out what is new.
+    /// The list at the last request, from which changes are computed.
     list_history: RefCell<ListHistory>,
     moved: watch::Sender<u64>,
-    /// A watch goes on, at no cost, if the next call comes by then.
+    /// A request until this time continues the watch and does not wait in the queue of discovery.
     watch_resumes_until: Cell<Nanos>,
 }
 
@@ -70,7 +70,7 @@
     }
 }
 
-/// Opens the agent anew at another address; the old one accepts nothing more and soon closes.
+/// Opens the endpoint at another address. The old address accepts no connections and closes the open ones soon after.
 pub(crate) async fn move_endpoint(emulation: &Rc<Emulation>, s: usize) -> io::Result<()> {
     let listener = http::bind(31, s, 1).await?;
     emulation.discovery_endpoints[s].address.set(listener.local_addr()?);
@@ -115,12 +115,13 @@
     if !wait_for_discovery(&emulation, s).await {
         return Some(http::response(503, ""));
     }
-    let response = reply(&emulation, s, request).await;
+    let response = handle_list_request(&emulation, s, request).await;
     emulation.discovery_endpoints[s].watch_resumes_until.set(emulation.now() + WATCH_RESUME_WINDOW);
     response
 }
 
-/// Where discovery is asked, a new call waits for its turn among all schedulers' calls; no if that would take too long.
+/// In polling mode, queues a new request behind those of all schedulers. Returns false on a
+/// timeout in the queue.
 async fn wait_for_discovery(emulation: &Rc<Emulation>, s: usize) -> bool {
     let now = emulation.now();
     let polls = emulation.world.borrow().scenario.discovery.mode == DiscoveryMode::Poll;
@@ -133,7 +134,11 @@
     reply_time.is_ok()
 }
 
-async fn reply(emulation: &Rc<Emulation>, s: usize, request: Request<Incoming>) -> Option<Response<Body>> {
+async fn handle_list_request(
+    emulation: &Rc<Emulation>,
+    s: usize,
+    request: Request<Incoming>,
+) -> Option<Response<Body>> {
     let path = request.uri().path().to_string();
     if request.method() != "GET" || path != "/v1/servers" {
         return Some(http::response(404, ""));
@@ -172,7 +177,7 @@
     Some(http::response(200, list.to_string()))
 }
 
-/// Takes in what the scheduler has been told by now.
+/// Adds the changes of the scheduler's list since the last call to the history.
 fn record_changes(emulation: &Emulation, s: usize) {
     let (seq, entries) = emulation.world.borrow().known_list(s);
     let mut history = emulation.discovery_endpoints[s].list_history.borrow_mut();
@@ -191,28 +196,31 @@
     (*last_seq, *entries_before) = (seq, entries);
 }
 
-fn hosts(emulation: &Emulation, s: usize, entries: &[WorkerEntry]) -> Vec<Value> {
+fn host_entries(emulation: &Emulation, s: usize, entries: &[WorkerEntry]) -> Vec<Value> {
     let world = emulation.world.borrow();
-    let dial =
+    let worker_address =
         |e: &WorkerEntry| emulation.callback_queues[s * world.workers() + e.worker].address.get().to_string();
-    entries.iter().map(|e| settings::discovery_entry(&world, e, &dial(e), emulation.epoch_ms.get())).collect()
+    entries
+        .iter()
+        .map(|e| settings::discovery_entry(&world, e, &worker_address(e), emulation.epoch_ms.get()))
+        .collect()
 }
 
-/// The whole list as the scheduler has been told it, without what has left.
+/// Returns the full list of a scheduler, without removed workers.
 pub(crate) fn full_list(emulation: &Emulation, s: usize) -> Value {
     record_changes(emulation, s);
     let history = emulation.discovery_endpoints[s].list_history.borrow();
     let listed: Vec<WorkerEntry> = history.1.iter().filter(|e| e.health != Health::Left).cloned().collect();
-    json!({"seq": history.0, "whole": true, "hosts": hosts(emulation, s, &listed)})
+    json!({"seq": history.0, "whole": true, "hosts": host_entries(emulation, s, &listed)})
 }
 
-/// What is newer than a version; none if nothing is.
+/// Returns the changes since a version, or `None` if there are none.
 fn changes_since(emulation: &Emulation, s: usize, from: u64) -> Option<Value> {
     record_changes(emulation, s);
     let (seq, changed, truncated) = {
         let history = emulation.discovery_endpoints[s].list_history.borrow();
         let newer: Vec<&WorkerEntry> = history.2.iter().filter(|c| c.0 > from).map(|c| &c.1).collect();
-        // The last word on each counts.
+        // Only the latest change of each worker is sent.
         let mut latest: Vec<WorkerEntry> = Vec::new();
         for entry in newer {
             latest.retain(|e| e.worker != entry.worker);
@@ -224,5 +232,6 @@
     if truncated || from > seq {
         return Some(full_list(emulation, s));
     }
-    (!changed.is_empty()).then(|| json!({"seq": seq, "whole": false, "hosts": hosts(emulation, s, &changed)}))
+    (!changed.is_empty())
+        .then(|| json!({"seq": seq, "whole": false, "hosts": host_entries(emulation, s, &changed)}))
 }
--- a/crates/emulator/src/emulation.rs
+++ b/crates/emulator/src/emulation.rs
@@ -1,4 +1,4 @@
-//! The emulation: what all stand-ins share, and the run of a day from its start to its end.
+//! The state that all parts of an emulation share, and the run of a scenario from start to end.
 
 use crate::cost::{self, Cost};
 use crate::{clients, discovery, peer_proxies, schedulers, workers};
@@ -22,28 +22,28 @@
 use tokio::sync::{Notify, watch};
 use tokio::task::{LocalSet, spawn_local};
 
-/// How much later than planned things may happen here before the run says that the machine was too slow for it.
+/// The host is too slow for a scenario if the 99th percentile of its lag, in nanoseconds, exceeds this.
 const MAX_LAG: Nanos = 100_000_000;
 
-/// How to play a day on sockets.
+/// Options of a run on sockets.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// The scheduler's program with its first arguments; `serve` is added to them.
+    /// The scheduler's program and its first arguments; `serve` is appended.
     pub program: Vec<OsString>,
-    /// What is added to every limit of the referee, for the machine's own delays.
+    /// Added to all time limits of the invariant checker, to allow for delays of this host.
     pub slack: Duration,
-    /// Memory that each scheduler is told it has, in MB.
+    /// Memory limit in the configuration of each scheduler, in MB.
     pub memory_mb: usize,
-    /// Descriptors that each scheduler is told it has.
+    /// Limit of sockets in the configuration of each scheduler.
     pub sockets: usize,
-    /// Schedulers' logs go to standard error rather than nowhere.
+    /// Whether schedulers log to standard error; otherwise their logs are discarded.
     pub show_logs: bool,
-    /// Workers also serve requests that none of the day's clients sent, such as one typed by a person.
+    /// Whether workers also serve requests that no client of the scenario sent, such as one sent by hand.
     pub allow_manual_requests: bool,
 }
 
 impl Options {
-    /// The usual ones, for a program.
+    /// Returns the default options for a program.
     pub fn new(program: Vec<OsString>) -> Self {
         Options {
             program,
@@ -56,22 +56,22 @@
     }
 }
 
-/// Ends a run early and in order, from any thread.
+/// Ends a run early but in order. May be used from any thread.
 #[derive(Clone, Debug, Default)]
 pub struct StopFlag(Arc<AtomicBool>);
 
 impl StopFlag {
-    /// Ends it.
+    /// Requests the end of the run.
     pub fn request(&self) {
         self.0.store(true, Ordering::Relaxed);
     }
-    /// Whether that was asked for.
+    /// Whether the end of the run was requested.
     pub fn is_requested(&self) -> bool {
         self.0.load(Ordering::Relaxed)
     }
 }
 
-/// How a run goes, told once a second.
+/// The progress of a run, reported once a second.
 #[derive(Clone, Debug)]
 pub struct Progress {
     /// Seconds since the first request.
@@ -80,85 +80,85 @@
     pub listen_addresses: Vec<String>,
     /// Figures so far.
     pub figures: Figures,
-    /// What the referee saw so far.
+    /// The events that were reported to the invariant checker so far.
     pub checker_counts: CheckerCounts,
-    /// Breaches so far.
+    /// Violations so far.
     pub violations: u64,
-    /// Workers that serve.
+    /// Workers that are running and responding.
     pub workers_up: usize,
-    /// Troubles that are on.
+    /// Names of the faults that are active.
     pub active_faults: Vec<&'static str>,
 }
 
-/// What a day on sockets came to.
+/// The result of a scenario on sockets.
 #[derive(Clone, Debug, Serialize)]
 pub struct EmulationResult {
-    /// Requests that schedulers took, tries counted one by one.
+    /// Requests that schedulers accepted; each try counts.
     pub taken: u64,
-    /// Answers.
+    /// Responses.
     pub answered: u64,
     /// Requests served.
     pub served: u64,
-    /// Requests served within the wanted time.
+    /// Requests served within the target time.
     pub in_time: u64,
-    /// Requests refused in the end.
+    /// Requests whose last try was refused.
     pub refused: u64,
-    /// Requests failed in the end.
+    /// Requests whose last try failed or reached no scheduler.
     pub failed: u64,
-    /// Breaches of the rules.
+    /// Violations of invariants.
     #[serde(rename = "breaches")]
     pub violations: u64,
-    /// Median time to a served answer, in milliseconds.
+    /// Median time until a request was served, in milliseconds.
     pub p50_ms: f64,
-    /// 99 % of served answers came within this time, in milliseconds.
+    /// 99th percentile of the time until a request was served, in milliseconds.
     pub p99_ms: f64,
     /// All figures.
     pub figures: Figures,
-    /// What the referee saw.
+    /// The events that were reported to the invariant checker.
     #[serde(rename = "seen")]
     pub checker_counts: CheckerCounts,
-    /// The first breaches, with their stories.
+    /// The first violations, with the history of their requests.
     #[serde(rename = "first")]
     pub first_violations: Vec<Violation>,
-    /// What the troubles did.
+    /// Counts of events in the world.
     pub counters: Counters,
-    /// Schedulers that ended by themselves.
+    /// Schedulers that exited unexpectedly.
     pub crashes: u64,
-    /// Requests that reached a worker with another path, key or body than their client sent.
+    /// Requests that reached a worker with another path, key or body than the client sent.
     #[serde(rename = "mangled")]
     pub altered_requests: u64,
-    /// Requests that reached a worker under an id that no client sent.
+    /// Requests that reached a worker with an id that no client sent.
     #[serde(rename = "strangers")]
     pub unknown_requests: u64,
-    /// Call-backs that a scheduler never answered.
+    /// Callbacks that were not delivered.
     #[serde(rename = "call_backs_lost")]
     pub callbacks_lost: u64,
-    /// Call-backs that were sent before the 202 of their job.
+    /// Jobs whose 202 response was delayed, so that their callbacks may come first.
     #[serde(rename = "overtaken")]
     pub early_callbacks: u64,
-    /// Call-backs to a scheduler that started after their job was sent.
+    /// Callbacks answered by a later process of the scheduler than the one that ran when they were queued.
     #[serde(rename = "call_backs_to_successor")]
     pub callbacks_to_successor: u64,
-    /// Datagrams between schedulers, and those longer than the platform allows.
+    /// Datagrams between schedulers.
     pub datagrams: u64,
-    /// See `datagrams`.
+    /// Datagrams that were longer than the platform allows.
     pub datagrams_too_long: u64,
-    /// How late this host was against its own plan, in milliseconds: 99 % and the most.
+    /// 99th percentile of the lag of this host behind its schedule, in milliseconds.
     pub lag_p99_ms: f64,
-    /// See `lag_p99_ms`.
+    /// Highest lag of this host behind its schedule, in milliseconds.
     pub lag_max_ms: f64,
-    /// Length of the run, in seconds.
+    /// Duration of the run, in seconds.
     #[serde(rename = "length_s")]
     pub duration_s: f64,
-    /// What each scheduler cost, restarts included.
+    /// The cost of each scheduler, including restarts.
     #[serde(rename = "schedulers")]
     pub scheduler_costs: Vec<Cost>,
-    /// What this process cost, with all stand-ins and clients.
+    /// The cost of this process, which runs the workers, discovery, the network and the clients.
     #[serde(rename = "host")]
     pub host_cost: Cost,
 }
 
-/// A try as its client sent it.
+/// A request as its client sent it.
 #[derive(Clone, Debug)]
 pub(crate) struct SentRequest {
     pub(crate) class: usize,
@@ -182,7 +182,7 @@
     pub(crate) datagrams_too_long: u64,
 }
 
-/// What all stand-ins share.
+/// The state that all parts of an emulation share.
 pub(crate) struct Emulation {
     pub(crate) options: Options,
     pub(crate) world: RefCell<World>,
@@ -195,26 +195,26 @@
     pub(crate) discovery_endpoints: Vec<discovery::Endpoint>,
     pub(crate) schedulers: Vec<schedulers::Scheduler>,
     pub(crate) callback_queues: Vec<workers::CallbackQueue>,
-    /// Each worker's connections end when its number here changes.
+    /// The connections to a worker are closed when its value changes.
     pub(crate) connection_resets: Vec<watch::Sender<u64>>,
     pub(crate) retry_random: RefCell<RandomStream>,
     pub(crate) front_random: RefCell<RandomStream>,
     pub(crate) worker_random: RefCell<RandomStream>,
     pub(crate) datagram_random: RefCell<RandomStream>,
     pub(crate) stop: StopFlag,
-    /// The day is over: schedulers that end stay down.
+    /// Schedulers that exit are not restarted any more.
     pub(crate) shutting_down: Cell<bool>,
-    /// The ids of guests' requests, by their numbers.
+    /// The ids of requests sent by hand, by their numbers.
     pub(crate) manual_requests: RefCell<FxHashMap<u64, String>>,
-    /// When the day began; what the start-up takes is no part of it.
+    /// Start of the scenario, after all schedulers have started.
     start: Cell<Option<Instant>>,
-    /// Unix time of the day's begin, in milliseconds.
+    /// Unix time of the start of the scenario, in milliseconds.
     pub(crate) epoch_ms: Cell<u64>,
     driver_wakeup: Notify,
 }
 
 impl Emulation {
-    /// Nanoseconds since the day began; 0 before it.
+    /// Returns the nanoseconds since the start of the scenario; 0 before it.
     pub(crate) fn now(&self) -> Nanos {
         self.start.get().map_or(0, |start| start.elapsed().as_nanos() as Nanos)
     }
@@ -224,14 +224,14 @@
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         self.epoch_ms.set(unix.as_millis() as u64);
     }
-    /// Waits for a moment of the day that has begun.
+    /// Sleeps until a time of the scenario and records how late the wake-up was.
     pub(crate) async fn sleep_until(&self, at: Nanos) {
         let start = self.start.get().unwrap_or_else(Instant::now);
         tokio::time::sleep_until((start + Duration::from_nanos(at)).into()).await;
         let lag = self.now().saturating_sub(at);
         self.lag.borrow_mut().saturating_record((lag / 1000).max(1));
     }
-    /// Something new may be due in the world.
+    /// Wakes the driver, because the world may have a new action to perform.
     pub(crate) fn wake_driver(&self) {
         self.driver_wakeup.notify_one();
     }
@@ -240,7 +240,7 @@
     }
 }
 
-/// Plays a day on sockets; `report_progress` hears of it once a second. The runtime is this call's own.
+/// Runs a scenario on sockets in a runtime of its own and calls `report_progress` once a second.
 pub fn run(
     scenario: &Scenario,
     seed: u64,
@@ -305,9 +305,9 @@
     emulation.start_clock();
     let driver_task = spawn_local(drive_world(Rc::clone(&emulation)));
     let client_task = spawn_local(clients::send_requests(Rc::clone(&emulation)));
-    let end = secs(scenario.seconds);
+    let scenario_end = secs(scenario.seconds);
     let longest_deadline_ms = scenario.classes.iter().map(|c| c.deadline_ms).fold(0.0, f64::max);
-    let time_limit = end + secs(longest_deadline_ms / 1e3) + slack + secs(2.0);
+    let time_limit = scenario_end + secs(longest_deadline_ms / 1e3) + slack + secs(2.0);
     let mut second = 0;
     loop {
         tokio::time::sleep(Duration::from_millis(100)).await;
@@ -330,8 +330,10 @@
 
 fn progress(emulation: &Emulation, second: u64, at: Nanos) -> Progress {
     let world = emulation.world.borrow();
-    let at = at as f64 / 1e9;
-    let is_active = |t: &&loomlb_simulation::scenario::Fault| at >= t.at_s && at < t.at_s + t.for_s.max(1.0);
+    let at_s = at as f64 / 1e9;
+    let is_active = |fault: &&loomlb_simulation::scenario::Fault| {
+        at_s >= fault.at_s && at_s < fault.at_s + fault.for_s.max(1.0)
+    };
     Progress {
         second,
         listen_addresses: emulation.schedulers.iter().map(|s| s.listen.to_string()).collect(),
@@ -381,7 +383,7 @@
     }
 }
 
-/// Carries out what the world wants done, when it is due.
+/// Performs the actions of the world when they are due.
 async fn drive_world(emulation: Rc<Emulation>) {
     loop {
         let now = emulation.now();
@@ -392,7 +394,7 @@
                 None => break,
             }
         }
-        // Something measures or changes in every second of a day; without that a minute is as good.
+        // Without events the world is checked once a minute.
         let next_event = emulation.world.borrow().next_event_time().unwrap_or(now + 60_000_000_000);
         tokio::select! {
             () = emulation.sleep_until(next_event) => {}
@@ -414,15 +416,14 @@
     }
 }
 
-/// Whether the run was late by more than a scheduler can be judged by.
 impl EmulationResult {
-    /// The machine was too slow for the day, so figures say little.
+    /// Whether the host was too slow for the scenario, so that its figures are not reliable.
     pub fn host_too_slow(&self) -> bool {
         self.lag_p99_ms * 1e6 > MAX_LAG as f64
     }
 }
 
-/// A request's worker and class as the clients think of it.
+/// Returns what a client sends for a request.
 pub(crate) fn sent_request(scenario: &Scenario, request: &Request) -> SentRequest {
     let class = &scenario.classes[request.class];
     let key = class.effect.is_deduplicated().then(|| format!("key-{:x}", request.number));
--- a/crates/emulator/src/http.rs
+++ b/crates/emulator/src/http.rs
@@ -1,4 +1,4 @@
-//! HTTP/1.1 for stand-ins: servers that can fall silent or hang up, and clients that keep connections.
+//! HTTP/1.1 servers that can stop responding or disconnect, and clients that keep connections open.
 
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full};
@@ -17,18 +17,17 @@
 
 pub(crate) type Body = Full<Bytes>;
 
-/// A response with a body.
 pub(crate) fn response(status: u16, body: impl Into<Bytes>) -> Response<Body> {
     let mut response = Response::new(Full::new(body.into()));
     *response.status_mut() = StatusCode::from_u16(status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
     response
 }
 
-/// Serves one connection until it ends. `hang_up` ends it at once, whatever is under way.
+/// Serves one connection until it ends. It is closed at once when `disconnect` completes.
 pub(crate) async fn serve<F, R>(stream: TcpStream, handler: F, hang_up: impl Future<Output = ()>)
 where
     F: Fn(Request<Incoming>) -> R,
-    // None: the connection breaks without an answer.
+    // `None` breaks the connection without a response.
     R: Future<Output = Option<Response<Body>>>,
 {
     let _ = stream.set_nodelay(true);
@@ -39,24 +38,24 @@
     let connection =
         hyper::server::conn::http1::Builder::new().serve_connection(TokioIo::new(stream), service);
     tokio::select! {
-        // A client that hangs up, or a stand-in that does, is part of the day.
+        // Disconnects are part of a scenario, so errors of the connection are ignored.
         _ = connection => {}
         () = hang_up => {}
     }
 }
 
-/// The whole body of a request; none if it breaks off.
+/// Reads the whole body of a message. Returns `None` if the connection breaks before its end.
 pub(crate) async fn read_body(body: Incoming) -> Option<Bytes> {
     body.collect().await.ok().map(|b| b.to_bytes())
 }
 
-/// A connection of a client.
+/// A client's connection to a server.
 #[derive(Debug)]
 pub(crate) struct ClientConnection(SendRequest<Body>);
 
 impl ClientConnection {
-    pub(crate) async fn open(at: SocketAddr) -> io::Result<ClientConnection> {
-        let stream = TcpStream::connect(at).await?;
+    pub(crate) async fn open(address: SocketAddr) -> io::Result<ClientConnection> {
+        let stream = TcpStream::connect(address).await?;
         stream.set_nodelay(true)?;
         let handshake_result = hyper::client::conn::http1::handshake(TokioIo::new(stream)).await;
         let (sender, connection) = handshake_result.map_err(io::Error::other)?;
@@ -65,7 +64,7 @@
         });
         Ok(ClientConnection(sender))
     }
-    /// Whether it can take a request now.
+    /// Whether the connection can take a request now.
     pub(crate) fn is_ready(&self) -> bool {
         self.0.is_ready() && !self.0.is_closed()
     }
@@ -75,7 +74,7 @@
     }
 }
 
-/// A request with a body.
+/// Builds a request with a body.
 pub(crate) fn request(
     method: &str,
     path: &str,
@@ -87,39 +86,37 @@
     for (name, value) in headers {
         builder = builder.header(*name, value);
     }
-    // All parts are made by this crate; what cannot be built would show as an empty request at once.
+    // All parts come from this crate and are valid; a request that cannot be built becomes an empty one.
     builder.body(Full::new(Bytes::copy_from_slice(body.as_bytes()))).unwrap_or_default()
 }
 
-/// A short call and the status of its answer; none without one.
+/// Sends a request without a body on a new connection. Returns the status, or `None` if there is no response in time.
 pub(crate) async fn request_status(
-    at: SocketAddr,
+    address: SocketAddr,
     method: &str,
     path: &str,
     timeout: Duration,
 ) -> Option<u16> {
     let exchange = async {
-        let mut connection = ClientConnection::open(at).await.ok()?;
-        let response = connection.send(request(method, path, at, &[], "")).await.ok()?;
+        let mut connection = ClientConnection::open(address).await.ok()?;
+        let response = connection.send(request(method, path, address, &[], "")).await.ok()?;
         Some(response.status().as_u16())
     };
     tokio::time::timeout(timeout, exchange).await.ok().flatten()
 }
 
-/// Binds to a port of the kernel's choice at a loopback address. Each stand-in has an address of its own, so that a
-/// port which is given up and bound again is not taken by anyone's outgoing connection meanwhile.
+/// Binds to a free port at a loopback address that depends on `network`, `row` and `column`. With an address for each
+/// listener, a port that is released and bound again cannot be taken by an outgoing connection in between.
 pub(crate) async fn bind(network: u8, row: usize, column: usize) -> io::Result<TcpListener> {
     let (row, column) = ((row % 250) as u8, column);
     let ip = [127, network, row, (column % 250) as u8 + 1];
     TcpListener::bind(SocketAddr::from((ip, 0))).await
 }
 
-/// A hang-up that never comes.
 pub(crate) async fn never() {
     std::future::pending().await
 }
 
-/// Never returns.
 pub(crate) async fn wait_forever() -> Infallible {
     std::future::pending().await
 }
--- a/crates/emulator/src/lib.rs
+++ b/crates/emulator/src/lib.rs
@@ -1,12 +1,12 @@
-//! The platform on loopback sockets: the model's world behind real listeners, real scheduler processes in front of
-//! it, and the same referee over both.
+//! Emulates the platform on loopback sockets: the world of the simulation behind real listeners, real scheduler
+//! processes, and the same invariant checker as in virtual time.
 //!
-//! Each scheduler gets addresses of its own for discovery, for every worker and for every peer, so that a stand-in
-//! knows who calls, as machines of the platform do, and so that a cut between two of them can be played. Everything
-//! runs on one thread; a test or the laboratory gives it one.
+//! Each scheduler has its own addresses for discovery, for every worker and for every peer, so that an endpoint knows
+//! which scheduler connects to it, and so that a network partition between two of them can be emulated. Everything
+//! runs on the thread of the caller, except for [`tier_harness`].
 //!
-//! What loopback cannot play without privileges: a machine that is gone still accepts connections here (the kernel
-//! does), and stays silent on them; in virtual time such a connection never comes up.
+//! One limit of loopback without privileges: the kernel still accepts connections for a machine that is unreachable,
+//! so they open and get no response. In virtual time they never open.
 #![forbid(unsafe_code)]
 
 mod clients;
--- a/crates/emulator/src/peer_proxies.rs
+++ b/crates/emulator/src/peer_proxies.rs
@@ -1,5 +1,5 @@
-//! The paths between schedulers: each datagram passes a stand-in of the network, which delays and loses it, and
-//! cuts the path in a partition.
+//! Proxies for the datagrams between schedulers. They delay and drop datagrams, and drop all of them in a network
+//! partition.
 
 use crate::emulation::Emulation;
 use std::io;
@@ -9,20 +9,20 @@
 use tokio::net::UdpSocket;
 use tokio::task::spawn_local;
 
-/// The platform's longest datagram.
+/// Longest datagram that the platform permits.
 const MAX_DATAGRAM_BYTES: usize = 256;
 
-/// The sockets between schedulers.
+/// The sockets of the proxies.
 #[derive(Debug)]
 pub(crate) struct PeerProxies {
-    /// `[i][j]`: the address by which scheduler i knows scheduler j; its own is where it listens.
+    /// `[i][j]`: the socket to which scheduler i sends datagrams for scheduler j; `None` for i = j.
     sockets: Vec<Vec<Option<Rc<UdpSocket>>>>,
-    /// Where each scheduler listens for its peers.
+    /// The addresses at which schedulers receive datagrams of their peers.
     pub(crate) listen_addresses: Vec<SocketAddr>,
 }
 
 impl PeerProxies {
-    /// The peers of a scheduler, as its configuration names them.
+    /// Returns the peer addresses for the configuration of a scheduler; its own entry is its listen address.
     pub(crate) fn peer_addresses(&self, i: usize) -> io::Result<Vec<SocketAddr>> {
         let address = |j: usize| match &self.sockets[i][j] {
             Some(socket) => socket.local_addr(),
@@ -59,7 +59,7 @@
     }
 }
 
-/// Carries what scheduler i sends to scheduler j.
+/// Forwards the datagrams of scheduler i to scheduler j.
 async fn forward_datagrams(
     emulation: Rc<Emulation>,
     i: usize,
--- a/crates/emulator/src/schedulers.rs
+++ b/crates/emulator/src/schedulers.rs
@@ -1,4 +1,4 @@
-//! Schedulers: real processes that are started, signalled, killed and started again.
+//! Scheduler processes: start, signals, exit and restart.
 
 use crate::cost::{self, Cost};
 use crate::emulation::Emulation;
@@ -20,34 +20,34 @@
 use tokio::process::{Child, Command};
 use tokio::task::spawn_local;
 
-/// A scheduler serves within this time of its start, or the run fails.
+/// Time within which a scheduler must serve after its start.
 const READY_TIMEOUT: Duration = Duration::from_secs(20);
-/// After SIGTERM a scheduler may take this long and its longest deadline; then it is killed.
+/// A scheduler is killed if it has not exited this long after SIGTERM plus the longest deadline of a class.
 const SHUTDOWN_GRACE: Duration = Duration::from_millis(700);
-/// Of that deadline no more counts.
+/// Upper bound of the deadline that is added to [`SHUTDOWN_GRACE`].
 const MAX_DEADLINE: Duration = Duration::from_secs(3);
-/// Clients still come to it for so long.
+/// Time in nanoseconds for which clients still use a scheduler after SIGTERM.
 const SHUTDOWN_OFFER_TIME: Nanos = 300_000_000;
-/// What a scheduler wrote last is read by its clients within this time of its end.
+/// Time for clients to read the last responses of a scheduler after its exit.
 const RESPONSE_READ_TIME: Duration = Duration::from_millis(300);
 
-/// One scheduler.
+/// A scheduler and its current process.
 #[derive(Debug)]
 pub(crate) struct Scheduler {
-    /// Where clients and workers reach it.
+    /// The address for clients and workers.
     pub(crate) listen: SocketAddr,
-    /// Number of its starts.
+    /// Number of processes started so far.
     pub(crate) start_count: Cell<u64>,
-    /// The front offers it to clients until then.
+    /// Clients use the scheduler until this time.
     pub(crate) offered_until: Cell<Nanos>,
-    /// It was asked to end, or killed.
+    /// Whether the process was asked to shut down or killed.
     ending: Cell<bool>,
     shutdown_requested: Cell<bool>,
-    /// When it was asked to end, if it was killed because it took too long.
+    /// When the process was asked to shut down.
     shutdown_requested_at: Cell<Nanos>,
     shutdown_timed_out: Cell<bool>,
     pid: Cell<Option<u32>>,
-    /// What its earlier runs cost, and this one so far.
+    /// The cost of earlier processes.
     past_cost: Cell<Cost>,
     current_cost: Cell<Cost>,
     config_file: PathBuf,
@@ -56,11 +56,11 @@
 }
 
 impl Scheduler {
-    /// What its process has cost, restarts included, up to the last look.
+    /// Returns the cost of all its processes, as of the last update.
     pub(crate) fn cost(&self) -> Cost {
         self.past_cost.get().combine(self.current_cost.get())
     }
-    /// Looks at what its process costs.
+    /// Updates the cost of the current process.
     pub(crate) fn update_cost(&self) {
         if let Some(pid) = self.pid.get() {
             let cost = cost::read_cost(&pid.to_string());
@@ -71,7 +71,7 @@
     }
 }
 
-/// Chooses addresses. Nothing is started yet.
+/// Allocates the addresses of all schedulers. No process is started.
 pub(crate) async fn allocate(
     files: &Path,
     count: usize,
@@ -79,7 +79,7 @@
 ) -> io::Result<Vec<Scheduler>> {
     let mut schedulers = Vec::new();
     for s in 0..count {
-        // The port is free at an address of this scheduler's own; it binds it itself in a moment.
+        // The listener is dropped, and the scheduler binds to the port itself.
         let listen = http::bind(30, s, 0).await?.local_addr()?;
         schedulers.push(Scheduler {
             listen,
@@ -121,23 +121,26 @@
     std::fs::write(&scheduler.config_file, config.to_string())
 }
 
-/// What an operator file says here.
+/// The contents of an operator file.
 #[derive(serde::Serialize)]
 struct OperatorFile<'a> {
     quota: &'a loomlb_quota::Spec,
 }
 
-/// The operator file of a scheduler, beside its configuration.
+/// Returns the path of a scheduler's operator file, which is next to its configuration.
 fn operator_file(file: &Path) -> PathBuf {
     file.with_extension("toml")
 }
 
-/// Starts a scheduler's process and watches over its end.
+/// Starts the process of a scheduler and a task that handles its exit.
 pub(crate) async fn start(emulation: &Rc<Emulation>, s: usize) -> io::Result<()> {
     write_config(emulation, s)?;
     let scheduler = &emulation.schedulers[s];
-    let (program, first_arguments) =
-        emulation.options.program.split_first().ok_or_else(|| io::Error::other("no program to start"))?;
+    let (program, first_arguments) = emulation
+        .options
+        .program
+        .split_first()
+        .ok_or_else(|| io::Error::other("no program to start: Options::program is empty"))?;
     let mut command = Command::new(program);
     command
         .args(first_arguments)
@@ -191,7 +194,10 @@
     tokio::time::timeout(READY_TIMEOUT, serving).await.map_err(|_| {
         io::Error::new(
             io::ErrorKind::TimedOut,
-            format!("scheduler {s} does not serve within {} s", READY_TIMEOUT.as_secs()),
+            format!(
+                "scheduler {s} did not answer GET /healthz with 200 within {} s",
+                READY_TIMEOUT.as_secs()
+            ),
         )
     })?;
     scheduler.offered_until.set(Nanos::MAX);
@@ -209,7 +215,7 @@
     {
         emulation.counts.borrow_mut().crashes += 1;
     }
-    // What is on the way to its clients still gets there.
+    // Clients may still be reading responses.
     tokio::time::sleep(RESPONSE_READ_TIME).await;
     let now = emulation.now();
     let detection_delay = {
@@ -242,7 +248,7 @@
     }
 }
 
-/// Carries out what the day has for a scheduler.
+/// Performs a signal of the scenario.
 pub(crate) fn signal(emulation: &Rc<Emulation>, s: usize, signal: Signal) {
     let scheduler = &emulation.schedulers[s];
     match signal {
@@ -287,7 +293,7 @@
     });
 }
 
-/// Ends all schedulers in order and waits for them.
+/// Shuts down all schedulers and waits until they have exited.
 pub(crate) async fn shut_down(emulation: &Rc<Emulation>) {
     emulation.shutting_down.set(true);
     for s in 0..emulation.schedulers.len() {
--- a/crates/emulator/src/tier_harness.rs
+++ b/crates/emulator/src/tier_harness.rs
@@ -1,10 +1,10 @@
-//! The fault rig: several real processes of the program that agree as a tier, with the rig between all of them, and one
-//! worker, discovery and clients for each.
+//! Runs several scheduler processes as one tier, with fault proxies between them, and workers, discovery and clients
+//! for each of them.
 //!
-//! Every link from a scheduler to a voter passes the rig, and each of its directions can be cut, made slow or broken by
-//! itself. What is held back by a cut comes through late, as it would on a real network that is whole again. A process
-//! can be killed, stopped and continued, started again with another file, or twice. The rig runs in a thread of its own;
-//! its methods block, so a test reads as a story.
+//! Every connection from a scheduler to a voter passes a fault proxy. Each of its directions can be cut or delayed, and
+//! its connections can be broken. Bytes that are held back by a cut are delivered when the link opens again. A process
+//! can be killed, paused and resumed, restarted with other settings, or started twice. The proxies run in a thread of
+//! their addresses, and the methods of [`TierHarness`] block.
 
 use crate::http::{self, Body, ClientConnection};
 use hyper::body::Incoming;
@@ -28,78 +28,78 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task::{LocalSet, spawn_local};
 
-/// What everything here must happen within; only a failure waits for it.
+/// Time limit of all waits.
 const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
-/// How often a cut link looks whether it is whole again.
+/// Interval at which conditions are checked.
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
-/// The key of interval tier here.
+/// The shared key of the tier.
 const TIER_KEY: &str = "a key for trials on one machine";
 
-/// Rates of the schedulers' clocks, as far apart as the tier's figures allow.
+/// Rates of the schedulers' clocks, as far apart as the drift permitted in a tier.
 const CLOCK_RATES: [f64; 3] = [0.99, 1.0, 1.01];
 
-/// Rigs of this process, so that each has addresses of its own.
+/// Number of harnesses in this process, so that each gets its addresses addresses.
 static HARNESS_COUNT: AtomicUsize = AtomicUsize::new(0);
 
-/// The workers.
+/// Names of the workers.
 const WORKERS: [&str; 3] = ["s-00000001", "s-00000002", "s-00000003"];
 
-/// How a rig is built.
+/// Options of a harness.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// The program with its first arguments.
+    /// The scheduler's program and its first arguments.
     pub program: Vec<OsString>,
-    /// Schedulers, 3 to 16.
+    /// Number of schedulers, 3 to 16.
     pub schedulers: usize,
-    /// Those of them that vote.
+    /// Number of schedulers that are voters.
     pub voters: usize,
-    /// CallbackQueue that interval operator file has beside the rig's, in `[tier]`.
+    /// Further lines of the `[tier]` section of every operator file.
     pub tier_settings: String,
-    /// Time between two jobs to each scheduler; none for no load.
+    /// Time between two jobs for each scheduler; `None` for no load.
     pub job_interval: Option<Duration>,
-    /// Logs go to standard error rather than nowhere.
+    /// Whether schedulers log to standard error; otherwise their logs are discarded.
     pub show_logs: bool,
 }
 
-/// What one direction of a link does to the bytes on it.
+/// The state of one direction of a link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LinkState {
-    /// They pass.
+    /// Bytes pass.
     Open,
-    /// They wait until it is another.
+    /// Bytes are held back until the state changes.
     Cut,
-    /// They are late by so much.
+    /// Bytes are delayed by this time.
     Delayed(Duration),
 }
 
-/// A job of the rig's clients, as it went.
+/// A job that was sent by a client of the harness.
 #[derive(Clone, Debug, Default)]
 pub struct Job {
-    /// Which scheduler it was sent to.
+    /// The scheduler that it was sent to.
     pub scheduler: usize,
-    /// When, since the rig's start.
+    /// When it was sent, since the start of the harness.
     pub sent_at: Duration,
-    /// The status of its answer; none if the connection broke or nothing came in time.
+    /// The status of the response; `None` if the connection broke or there was no response in time.
     pub status: Option<u16>,
-    /// Its client waits no more.
+    /// Whether the client has stopped waiting.
     pub finished: bool,
-    /// How often a worker was sent it,
+    /// Number of attempts that workers received.
     pub worker_attempts: u32,
-    /// and which was the last.
+    /// The worker that received the latest attempt.
     pub worker: usize,
 }
 
 struct Shared {
     started_at: Instant,
     count: usize,
-    /// `from * count + to`: milliseconds late, or the most for a cut.
+    /// `from * count + to`: the delay in milliseconds, or `u64::MAX` for a cut.
     link_states: Vec<AtomicU64>,
-    /// A link's connections end when its number changes.
+    /// `from * count + to`: the connections of a link are closed when its generation changes.
     link_generations: Vec<AtomicU64>,
     jobs: Mutex<HashMap<String, Job>>,
-    /// Each scheduler's list: its version, and which worker is leaving.
+    /// The worker list of each scheduler: its version, and the worker that is leaving.
     worker_lists: Mutex<Vec<(u64, Option<usize>)>>,
-    /// Whole lists that were asked for.
+    /// Number of requests for a full list.
     full_list_requests: AtomicU64,
     shutting_down: AtomicBool,
 }
@@ -113,19 +113,19 @@
     }
 }
 
-/// One scheduler of the harness.
+/// A scheduler of the harness.
 #[derive(Debug)]
 struct Node {
-    /// Where staff call.
+    /// The control address, for administrative requests.
     control: SocketAddr,
     config: Value,
-    operator: String,
-    /// The program with its first arguments, where it is another than that of [`Options::program`].
+    operator_text: String,
+    /// The program and its first arguments, if it differs from [`Options::program`].
     program: Option<Vec<OsString>>,
     children: Vec<Child>,
 }
 
-/// Several processes and all that stands between them.
+/// Several scheduler processes and the endpoints that they connect to.
 pub struct TierHarness {
     options: Options,
     files: tempfile::TempDir,
@@ -140,8 +140,8 @@
     }
 }
 
-/// The settings that all schedulers start with.
-fn settings() -> Value {
+/// Returns the initial settings of all schedulers.
+fn initial_settings() -> Value {
     let class = |name: &str, effect: &str| json!({"name": name, "aim": 900_000_000u64, "give_up": 3_000_000_000u64, "worth": 1.0, "effect": effect});
     json!({"balancers": 1, "rank": 0, "zones": ["z"], "my_zone": "z", "kinds": ["k"], "tick": 2_000_000,
         "registry_mode": "automatic", "load_report": {"how": "inline", "fields": ["rif", "x0"]},
@@ -151,43 +151,48 @@
         "obligations": {"drain_grace": 1_000_000_000u64}})
 }
 
-/// Addresses: where everything listens.
+/// Listeners and addresses.
 struct Endpoints {
-    /// Proxies of a pair: from which scheduler, to which voter, listening.
-    links: Vec<(usize, usize, TcpListener)>,
-    /// Some for each scheduler: a job that fails at one may go to the other.
-    workers: Vec<[TcpListener; WORKERS.len()]>,
-    discoveries: Vec<TcpListener>,
-    /// Where each scheduler listens for clients, staff and the tier.
-    own: Vec<[SocketAddr; 3]>,
+    /// Fault proxies: the scheduler that connects, the voter, and the listener.
+    link_listeners: Vec<(usize, usize, TcpListener)>,
+    /// The listeners of all workers, for each scheduler.
+    worker_listeners: Vec<[TcpListener; WORKERS.len()]>,
+    discovery_listeners: Vec<TcpListener>,
+    /// The addresses of each scheduler for clients, control and the tier.
+    scheduler_addresses: Vec<[SocketAddr; 3]>,
 }
 
 async fn open(options: &Options) -> io::Result<Endpoints> {
-    let mut endpoints =
-        Endpoints { links: Vec::new(), workers: Vec::new(), discoveries: Vec::new(), own: Vec::new() };
+    let mut endpoints = Endpoints {
+        link_listeners: Vec::new(),
+        worker_listeners: Vec::new(),
+        discovery_listeners: Vec::new(),
+        scheduler_addresses: Vec::new(),
+    };
     let first_row = HARNESS_COUNT.fetch_add(1, Ordering::Relaxed) % 15 * 16;
     for i in 0..options.schedulers {
-        let mut own = [SocketAddr::from(([127, 0, 0, 1], 0)); 3];
-        for (k, at) in own.iter_mut().enumerate() {
-            // Free in a moment, at an address of its own that nothing else here uses.
+        let mut addresses = [SocketAddr::from(([127, 0, 0, 1], 0)); 3];
+        for (k, at) in addresses.iter_mut().enumerate() {
+            // The listener is dropped, and the scheduler binds to the port itself.
             *at = http::bind(34, first_row + i, k).await?.local_addr()?;
         }
-        endpoints.own.push(own);
-        endpoints.workers.push([
+        endpoints.scheduler_addresses.push(addresses);
+        endpoints.worker_listeners.push([
             http::bind(35, first_row + i, 0).await?,
             http::bind(35, first_row + i, 2).await?,
             http::bind(35, first_row + i, 3).await?,
         ]);
-        endpoints.discoveries.push(http::bind(35, first_row + i, 1).await?);
+        endpoints.discovery_listeners.push(http::bind(35, first_row + i, 1).await?);
         for j in (0..options.voters).filter(|j| *j != i) {
-            endpoints.links.push((i, j, http::bind(36, first_row + i, j).await?));
+            endpoints.link_listeners.push((i, j, http::bind(36, first_row + i, j).await?));
         }
     }
     Ok(endpoints)
 }
 
 impl TierHarness {
-    /// Opens everything and starts all schedulers. They serve once they have a lease: see [`TierHarness::wait_until_ready`].
+    /// Opens all listeners and starts all schedulers. They serve once they have a lease: see
+    /// [`TierHarness::wait_until_ready`].
     pub fn start(options: Options) -> io::Result<TierHarness> {
         let count = options.schedulers;
         let shared = Arc::new(Shared {
@@ -235,21 +240,22 @@
         Ok(harness)
     }
 
-    fn path(&self, n: usize, extension: &str) -> PathBuf {
+    fn file_path(&self, n: usize, extension: &str) -> PathBuf {
         self.files.path().join(format!("n{n}.{extension}"))
     }
 
-    /// Starts a process of a scheduler, beside one that may run already. `found`: its store may be missing.
+    /// Starts a process of a scheduler, in addition to those that are running. `may_create_store`: whether the store may
+    /// be missing.
     pub fn launch(&mut self, n: usize, may_create_store: bool) -> io::Result<()> {
-        let (config, operator) = (self.path(n, "json"), self.path(n, "toml"));
+        let (config, operator) = (self.file_path(n, "json"), self.file_path(n, "toml"));
         std::fs::write(&config, self.nodes[n].config.to_string())?;
-        let store = self.path(n, "log");
+        let store = self.file_path(n, "log");
         let text = format!(
             "[tier]\nfound = {may_create_store}\nstore = {store:?}\ntrial_clock = {}\nhistory = {:?}\n{}\n{}",
             CLOCK_RATES[n % CLOCK_RATES.len()],
-            self.path(n, "history"),
+            self.file_path(n, "history"),
             self.options.tier_settings,
-            self.nodes[n].operator
+            self.nodes[n].operator_text
         );
         std::fs::write(&operator, text)?;
         let (program, first_arguments) = self.nodes[n]
@@ -257,7 +263,7 @@
             .as_ref()
             .unwrap_or(&self.options.program)
             .split_first()
-            .ok_or_else(|| io::Error::other("no program to start"))?;
+            .ok_or_else(|| io::Error::other("no program to start: Options::program is empty"))?;
         let mut command = Command::new(program);
         command
             .args(first_arguments)
@@ -276,29 +282,29 @@
         Ok(())
     }
 
-    /// Has later processes of a scheduler be of another program, given with its first arguments.
+    /// Sets the program and its first arguments for processes of a scheduler that are started later.
     pub fn set_program(&mut self, n: usize, program: Vec<OsString>) {
         self.nodes[n].program = Some(program);
     }
 
-    /// The file of a voter.
+    /// Returns the path of a voter's store.
     pub fn store_path(&self, n: usize) -> PathBuf {
-        self.path(n, "log")
+        self.file_path(n, "log")
     }
 
-    /// Loses what a voter has written.
+    /// Deletes a voter's store.
     pub fn delete_store(&self, n: usize) {
-        let _ = std::fs::remove_file(self.path(n, "log"));
+        let _ = std::fs::remove_file(self.file_path(n, "log"));
     }
 
-    /// Waits until a scheduler serves; false if it does not in time.
+    /// Waits until a scheduler is ready. Returns false on a timeout.
     pub fn wait_until_ready(&self, n: usize) -> bool {
         self.wait_until(|harness| {
             harness.call_control(n, "GET /control/ready", "").is_some_and(|c| c.0 == 200)
         })
     }
 
-    /// Waits until something is so; false if it does not come in time.
+    /// Waits until a condition holds. Returns false on a timeout.
     pub fn wait_until(&self, condition: impl Fn(&TierHarness) -> bool) -> bool {
         let deadline = Instant::now() + WAIT_TIMEOUT;
         while Instant::now() < deadline {
@@ -310,13 +316,13 @@
         false
     }
 
-    /// Time since the rig's start.
+    /// Returns the time since the start of the harness.
     pub fn elapsed(&self) -> Duration {
         self.shared.started_at.elapsed()
     }
 
     fn signal(&mut self, n: usize, signal: Signal) {
-        // A process that has ended and was waited for has no number any more.
+        // The id of a process that was waited for may belong to another process.
         self.nodes[n].children.retain_mut(|child| matches!(child.try_wait(), Ok(None)));
         for child in &self.nodes[n].children {
             if let Some(pid) = Pid::from_raw(child.id() as i32) {
@@ -325,7 +331,7 @@
         }
     }
 
-    /// Kills a scheduler's processes outright.
+    /// Kills all processes of a scheduler.
     pub fn kill(&mut self, n: usize) {
         for child in &mut self.nodes[n].children {
             let _ = child.kill();
@@ -334,35 +340,35 @@
         self.nodes[n].children.clear();
     }
 
-    /// Whether the latest process of a scheduler still runs.
+    /// Whether the latest process of a scheduler is running.
     pub fn is_running(&mut self, n: usize) -> bool {
         self.nodes[n].children.last_mut().is_some_and(|child| matches!(child.try_wait(), Ok(None)))
     }
 
-    /// Stops a scheduler's processes where they are.
+    /// Pauses all processes of a scheduler.
     pub fn pause(&mut self, n: usize) {
         self.signal(n, Signal::STOP);
     }
 
-    /// Has stopped processes go on.
+    /// Resumes the paused processes of a scheduler.
     pub fn resume(&mut self, n: usize) {
         self.signal(n, Signal::CONT);
     }
 
-    /// Has a scheduler read its file again, after `change` of its settings.
+    /// Changes the settings in a scheduler's configuration and has the scheduler reload it.
     pub fn reload(&mut self, n: usize, change: impl FnOnce(&mut Value)) -> io::Result<()> {
         change(&mut self.nodes[n].config["settings"]);
-        std::fs::write(self.path(n, "json"), self.nodes[n].config.to_string())?;
+        std::fs::write(self.file_path(n, "json"), self.nodes[n].config.to_string())?;
         self.signal(n, Signal::HUP);
         Ok(())
     }
 
-    /// The settings of a scheduler's file.
+    /// Returns the settings in a scheduler's configuration.
     pub fn settings(&self, n: usize) -> Value {
         self.nodes[n].config["settings"].clone()
     }
 
-    /// Changes one direction between two schedulers: what `from` says to `to`, on whichever link.
+    /// Sets the state of one direction between two schedulers, on all links between them.
     pub fn set_link(&self, from: usize, to: usize, state: LinkState) {
         let encoded = match state {
             LinkState::Open => 0,
@@ -372,7 +378,7 @@
         self.shared.link_states[from * self.shared.count + to].store(encoded, Ordering::Relaxed);
     }
 
-    /// Changes both directions between a scheduler and all others.
+    /// Sets the state of both directions between a scheduler and all others.
     pub fn set_all_links(&self, n: usize, state: LinkState) {
         for other in (0..self.shared.count).filter(|o| *o != n) {
             self.set_link(n, other, state);
@@ -380,12 +386,13 @@
         }
     }
 
-    /// Breaks the connections that one scheduler holds to another.
+    /// Breaks the connections that one scheduler has opened to another.
     pub fn break_connections(&self, from: usize, to: usize) {
         self.shared.link_generations[from * self.shared.count + to].fetch_add(1, Ordering::Relaxed);
     }
 
-    /// A call of staff at a scheduler's second address: status and body; none without an answer within 2 s.
+    /// Sends a request to the control address of a scheduler. Returns the status and the body, or `None` if there is no
+    /// response within 2 s.
     pub fn call_control(&self, n: usize, method_and_path: &str, body: &str) -> Option<(u16, Value)> {
         let limit = Duration::from_secs(2);
         let mut stream = BlockingTcpStream::connect_timeout(&self.nodes[n].control, limit).ok()?;
@@ -393,35 +400,35 @@
         let length = body.len();
         let text = format!("{method_and_path} HTTP/1.1\r\nHost: h\r\nContent-Length: {length}\r\n\r\n{body}");
         stream.write_all(text.as_bytes()).ok()?;
-        let mut answer = String::new();
-        stream.read_to_string(&mut answer).ok()?;
-        let (head, body) = answer.split_once("\r\n\r\n")?;
+        let mut response = String::new();
+        stream.read_to_string(&mut response).ok()?;
+        let (head, body) = response.split_once("\r\n\r\n")?;
         let status = head.split(' ').nth(1)?.parse().ok()?;
         Some((status, serde_json::from_str(body).unwrap_or(Value::Null)))
     }
 
-    /// Where staff call a scheduler.
+    /// Returns the control address of a scheduler.
     pub fn control_address(&self, n: usize) -> SocketAddr {
         self.nodes[n].control
     }
 
-    /// One scheduler's discovery has a newer list, in which a worker may be leaving.
+    /// Publishes a new version of the worker list to one scheduler, in which one worker may be leaving.
     pub fn publish_worker_list(&self, n: usize, leaving: Option<usize>) {
         let list = &mut self.shared.worker_lists()[n];
         *list = (list.0 + 1, leaving);
     }
 
-    /// Whole lists that schedulers have asked for so far.
+    /// Returns the number of full lists that schedulers have requested.
     pub fn full_list_requests(&self) -> u64 {
         self.shared.full_list_requests.load(Ordering::Relaxed)
     }
 
-    /// What a scheduler says of the tier.
+    /// Returns the tier status of a scheduler.
     pub fn tier_status(&self, n: usize) -> Option<Value> {
         self.call_control(n, "GET /control/tier", "").map(|c| c.1)
     }
 
-    /// Whether all of these act on this version's own rules, with a lease.
+    /// Whether all of these schedulers have a lease and act on this version of the settings.
     pub fn all_follow_version(&self, nodes: &[usize], version: u64) -> bool {
         nodes.iter().all(|n| {
             self.tier_status(*n)
@@ -429,17 +436,17 @@
         })
     }
 
-    /// All that the processes wrote of what they did.
+    /// Reads the history files of all schedulers.
     pub fn history(&self) -> Vec<HistoryRecord> {
         let lines =
-            (0..self.shared.count).filter_map(|n| std::fs::read_to_string(self.path(n, "history")).ok());
-        // The last line of a process that was killed may be cut short.
+            (0..self.shared.count).filter_map(|n| std::fs::read_to_string(self.file_path(n, "history")).ok());
+        // The last line of a killed process may be incomplete.
         lines
             .flat_map(|text| text.lines().filter_map(|l| serde_json::from_str(l).ok()).collect::<Vec<_>>())
             .collect()
     }
 
-    /// The clients' jobs, as they stand.
+    /// Returns all jobs of the clients.
     pub fn jobs(&self) -> Vec<Job> {
         self.shared.jobs().values().cloned().collect()
     }
@@ -464,74 +471,89 @@
 ) -> io::Result<Vec<Node>> {
     let mut nodes = Vec::new();
     for (i, worker_addresses) in worker_addresses.iter().enumerate() {
-        let [listen, control, tier] = endpoints.own[i];
-        let known = json!({"seq": 1, "whole": true, "hosts": hosts(worker_addresses, None)});
+        let [listen, control, tier] = endpoints.scheduler_addresses[i];
+        let known = json!({"seq": 1, "whole": true, "hosts": host_entries(worker_addresses, None)});
         let config = json!({"name": format!("n{i}"), "listen": listen.to_string(), "control": control.to_string(),
-            "discovery": endpoints.discoveries[i].local_addr()?.to_string(), "seed": format!("{i:x}"),
-            "limits": {"cores": 1.0, "memory_mb": 64, "sockets": 512}, "known": known, "settings": settings()});
-        let mut operator = format!("key = \"{TIER_KEY}\"\n");
+            "discovery": endpoints.discovery_listeners[i].local_addr()?.to_string(), "seed": format!("{i:x}"),
+            "limits": {"cores": 1.0, "memory_mb": 64, "sockets": 512}, "known": known, "settings": initial_settings()});
+        let mut operator_text = format!("key = \"{TIER_KEY}\"\n");
         if i < options.voters {
-            operator += &format!("listen = \"{tier}\"\n");
+            operator_text += &format!("listen = \"{tier}\"\n");
         }
         for j in 0..options.voters {
-            let link = endpoints.links.iter().find(|l| (l.0, l.1) == (i, j));
+            let link = endpoints.link_listeners.iter().find(|l| (l.0, l.1) == (i, j));
             let at = match link {
                 Some((.., listener)) => listener.local_addr()?,
                 None => tier,
             };
-            operator += &format!("\n[[tier.voter]]\nname = \"n{j}\"\nat = \"{at}\"\n");
+            operator_text += &format!("\n[[tier.voter]]\nname = \"n{j}\"\nat = \"{at}\"\n");
         }
-        nodes.push(Node { control, config, operator, program: None, children: Vec::new() });
+        nodes.push(Node { control, config, operator_text, program: None, children: Vec::new() });
     }
     Ok(nodes)
 }
 
-/// Where each scheduler's workers listen.
+/// Returns the addresses of the workers for each scheduler.
 fn worker_addresses(endpoints: &Endpoints) -> io::Result<Vec<[SocketAddr; WORKERS.len()]>> {
     endpoints
-        .workers
+        .worker_listeners
         .iter()
         .map(|[a, b, c]| Ok([a.local_addr()?, b.local_addr()?, c.local_addr()?]))
         .collect()
 }
 
-/// Starts all stand-ins.
+/// Starts the fault proxies, discovery, workers and clients.
 fn start_endpoints(
     shared: &Arc<Shared>,
     options: &Options,
     endpoints: Endpoints,
     worker_addresses: Vec<[SocketAddr; WORKERS.len()]>,
 ) {
-    for (from, to, listener) in endpoints.links {
-        spawn_local(run_link_proxy(Arc::clone(shared), from, to, listener, endpoints.own[to][2]));
+    for (from, to, listener) in endpoints.link_listeners {
+        spawn_local(run_link_proxy(
+            Arc::clone(shared),
+            from,
+            to,
+            listener,
+            endpoints.scheduler_addresses[to][2],
+        ));
     }
     for (i, (listener, worker_addresses)) in
-        endpoints.discoveries.into_iter().zip(worker_addresses).enumerate()
+        endpoints.discovery_listeners.into_iter().zip(worker_addresses).enumerate()
     {
         spawn_local(serve_discovery(Arc::clone(shared), i, listener, worker_addresses));
     }
-    for (i, listeners) in endpoints.workers.into_iter().enumerate() {
+    for (i, listeners) in endpoints.worker_listeners.into_iter().enumerate() {
         for (host, listener) in WORKERS.into_iter().zip(listeners) {
-            spawn_local(serve_worker(Arc::clone(shared), host, listener, endpoints.own[i][0]));
+            spawn_local(serve_worker(
+                Arc::clone(shared),
+                host,
+                listener,
+                endpoints.scheduler_addresses[i][0],
+            ));
         }
     }
     if let Some(interval) = options.job_interval {
-        for (i, own) in endpoints.own.iter().enumerate() {
-            spawn_local(run_clients(Arc::clone(shared), i, own[0], interval));
+        for (i, addresses) in endpoints.scheduler_addresses.iter().enumerate() {
+            spawn_local(run_clients(Arc::clone(shared), i, addresses[0], interval));
         }
     }
 }
 
-// ---- links
-
-async fn run_link_proxy(shared: Arc<Shared>, from: usize, to: usize, listener: TcpListener, at: SocketAddr) {
+async fn run_link_proxy(
+    shared: Arc<Shared>,
+    from: usize,
+    to: usize,
+    listener: TcpListener,
+    voter_address: SocketAddr,
+) {
     loop {
         let Ok((stream, _)) = listener.accept().await else { continue };
         let shared = Arc::clone(&shared);
         spawn_local(async move {
-            // What asks to connect over a cut waits as well.
+            // A connection over a cut link is not opened either.
             wait_for_link(&shared, from, to).await;
-            let Ok(upstream) = TcpStream::connect(at).await else { return };
+            let Ok(upstream) = TcpStream::connect(voter_address).await else { return };
             let (link, generations) = (from * shared.count + to, Arc::clone(&shared));
             let generation = generations.link_generations[link].load(Ordering::Relaxed);
             let ((downstream_read, downstream_write), (upstream_read, upstream_write)) =
@@ -549,7 +571,7 @@
     }
 }
 
-/// Waits for as long as this direction holds bytes back now.
+/// Waits while this direction is cut, and then for its delay.
 async fn wait_for_link(shared: &Shared, from: usize, to: usize) {
     let state = || shared.link_states[from * shared.count + to].load(Ordering::Relaxed);
     while state() == u64::MAX {
@@ -575,10 +597,8 @@
     }
 }
 
-// ---- stand-ins
-
-/// The entries of a scheduler's list.
-fn hosts(worker_addresses: &[SocketAddr; WORKERS.len()], leaving: Option<usize>) -> Vec<Value> {
+/// Returns the entries of a scheduler's worker list.
+fn host_entries(worker_addresses: &[SocketAddr; WORKERS.len()], leaving: Option<usize>) -> Vec<Value> {
     let health = |at| if leaving == Some(at) { "leaving" } else { "active" };
     let entry = |(at, (host, dial)): (usize, (&&str, &SocketAddr))| {
         json!({"host": host, "dial": dial.to_string(), "site": "z", "class": "k", "block": 0,
@@ -587,7 +607,7 @@
     WORKERS.iter().zip(worker_addresses).enumerate().map(entry).collect()
 }
 
-/// Discovery of one scheduler: a call is answered at once, a watch when there is something newer or after 4 s.
+/// Serves discovery to one scheduler. A watch gets a response when there is a newer version, or after 4 s.
 async fn serve_discovery(
     shared: Arc<Shared>,
     scheduler: usize,
@@ -597,30 +617,30 @@
     loop {
         let Ok((stream, _)) = listener.accept().await else { continue };
         let shared = Arc::clone(&shared);
-        let answer = move |request: Request<Incoming>| {
+        let handler = move |request: Request<Incoming>| {
             let shared = Arc::clone(&shared);
             async move {
                 let query = request.uri().query().unwrap_or("");
                 let from = query.split('&').find_map(|p| p.strip_prefix("from=")?.parse::<u64>().ok());
-                let end = Instant::now() + Duration::from_secs(4);
+                let deadline = Instant::now() + Duration::from_secs(4);
                 let list = || shared.worker_lists()[scheduler];
-                while from.is_some_and(|from| list().0 <= from) && Instant::now() < end {
+                while from.is_some_and(|from| list().0 <= from) && Instant::now() < deadline {
                     tokio::time::sleep(POLL_INTERVAL).await;
                 }
                 let (seq, leaving) = list();
                 if from.is_none() {
                     shared.full_list_requests.fetch_add(1, Ordering::Relaxed);
                 }
-                let whole = from.is_none_or(|from| from != seq);
-                let entries = if whole { hosts(&worker_addresses, leaving) } else { Vec::new() };
-                Some(http::response(200, json!({"seq": seq, "whole": whole, "hosts": entries}).to_string()))
+                let full = from.is_none_or(|from| from != seq);
+                let entries = if full { host_entries(&worker_addresses, leaving) } else { Vec::new() };
+                Some(http::response(200, json!({"seq": seq, "whole": full, "hosts": entries}).to_string()))
             }
         };
-        spawn_local(http::serve(stream, answer, http::never()));
+        spawn_local(http::serve(stream, handler, http::never()));
     }
 }
 
-/// A worker that ends each job of class `view` and fails each of any other, so that whether a job is repeated shows.
+/// Serves a worker that completes all jobs of class `view` and fails all others, so that repeats can be observed.
 async fn serve_worker(shared: Arc<Shared>, host: &'static str, listener: TcpListener, scheduler: SocketAddr) {
     loop {
         let Ok((stream, _)) = listener.accept().await else { continue };
@@ -653,7 +673,7 @@
         tokio::time::sleep(Duration::from_millis(10)).await;
         let state = if succeeds { "done" } else { "failed" };
         let body = json!({"id": id, "from": host, "state": state, "result": "r"}).to_string();
-        // Tried until it is answered.
+        // Retry until the scheduler responds, up to ten times.
         for _ in 0..10 {
             let callback = async {
                 let mut connection = ClientConnection::open(scheduler).await.ok()?;
@@ -669,8 +689,8 @@
     Some(http::response(202, ""))
 }
 
-/// A client that sends jobs of both classes in turn, whatever becomes of them.
-async fn run_clients(shared: Arc<Shared>, scheduler: usize, at: SocketAddr, interval: Duration) {
+/// Sends jobs of both classes alternately, independently of the outcome of earlier ones.
+async fn run_clients(shared: Arc<Shared>, scheduler: usize, address: SocketAddr, interval: Duration) {
     let idle: Rc<RefCell<Vec<ClientConnection>>> = Rc::default();
     let mut number = 0u64;
     loop {
@@ -689,22 +709,22 @@
                 ("Idempotency-Key", id.clone()),
             ];
             let exchange = async {
-                // A kept connection may close in the moment in which a request crosses: then it goes out once more.
+                // The scheduler may close an idle connection while a request is on the way: retry.
                 loop {
                     let idle_connection = idle.borrow_mut().pop().filter(ClientConnection::is_ready);
                     let reused = idle_connection.is_some();
                     let mut connection = match idle_connection {
                         Some(connection) => connection,
-                        None => ClientConnection::open(at).await.ok()?,
+                        None => ClientConnection::open(address).await.ok()?,
                     };
-                    let request = http::request("POST", &format!("/{class}/{id}"), at, &headers, "x");
-                    let answer = match connection.send(request).await {
-                        Ok(answer) => answer,
+                    let request = http::request("POST", &format!("/{class}/{id}"), address, &headers, "x");
+                    let response = match connection.send(request).await {
+                        Ok(response) => response,
                         Err(_) if reused => continue,
                         Err(_) => return None,
                     };
-                    let status = answer.status().as_u16();
-                    http::read_body(answer.into_body()).await?;
+                    let status = response.status().as_u16();
+                    http::read_body(response.into_body()).await?;
                     idle.borrow_mut().push(connection);
                     return Some(status);
                 }
--- a/crates/emulator/src/workers.rs
+++ b/crates/emulator/src/workers.rs
@@ -1,5 +1,5 @@
-//! Workers on sockets: they take jobs in the platform's protocol and call back, and the model's world decides
-//! everything that they do.
+//! Workers on sockets. They accept jobs and send callbacks in the platform's protocol; the world of the simulation
+//! decides what they do.
 
 use crate::emulation::{Emulation, SentRequest};
 use crate::http::{self, Body, ClientConnection};
@@ -16,28 +16,28 @@
 use tokio::sync::mpsc;
 use tokio::task::spawn_local;
 
-/// Calls of one call-back before it is lost.
+/// Attempts to deliver a callback before it is lost.
 const MAX_CALLBACK_CALLS: u32 = 10;
-/// Time between two of them.
+/// Time between two attempts to deliver a callback.
 const CALLBACK_RETRY_DELAY: Duration = Duration::from_millis(200);
-/// A call that has no answer in this time is made again.
+/// Time limit of an attempt to deliver a callback.
 const CALLBACK_TIMEOUT: Duration = Duration::from_millis(1000);
-/// Call-backs that may wait for one scheduler at one worker; further ones are lost, and counted.
+/// Callbacks that one worker queues for one scheduler; further ones are lost and counted.
 const CALLBACK_QUEUE_CAPACITY: usize = 4096;
-/// Part of the jobs whose 202 leaves after their first call-back.
+/// Fraction of the jobs whose 202 response is delayed, so that their first callback may come before it.
 const EARLY_CALLBACK_FRACTION: f64 = 0.1;
-/// How long such a 202 is held back.
+/// Delay of such a 202 response.
 const ACCEPTED_DELAY: Duration = Duration::from_millis(8);
-/// A worker's listener looks this often whether its process is there again.
+/// Interval at which a listener checks whether the worker's process is running.
 const LISTENER_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// A call-back that waits to be made: of which run of the scheduler its job is, and its text.
+/// A queued callback: the number of the scheduler's process that was running, and the body.
 type QueuedCallback = (u64, String);
 
-/// The connection of words from a worker to a scheduler.
+/// The queue of callbacks from a worker to a scheduler.
 #[derive(Debug)]
 pub(crate) struct CallbackQueue {
-    /// Where this scheduler reaches this worker.
+    /// The address at which the scheduler reaches the worker.
     pub(crate) address: Cell<SocketAddr>,
     sender: mpsc::Sender<QueuedCallback>,
 }
@@ -74,7 +74,7 @@
     }
 }
 
-/// Accepts connections for as long as the worker's process is there; without it they are refused.
+/// Accepts connections while the worker's process is running. Otherwise they are refused.
 async fn accept_connections(emulation: Rc<Emulation>, s: usize, w: usize, listener: TcpListener) {
     let address = emulation.callback_queues[s * emulation.connection_resets.len() + w].address.get();
     let mut listener = Some(listener);
@@ -82,7 +82,7 @@
         if emulation.world.borrow().is_down(w) {
             listener = None;
         } else if listener.is_none() {
-            // The address is this pair's own; it is free again as soon as the kernel says so.
+            // Only this pair uses the address, so binding succeeds as soon as the kernel has released it.
             listener = TcpListener::bind(address).await.ok();
         }
         let Some(open_listener) = &listener else {
@@ -122,7 +122,7 @@
     w: usize,
     request: Request<Incoming>,
 ) -> Option<Response<Body>> {
-    let sent = emulation.now();
+    let sent_at = emulation.now();
     let (method, path) = (request.method().as_str().to_string(), request.uri().path().to_string());
     if !emulation.world.borrow_mut().reachable(s, w) {
         http::wait_forever().await;
@@ -145,12 +145,12 @@
             }
             Some(http::response(200, ""))
         }
-        ("POST", _) => handle_job(&emulation, s, w, sent, &path, request).await,
+        ("POST", _) => handle_job(&emulation, s, w, sent_at, &path, request).await,
         _ => Some(http::response(404, "")),
     }
 }
 
-/// The number of a request: ids are sixteen hexadecimal digits, and a guest's are hashed.
+/// Parses the number of a request from its id, which has sixteen hexadecimal digits.
 pub(crate) fn request_number(id: &str) -> Option<u64> {
     u64::from_str_radix(id, 16).ok().filter(|_| id.len() == 16)
 }
@@ -159,7 +159,7 @@
     emulation: &Rc<Emulation>,
     s: usize,
     w: usize,
-    sent: u64,
+    sent_at: u64,
     path: &str,
     request: Request<Incoming>,
 ) -> Option<Response<Body>> {
@@ -167,14 +167,14 @@
     let Some(id) = header("X-Correlation-Id") else { return Some(http::response(404, "")) };
     let key = header("Idempotency-Key");
     let body = http::read_body(request.into_body()).await?;
-    let (request, known) = match request_number(&id)
+    let (request, sent) = match request_number(&id)
         .and_then(|n| Some((n, emulation.sent_requests.borrow().get(&n).cloned()?)))
     {
-        Some((n, known)) => {
-            if known.path != path || known.body.as_bytes() != body || known.key != key {
+        Some((n, sent)) => {
+            if sent.path != path || sent.body.as_bytes() != body || sent.key != key {
                 emulation.counts.borrow_mut().altered_requests += 1;
             }
-            (n, known)
+            (n, sent)
         }
         None if emulation.options.allow_manual_requests => manual_request(emulation, &id, path)?,
         None => {
@@ -182,8 +182,8 @@
             return Some(http::response(400, "no client sent this id"));
         }
     };
-    let (slots, work, class, subject) = (known.slots, known.work, known.class, known.subject);
-    let attempt = Attempt { request, scheduler: s, slots, work, class, subject, sent };
+    let (slots, work, class, subject) = (sent.slots, sent.work, sent.class, sent.subject);
+    let attempt = Attempt { request, scheduler: s, slots, work, class, subject, sent: sent_at };
     let reply = emulation.world.borrow_mut().receive_attempt(emulation.now(), w, &attempt);
     emulation.wake_driver();
     let report = emulation.world.borrow_mut().report(emulation.now(), w);
@@ -195,7 +195,7 @@
     };
     match reply {
         AttemptReply::Accepted(job) => {
-            // A connection that closes before the 202 gives the job up.
+            // The job is cancelled if the connection closes before the 202 response.
             let guard = CancelGuard { emulation, job: Some(job) };
             if emulation.worker_random.borrow_mut().chance(EARLY_CALLBACK_FRACTION) {
                 emulation.counts.borrow_mut().early_callbacks += 1;
@@ -215,7 +215,7 @@
     }
 }
 
-/// Gives a job up when it is dropped, unless it is kept.
+/// Cancels a job when it is dropped, unless it was disarmed.
 struct CancelGuard<'a> {
     emulation: &'a Rc<Emulation>,
     job: Option<u64>,
@@ -229,7 +229,7 @@
 
 impl Drop for CancelGuard<'_> {
     fn drop(&mut self) {
-        // The world is free here: nothing holds it across a wait.
+        // The world is never borrowed across an await, so this borrow succeeds.
         if let (Some(job), Ok(mut world)) = (self.job, self.emulation.world.try_borrow_mut()) {
             world.cancel_job(self.emulation.now(), job);
             self.emulation.wake_driver();
@@ -237,7 +237,7 @@
     }
 }
 
-/// A request that a person typed: it runs as the mean job of the class that its path names.
+/// Registers a request that was sent by hand. It runs as a job of mean work in the class that its path names.
 fn manual_request(emulation: &Emulation, id: &str, path: &str) -> Option<(u64, SentRequest)> {
     use std::hash::Hasher;
     let mut hasher = rustc_hash::FxHasher::default();
@@ -265,7 +265,7 @@
     format!("inflight={:.2},qps={:.2},x0={:.2}", report.in_flight, report.rate, report.free_slots)
 }
 
-/// A worker says something of a job to the scheduler that sent it.
+/// Queues a callback about a job to the scheduler that sent it.
 pub(crate) fn send_callback(
     emulation: &Rc<Emulation>,
     w: usize,
@@ -305,8 +305,8 @@
     }
 }
 
-/// Makes the call-backs of a worker to a scheduler, in order, on a connection that is kept. Each is repeated until
-/// it is answered, ten times at most.
+/// Sends the callbacks of a worker to a scheduler in order, on a connection that is kept open. Each is retried until
+/// the scheduler responds, up to [`MAX_CALLBACK_CALLS`] times.
 async fn send_queued_callbacks(
     emulation: Rc<Emulation>,
     s: usize,
@@ -321,7 +321,7 @@
             if attempt > 0 {
                 tokio::time::sleep(CALLBACK_RETRY_DELAY).await;
             }
-            // A cut machine's calls get lost on the way.
+            // Callbacks of an unreachable worker are lost on the way.
             if !emulation.world.borrow_mut().reachable(s, w) {
                 continue;
             }
