--- a/tests/system_calls.rs
+++ b/tests/system_calls.rs
@@ -2,8 +2,8 @@
 
 mod stage;
 
-use loomlb_emulator::rig::{self, Rig};
-use loomlb_emulator::{Options, Stop};
+use loomlb_emulator::tier_harness::{self, TierHarness};
+use loomlb_emulator::{Options, StopFlag};
 use loomlb_fault_plan::{Call, FaultPlan, Limit, WITHOUT_END};
 use loomlb_simulation::Scenario;
 use stage::{Agent, Comers, Mode, Narrow, Platform, Server, Stage, job, response, until};
@@ -375,17 +375,17 @@
         6,
     );
     plan.limit_every(Limit::SocketRead, 40, 2).limit_every(Limit::SocketWrite, 40, 2);
-    let options = rig::Options {
+    let options = tier_harness::Options {
         program: plan.wrap(env!("CARGO_BIN_EXE_loomlb")),
         schedulers: 3,
         voters: 3,
-        tier: "bound_s = 3".into(),
-        load: Some(Duration::from_millis(40)),
+        tier_settings: "bound_s = 3".into(),
+        job_interval: Some(Duration::from_millis(40)),
         show_logs: std::env::var_os("RUST_LOG").is_some(),
     };
-    let rig = Rig::start(options).unwrap();
-    assert!((0..3).all(|n| rig.ready(n)), "not all serve");
-    assert!(rig.until(|rig| rig.all_on(&[0, 1, 2], 1)));
+    let rig = TierHarness::start(options).unwrap();
+    assert!((0..3).all(|n| rig.wait_until_ready(n)), "not all serve");
+    assert!(rig.wait_until(|rig| rig.all_follow_version(&[0, 1, 2], 1)));
     for call in [Call::Accept, Call::Connect, Call::Wait, Call::Socket, Call::Bind, Call::Listen] {
         assert!(plan.hits(call) > 0, "{call:?}");
     }
@@ -401,10 +401,10 @@
     plan.limit_every(Limit::SocketRead, 100, 2).limit_every(Limit::SocketWrite, 100, 2);
     let day = Scenario::read(include_str!("../crates/lab/days/every.toml")).unwrap();
     let options = Options::new(plan.wrap(env!("CARGO_BIN_EXE_loomlb")));
-    let played = loomlb_emulator::run(&day, 7, options, Stop::default(), &mut |_| {}).unwrap();
-    let stories: Vec<String> = played.first.iter().map(ToString::to_string).collect();
-    assert_eq!(played.breaches, 0, "{}", stories.join("\n"));
-    assert_eq!((played.crashes, played.mangled, played.strangers), (0, 0, 0));
+    let played = loomlb_emulator::run(&day, 7, options, StopFlag::default(), &mut |_| {}).unwrap();
+    let stories: Vec<String> = played.first_violations.iter().map(ToString::to_string).collect();
+    assert_eq!(played.violations, 0, "{}", stories.join("\n"));
+    assert_eq!((played.crashes, played.altered_requests, played.unknown_requests), (0, 0, 0));
     assert!(played.served * 10 > played.figures.requests * 6, "{played:?}");
     for call in [Call::Accept, Call::Connect, Call::Wait] {
         assert!(plan.hits(call) > 0, "{call:?}");
