--- a/crates/lab/src/capacity/quota.rs
+++ b/crates/lab/src/capacity/quota.rs
@@ -3,7 +3,7 @@
 
 use super::meter::{self, Plan, live, point};
 use loomlb_capacity::{Series, Source};
-use loomlb_quota::{Ask, Limit, NodeSpec, Quota, Spec, Verdict};
+use loomlb_quota::{Limit, NodeSpec, Quota, QuotaRequest, Spec, Verdict};
 use std::hint::black_box;
 
 /// A root and so many tenants below it.
@@ -38,7 +38,7 @@
         let took = plan.time(|| {
             now += 10_000;
             i = (i + 7919) % n;
-            let ask = Ask { slots: 1.0, work: 0.3, retry: false, spread: now };
+            let ask = QuotaRequest { slots: 1.0, work: 0.3, retry: false, jitter_seed: now };
             if let Verdict::Admitted(ticket, standing) = quota.admit(now, &names[i], &ask) {
                 black_box(standing);
                 quota.settle(now, ticket, 0.25);
--- a/crates/quota/benches/admit.rs
+++ b/crates/quota/benches/admit.rs
@@ -2,7 +2,7 @@
 #![allow(missing_docs)]
 
 use criterion::{BenchmarkId, Criterion, criterion_group, criterion_main};
-use loomlb_quota::{Ask, Limit, NodeSpec, Quota, Spec, Verdict};
+use loomlb_quota::{Limit, NodeSpec, Quota, QuotaRequest, Spec, Verdict};
 use std::hint::black_box;
 
 fn tree(tenants: usize, depth: usize) -> Spec {
@@ -47,8 +47,8 @@
             b.iter(|| {
                 now += 10_000;
                 i = (i + 7919) % tenants;
-                let ask = Ask { slots: 1.0, work: 0.3, retry: false, spread: now };
-                if let Verdict::Admitted(ticket, standing) = quota.admit(now, &names[i], &ask) {
+                let request = QuotaRequest { slots: 1.0, work: 0.3, retry: false, jitter_seed: now };
+                if let Verdict::Admitted(ticket, standing) = quota.admit(now, &names[i], &request) {
                     black_box(standing);
                     quota.settle(now, ticket, 0.25);
                 }
--- a/crates/quota/src/core.rs
+++ b/crates/quota/src/core.rs
@@ -23,7 +23,7 @@
 
 /// What a request asks for.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Ask {
+pub struct QuotaRequest {
     /// Slots that it takes.
     pub slots: f64,
     /// Its work by estimate, in slot seconds.
@@ -31,7 +31,7 @@
     /// A client's further try of a request that was counted before: it is the same demand, and counts no request.
     pub retry: bool,
     /// Any number of its own: the refused come back spread by it.
-    pub spread: u64,
+    pub jitter_seed: u64,
 }
 
 /// A request that was let through, until it is settled.
@@ -206,10 +206,10 @@
 }
 
 /// Something below `most`, the same for the same number.
-fn spread(by: u64, most: Nanos) -> Nanos {
-    let mut x = by.wrapping_add(0x9e37_79b9_7f4a_7c15);
+fn jitter(seed: u64, bound: Nanos) -> Nanos {
+    let mut x = seed.wrapping_add(0x9e37_79b9_7f4a_7c15);
     x = (x ^ (x >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
-    (x ^ (x >> 31)) % most.max(1)
+    (x ^ (x >> 31)) % bound.max(1)
 }
 
 impl Quota {
@@ -505,19 +505,19 @@
     // ---- requests
 
     /// Asks for a request of a tenant. Nothing is charged unless it is admitted, and then on all nodes of its path.
-    pub fn admit(&mut self, now: Nanos, tenant: &str, ask: &Ask) -> Verdict {
+    pub fn admit(&mut self, now: Nanos, tenant: &str, request: &QuotaRequest) -> Verdict {
         self.tick(now);
         let Some(&n) = self.places.get(tenant) else {
             self.counters.unknown += 1;
             return Verdict::Unknown;
         };
-        let amounts = [if ask.retry { 0.0 } else { 1.0 }, ask.work.max(0.0)];
-        if let Some(refusal) = self.ceiling(n, ask, &amounts) {
+        let amounts = [if request.retry { 0.0 } else { 1.0 }, request.work.max(0.0)];
+        if let Some(refusal) = self.ceiling(n, request, &amounts) {
             self.counters.refused += 1;
             return Verdict::Refused(refusal);
         }
         let sources = [0, 1].map(|m| self.source(n, m, amounts[m]));
-        let mut standing = self.concurrency(n, ask.slots);
+        let mut standing = self.concurrency(n, request.slots);
         for source in sources {
             standing = standing.max(match source {
                 Source::Free | Source::Own | Source::Repaid(_) => Standing::Within,
@@ -533,7 +533,7 @@
             let node = self.nodes[n].name.clone();
             return Verdict::Refused(Refusal {
                 node,
-                after: after + spread(ask.spread, (after / 4).max(3 * COME_BACK)),
+                after: after + jitter(request.jitter_seed, (after / 4).max(3 * COME_BACK)),
             });
         }
         for m in 0..FLOWS {
@@ -543,7 +543,7 @@
             }
             self.windows(n, m, amounts[m]);
         }
-        self.use_slots(n, ask.slots);
+        self.use_slots(n, request.slots);
         match standing {
             Standing::Within => self.counters.within += 1,
             Standing::Borrowed => self.counters.borrowed += 1,
@@ -551,7 +551,7 @@
         }
         self.last += 1;
         let source = if standing < Standing::Over { sources[1] } else { Source::Nobody };
-        self.held.insert(self.last, Held { node: n, slots: ask.slots, work: amounts[1], source });
+        self.held.insert(self.last, Held { node: n, slots: request.slots, work: amounts[1], source });
         Verdict::Admitted(Ticket(self.last), standing)
     }
 
@@ -567,7 +567,7 @@
     }
 
     /// The ceiling that binds, if one does.
-    fn ceiling(&mut self, n: usize, ask: &Ask, amounts: &[f64; FLOWS]) -> Option<Refusal> {
+    fn ceiling(&mut self, n: usize, request: &QuotaRequest, amounts: &[f64; FLOWS]) -> Option<Refusal> {
         let now = self.now;
         let mut worst: Option<(Nanos, usize)> = None;
         for i in self.path(n) {
@@ -580,7 +580,7 @@
                     worst = Some((after, i));
                 }
             }
-            let over = node.concurrency.ceiling.is_some_and(|c| node.in_use + ask.slots > c + DUST);
+            let over = node.concurrency.ceiling.is_some_and(|c| node.in_use + request.slots > c + DUST);
             if over && worst.is_none() {
                 worst = Some((COME_BACK, i));
             }
@@ -588,7 +588,7 @@
         worst.map(|(after, i)| {
             // Up to four times the shortest wait, or a quarter of the window's: no second refusal for most.
             let most = (after / 4).max(3 * COME_BACK);
-            Refusal { node: self.nodes[i].name.clone(), after: after + spread(ask.spread, most) }
+            Refusal { node: self.nodes[i].name.clone(), after: after + jitter(request.jitter_seed, most) }
         })
     }
 
--- a/crates/quota/tests/quota.rs
+++ b/crates/quota/tests/quota.rs
@@ -1,6 +1,8 @@
 //! The quota core under surges, changes and any order of events.
 
-use loomlb_quota::{Ask, Limit, Measure, NodeSpec, Quota, Spec, Standing, Ticket, Verdict, WindowSpec};
+use loomlb_quota::{
+    Limit, Measure, NodeSpec, Quota, QuotaRequest, Spec, Standing, Ticket, Verdict, WindowSpec,
+};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
@@ -27,7 +29,7 @@
     Spec { repay, nodes, ..Spec::default() }
 }
 
-const ASK: Ask = Ask { slots: 1.0, work: 0.0, retry: false, spread: 1 };
+const REQUEST: QuotaRequest = QuotaRequest { slots: 1.0, work: 0.0, retry: false, jitter_seed: 1 };
 
 /// Sends at these rates for so many seconds from a moment on; what each got within share and on loan, by second.
 fn send(q: &mut Quota, from: u64, seconds: u64, rates: &[(&str, u64)]) -> Vec<Vec<[u32; 3]>> {
@@ -37,7 +39,7 @@
             let due = (ms + 1) * rate / 1000 - ms * rate / 1000;
             for _ in 0..due {
                 let now = from + ms * 1_000_000;
-                if let Verdict::Admitted(ticket, standing) = q.admit(now, name, &ASK) {
+                if let Verdict::Admitted(ticket, standing) = q.admit(now, name, &REQUEST) {
                     got[(ms / 1000) as usize][i][standing as usize] += 1;
                     q.settle(now, ticket, 0.0);
                 }
@@ -115,7 +117,7 @@
     let mut q = Quota::new(spec, 0).unwrap();
     let mut afters = Vec::new();
     for i in 0..500u64 {
-        match q.admit(S + i, "meadow", &Ask { spread: i, ..ASK }) {
+        match q.admit(S + i, "meadow", &QuotaRequest { jitter_seed: i, ..REQUEST }) {
             Verdict::Admitted(..) => assert!(i < 20),
             Verdict::Refused(r) => {
                 assert!(i >= 20 && r.node == "meadow" && r.after > 5 * S && r.after < 14 * S, "{i} {r:?}");
@@ -128,11 +130,14 @@
     afters.dedup();
     assert!(afters.len() > 15, "spread over {} tenths", afters.len());
     assert_eq!(q.used(2 * S, "meadow"), [(Measure::Requests, 20.0, 20.0)]);
-    assert!(matches!(q.admit(2 * S, "meadow", &Ask { retry: true, ..ASK }), Verdict::Admitted(..)));
+    assert!(matches!(
+        q.admit(2 * S, "meadow", &QuotaRequest { retry: true, ..REQUEST }),
+        Verdict::Admitted(..)
+    ));
     assert_eq!(q.used(2 * S, "meadow")[0].1, 20.0);
     // A clock that steps back changes nothing and grants nothing.
-    assert!(matches!(q.admit(0, "meadow", &ASK), Verdict::Refused(_)));
-    assert!(matches!(q.admit(12 * S, "meadow", &ASK), Verdict::Admitted(..)));
+    assert!(matches!(q.admit(0, "meadow", &REQUEST), Verdict::Refused(_)));
+    assert!(matches!(q.admit(12 * S, "meadow", &REQUEST), Verdict::Admitted(..)));
 }
 
 /// A job is charged what it cost, and counts where its tenant was once that is gone.
@@ -145,15 +150,15 @@
     }
     spec.nodes[4].windows = vec![WindowSpec { measure: Measure::Work, seconds: 60.0, most: 1000.0 }];
     let mut q = Quota::new(spec.clone(), 0).unwrap();
-    let ask = Ask { work: 2.0, slots: 4.0, ..ASK };
-    let Verdict::Admitted(first, Standing::Within) = q.admit(S, "harbour-south", &ask) else { panic!() };
-    let Verdict::Admitted(second, _) = q.admit(S, "harbour-south", &ask) else { panic!() };
+    let request = QuotaRequest { work: 2.0, slots: 4.0, ..REQUEST };
+    let Verdict::Admitted(first, Standing::Within) = q.admit(S, "harbour-south", &request) else { panic!() };
+    let Verdict::Admitted(second, _) = q.admit(S, "harbour-south", &request) else { panic!() };
     assert_eq!((q.in_use("harbour-south"), q.in_use("house")), (Some(8.0), Some(8.0)));
     q.settle(2 * S, first, 54.0);
     assert_eq!(q.used(2 * S, "harbour-south"), [(Measure::Work, 56.0, 1000.0)]);
     // 54 of work at 23 a second: its own share is used up for a while, and it is not refused.
     assert!(matches!(
-        q.admit(2 * S, "harbour-south", &ask),
+        q.admit(2 * S, "harbour-south", &request),
         Verdict::Admitted(_, Standing::Borrowed | Standing::Over)
     ));
     spec.nodes.truncate(4);
@@ -162,7 +167,7 @@
         (q.in_use("harbour-south"), q.in_use("harbour"), q.in_use("house")),
         (None, Some(8.0), Some(8.0))
     );
-    assert_eq!(q.admit(3 * S, "harbour-south", &ask), Verdict::Unknown);
+    assert_eq!(q.admit(3 * S, "harbour-south", &request), Verdict::Unknown);
     q.settle(4 * S, second, 1.0);
     q.settle(4 * S, second, 1.0);
     assert_eq!((q.in_use("harbour"), q.open()), (Some(4.0), 1));
@@ -272,8 +277,8 @@
                 Op::Wait(t) => now += t,
                 Op::Admit { leaf, slots, work, retry } => {
                     let name = &spec.nodes[leaf % spec.nodes.len()].name;
-                    let ask = Ask { slots: slots.into(), work: f64::from(work) / 4.0, retry, spread: now };
-                    if let Verdict::Admitted(ticket, _) = q.admit(now, name, &ask) {
+                    let request = QuotaRequest { slots: slots.into(), work: f64::from(work) / 4.0, retry, jitter_seed: now };
+                    if let Verdict::Admitted(ticket, _) = q.admit(now, name, &request) {
                         open.push(ticket);
                     }
                 }
--- a/crates/scheduler/src/quotas.rs
+++ b/crates/scheduler/src/quotas.rs
@@ -6,7 +6,7 @@
 
 use loomlb_policy::Nanos;
 use loomlb_quota::parts::{self, Parts};
-use loomlb_quota::{Ask, Quota, Spec, Standing, Ticket, Verdict};
+use loomlb_quota::{Quota, QuotaRequest, Spec, Standing, Ticket, Verdict};
 use std::cell::RefCell;
 use std::fmt;
 
@@ -116,7 +116,7 @@
         if self.schedulers > 1 {
             self.parts.borrow_mut().asked(now, parts::number(tenant), work);
         }
-        match quota.admit(now, tenant, &Ask { slots, work, retry, spread }) {
+        match quota.admit(now, tenant, &QuotaRequest { slots, work, retry, jitter_seed: spread }) {
             Verdict::Admitted(ticket, standing) => {
                 QuotaDecision::Admitted(QuotaGrant { ticket, class, slots }, standing != Standing::Over)
             }
--- a/crates/simulation/src/simulate.rs
+++ b/crates/simulation/src/simulate.rs
@@ -16,7 +16,7 @@
     Action, AttemptResult, ClassId, Dispatcher, Event, JobProgress, ListKind, LoadReport, Nanos, Outcome,
     PeerId, Recipient, Request as Asked, RequestId, Settings, TenantId,
 };
-use loomlb_quota::{Ask, Quota, Standing, Ticket, Verdict};
+use loomlb_quota::{Quota, QuotaRequest, Standing, Ticket, Verdict};
 use rayon::prelude::*;
 use rustc_hash::FxHashMap;
 use serde::Serialize;
@@ -883,7 +883,7 @@
         if let Some(quota) = &mut self.nodes[s].quota {
             let tenant = tenant.map_or("", |t| self.world.day.tenants[t].name.as_str());
             let size = f64::from(slots.max(1));
-            let ask = Ask { slots: size, work: mean * size, retry: false, spread: id };
+            let ask = QuotaRequest { slots: size, work: mean * size, retry: false, jitter_seed: id };
             match quota.admit(now, tenant, &ask) {
                 Verdict::Admitted(ticket, standing) => {
                     (holding, in_share) = (Some(ticket), Some(standing != Standing::Over));
