--- a/crates/quota/benches/admit.rs
+++ b/crates/quota/benches/admit.rs
@@ -48,8 +48,8 @@
                 now += 10_000;
                 i = (i + 7919) % tenants;
                 let request = QuotaRequest { slots: 1.0, work: 0.3, retry: false, jitter_seed: now };
-                if let Verdict::Admitted(ticket, standing) = quota.admit(now, &names[i], &request) {
-                    black_box(standing);
+                if let Verdict::Admitted(ticket, status) = quota.admit(now, &names[i], &request) {
+                    black_box(status);
                     quota.settle(now, ticket, 0.25);
                 }
             });
--- a/crates/quota/src/core.rs
+++ b/crates/quota/src/core.rs
@@ -41,7 +41,7 @@
 /// Whose share a request uses.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Standing {
+pub enum ShareStatus {
     /// Its tenant's own.
     Within,
     /// Room that others lend.
@@ -63,7 +63,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Verdict {
     /// Let through; to be settled by its ticket.
-    Admitted(Ticket, Standing),
+    Admitted(Ticket, ShareStatus),
     /// A ceiling on its path is reached. Nothing was charged.
     Refused(Refusal),
     /// No node has this name. Nothing was charged.
@@ -517,15 +517,15 @@
             return Verdict::Refused(refusal);
         }
         let sources = [0, 1].map(|m| self.source(n, m, amounts[m]));
-        let mut standing = self.concurrency(n, request.slots);
+        let mut status = self.concurrency(n, request.slots);
         for source in sources {
-            standing = standing.max(match source {
-                Source::Free | Source::Own | Source::Repaid(_) => Standing::Within,
-                Source::Loan(_) => Standing::Borrowed,
-                Source::Nobody => Standing::Over,
+            status = status.max(match source {
+                Source::Free | Source::Own | Source::Repaid(_) => ShareStatus::Within,
+                Source::Loan(_) => ShareStatus::Borrowed,
+                Source::Nobody => ShareStatus::Over,
             });
         }
-        if standing == Standing::Over && self.spec.over == Over::Refuse {
+        if status == ShareStatus::Over && self.spec.over == Over::Refuse {
             self.counters.refused += 1;
             let after =
                 [0, 1].map(|m| if sources[m] == Source::Nobody { self.paid_in(n, m, amounts[m]) } else { 0 });
@@ -538,21 +538,21 @@
         }
         for m in 0..FLOWS {
             // What is over share in one measure uses no share in another.
-            if standing < Standing::Over {
+            if status < ShareStatus::Over {
                 self.take(n, m, amounts[m], sources[m]);
             }
             self.windows(n, m, amounts[m]);
         }
         self.use_slots(n, request.slots);
-        match standing {
-            Standing::Within => self.counters.within += 1,
-            Standing::Borrowed => self.counters.borrowed += 1,
-            Standing::Over => self.counters.over += 1,
+        match status {
+            ShareStatus::Within => self.counters.within += 1,
+            ShareStatus::Borrowed => self.counters.borrowed += 1,
+            ShareStatus::Over => self.counters.over += 1,
         }
         self.last += 1;
-        let source = if standing < Standing::Over { sources[1] } else { Source::Nobody };
+        let source = if status < ShareStatus::Over { sources[1] } else { Source::Nobody };
         self.held.insert(self.last, Held { node: n, slots: request.slots, work: amounts[1], source });
-        Verdict::Admitted(Ticket(self.last), standing)
+        Verdict::Admitted(Ticket(self.last), status)
     }
 
     fn path(&self, n: usize) -> impl Iterator<Item = usize> + use<> {
@@ -708,21 +708,21 @@
     // ---- concurrency
 
     /// Whose slots a request would use: its own, idle ones that others lend, or nobody's.
-    fn concurrency(&self, n: usize, slots: f64) -> Standing {
+    fn concurrency(&self, n: usize, slots: f64) -> ShareStatus {
         let node = &self.nodes[n];
-        let Some(own) = node.concurrency.guarantee else { return Standing::Within };
+        let Some(own) = node.concurrency.guarantee else { return ShareStatus::Within };
         if node.in_use + slots <= own + DUST {
-            return Standing::Within;
+            return ShareStatus::Within;
         }
         for a in self.path(n).skip(1) {
             let above = &self.nodes[a];
             let Some(most) = above.concurrency.guarantee else { break };
             // A part of what lenders leave idle stays free, so that they find room when they come back.
             if above.in_use + slots <= most - self.spec.reserve * above.idle + DUST {
-                return Standing::Borrowed;
+                return ShareStatus::Borrowed;
             }
         }
-        Standing::Over
+        ShareStatus::Over
     }
 
     fn use_slots(&mut self, n: usize, slots: f64) {
--- a/crates/quota/src/lib.rs
+++ b/crates/quota/src/lib.rs
@@ -18,7 +18,7 @@
 mod spec;
 mod window;
 
-pub use crate::core::{Counters, Loan, Quota, QuotaRequest, Refusal, Standing, Ticket, Verdict};
+pub use crate::core::{Counters, Loan, Quota, QuotaRequest, Refusal, ShareStatus, Ticket, Verdict};
 pub use spec::{DEPTH, Fault, Limit, Measure, NodeSpec, Over, Spec, WindowSpec};
 
 /// Time or a span in nanoseconds, from any fixed moment.
--- a/crates/quota/tests/parts.rs
+++ b/crates/quota/tests/parts.rs
@@ -1,7 +1,7 @@
 //! Several schedulers share one tree: by talk their parts follow the traffic, and without it nobody holds a share twice.
 
 use loomlb_quota::parts::{Parts, number};
-use loomlb_quota::{Limit, NodeSpec, Quota, QuotaRequest, Spec, Standing, Verdict};
+use loomlb_quota::{Limit, NodeSpec, Quota, QuotaRequest, ShareStatus, Spec, Verdict};
 
 const S: u64 = 1_000_000_000;
 const MS: u64 = 1_000_000;
@@ -56,9 +56,9 @@
                 for (name, work) in [("a", 0.12 * *meets), ("b", 0.05 / n)] {
                     parts.asked(now, number(name), work);
                     let request = QuotaRequest { slots: 1.0, work, retry: true, jitter_seed: now };
-                    if let Verdict::Admitted(ticket, standing) = quota.admit(now, name, &request) {
+                    if let Verdict::Admitted(ticket, status) = quota.admit(now, name, &request) {
                         quota.settle(now, ticket, work);
-                        within += if name == "a" && standing == Standing::Within { work } else { 0.0 };
+                        within += if name == "a" && status == ShareStatus::Within { work } else { 0.0 };
                     }
                 }
             }
--- a/crates/quota/tests/quota.rs
+++ b/crates/quota/tests/quota.rs
@@ -1,7 +1,7 @@
 //! The quota core under surges, changes and any order of events.
 
 use loomlb_quota::{
-    Limit, Measure, NodeSpec, Quota, QuotaRequest, Spec, Standing, Ticket, Verdict, WindowSpec,
+    Limit, Measure, NodeSpec, Quota, QuotaRequest, ShareStatus, Spec, Ticket, Verdict, WindowSpec,
 };
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -39,8 +39,8 @@
             let due = (ms + 1) * rate / 1000 - ms * rate / 1000;
             for _ in 0..due {
                 let now = from + ms * 1_000_000;
-                if let Verdict::Admitted(ticket, standing) = q.admit(now, name, &REQUEST) {
-                    got[(ms / 1000) as usize][i][standing as usize] += 1;
+                if let Verdict::Admitted(ticket, status) = q.admit(now, name, &REQUEST) {
+                    got[(ms / 1000) as usize][i][status as usize] += 1;
                     q.settle(now, ticket, 0.0);
                 }
             }
@@ -50,7 +50,7 @@
 }
 
 fn served(second: &[u32; 3]) -> f64 {
-    f64::from(second[Standing::Within as usize] + second[Standing::Borrowed as usize])
+    f64::from(second[ShareStatus::Within as usize] + second[ShareStatus::Borrowed as usize])
 }
 
 /// The case that the operators fear: a borrower holds all lent room just as the lender surges to 2.4 times its usual.
@@ -151,7 +151,9 @@
     spec.nodes[4].windows = vec![WindowSpec { measure: Measure::Work, seconds: 60.0, most: 1000.0 }];
     let mut q = Quota::new(spec.clone(), 0).unwrap();
     let request = QuotaRequest { work: 2.0, slots: 4.0, ..REQUEST };
-    let Verdict::Admitted(first, Standing::Within) = q.admit(S, "harbour-south", &request) else { panic!() };
+    let Verdict::Admitted(first, ShareStatus::Within) = q.admit(S, "harbour-south", &request) else {
+        panic!()
+    };
     let Verdict::Admitted(second, _) = q.admit(S, "harbour-south", &request) else { panic!() };
     assert_eq!((q.in_use("harbour-south"), q.in_use("house")), (Some(8.0), Some(8.0)));
     q.settle(2 * S, first, 54.0);
@@ -159,7 +161,7 @@
     // 54 of work at 23 a second: its own share is used up for a while, and it is not refused.
     assert!(matches!(
         q.admit(2 * S, "harbour-south", &request),
-        Verdict::Admitted(_, Standing::Borrowed | Standing::Over)
+        Verdict::Admitted(_, ShareStatus::Borrowed | ShareStatus::Over)
     ));
     spec.nodes.truncate(4);
     q.change(3 * S, spec.clone()).unwrap();
--- a/crates/scheduler/src/quotas.rs
+++ b/crates/scheduler/src/quotas.rs
@@ -6,7 +6,7 @@
 
 use loomlb_policy::Nanos;
 use loomlb_quota::parts::{self, Parts};
-use loomlb_quota::{Quota, QuotaRequest, Spec, Standing, Ticket, Verdict};
+use loomlb_quota::{Quota, QuotaRequest, ShareStatus, Spec, Ticket, Verdict};
 use std::cell::RefCell;
 use std::fmt;
 
@@ -118,7 +118,7 @@
         }
         match quota.admit(now, tenant, &QuotaRequest { slots, work, retry, jitter_seed: spread }) {
             Verdict::Admitted(ticket, standing) => {
-                QuotaDecision::Admitted(QuotaGrant { ticket, class, slots }, standing != Standing::Over)
+                QuotaDecision::Admitted(QuotaGrant { ticket, class, slots }, standing != ShareStatus::Over)
             }
             Verdict::Refused(refusal) => QuotaDecision::Refused(refusal.after),
             Verdict::Unknown => QuotaDecision::UnknownTenant,
--- a/crates/simulation/src/simulate.rs
+++ b/crates/simulation/src/simulate.rs
@@ -16,7 +16,7 @@
     Action, AttemptResult, ClassId, Dispatcher, Event, JobProgress, ListKind, LoadReport, Nanos, Outcome,
     PeerId, Recipient, Request as Asked, RequestId, Settings, TenantId,
 };
-use loomlb_quota::{Quota, QuotaRequest, Standing, Ticket, Verdict};
+use loomlb_quota::{Quota, QuotaRequest, ShareStatus, Ticket, Verdict};
 use rayon::prelude::*;
 use rustc_hash::FxHashMap;
 use serde::Serialize;
@@ -886,7 +886,7 @@
             let ask = QuotaRequest { slots: size, work: mean * size, retry: false, jitter_seed: id };
             match quota.admit(now, tenant, &ask) {
                 Verdict::Admitted(ticket, standing) => {
-                    (holding, in_share) = (Some(ticket), Some(standing != Standing::Over));
+                    (holding, in_share) = (Some(ticket), Some(standing != ShareStatus::Over));
                 }
                 Verdict::Unknown => in_share = Some(false),
                 Verdict::Refused(refusal) => {
