--- a/crates/quota/src/core.rs
+++ b/crates/quota/src/core.rs
@@ -1,7 +1,7 @@
 //! The core: buckets, loans and tickets.
 
 use crate::Nanos;
-use crate::spec::{DEPTH, Fault, Limit, Measure, Over, Spec};
+use crate::spec::{DEPTH, Fault, Limit, Measure, OverSharePolicy, Spec};
 use crate::window::Window;
 use rustc_hash::FxHashMap;
 use serde::Serialize;
@@ -525,7 +525,7 @@
                 Source::Nobody => ShareStatus::Over,
             });
         }
-        if status == ShareStatus::Over && self.spec.over == Over::Refuse {
+        if status == ShareStatus::Over && self.spec.over == OverSharePolicy::Refuse {
             self.counters.refused += 1;
             let after =
                 [0, 1].map(|m| if sources[m] == Source::Nobody { self.paid_in(n, m, amounts[m]) } else { 0 });
--- a/crates/quota/src/spec.rs
+++ b/crates/quota/src/spec.rs
@@ -34,7 +34,7 @@
     /// The part of the idle guaranteed concurrency that is never lent, so that a lender that comes back finds room.
     pub reserve: f64,
     /// What becomes of a request that no share pays for.
-    pub over: Over,
+    pub over: OverSharePolicy,
     /// The nodes. One without a parent is a root; there is one root.
     #[serde(rename = "node")]
     pub nodes: Vec<NodeSpec>,
@@ -42,14 +42,21 @@
 
 impl Default for Spec {
     fn default() -> Self {
-        Spec { burst_s: 1.0, fade_s: 60.0, repay: 0.05, reserve: 0.1, over: Over::Pass, nodes: Vec::new() }
+        Spec {
+            burst_s: 1.0,
+            fade_s: 60.0,
+            repay: 0.05,
+            reserve: 0.1,
+            over: OverSharePolicy::Pass,
+            nodes: Vec::new(),
+        }
     }
 }
 
 /// What becomes of a request that no share pays for.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Serialize, PartialEq, Eq)]
-#[serde(rename_all = "snake_case")]
-pub enum Over {
+#[serde(rename_all = "snake_case", expecting = "enum Over")]
+pub enum OverSharePolicy {
     /// It passes, behind those within their shares: nothing is left unused, and shares hold as far as that order goes.
     #[default]
     Pass,
--- a/crates/quota/tests/pins.rs
+++ b/crates/quota/tests/pins.rs
@@ -5,7 +5,7 @@
 mod golden;
 
 use loomlb_quota::parts::{Parts, number};
-use loomlb_quota::{Measure, Over, Spec, WindowSpec};
+use loomlb_quota::{Measure, OverSharePolicy, Spec, WindowSpec};
 
 #[test]
 fn datagrams_of_traffic_keep_their_bytes() {
@@ -39,7 +39,7 @@
 fn keys_and_their_defaults_stay() {
     let spec: Spec = serde_json::from_str(r#"{"node":[{"name":"all"}]}"#).unwrap();
     let mut text = serde_json::to_string_pretty(&spec).unwrap() + "\n";
-    for over in [Over::Pass, Over::Refuse] {
+    for over in [OverSharePolicy::Pass, OverSharePolicy::Refuse] {
         text += &(serde_json::to_string(&over).unwrap() + "\n");
     }
     for measure in [Measure::Requests, Measure::Work] {
