--- a/crates/quota/src/core.rs
+++ b/crates/quota/src/core.rs
@@ -1,7 +1,7 @@
 //! The core: buckets, loans and tickets.
 
 use crate::Nanos;
-use crate::spec::{DEPTH, Fault, Limit, Measure, OverSharePolicy, Spec};
+use crate::spec::{DEPTH, Limit, Measure, OverSharePolicy, Spec, SpecError};
 use crate::window::Window;
 use rustc_hash::FxHashMap;
 use serde::Serialize;
@@ -214,7 +214,7 @@
 
 impl Quota {
     /// The quotas of a tree, all idle.
-    pub fn new(spec: Spec, now: Nanos) -> Result<Quota, Fault> {
+    pub fn new(spec: Spec, now: Nanos) -> Result<Quota, SpecError> {
         let parents = spec.check()?;
         let window = |w: &crate::WindowSpec| {
             let length = (w.seconds * 1e9) as Nanos;
@@ -776,7 +776,7 @@
 
     /// Puts another tree in place, whole and at once. What is in use, owed and counted stays with the nodes of the same
     /// name; jobs of a node that is gone count at the nearest of its ancestors that stays. A faulty tree changes nothing.
-    pub fn change(&mut self, now: Nanos, spec: Spec) -> Result<(), Fault> {
+    pub fn change(&mut self, now: Nanos, spec: Spec) -> Result<(), SpecError> {
         self.tick(now);
         let mut next = Quota::new(spec, self.now)?;
         (next.epoch, next.last, next.counters) = (self.epoch, self.last, self.counters.clone());
--- a/crates/quota/src/spec.rs
+++ b/crates/quota/src/spec.rs
@@ -121,7 +121,7 @@
 
 /// A fault in a tree: the node's place in the list, the key, and the reason.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Fault {
+pub struct SpecError {
     /// Which node; none where the fault is the tree's own.
     pub node: Option<usize>,
     /// Which key of it.
@@ -130,7 +130,7 @@
     pub reason: String,
 }
 
-impl std::fmt::Display for Fault {
+impl std::fmt::Display for SpecError {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self.node {
             Some(i) => write!(f, "node[{i}].{}: {}", self.key, self.reason),
@@ -139,7 +139,7 @@
     }
 }
 
-impl std::error::Error for Fault {}
+impl std::error::Error for SpecError {}
 
 impl Spec {
     /// The part of the tree that one of several schedulers holds: shares, ceilings and windows times `part`. No ceiling
@@ -159,9 +159,10 @@
     }
 
     /// The first fault, if there is one. On success, each node's parent by place.
-    pub fn check(&self) -> Result<Vec<Option<usize>>, Fault> {
-        let own = |key: &str, reason: &str| Fault { node: None, key: key.into(), reason: reason.into() };
-        let at = |node: usize, key: &str, reason: String| Fault { node: Some(node), key: key.into(), reason };
+    pub fn check(&self) -> Result<Vec<Option<usize>>, SpecError> {
+        let own = |key: &str, reason: &str| SpecError { node: None, key: key.into(), reason: reason.into() };
+        let at =
+            |node: usize, key: &str, reason: String| SpecError { node: Some(node), key: key.into(), reason };
         let above = |x: f64| x.is_finite() && x > 0.0;
         let part = |x: f64| (0.0..=1.0).contains(&x);
         if !above(self.burst_s) || self.burst_s > 3600.0 {
