--- a/crates/quota/src/core.rs
+++ b/crates/quota/src/core.rs
@@ -1,7 +1,7 @@
 //! The core: buckets, loans and tickets.
 
 use crate::Nanos;
-use crate::spec::{DEPTH, Limit, Measure, OverSharePolicy, Spec, SpecError};
+use crate::spec::{Limit, MAX_DEPTH, Measure, OverSharePolicy, Spec, SpecError};
 use crate::window::Window;
 use rustc_hash::FxHashMap;
 use serde::Serialize;
@@ -556,9 +556,9 @@
     }
 
     fn path(&self, n: usize) -> impl Iterator<Item = usize> + use<> {
-        let mut path = [usize::MAX; DEPTH + 1];
+        let mut path = [usize::MAX; MAX_DEPTH + 1];
         let (mut at, mut len) = (Some(n), 0);
-        while let Some(i) = at.filter(|_| len <= DEPTH) {
+        while let Some(i) = at.filter(|_| len <= MAX_DEPTH) {
             path[len] = i;
             len += 1;
             at = self.nodes[i].parent;
--- a/crates/quota/src/lib.rs
+++ b/crates/quota/src/lib.rs
@@ -19,7 +19,7 @@
 mod window;
 
 pub use crate::core::{Counters, Loan, Quota, QuotaRequest, Refusal, ShareStatus, Ticket, Verdict};
-pub use spec::{DEPTH, Limit, Measure, NodeSpec, OverSharePolicy, Spec, SpecError, WindowSpec};
+pub use spec::{Limit, MAX_DEPTH, Measure, NodeSpec, OverSharePolicy, Spec, SpecError, WindowSpec};
 
 /// Time or a span in nanoseconds, from any fixed moment.
 pub type Nanos = u64;
--- a/crates/quota/src/spec.rs
+++ b/crates/quota/src/spec.rs
@@ -4,11 +4,11 @@
 use serde::{Deserialize, Serialize};
 
 /// Levels of a tree below its root.
-pub const DEPTH: usize = 8;
+pub const MAX_DEPTH: usize = 8;
 /// Nodes of a tree at most.
-pub const NODES: usize = 1_000_000;
+pub const MAX_NODES: usize = 1_000_000;
 /// Windows of a node at most.
-pub const WINDOWS: usize = 8;
+pub const MAX_WINDOWS: usize = 8;
 
 /// A measure that flows: it is refilled with time.
 #[derive(Clone, Copy, Debug, Deserialize, Serialize, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -75,7 +75,7 @@
     #[serde(default)]
     pub parent: Option<String>,
     /// Its part of what is lent, against others that borrow.
-    #[serde(default = "one")]
+    #[serde(default = "default_weight")]
     pub weight: f64,
     /// Requests a second.
     #[serde(default)]
@@ -91,7 +91,7 @@
     pub windows: Vec<WindowSpec>,
 }
 
-fn one() -> f64 {
+fn default_weight() -> f64 {
     1.0
 }
 
@@ -177,7 +177,7 @@
         if !part(self.reserve) {
             return Err(own("reserve", "a part from 0 to 1"));
         }
-        if self.nodes.len() > NODES {
+        if self.nodes.len() > MAX_NODES {
             return Err(own("node", "more than 1000000 nodes"));
         }
         let mut places: FxHashMap<&str, usize> = FxHashMap::default();
@@ -214,8 +214,8 @@
                     return Err(at(i, key, format!("the ceiling {c} is below the guarantee {g}")));
                 }
             }
-            if n.windows.len() > WINDOWS {
-                return Err(at(i, "window", format!("more than {WINDOWS} windows")));
+            if n.windows.len() > MAX_WINDOWS {
+                return Err(at(i, "window", format!("more than {MAX_WINDOWS} windows")));
             }
             for (w, window) in n.windows.iter().enumerate() {
                 if !above(window.seconds) || window.seconds > 31.0 * 86_400.0 {
@@ -248,8 +248,8 @@
                 if p == i || steps > self.nodes.len() {
                     return Err(at(i, "parent", format!("{:?} is its own ancestor", self.nodes[i].name)));
                 }
-                if steps > DEPTH {
-                    return Err(at(i, "parent", format!("more than {DEPTH} levels below the root")));
+                if steps > MAX_DEPTH {
+                    return Err(at(i, "parent", format!("more than {MAX_DEPTH} levels below the root")));
                 }
                 up = parents[p];
             }
