--- a/crates/quota/src/core.rs
+++ b/crates/quota/src/core.rs
@@ -218,7 +218,7 @@
         let parents = spec.check()?;
         let window = |w: &crate::WindowSpec| {
             let length = (w.seconds * 1e9) as Nanos;
-            (w.measure as usize, Window::new(length, w.most))
+            (w.measure as usize, Window::new(length, w.limit))
         };
         let mut nodes: Vec<Node> = spec
             .nodes
--- a/crates/quota/src/spec.rs
+++ b/crates/quota/src/spec.rs
@@ -116,7 +116,8 @@
     /// The window's length, in seconds: 1, 10, 60, 3600 or 86400, say.
     pub seconds: f64,
     /// What may be used within any window of that length.
-    pub most: f64,
+    #[serde(rename = "most")]
+    pub limit: f64,
 }
 
 /// A fault in a tree: the node's place in the list, the key, and the reason.
@@ -153,7 +154,7 @@
             limit(&mut n.requests, 0.0);
             limit(&mut n.work, 0.0);
             limit(&mut n.concurrency, 1.0);
-            n.windows.iter_mut().for_each(|w| w.most *= part);
+            n.windows.iter_mut().for_each(|w| w.limit *= part);
         }
         self
     }
@@ -225,7 +226,7 @@
                         "a window is above 0 and at most 31 days".into(),
                     ));
                 }
-                if !above(window.most) {
+                if !above(window.limit) {
                     return Err(at(i, &format!("window[{w}].most"), "what may be used is above 0".into()));
                 }
             }
--- a/crates/quota/tests/pins.rs
+++ b/crates/quota/tests/pins.rs
@@ -43,7 +43,7 @@
         text += &(serde_json::to_string(&over).unwrap() + "\n");
     }
     for measure in [Measure::Requests, Measure::Work] {
-        let window = WindowSpec { measure, seconds: 60.0, most: 5.0 };
+        let window = WindowSpec { measure, seconds: 60.0, limit: 5.0 };
         text += &(serde_json::to_string(&window).unwrap() + "\n");
     }
     golden::check("defaults.txt", text.as_bytes());
--- a/crates/quota/tests/quota.rs
+++ b/crates/quota/tests/quota.rs
@@ -113,7 +113,7 @@
 #[test]
 fn refusals_cost_nothing_and_retries_count_once() {
     let mut spec = house(0.05);
-    spec.nodes[2].windows = vec![WindowSpec { measure: Measure::Requests, seconds: 10.0, most: 20.0 }];
+    spec.nodes[2].windows = vec![WindowSpec { measure: Measure::Requests, seconds: 10.0, limit: 20.0 }];
     let mut q = Quota::new(spec, 0).unwrap();
     let mut afters = Vec::new();
     for i in 0..500u64 {
@@ -148,7 +148,7 @@
         n.work = n.requests;
         n.concurrency = Limit { guarantee: n.requests.guarantee, ceiling: Some(100.0) };
     }
-    spec.nodes[4].windows = vec![WindowSpec { measure: Measure::Work, seconds: 60.0, most: 1000.0 }];
+    spec.nodes[4].windows = vec![WindowSpec { measure: Measure::Work, seconds: 60.0, limit: 1000.0 }];
     let mut q = Quota::new(spec.clone(), 0).unwrap();
     let request = QuotaRequest { work: 2.0, slots: 4.0, ..REQUEST };
     let Verdict::Admitted(first, ShareStatus::Within) = q.admit(S, "harbour-south", &request) else {
@@ -191,7 +191,7 @@
         change(&mut spec);
         Quota::new(spec, 0).unwrap_err().to_string()
     };
-    let window = |seconds, most| vec![WindowSpec { measure: Measure::Work, seconds, most }];
+    let window = |seconds, most| vec![WindowSpec { measure: Measure::Work, seconds, limit: most }];
     let cases: [(String, &str); 9] = [
         (
             said(&|s| s.nodes[1].requests = rate(90.0)),
@@ -259,7 +259,7 @@
             let mut n = node(&format!("n{}", i + 1), &format!("n{parent}"), own);
             (n.work, n.weight) = (rate(own), f64::from(weight));
             n.concurrency = Limit { guarantee: Some(own), ceiling: Some(own + 10.0) };
-            n.windows = vec![WindowSpec { measure: Measure::Requests, seconds: 2.0, most: 3.0 + 2.0 * own }];
+            n.windows = vec![WindowSpec { measure: Measure::Requests, seconds: 2.0, limit: 3.0 + 2.0 * own }];
             spec.nodes.push(n);
         }
         spec
