--- a/crates/quota/src/spec.rs
+++ b/crates/quota/src/spec.rs
@@ -145,16 +145,16 @@
 impl Spec {
     /// The part of the tree that one of several schedulers holds: shares, ceilings and windows times `part`. No ceiling
     /// on slots falls below one job of one slot.
-    pub fn part(mut self, part: f64) -> Spec {
+    pub fn scaled(mut self, factor: f64) -> Spec {
         let limit = |l: &mut Limit, least: f64| {
-            l.guarantee = l.guarantee.map(|g| g * part);
-            l.ceiling = l.ceiling.map(|c| (c * part).max(least));
+            l.guarantee = l.guarantee.map(|g| g * factor);
+            l.ceiling = l.ceiling.map(|c| (c * factor).max(least));
         };
         for n in &mut self.nodes {
             limit(&mut n.requests, 0.0);
             limit(&mut n.work, 0.0);
             limit(&mut n.concurrency, 1.0);
-            n.windows.iter_mut().for_each(|w| w.limit *= part);
+            n.windows.iter_mut().for_each(|w| w.limit *= factor);
         }
         self
     }
--- a/crates/quota/tests/parts.rs
+++ b/crates/quota/tests/parts.rs
@@ -38,7 +38,7 @@
 impl Tier {
     fn new(meets: &[f64], talks: bool) -> Tier {
         let n = meets.len();
-        let one = |part: &f64| (Quota::new(tree().part(1.0 / n as f64), 0).unwrap(), Parts::new(n), *part);
+        let one = |part: &f64| (Quota::new(tree().scaled(1.0 / n as f64), 0).unwrap(), Parts::new(n), *part);
         Tier { all: meets.iter().map(one).collect(), alive: vec![true; n], talks, cut: Vec::new() }
     }
 
--- a/crates/scheduler/src/quotas.rs
+++ b/crates/scheduler/src/quotas.rs
@@ -79,7 +79,7 @@
         now: Nanos,
     ) -> Result<TenantQuotas, String> {
         let schedulers = schedulers.max(1);
-        let quota = source.spec.map(|spec| Quota::new(spec.part(1.0 / f64::from(schedulers)), now));
+        let quota = source.spec.map(|spec| Quota::new(spec.scaled(1.0 / f64::from(schedulers)), now));
         let quota = quota.transpose().map_err(|error| format!("quota: {error}"))?;
         let mean_work = aims.iter().map(initial_mean_work).collect();
         Ok(TenantQuotas {
@@ -165,10 +165,10 @@
         let mut quota = self.quota.borrow_mut();
         match (quota.as_mut(), new_spec) {
             (Some(quota), Some(spec)) => {
-                quota.change(now, spec.part(part)).map_err(|error| format!("quota: {error}"))
+                quota.change(now, spec.scaled(part)).map_err(|error| format!("quota: {error}"))
             }
             (_, new_spec) => {
-                let new_quota = new_spec.map(|spec| Quota::new(spec.part(part), now)).transpose();
+                let new_quota = new_spec.map(|spec| Quota::new(spec.scaled(part), now)).transpose();
                 *quota = new_quota.map_err(|error| format!("quota: {error}"))?;
                 Ok(())
             }
--- a/crates/simulation/src/simulate.rs
+++ b/crates/simulation/src/simulate.rs
@@ -326,7 +326,8 @@
     fn fresh(&mut self, s: usize) -> Node {
         let (settings, names) = settings::settings(&self.world.day, s, self.arrivals.tenant_rates());
         let part = 1.0 / self.world.day.schedulers.count as f64;
-        let quota = self.world.day.quota.clone().and_then(|spec| Quota::new(spec.part(part), self.now).ok());
+        let quota =
+            self.world.day.quota.clone().and_then(|spec| Quota::new(spec.scaled(part), self.now).ok());
         Node {
             decider: (self.make)(settings, self.restarts.bits()),
             quota,
