--- a/crates/lab/src/capacity/quota.rs
+++ b/crates/lab/src/capacity/quota.rs
@@ -41,7 +41,7 @@
             let ask = QuotaRequest { slots: 1.0, work: 0.3, retry: false, jitter_seed: now };
             if let Verdict::Admitted(ticket, standing) = quota.admit(now, &names[i], &ask) {
                 black_box(standing);
-                quota.settle(now, ticket, 0.25);
+                quota.complete(now, ticket, 0.25);
             }
         });
         point(&mut time, *n as f64, took);
--- a/crates/quota/benches/admit.rs
+++ b/crates/quota/benches/admit.rs
@@ -50,7 +50,7 @@
                 let request = QuotaRequest { slots: 1.0, work: 0.3, retry: false, jitter_seed: now };
                 if let Verdict::Admitted(ticket, status) = quota.admit(now, &names[i], &request) {
                     black_box(status);
-                    quota.settle(now, ticket, 0.25);
+                    quota.complete(now, ticket, 0.25);
                 }
             });
         });
--- a/crates/quota/src/core.rs
+++ b/crates/quota/src/core.rs
@@ -90,9 +90,11 @@
     /// What was paid back.
     pub repaid: [f64; FLOWS],
     /// Tickets settled, and those of nodes that had been removed by then.
-    pub settled: u64,
-    /// See `settled`.
-    pub settled_removed: u64,
+    #[serde(rename = "settled")]
+    pub completed: u64,
+    /// See `completed`.
+    #[serde(rename = "settled_removed")]
+    pub completed_after_removal: u64,
 }
 
 /// A row of the table of loans.
@@ -741,10 +743,10 @@
     // ---- ends
 
     /// A request has ended, and took so much work, in slot seconds. A ticket is settled once; a second time does nothing.
-    pub fn settle(&mut self, now: Nanos, ticket: Ticket, work: f64) {
+    pub fn complete(&mut self, now: Nanos, ticket: Ticket, work: f64) {
         self.tick(now);
         let Some(held) = self.held.remove(&ticket.0) else { return };
-        self.counters.settled += 1;
+        self.counters.completed += 1;
         self.use_slots(held.node, -held.slots);
         let more = work.max(0.0) - held.work;
         self.windows(held.node, 1, more);
--- a/crates/quota/src/lib.rs
+++ b/crates/quota/src/lib.rs
@@ -2,7 +2,7 @@
 //! for requests, work and concurrency.
 //!
 //! A pure core: time is passed in, nothing is read or written. [`Quota::admit`] asks whether a request is within its
-//! tenant's share, on borrowed room, over it, or refused with the time at which to come back; [`Quota::settle`] tells
+//! tenant's share, on borrowed room, over it, or refused with the time at which to come back; [`Quota::complete`] tells
 //! what it really took. Both cost the depth of the tree, whatever the number of tenants.
 //!
 //! **How lending works.** Every node has a bucket that its guaranteed rate fills. A bucket that is full lends: its rate
--- a/crates/quota/tests/parts.rs
+++ b/crates/quota/tests/parts.rs
@@ -57,7 +57,7 @@
                     parts.asked(now, number(name), work);
                     let request = QuotaRequest { slots: 1.0, work, retry: true, jitter_seed: now };
                     if let Verdict::Admitted(ticket, status) = quota.admit(now, name, &request) {
-                        quota.settle(now, ticket, work);
+                        quota.complete(now, ticket, work);
                         within += if name == "a" && status == ShareStatus::Within { work } else { 0.0 };
                     }
                 }
--- a/crates/quota/tests/quota.rs
+++ b/crates/quota/tests/quota.rs
@@ -41,7 +41,7 @@
                 let now = from + ms * 1_000_000;
                 if let Verdict::Admitted(ticket, status) = q.admit(now, name, &REQUEST) {
                     got[(ms / 1000) as usize][i][status as usize] += 1;
-                    q.settle(now, ticket, 0.0);
+                    q.complete(now, ticket, 0.0);
                 }
             }
         }
@@ -156,7 +156,7 @@
     };
     let Verdict::Admitted(second, _) = q.admit(S, "harbour-south", &request) else { panic!() };
     assert_eq!((q.in_use("harbour-south"), q.in_use("house")), (Some(8.0), Some(8.0)));
-    q.settle(2 * S, first, 54.0);
+    q.complete(2 * S, first, 54.0);
     assert_eq!(q.used(2 * S, "harbour-south"), [(Measure::Work, 56.0, 1000.0)]);
     // 54 of work at 23 a second: its own share is used up for a while, and it is not refused.
     assert!(matches!(
@@ -170,8 +170,8 @@
         (None, Some(8.0), Some(8.0))
     );
     assert_eq!(q.admit(3 * S, "harbour-south", &request), Verdict::Unknown);
-    q.settle(4 * S, second, 1.0);
-    q.settle(4 * S, second, 1.0);
+    q.complete(4 * S, second, 1.0);
+    q.complete(4 * S, second, 1.0);
     assert_eq!((q.in_use("harbour"), q.open()), (Some(4.0), 1));
     // A faulty tree changes nothing.
     spec.nodes[3].requests = rate(500.0);
@@ -227,7 +227,7 @@
 enum Op {
     Wait(u64),
     Admit { leaf: usize, slots: u8, work: u8, retry: bool },
-    Settle { nth: usize, work: u8 },
+    Complete { nth: usize, work: u8 },
     Back(u64),
 }
 
@@ -236,7 +236,7 @@
         3 => (1u64..800_000_000).prop_map(Op::Wait),
         10 => (0usize..100, 1u8..5, 0u8..20, any::<bool>())
             .prop_map(|(leaf, slots, work, retry)| Op::Admit { leaf, slots, work, retry }),
-        8 => (0usize..100, 0u8..60).prop_map(|(nth, work)| Op::Settle { nth, work }),
+        8 => (0usize..100, 0u8..60).prop_map(|(nth, work)| Op::Complete { nth, work }),
         1 => (1u64..S).prop_map(Op::Back),
     ];
     prop::collection::vec(op, 1..300)
@@ -284,11 +284,11 @@
                         open.push(ticket);
                     }
                 }
-                Op::Settle { nth, work } if !open.is_empty() => {
+                Op::Complete { nth, work } if !open.is_empty() => {
                     let ticket = open.swap_remove(nth % open.len());
-                    q.settle(now, ticket, f64::from(work) / 4.0);
+                    q.complete(now, ticket, f64::from(work) / 4.0);
                 }
-                Op::Settle { .. } => {}
+                Op::Complete { .. } => {}
                 Op::Back(t) => {
                     q.loans(now.saturating_sub(t));
                 }
@@ -305,7 +305,7 @@
                 }
             }
         }
-        open.drain(..).for_each(|t| q.settle(now, t, 0.0));
+        open.drain(..).for_each(|t| q.complete(now, t, 0.0));
         now += 400 * S;
         for n in &spec.nodes {
             prop_assert!(q.in_use(&n.name).unwrap().abs() < 1e-6);
--- a/crates/scheduler/src/quotas.rs
+++ b/crates/scheduler/src/quotas.rs
@@ -133,7 +133,7 @@
             *mean_work += (run_seconds - *mean_work) * MEAN_WORK_GAIN;
         }
         if let Some(quota) = self.quota.borrow_mut().as_mut() {
-            quota.settle(now, grant.ticket, run_seconds * grant.slots);
+            quota.complete(now, grant.ticket, run_seconds * grant.slots);
         }
     }
 
--- a/crates/simulation/src/simulate.rs
+++ b/crates/simulation/src/simulate.rs
@@ -611,7 +611,7 @@
             if flow.ran > 0.0 {
                 node.mean[flow.class] += (flow.ran - node.mean[flow.class]) * 0.05;
             }
-            quota.settle(now, ticket, flow.ran * f64::from(flow.slots));
+            quota.complete(now, ticket, flow.ran * f64::from(flow.slots));
         }
     }
 
