--- a/crates/quota/src/core.rs
+++ b/crates/quota/src/core.rs
@@ -466,9 +466,9 @@
 
     /// Holds another part of a node's flowing shares: `factor` times what the tree gives it. It counts for nodes without
     /// children; what lies above them follows.
-    pub fn hold(&mut self, now: Nanos, number: u32, factor: f64) {
+    pub fn scale_share(&mut self, now: Nanos, node_number: u32, factor: f64) {
         self.tick(now);
-        let Some(&n) = self.leaves.get(&number).filter(|_| factor.is_finite() && factor >= 0.0) else {
+        let Some(&n) = self.leaves.get(&node_number).filter(|_| factor.is_finite() && factor >= 0.0) else {
             return;
         };
         let spec = [self.spec.nodes[n].requests, self.spec.nodes[n].work];
@@ -778,7 +778,7 @@
 
     /// Puts another tree in place, whole and at once. What is in use, owed and counted stays with the nodes of the same
     /// name; jobs of a node that is gone count at the nearest of its ancestors that stays. A faulty tree changes nothing.
-    pub fn change(&mut self, now: Nanos, spec: Spec) -> Result<(), SpecError> {
+    pub fn replace_spec(&mut self, now: Nanos, spec: Spec) -> Result<(), SpecError> {
         self.tick(now);
         let mut next = Quota::new(spec, self.now)?;
         (next.epoch, next.last, next.counters) = (self.epoch, self.last, self.counters.clone());
@@ -823,7 +823,7 @@
     }
 
     /// Tickets that are not settled.
-    pub fn open(&self) -> usize {
+    pub fn open_tickets(&self) -> usize {
         self.held.len()
     }
 
@@ -833,7 +833,7 @@
     }
 
     /// What is counted in a node's windows now: measure, what is used, and what may be.
-    pub fn used(&mut self, now: Nanos, node: &str) -> Vec<(Measure, f64, f64)> {
+    pub fn window_usage(&mut self, now: Nanos, node: &str) -> Vec<(Measure, f64, f64)> {
         self.tick(now);
         let Some(&n) = self.places.get(node) else { return Vec::new() };
         let now = self.now;
--- a/crates/quota/tests/parts.rs
+++ b/crates/quota/tests/parts.rs
@@ -84,7 +84,7 @@
             let (quota, parts, _) = &mut self.all[s];
             let n = self.alive.len() as f64;
             for node in parts.nodes() {
-                quota.hold(now, node, parts.part(now, node) * n);
+                quota.scale_share(now, node, parts.part(now, node) * n);
             }
         }
     }
--- a/crates/quota/tests/quota.rs
+++ b/crates/quota/tests/quota.rs
@@ -129,12 +129,12 @@
     afters.sort_unstable();
     afters.dedup();
     assert!(afters.len() > 15, "spread over {} tenths", afters.len());
-    assert_eq!(q.used(2 * S, "meadow"), [(Measure::Requests, 20.0, 20.0)]);
+    assert_eq!(q.window_usage(2 * S, "meadow"), [(Measure::Requests, 20.0, 20.0)]);
     assert!(matches!(
         q.admit(2 * S, "meadow", &QuotaRequest { retry: true, ..REQUEST }),
         Verdict::Admitted(..)
     ));
-    assert_eq!(q.used(2 * S, "meadow")[0].1, 20.0);
+    assert_eq!(q.window_usage(2 * S, "meadow")[0].1, 20.0);
     // A clock that steps back changes nothing and grants nothing.
     assert!(matches!(q.admit(0, "meadow", &REQUEST), Verdict::Refused(_)));
     assert!(matches!(q.admit(12 * S, "meadow", &REQUEST), Verdict::Admitted(..)));
@@ -157,14 +157,14 @@
     let Verdict::Admitted(second, _) = q.admit(S, "harbour-south", &request) else { panic!() };
     assert_eq!((q.in_use("harbour-south"), q.in_use("house")), (Some(8.0), Some(8.0)));
     q.complete(2 * S, first, 54.0);
-    assert_eq!(q.used(2 * S, "harbour-south"), [(Measure::Work, 56.0, 1000.0)]);
+    assert_eq!(q.window_usage(2 * S, "harbour-south"), [(Measure::Work, 56.0, 1000.0)]);
     // 54 of work at 23 a second: its own share is used up for a while, and it is not refused.
     assert!(matches!(
         q.admit(2 * S, "harbour-south", &request),
         Verdict::Admitted(_, ShareStatus::Borrowed | ShareStatus::Over)
     ));
     spec.nodes.truncate(4);
-    q.change(3 * S, spec.clone()).unwrap();
+    q.replace_spec(3 * S, spec.clone()).unwrap();
     assert_eq!(
         (q.in_use("harbour-south"), q.in_use("harbour"), q.in_use("house")),
         (None, Some(8.0), Some(8.0))
@@ -172,11 +172,11 @@
     assert_eq!(q.admit(3 * S, "harbour-south", &request), Verdict::Unknown);
     q.complete(4 * S, second, 1.0);
     q.complete(4 * S, second, 1.0);
-    assert_eq!((q.in_use("harbour"), q.open()), (Some(4.0), 1));
+    assert_eq!((q.in_use("harbour"), q.open_tickets()), (Some(4.0), 1));
     // A faulty tree changes nothing.
     spec.nodes[3].requests = rate(500.0);
     assert!(
-        q.change(5 * S, spec)
+        q.replace_spec(5 * S, spec)
             .unwrap_err()
             .to_string()
             .contains("node[1].requests: the guarantees below it sum to 500")
@@ -300,7 +300,7 @@
             for n in &spec.nodes {
                 let most = n.concurrency.ceiling.unwrap_or(f64::MAX);
                 prop_assert!(q.in_use(&n.name).unwrap() <= most + 1e-6);
-                for (measure, used, most) in q.used(now, &n.name) {
+                for (measure, used, most) in q.window_usage(now, &n.name) {
                     prop_assert!(used <= most + 1e-6, "{} {measure:?}: {used} of {most}", n.name);
                 }
             }
@@ -309,7 +309,7 @@
         now += 400 * S;
         for n in &spec.nodes {
             prop_assert!(q.in_use(&n.name).unwrap().abs() < 1e-6);
-            prop_assert!(q.used(now, &n.name).iter().all(|w| w.1.abs() < 1e-6));
+            prop_assert!(q.window_usage(now, &n.name).iter().all(|w| w.1.abs() < 1e-6));
         }
         let (owes, owed) = q.balance(now, Measure::Work);
         prop_assert!(owes < 1e-3 && owed < 1e-3, "{owes} {owed}");
--- a/crates/scheduler/src/quotas.rs
+++ b/crates/scheduler/src/quotas.rs
@@ -144,7 +144,7 @@
         let Some(quota) = quota.as_mut().filter(|_| self.schedulers > 1) else { return Vec::new() };
         let mut parts = self.parts.borrow_mut();
         for node in parts.nodes() {
-            quota.hold(now, node, parts.part(now, node) * f64::from(self.schedulers));
+            quota.scale_share(now, node, parts.part(now, node) * f64::from(self.schedulers));
         }
         parts.digest(now)
     }
@@ -165,7 +165,7 @@
         let mut quota = self.quota.borrow_mut();
         match (quota.as_mut(), new_spec) {
             (Some(quota), Some(spec)) => {
-                quota.change(now, spec.scaled(part)).map_err(|error| format!("quota: {error}"))
+                quota.replace_spec(now, spec.scaled(part)).map_err(|error| format!("quota: {error}"))
             }
             (_, new_spec) => {
                 let new_quota = new_spec.map(|spec| Quota::new(spec.scaled(part), now)).transpose();
@@ -189,7 +189,7 @@
             c.over,
             c.refused,
             c.unknown,
-            quota.open(),
+            quota.open_tickets(),
             c.lent[0],
             c.lent[1]
         );
