--- a/crates/lab/src/capacity/scheduler.rs
+++ b/crates/lab/src/capacity/scheduler.rs
@@ -14,7 +14,7 @@
 use super::probe::{Probe, listed, workers, world};
 use loomlb_capacity::{Series, Source};
 use loomlb_policy::{Event, ListKind};
-use loomlb_quota::parts::{Parts, number};
+use loomlb_quota::share_split::{ShareSplit, node_number};
 use loomlb_scheduler::discovery::List;
 use serde_json::json;
 use std::hint::black_box;
@@ -145,16 +145,16 @@
     let note = "the module's words on one job, with 100 workers, sent to each peer";
     let mut job = meter::series(&job, "bytes", "peers", Source::Counted, note);
     for n in plan.sizes(&[1usize, 10, 30, 100, 300]) {
-        let mut told = Parts::new(n + 1);
-        (0..TENANTS).for_each(|t| told.asked(0, number(&format!("tenant-{t}")), 1.0));
-        let words = told.digest(1);
+        let mut told = ShareSplit::new(n + 1);
+        (0..TENANTS).for_each(|t| told.record_demand(0, node_number(&format!("tenant-{t}")), 1.0));
+        let words = told.digests(1);
         let length: usize = words.iter().map(Vec::len).sum();
         point(&mut bytes, *n as f64, vec![(length * n) as f64 * DIGESTS]);
-        let (mut parts, mut now) = (Parts::new(n + 1), 1);
+        let (mut parts, mut now) = (ShareSplit::new(n + 1), 1);
         let heard = plan.time(|| {
             now += 250_000_000;
             for peer in 0..*n {
-                words.iter().for_each(|word| _ = black_box(parts.hear(now, peer, word)));
+                words.iter().for_each(|word| _ = black_box(parts.apply_digest(now, peer, word)));
             }
         });
         point(&mut time, *n as f64, heard.into_iter().map(|ns| ns * DIGESTS).collect());
--- a/crates/quota/src/core.rs
+++ b/crates/quota/src/core.rs
@@ -270,8 +270,10 @@
         let places = nodes.iter().enumerate().map(|(i, n)| (n.name.clone(), i)).collect();
         let inner: rustc_hash::FxHashSet<usize> = parents.iter().flatten().copied().collect();
         let leaf = |i: &usize| !inner.contains(i);
-        let leaves =
-            (0..nodes.len()).filter(leaf).map(|i| (crate::parts::number(&nodes[i].name), i)).collect();
+        let leaves = (0..nodes.len())
+            .filter(leaf)
+            .map(|i| (crate::share_split::node_number(&nodes[i].name), i))
+            .collect();
         let mut quota = Quota {
             spec,
             nodes,
--- a/crates/quota/src/lib.rs
+++ b/crates/quota/src/lib.rs
@@ -14,7 +14,7 @@
 #![forbid(unsafe_code)]
 
 mod core;
-pub mod parts;
+pub mod share_split;
 mod spec;
 mod window;
 
--- a/crates/quota/src/parts.rs
+++ b/crates/quota/src/share_split.rs
@@ -7,7 +7,7 @@
 use rustc_hash::FxHashMap;
 
 /// First byte of a digest; the module's own messages begin with smaller ones.
-pub const MARK: u8 = 16;
+pub const DIGEST_MARK: u8 = 16;
 /// The platform's longest datagram.
 const LONGEST: usize = 256;
 /// Bytes of a digest before its entries, and of an entry: a node's number, and its traffic.
@@ -41,36 +41,36 @@
 
 /// What a scheduler knows of its own traffic and of its peers'.
 #[derive(Clone, Debug)]
-pub struct Parts {
+pub struct ShareSplit {
     schedulers: usize,
     own: FxHashMap<u32, Traffic>,
     /// By peer: when it was last heard, and its traffic by node.
     peers: FxHashMap<usize, (Nanos, FxHashMap<u32, Traffic>)>,
     turn: usize,
     /// Digests that were none, or of peers that there are not.
-    pub strange: u64,
+    pub invalid_digests: u64,
 }
 
 /// The number of a node, the same at every scheduler.
-pub fn number(name: &str) -> u32 {
+pub fn node_number(name: &str) -> u32 {
     // FNV-1a: short, and the same for every build.
     name.bytes().fold(0x811c_9dc5, |h, b| (h ^ u32::from(b)).wrapping_mul(0x0100_0193))
 }
 
-impl Parts {
+impl ShareSplit {
     /// For one of so many schedulers.
     pub fn new(schedulers: usize) -> Self {
-        Parts {
+        ShareSplit {
             schedulers: schedulers.max(1),
             own: FxHashMap::default(),
             peers: FxHashMap::default(),
             turn: 0,
-            strange: 0,
+            invalid_digests: 0,
         }
     }
 
     /// A request asks for so much work at a node, whether it is let through or not.
-    pub fn asked(&mut self, now: Nanos, node: u32, work: f64) {
+    pub fn record_demand(&mut self, now: Nanos, node: u32, work: f64) {
         if self.own.len() >= NODES && !self.own.contains_key(&node) {
             self.own.retain(|_, t| t.now(now) > NONE);
             if self.own.len() >= NODES {
@@ -82,14 +82,14 @@
     }
 
     /// The nodes that have traffic here.
-    pub fn nodes(&self) -> Vec<u32> {
+    pub fn active_nodes(&self) -> Vec<u32> {
         let mut nodes: Vec<u32> = self.own.keys().copied().collect();
         nodes.sort_unstable();
         nodes
     }
 
     /// What the peers are to be told now: datagrams of at most 256 bytes. Nodes without traffic are not told.
-    pub fn digest(&mut self, now: Nanos) -> Vec<Vec<u8>> {
+    pub fn digests(&mut self, now: Nanos) -> Vec<Vec<u8>> {
         self.own.retain(|_, t| t.now(now) > NONE);
         let mut nodes: Vec<(u32, f64)> = self.own.iter().map(|(n, t)| (*n, t.now(now))).collect();
         nodes.sort_by_key(|n| n.0);
@@ -102,7 +102,7 @@
         (0..told)
             .map(|i| {
                 let entries = chunks.get((first + i) % all).copied().unwrap_or(&[]);
-                let mut bytes = vec![MARK, 0, entries.len() as u8];
+                let mut bytes = vec![DIGEST_MARK, 0, entries.len() as u8];
                 for (node, rate) in entries {
                     bytes.extend(node.to_le_bytes());
                     bytes.extend((*rate as f32).to_le_bytes());
@@ -113,10 +113,10 @@
     }
 
     /// Takes in a peer's digest; false if it is none.
-    pub fn hear(&mut self, now: Nanos, peer: usize, bytes: &[u8]) -> bool {
-        let [MARK, 0, count, entries @ ..] = bytes else { return false };
+    pub fn apply_digest(&mut self, now: Nanos, peer: usize, bytes: &[u8]) -> bool {
+        let [DIGEST_MARK, 0, count, entries @ ..] = bytes else { return false };
         if peer >= self.schedulers || entries.len() != usize::from(*count) * ENTRY {
-            self.strange += 1;
+            self.invalid_digests += 1;
             return false;
         }
         let (heard, nodes) = self.peers.entry(peer).or_default();
@@ -136,7 +136,7 @@
 
     /// The part of a node's share that this scheduler holds, from 0 to 1. Parts of schedulers that hear each other
     /// sum to 1, but for the age of their news; a silent one's equal part is left to it.
-    pub fn part(&self, now: Nanos, node: u32) -> f64 {
+    pub fn share(&self, now: Nanos, node: u32) -> f64 {
         let equal = 1.0 / self.schedulers as f64;
         let own = self.own.get(&node).map_or(0.0, |t| t.now(now));
         let (mut heard, mut others) = (0usize, 0.0);
--- a/crates/quota/tests/pins.rs
+++ b/crates/quota/tests/pins.rs
@@ -4,24 +4,24 @@
 #[path = "../../../tests/golden/mod.rs"]
 mod golden;
 
-use loomlb_quota::parts::{Parts, number};
+use loomlb_quota::share_split::{ShareSplit, node_number};
 use loomlb_quota::{Measure, OverSharePolicy, Spec, WindowSpec};
 
 #[test]
 fn datagrams_of_traffic_keep_their_bytes() {
-    let mut told = Parts::new(3);
+    let mut told = ShareSplit::new(3);
     let mut text = String::new();
-    let mut tell = |told: &mut Parts, name: &str| {
-        for bytes in told.digest(0) {
+    let mut tell = |told: &mut ShareSplit, name: &str| {
+        for bytes in told.digests(0) {
             text += &format!("{name} {}\n", golden::hex(&bytes));
         }
     };
     tell(&mut told, "none");
-    told.asked(0, number("acme"), 2.0);
-    told.asked(0, number("é"), 0.5);
+    told.record_demand(0, node_number("acme"), 2.0);
+    told.record_demand(0, node_number("é"), 0.5);
     tell(&mut told, "two");
     for node in 0..300 {
-        told.asked(0, node, 1.0);
+        told.record_demand(0, node, 1.0);
     }
     tell(&mut told, "many");
     tell(&mut told, "many, next");
@@ -30,7 +30,7 @@
 
 #[test]
 fn the_number_of_a_node_stays() {
-    let text: String = ["", "acme", "é"].map(|name| format!("{name:?} {:08x}\n", number(name))).concat();
+    let text: String = ["", "acme", "é"].map(|name| format!("{name:?} {:08x}\n", node_number(name))).concat();
     golden::check("node-numbers.txt", text.as_bytes());
 }
 
--- a/crates/quota/tests/parts.rs
+++ b/crates/quota/tests/share_split.rs
@@ -1,6 +1,6 @@
 //! Several schedulers share one tree: by talk their parts follow the traffic, and without it nobody holds a share twice.
 
-use loomlb_quota::parts::{Parts, number};
+use loomlb_quota::share_split::{ShareSplit, node_number};
 use loomlb_quota::{Limit, NodeSpec, Quota, QuotaRequest, ShareStatus, Spec, Verdict};
 
 const S: u64 = 1_000_000_000;
@@ -28,7 +28,7 @@
 
 /// Schedulers with the share of `a`'s traffic that each meets; what is let through within share a second, by second.
 struct Tier {
-    all: Vec<(Quota, Parts, f64)>,
+    all: Vec<(Quota, ShareSplit, f64)>,
     alive: Vec<bool>,
     talks: bool,
     /// Words between these and the others are lost.
@@ -38,7 +38,8 @@
 impl Tier {
     fn new(meets: &[f64], talks: bool) -> Tier {
         let n = meets.len();
-        let one = |part: &f64| (Quota::new(tree().scaled(1.0 / n as f64), 0).unwrap(), Parts::new(n), *part);
+        let one =
+            |part: &f64| (Quota::new(tree().scaled(1.0 / n as f64), 0).unwrap(), ShareSplit::new(n), *part);
         Tier { all: meets.iter().map(one).collect(), alive: vec![true; n], talks, cut: Vec::new() }
     }
 
@@ -54,7 +55,7 @@
                 let n = self.all.len() as f64;
                 let (quota, parts, meets) = &mut self.all[s];
                 for (name, work) in [("a", 0.12 * *meets), ("b", 0.05 / n)] {
-                    parts.asked(now, number(name), work);
+                    parts.record_demand(now, node_number(name), work);
                     let request = QuotaRequest { slots: 1.0, work, retry: true, jitter_seed: now };
                     if let Verdict::Admitted(ticket, status) = quota.admit(now, name, &request) {
                         quota.complete(now, ticket, work);
@@ -74,17 +75,17 @@
             if !self.alive[s] {
                 continue;
             }
-            let words = self.all[s].1.digest(now);
+            let words = self.all[s].1.digests(now);
             assert!(words.iter().all(|w| w.len() <= 256));
             for to in (0..self.all.len()).filter(|to| *to != s) {
                 if self.cut.contains(&s) == self.cut.contains(&to) {
-                    words.iter().for_each(|w| assert!(self.all[to].1.hear(now, s, w)));
+                    words.iter().for_each(|w| assert!(self.all[to].1.apply_digest(now, s, w)));
                 }
             }
             let (quota, parts, _) = &mut self.all[s];
             let n = self.alive.len() as f64;
-            for node in parts.nodes() {
-                quota.scale_share(now, node, parts.part(now, node) * n);
+            for node in parts.active_nodes() {
+                quota.scale_share(now, node, parts.share(now, node) * n);
             }
         }
     }
@@ -131,13 +132,13 @@
 
 #[test]
 fn what_is_no_digest_changes_nothing() {
-    let mut parts = Parts::new(2);
-    parts.asked(S, number("a"), 1.0);
+    let mut parts = ShareSplit::new(2);
+    parts.record_demand(S, node_number("a"), 1.0);
     for bytes in [&[][..], &[16], &[16, 0, 3, 1, 2], &[5, 0, 0], &[16, 0, 1, 1, 0, 0, 0, 0, 0, 0xc0, 0x7f]] {
-        parts.hear(S, 1, bytes);
+        parts.apply_digest(S, 1, bytes);
     }
-    assert!(!parts.hear(S, 7, &[16, 0, 0]));
-    assert!((parts.part(20 * S, number("a")) - 0.5).abs() < 1e-9);
-    assert_eq!(parts.part(S, number("nobody")), 0.5);
-    assert!(parts.strange >= 2);
+    assert!(!parts.apply_digest(S, 7, &[16, 0, 0]));
+    assert!((parts.share(20 * S, node_number("a")) - 0.5).abs() < 1e-9);
+    assert_eq!(parts.share(S, node_number("nobody")), 0.5);
+    assert!(parts.invalid_digests >= 2);
 }
--- a/crates/scheduler/src/quotas.rs
+++ b/crates/scheduler/src/quotas.rs
@@ -5,7 +5,7 @@
 //! applies its own shares.
 
 use loomlb_policy::Nanos;
-use loomlb_quota::parts::{self, Parts};
+use loomlb_quota::share_split::{self, ShareSplit};
 use loomlb_quota::{Quota, QuotaRequest, ShareStatus, Spec, Ticket, Verdict};
 use std::cell::RefCell;
 use std::fmt;
@@ -47,7 +47,7 @@
     /// Number of schedulers that share the quotas. Each holds an equal part, or one in proportion to its traffic if the
     /// schedulers exchange messages.
     schedulers: u32,
-    parts: RefCell<Parts>,
+    parts: RefCell<ShareSplit>,
 }
 
 impl fmt::Debug for TenantQuotas {
@@ -87,7 +87,7 @@
             mean_work: RefCell::new(mean_work),
             reload: source.reload,
             schedulers,
-            parts: RefCell::new(Parts::new(schedulers as usize)),
+            parts: RefCell::new(ShareSplit::new(schedulers as usize)),
         })
     }
 
@@ -114,7 +114,7 @@
         let slots = slots.max(1.0);
         let work = self.mean_work.borrow().get(class).copied().unwrap_or(0.0) * slots;
         if self.schedulers > 1 {
-            self.parts.borrow_mut().asked(now, parts::number(tenant), work);
+            self.parts.borrow_mut().record_demand(now, share_split::node_number(tenant), work);
         }
         match quota.admit(now, tenant, &QuotaRequest { slots, work, retry, jitter_seed: spread }) {
             Verdict::Admitted(ticket, standing) => {
@@ -143,17 +143,17 @@
         let mut quota = self.quota.borrow_mut();
         let Some(quota) = quota.as_mut().filter(|_| self.schedulers > 1) else { return Vec::new() };
         let mut parts = self.parts.borrow_mut();
-        for node in parts.nodes() {
-            quota.scale_share(now, node, parts.part(now, node) * f64::from(self.schedulers));
+        for node in parts.active_nodes() {
+            quota.scale_share(now, node, parts.share(now, node) * f64::from(self.schedulers));
         }
-        parts.digest(now)
+        parts.digests(now)
     }
 
     /// Handles a peer's datagram if it is a traffic digest; false if it is for the decision module.
     pub fn handle_digest(&self, now: Nanos, peer: usize, bytes: &[u8]) -> bool {
-        let is_digest = bytes.first() == Some(&parts::MARK) && self.quota.borrow().is_some();
+        let is_digest = bytes.first() == Some(&share_split::DIGEST_MARK) && self.quota.borrow().is_some();
         if is_digest {
-            self.parts.borrow_mut().hear(now, peer, bytes);
+            self.parts.borrow_mut().apply_digest(now, peer, bytes);
         }
         is_digest
     }
