--- a/crates/quota/src/core.rs
+++ b/crates/quota/src/core.rs
@@ -9,17 +9,17 @@
 use std::collections::BinaryHeap;
 
 /// Flowing measures: requests and work.
-const FLOWS: usize = 2;
+const MEASURE_COUNT: usize = 2;
 /// Time over which a node's borrowing is compared with its weight, and a lender's want is remembered.
-const RECENT: Nanos = 1_000_000_000;
+const ACTIVITY_PERIOD: Nanos = 1_000_000_000;
 /// A node's bucket goes no further below nothing than so many times its size: what a job took beyond its estimate.
-const DEEPEST: f64 = 8.0;
+const MAX_OVERDRAFT_FACTOR: f64 = 8.0;
 /// When no window tells better, the refused come back after this time at the earliest and four times that at the latest.
-const COME_BACK: Nanos = 50_000_000;
+const MIN_RETRY_AFTER: Nanos = 50_000_000;
 /// A bucket that is filled by less than this a second has no lenders worth a credit: its loans are nobody's.
-const FAINT: f64 = 1e-3;
+const MIN_LENDING_FILL_RATE: f64 = 1e-3;
 /// Less than this is rounding.
-const DUST: f64 = 1e-9;
+const ROUNDING_TOLERANCE: f64 = 1e-9;
 
 /// What a request asks for.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -86,9 +86,9 @@
     /// Loans, and what was lent in all: requests, and slot seconds.
     pub loans: u64,
     /// See `loans`.
-    pub lent: [f64; FLOWS],
+    pub lent: [f64; MEASURE_COUNT],
     /// What was paid back.
-    pub repaid: [f64; FLOWS],
+    pub repaid: [f64; MEASURE_COUNT],
     /// Tickets settled, and those of nodes that had been removed by then.
     #[serde(rename = "settled")]
     pub completed: u64,
@@ -118,35 +118,35 @@
     /// The part of the guarantee that is not promised to children.
     unallocated: f64,
     ceiling: Option<f64>,
-    fill: f64,
+    fill_rate: f64,
     level: f64,
-    cap: f64,
-    at: Nanos,
+    capacity: f64,
+    refilled_at: Nanos,
     lending: bool,
     /// An entry in the queue of wakes is its own.
-    timed: bool,
+    full_event_queued: bool,
     /// What has been drawn from this bucket for each unit of its fill, in units that do not fade.
-    index: f64,
+    drawn_index: f64,
     /// The parent's index when its credit was last brought up to date.
-    seen: f64,
+    parent_index_seen: f64,
     /// What it is owed, and what is owed to nobody's share below it; in units that do not fade.
     credit: f64,
-    own_seen: f64,
+    own_index_seen: f64,
     /// What was paid back here and nobody has drawn.
     repaid: f64,
     /// A lender below wants more than its share until then.
-    wanted: Nanos,
+    wanted_until: Nanos,
     /// Weights of the children that borrowed of late, and this one's own borrowing from its parent.
-    borrowers: f64,
+    borrower_weight: f64,
     borrowing: bool,
-    borrowed: f64,
+    borrowed_amount: f64,
     borrowed_at: Nanos,
 }
 
 impl Bucket {
     /// What this node has borrowed from above of late.
-    fn borrowed_of_late(&self, now: Nanos) -> f64 {
-        self.borrowed * (-(now.saturating_sub(self.borrowed_at) as f64 / RECENT as f64)).exp()
+    fn recently_borrowed(&self, now: Nanos) -> f64 {
+        self.borrowed_amount * (-(now.saturating_sub(self.borrowed_at) as f64 / ACTIVITY_PERIOD as f64)).exp()
     }
 }
 
@@ -155,11 +155,11 @@
     name: String,
     parent: Option<usize>,
     weight: f64,
-    flows: [Bucket; FLOWS],
+    buckets: [Bucket; MEASURE_COUNT],
     concurrency: Limit,
     in_use: f64,
     /// Guaranteed concurrency of its children that they do not use.
-    idle: f64,
+    idle_child_slots: f64,
     windows: Vec<(usize, Window)>,
     /// Debts to ancestors: measure, ancestor, amount in units that do not fade.
     debts: Vec<(usize, usize, f64)>,
@@ -167,15 +167,15 @@
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Source {
-    Free,
-    Own,
+    Unlimited,
+    OwnShare,
     Repaid(usize),
     Loan(usize),
-    Nobody,
+    Unfunded,
 }
 
 #[derive(Clone, Debug)]
-struct Held {
+struct OpenRequest {
     node: usize,
     slots: f64,
     work: f64,
@@ -183,9 +183,9 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Wake {
-    Full(usize, usize),
-    Quiet(usize, usize),
+enum Event {
+    BucketFull(usize, usize),
+    CheckBorrowing(usize, usize),
 }
 
 /// The quotas of an installation.
@@ -193,315 +193,349 @@
 pub struct Quota {
     spec: Spec,
     nodes: Vec<Node>,
-    places: FxHashMap<String, usize>,
+    node_indices: FxHashMap<String, usize>,
     /// Nodes without children, by their numbers among schedulers.
     leaves: FxHashMap<u32, usize>,
-    held: FxHashMap<u64, Held>,
-    last: u64,
-    wakes: BinaryHeap<Reverse<(Nanos, Wake)>>,
+    open_requests: FxHashMap<u64, OpenRequest>,
+    last_ticket: u64,
+    events: BinaryHeap<Reverse<(Nanos, Event)>>,
     now: Nanos,
     epoch: Nanos,
     /// Credit that belongs to no share: what was lent out of a bucket that nothing fills any more.
-    nobody: [f64; FLOWS],
+    unattributed_credit: [f64; MEASURE_COUNT],
     /// Counts.
     pub counters: Counters,
 }
 
 /// Something below `most`, the same for the same number.
 fn jitter(seed: u64, bound: Nanos) -> Nanos {
-    let mut x = seed.wrapping_add(0x9e37_79b9_7f4a_7c15);
-    x = (x ^ (x >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
-    (x ^ (x >> 31)) % bound.max(1)
+    let mut hash = seed.wrapping_add(0x9e37_79b9_7f4a_7c15);
+    hash = (hash ^ (hash >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
+    (hash ^ (hash >> 31)) % bound.max(1)
 }
 
 impl Quota {
     /// The quotas of a tree, all idle.
     pub fn new(spec: Spec, now: Nanos) -> Result<Quota, SpecError> {
         let parents = spec.check()?;
-        let window = |w: &crate::WindowSpec| {
-            let length = (w.seconds * 1e9) as Nanos;
-            (w.measure as usize, Window::new(length, w.limit))
+        let window = |window_spec: &crate::WindowSpec| {
+            let length = (window_spec.seconds * 1e9) as Nanos;
+            (window_spec.measure as usize, Window::new(length, window_spec.limit))
         };
         let mut nodes: Vec<Node> = spec
             .nodes
             .iter()
             .zip(&parents)
-            .map(|(n, parent)| Node {
-                name: n.name.clone(),
+            .map(|(node_spec, parent)| Node {
+                name: node_spec.name.clone(),
                 parent: *parent,
-                weight: n.weight,
-                flows: [n.requests, n.work].map(|limit| {
+                weight: node_spec.weight,
+                buckets: [node_spec.requests, node_spec.work].map(|limit| {
                     let guarantee = limit.guarantee.unwrap_or(0.0);
                     Bucket {
                         limited: limit.guarantee.is_some(),
                         guarantee,
                         unallocated: guarantee,
                         ceiling: limit.ceiling,
-                        cap: guarantee * spec.burst_s,
-                        at: now,
+                        capacity: guarantee * spec.burst_s,
+                        refilled_at: now,
                         ..Bucket::default()
                     }
                 }),
-                concurrency: n.concurrency,
+                concurrency: node_spec.concurrency,
                 in_use: 0.0,
-                idle: 0.0,
-                windows: n.windows.iter().map(window).collect(),
+                idle_child_slots: 0.0,
+                windows: node_spec.windows.iter().map(window).collect(),
                 debts: Vec::new(),
             })
             .collect();
         for i in 0..nodes.len() {
-            let Some(p) = parents[i] else { continue };
-            for m in 0..FLOWS {
-                let g = nodes[i].flows[m].guarantee;
-                let above = &mut nodes[p].flows[m];
-                above.unallocated = (above.unallocated - g).max(0.0);
+            let Some(parent) = parents[i] else { continue };
+            for measure in 0..MEASURE_COUNT {
+                let guarantee = nodes[i].buckets[measure].guarantee;
+                let above = &mut nodes[parent].buckets[measure];
+                above.unallocated = (above.unallocated - guarantee).max(0.0);
             }
-            let g = nodes[i].concurrency.guarantee.unwrap_or(0.0);
-            nodes[p].idle += g;
+            let guarantee = nodes[i].concurrency.guarantee.unwrap_or(0.0);
+            nodes[parent].idle_child_slots += guarantee;
         }
         // A ceiling on a rate is a window of one second.
         for node in &mut nodes {
-            for m in 0..FLOWS {
-                if let Some(most) = node.flows[m].ceiling {
-                    node.windows.push((m, Window::new(1_000_000_000, most)));
+            for measure in 0..MEASURE_COUNT {
+                if let Some(ceiling) = node.buckets[measure].ceiling {
+                    node.windows.push((measure, Window::new(1_000_000_000, ceiling)));
                 }
             }
         }
-        let places = nodes.iter().enumerate().map(|(i, n)| (n.name.clone(), i)).collect();
-        let inner: rustc_hash::FxHashSet<usize> = parents.iter().flatten().copied().collect();
-        let leaf = |i: &usize| !inner.contains(i);
+        let node_indices = nodes.iter().enumerate().map(|(i, entry)| (entry.name.clone(), i)).collect();
+        let inner_nodes: rustc_hash::FxHashSet<usize> = parents.iter().flatten().copied().collect();
+        let is_leaf = |i: &usize| !inner_nodes.contains(i);
         let leaves = (0..nodes.len())
-            .filter(leaf)
+            .filter(is_leaf)
             .map(|i| (crate::share_split::node_number(&nodes[i].name), i))
             .collect();
         let mut quota = Quota {
             spec,
             nodes,
-            places,
+            node_indices,
             leaves,
-            held: FxHashMap::default(),
-            last: 0,
-            wakes: BinaryHeap::new(),
+            open_requests: FxHashMap::default(),
+            last_ticket: 0,
+            events: BinaryHeap::new(),
             now,
             epoch: now,
-            nobody: [0.0; FLOWS],
+            unattributed_credit: [0.0; MEASURE_COUNT],
             counters: Counters::default(),
         };
         // All are idle, so all lend: each bucket is full and filled by everything below it.
-        for m in 0..FLOWS {
+        for measure in 0..MEASURE_COUNT {
             for i in 0..quota.nodes.len() {
-                let above = quota.nodes[i].parent.is_some_and(|p| quota.nodes[p].flows[m].limited);
-                let b = &mut quota.nodes[i].flows[m];
-                (b.fill, b.level, b.lending) = (b.guarantee, b.cap, b.limited && above);
+                let above =
+                    quota.nodes[i].parent.is_some_and(|parent| quota.nodes[parent].buckets[measure].limited);
+                let bucket = &mut quota.nodes[i].buckets[measure];
+                (bucket.fill_rate, bucket.level, bucket.lending) =
+                    (bucket.guarantee, bucket.capacity, bucket.limited && above);
             }
         }
         Ok(quota)
     }
 
     /// What one unit that does not fade is made of now: amounts are kept in such units, so that all fade alike.
-    fn grown(&self) -> f64 {
+    fn growth_factor(&self) -> f64 {
         (self.now.saturating_sub(self.epoch) as f64 / 1e9 / self.spec.fade_s).exp()
     }
 
     /// Brings the time up. A clock that steps back stands still until it has caught up.
-    fn tick(&mut self, now: Nanos) {
+    fn advance_time(&mut self, now: Nanos) {
         let now = now.max(self.now);
-        while let Some(&Reverse((at, wake))) = self.wakes.peek() {
+        while let Some(&Reverse((at, event))) = self.events.peek() {
             if at > now {
                 break;
             }
-            self.wakes.pop();
+            self.events.pop();
             self.now = self.now.max(at);
-            match wake {
-                Wake::Full(n, m) => {
-                    self.nodes[n].flows[m].timed = false;
-                    self.refill(n, m);
-                    let b = &self.nodes[n].flows[m];
-                    if b.level >= b.cap - DUST * b.cap.max(1.0) { self.lend(n, m) } else { self.time(n, m) }
+            match event {
+                Event::BucketFull(node, measure) => {
+                    self.nodes[node].buckets[measure].full_event_queued = false;
+                    self.refill(node, measure);
+                    let bucket = &self.nodes[node].buckets[measure];
+                    if bucket.level >= bucket.capacity - ROUNDING_TOLERANCE * bucket.capacity.max(1.0) {
+                        self.start_lending(node, measure)
+                    } else {
+                        self.schedule_full_event(node, measure)
+                    }
                 }
-                Wake::Quiet(n, m) => self.quiet(n, m),
+                Event::CheckBorrowing(node, measure) => self.check_borrowing(node, measure),
             }
         }
         self.now = now;
         // Long before the units run out of range, all amounts are rewritten in units of today.
         if now.saturating_sub(self.epoch) as f64 / 1e9 > 500.0 * self.spec.fade_s {
-            self.rebase();
+            self.rebase_units();
         }
     }
 
-    fn rebase(&mut self) {
-        let by = 1.0 / self.grown();
+    fn rebase_units(&mut self) {
+        let factor = 1.0 / self.growth_factor();
         for node in &mut self.nodes {
-            for b in &mut node.flows {
-                for x in [&mut b.index, &mut b.seen, &mut b.credit, &mut b.own_seen, &mut b.repaid] {
-                    *x *= by;
+            for bucket in &mut node.buckets {
+                for amount in [
+                    &mut bucket.drawn_index,
+                    &mut bucket.parent_index_seen,
+                    &mut bucket.credit,
+                    &mut bucket.own_index_seen,
+                    &mut bucket.repaid,
+                ] {
+                    *amount *= factor;
                 }
             }
-            node.debts.iter_mut().for_each(|d| d.2 *= by);
+            node.debts.iter_mut().for_each(|debt| debt.2 *= factor);
         }
-        self.nobody.iter_mut().for_each(|x| *x *= by);
+        self.unattributed_credit.iter_mut().for_each(|credit| *credit *= factor);
         self.epoch = self.now;
     }
 
     /// Sets a wake for when a bucket will be full.
-    fn time(&mut self, n: usize, m: usize) {
-        let b = &mut self.nodes[n].flows[m];
-        if b.timed || b.lending || b.fill <= DUST || !b.limited {
+    fn schedule_full_event(&mut self, node: usize, measure: usize) {
+        let bucket = &mut self.nodes[node].buckets[measure];
+        if bucket.full_event_queued
+            || bucket.lending
+            || bucket.fill_rate <= ROUNDING_TOLERANCE
+            || !bucket.limited
+        {
             return;
         }
-        b.timed = true;
-        let wait = ((b.cap - b.level).max(0.0) / b.fill * 1e9).ceil().min(1e15) as Nanos;
-        self.wakes.push(Reverse((self.now + wait.max(1), Wake::Full(n, m))));
+        bucket.full_event_queued = true;
+        let wait =
+            ((bucket.capacity - bucket.level).max(0.0) / bucket.fill_rate * 1e9).ceil().min(1e15) as Nanos;
+        self.events.push(Reverse((self.now + wait.max(1), Event::BucketFull(node, measure))));
     }
 
-    fn refill(&mut self, n: usize, m: usize) {
+    fn refill(&mut self, node: usize, measure: usize) {
         let now = self.now;
-        let b = &self.nodes[n].flows[m];
-        if b.lending || !b.limited {
+        let bucket = &self.nodes[node].buckets[measure];
+        if bucket.lending || !bucket.limited {
             return;
         }
-        let span = now.saturating_sub(b.at) as f64 / 1e9;
-        let mut gain = b.fill * span;
-        if !self.nodes[n].debts.is_empty() {
-            gain -= self.pay_back(n, m, self.spec.repay * self.nodes[n].flows[m].guarantee * span);
+        let span = now.saturating_sub(bucket.refilled_at) as f64 / 1e9;
+        let mut refill = bucket.fill_rate * span;
+        if !self.nodes[node].debts.is_empty() {
+            refill -= self.repay_debts(
+                node,
+                measure,
+                self.spec.repay * self.nodes[node].buckets[measure].guarantee * span,
+            );
         }
-        let b = &mut self.nodes[n].flows[m];
-        (b.level, b.at) = ((b.level + gain).min(b.cap), now);
+        let bucket = &mut self.nodes[node].buckets[measure];
+        (bucket.level, bucket.refilled_at) = ((bucket.level + refill).min(bucket.capacity), now);
     }
 
     /// Pays back at most so much, to ancestors under which a lender wants it; what was paid.
-    fn pay_back(&mut self, n: usize, m: usize, most: f64) -> f64 {
-        let (now, grown) = (self.now, self.grown());
-        let mut left = most;
-        let mut debts = std::mem::take(&mut self.nodes[n].debts);
-        for (measure, a, owed) in &mut debts {
-            if *measure != m || self.nodes[*a].flows[m].wanted <= now || left <= 0.0 {
+    fn repay_debts(&mut self, node: usize, measure: usize, max_amount: f64) -> f64 {
+        let (now, growth) = (self.now, self.growth_factor());
+        let mut left = max_amount;
+        let mut debts = std::mem::take(&mut self.nodes[node].debts);
+        for (debt_measure, ancestor, owed) in &mut debts {
+            if *debt_measure != measure
+                || self.nodes[*ancestor].buckets[measure].wanted_until <= now
+                || left <= 0.0
+            {
                 continue;
             }
-            let paid = left.min(*owed / grown);
-            *owed -= paid * grown;
-            self.nodes[*a].flows[m].repaid += paid * grown;
-            self.counters.repaid[m] += paid;
+            let paid = left.min(*owed / growth);
+            *owed -= paid * growth;
+            self.nodes[*ancestor].buckets[measure].repaid += paid * growth;
+            self.counters.repaid[measure] += paid;
             left -= paid;
         }
-        debts.retain(|d| d.2 / grown > DUST);
-        self.nodes[n].debts = debts;
-        most - left
+        debts.retain(|debt| debt.2 / growth > ROUNDING_TOLERANCE);
+        self.nodes[node].debts = debts;
+        max_amount - left
     }
 
     /// Brings a lending node's credit up to date, from the top down.
-    fn accrue(&mut self, n: usize, m: usize) {
-        let Some(p) = self.nodes[n].parent.filter(|_| self.nodes[n].flows[m].lending) else { return };
-        self.accrue(p, m);
-        let index = self.nodes[p].flows[m].index;
-        let b = &mut self.nodes[n].flows[m];
-        let drawn = index - b.seen;
-        b.seen = index;
+    fn accrue_credit(&mut self, node: usize, measure: usize) {
+        let Some(parent) = self.nodes[node].parent.filter(|_| self.nodes[node].buckets[measure].lending)
+        else {
+            return;
+        };
+        self.accrue_credit(parent, measure);
+        let index = self.nodes[parent].buckets[measure].drawn_index;
+        let bucket = &mut self.nodes[node].buckets[measure];
+        let drawn = index - bucket.parent_index_seen;
+        bucket.parent_index_seen = index;
         // What was drawn from its fill falls to what fills it: its children that lend, and its own unallocated share.
-        b.index += drawn;
-        self.own_credit(n, m);
+        bucket.drawn_index += drawn;
+        self.credit_own_share(node, measure);
     }
 
     /// Credits a node's own share with what was drawn for each unit of fill.
-    fn own_credit(&mut self, n: usize, m: usize) {
-        let b = &mut self.nodes[n].flows[m];
-        b.credit += b.unallocated * (b.index - b.own_seen);
-        b.own_seen = b.index;
+    fn credit_own_share(&mut self, node: usize, measure: usize) {
+        let bucket = &mut self.nodes[node].buckets[measure];
+        bucket.credit += bucket.unallocated * (bucket.drawn_index - bucket.own_index_seen);
+        bucket.own_index_seen = bucket.drawn_index;
     }
 
-    fn lend(&mut self, n: usize, m: usize) {
-        let Some(p) = self.nodes[n].parent.filter(|&p| self.nodes[p].flows[m].limited) else {
+    fn start_lending(&mut self, node: usize, measure: usize) {
+        let Some(parent) =
+            self.nodes[node].parent.filter(|&parent| self.nodes[parent].buckets[measure].limited)
+        else {
             // The root lends to nobody; it is simply full.
-            let b = &mut self.nodes[n].flows[m];
-            b.level = b.cap;
+            let bucket = &mut self.nodes[node].buckets[measure];
+            bucket.level = bucket.capacity;
             return;
         };
-        self.accrue(p, m);
-        let index = self.nodes[p].flows[m].index;
-        let b = &mut self.nodes[n].flows[m];
-        if b.lending {
+        self.accrue_credit(parent, measure);
+        let index = self.nodes[parent].buckets[measure].drawn_index;
+        let bucket = &mut self.nodes[node].buckets[measure];
+        if bucket.lending {
             return;
         }
-        (b.lending, b.level, b.seen) = (true, b.cap, index);
-        let fill = b.fill;
-        self.change_fill(p, m, fill);
+        (bucket.lending, bucket.level, bucket.parent_index_seen) = (true, bucket.capacity, index);
+        let fill = bucket.fill_rate;
+        self.change_fill_rate(parent, measure, fill);
     }
 
-    fn stop_lending(&mut self, n: usize, m: usize) {
-        if !self.nodes[n].flows[m].lending {
+    fn stop_lending(&mut self, node: usize, measure: usize) {
+        if !self.nodes[node].buckets[measure].lending {
             return;
         }
-        self.accrue(n, m);
+        self.accrue_credit(node, measure);
         let now = self.now;
-        let b = &mut self.nodes[n].flows[m];
-        (b.lending, b.level, b.at) = (false, b.cap, now);
-        let fill = b.fill;
-        if let Some(p) = self.nodes[n].parent {
-            self.change_fill(p, m, -fill);
+        let bucket = &mut self.nodes[node].buckets[measure];
+        (bucket.lending, bucket.level, bucket.refilled_at) = (false, bucket.capacity, now);
+        let fill = bucket.fill_rate;
+        if let Some(parent) = self.nodes[node].parent {
+            self.change_fill_rate(parent, measure, -fill);
         }
     }
 
-    fn change_fill(&mut self, n: usize, m: usize, by: f64) {
-        self.accrue(n, m);
-        self.refill(n, m);
-        let b = &mut self.nodes[n].flows[m];
-        b.fill = (b.fill + by).max(0.0);
-        if !b.lending {
-            self.time(n, m);
-        } else if let Some(p) = self.nodes[n].parent {
-            self.change_fill(p, m, by);
+    fn change_fill_rate(&mut self, node: usize, measure: usize, change: f64) {
+        self.accrue_credit(node, measure);
+        self.refill(node, measure);
+        let bucket = &mut self.nodes[node].buckets[measure];
+        bucket.fill_rate = (bucket.fill_rate + change).max(0.0);
+        if !bucket.lending {
+            self.schedule_full_event(node, measure);
+        } else if let Some(parent) = self.nodes[node].parent {
+            self.change_fill_rate(parent, measure, change);
         }
     }
 
     /// Takes from a bucket, which ceases to lend by that. Less than nothing gives back to it.
-    fn draw(&mut self, n: usize, m: usize, amount: f64) {
-        if self.nodes[n].flows[m].lending && amount <= 0.0 {
+    fn draw(&mut self, node: usize, measure: usize, amount: f64) {
+        if self.nodes[node].buckets[measure].lending && amount <= 0.0 {
             // It is full; what comes back overflows.
             return;
         }
-        self.stop_lending(n, m);
-        self.refill(n, m);
-        let b = &mut self.nodes[n].flows[m];
-        b.level = (b.level - amount).clamp(-DEEPEST * b.cap.max(1.0), b.cap);
-        self.time(n, m);
+        self.stop_lending(node, measure);
+        self.refill(node, measure);
+        let bucket = &mut self.nodes[node].buckets[measure];
+        bucket.level =
+            (bucket.level - amount).clamp(-MAX_OVERDRAFT_FACTOR * bucket.capacity.max(1.0), bucket.capacity);
+        self.schedule_full_event(node, measure);
     }
 
     /// Holds another part of a node's flowing shares: `factor` times what the tree gives it. It counts for nodes without
     /// children; what lies above them follows.
     pub fn scale_share(&mut self, now: Nanos, node_number: u32, factor: f64) {
-        self.tick(now);
-        let Some(&n) = self.leaves.get(&node_number).filter(|_| factor.is_finite() && factor >= 0.0) else {
+        self.advance_time(now);
+        let Some(&node) = self.leaves.get(&node_number).filter(|_| factor.is_finite() && factor >= 0.0)
+        else {
             return;
         };
-        let spec = [self.spec.nodes[n].requests, self.spec.nodes[n].work];
-        for (m, limit) in spec.into_iter().enumerate() {
-            let Some(full) = limit.guarantee else { continue };
-            let by = full * factor - self.nodes[n].flows[m].guarantee;
-            if by.abs() < DUST {
+        let limits = [self.spec.nodes[node].requests, self.spec.nodes[node].work];
+        for (measure, limit) in limits.into_iter().enumerate() {
+            let Some(full_guarantee) = limit.guarantee else { continue };
+            let change = full_guarantee * factor - self.nodes[node].buckets[measure].guarantee;
+            if change.abs() < ROUNDING_TOLERANCE {
                 continue;
             }
-            self.accrue(n, m);
-            self.refill(n, m);
-            self.own_credit(n, m);
+            self.accrue_credit(node, measure);
+            self.refill(node, measure);
+            self.credit_own_share(node, measure);
             let burst = self.spec.burst_s;
-            let b = &mut self.nodes[n].flows[m];
-            let filled = if b.cap > DUST { b.level / b.cap } else { 1.0 };
-            b.guarantee += by;
-            (b.unallocated, b.fill, b.cap) = (b.guarantee, b.guarantee, b.guarantee * burst);
+            let bucket = &mut self.nodes[node].buckets[measure];
+            let filled_fraction =
+                if bucket.capacity > ROUNDING_TOLERANCE { bucket.level / bucket.capacity } else { 1.0 };
+            bucket.guarantee += change;
+            (bucket.unallocated, bucket.fill_rate, bucket.capacity) =
+                (bucket.guarantee, bucket.guarantee, bucket.guarantee * burst);
             // As full as it was: a part that moves between schedulers is neither made nor lost.
-            b.level = if b.lending { b.cap } else { filled.min(1.0) * b.cap };
-            let lending = b.lending;
-            for a in self.path(n).skip(1) {
-                self.accrue(a, m);
-                self.refill(a, m);
-                let above = &mut self.nodes[a].flows[m];
-                above.guarantee += by;
-                above.cap = above.guarantee * burst;
-                above.level = above.level.min(above.cap);
+            bucket.level =
+                if bucket.lending { bucket.capacity } else { filled_fraction.min(1.0) * bucket.capacity };
+            let lending = bucket.lending;
+            for ancestor in self.path_to_root(node).skip(1) {
+                self.accrue_credit(ancestor, measure);
+                self.refill(ancestor, measure);
+                let above = &mut self.nodes[ancestor].buckets[measure];
+                above.guarantee += change;
+                above.capacity = above.guarantee * burst;
+                above.level = above.level.min(above.capacity);
             }
-            match self.nodes[n].parent.filter(|_| lending) {
-                Some(p) => self.change_fill(p, m, by),
-                None => self.time(n, m),
+            match self.nodes[node].parent.filter(|_| lending) {
+                Some(parent) => self.change_fill_rate(parent, measure, change),
+                None => self.schedule_full_event(node, measure),
             }
         }
     }
@@ -510,199 +544,220 @@
 
     /// Asks for a request of a tenant. Nothing is charged unless it is admitted, and then on all nodes of its path.
     pub fn admit(&mut self, now: Nanos, tenant: &str, request: &QuotaRequest) -> Verdict {
-        self.tick(now);
-        let Some(&n) = self.places.get(tenant) else {
+        self.advance_time(now);
+        let Some(&node) = self.node_indices.get(tenant) else {
             self.counters.unknown += 1;
             return Verdict::Unknown;
         };
         let amounts = [if request.retry { 0.0 } else { 1.0 }, request.work.max(0.0)];
-        if let Some(refusal) = self.ceiling(n, request, &amounts) {
+        if let Some(refusal) = self.check_ceilings(node, request, &amounts) {
             self.counters.refused += 1;
             return Verdict::Refused(refusal);
         }
-        let sources = [0, 1].map(|m| self.source(n, m, amounts[m]));
-        let mut status = self.concurrency(n, request.slots);
+        let sources = [0, 1].map(|measure| self.choose_source(node, measure, amounts[measure]));
+        let mut status = self.concurrency_status(node, request.slots);
         for source in sources {
             status = status.max(match source {
-                Source::Free | Source::Own | Source::Repaid(_) => ShareStatus::Within,
+                Source::Unlimited | Source::OwnShare | Source::Repaid(_) => ShareStatus::Within,
                 Source::Loan(_) => ShareStatus::Borrowed,
-                Source::Nobody => ShareStatus::Over,
+                Source::Unfunded => ShareStatus::Over,
             });
         }
         if status == ShareStatus::Over && self.spec.over == OverSharePolicy::Refuse {
             self.counters.refused += 1;
-            let after =
-                [0, 1].map(|m| if sources[m] == Source::Nobody { self.paid_in(n, m, amounts[m]) } else { 0 });
-            let after = after[0].max(after[1]).max(COME_BACK);
-            let node = self.nodes[n].name.clone();
+            let after = [0, 1].map(|measure| {
+                if sources[measure] == Source::Unfunded {
+                    self.time_until_funded(node, measure, amounts[measure])
+                } else {
+                    0
+                }
+            });
+            let after = after[0].max(after[1]).max(MIN_RETRY_AFTER);
+            let node = self.nodes[node].name.clone();
             return Verdict::Refused(Refusal {
                 node,
-                after: after + jitter(request.jitter_seed, (after / 4).max(3 * COME_BACK)),
+                after: after + jitter(request.jitter_seed, (after / 4).max(3 * MIN_RETRY_AFTER)),
             });
         }
-        for m in 0..FLOWS {
+        for measure in 0..MEASURE_COUNT {
             // What is over share in one measure uses no share in another.
             if status < ShareStatus::Over {
-                self.take(n, m, amounts[m], sources[m]);
+                self.charge_source(node, measure, amounts[measure], sources[measure]);
             }
-            self.windows(n, m, amounts[m]);
+            self.charge_windows(node, measure, amounts[measure]);
         }
-        self.use_slots(n, request.slots);
+        self.use_slots(node, request.slots);
         match status {
             ShareStatus::Within => self.counters.within += 1,
             ShareStatus::Borrowed => self.counters.borrowed += 1,
             ShareStatus::Over => self.counters.over += 1,
         }
-        self.last += 1;
-        let source = if status < ShareStatus::Over { sources[1] } else { Source::Nobody };
-        self.held.insert(self.last, Held { node: n, slots: request.slots, work: amounts[1], source });
-        Verdict::Admitted(Ticket(self.last), status)
+        self.last_ticket += 1;
+        let source = if status < ShareStatus::Over { sources[1] } else { Source::Unfunded };
+        self.open_requests
+            .insert(self.last_ticket, OpenRequest { node, slots: request.slots, work: amounts[1], source });
+        Verdict::Admitted(Ticket(self.last_ticket), status)
     }
 
-    fn path(&self, n: usize) -> impl Iterator<Item = usize> + use<> {
+    fn path_to_root(&self, node: usize) -> impl Iterator<Item = usize> + use<> {
         let mut path = [usize::MAX; MAX_DEPTH + 1];
-        let (mut at, mut len) = (Some(n), 0);
-        while let Some(i) = at.filter(|_| len <= MAX_DEPTH) {
+        let (mut next, mut len) = (Some(node), 0);
+        while let Some(i) = next.filter(|_| len <= MAX_DEPTH) {
             path[len] = i;
             len += 1;
-            at = self.nodes[i].parent;
+            next = self.nodes[i].parent;
         }
         path.into_iter().take(len)
     }
 
     /// The ceiling that binds, if one does.
-    fn ceiling(&mut self, n: usize, request: &QuotaRequest, amounts: &[f64; FLOWS]) -> Option<Refusal> {
+    fn check_ceilings(
+        &mut self,
+        node: usize,
+        request: &QuotaRequest,
+        amounts: &[f64; MEASURE_COUNT],
+    ) -> Option<Refusal> {
         let now = self.now;
-        let mut worst: Option<(Nanos, usize)> = None;
-        for i in self.path(n) {
+        let mut longest_wait: Option<(Nanos, usize)> = None;
+        for i in self.path_to_root(node) {
             let node = &mut self.nodes[i];
-            for (m, window) in &mut node.windows {
-                if amounts[*m] > 0.0
-                    && let Err(after) = window.allows(now, amounts[*m])
-                    && worst.is_none_or(|w| w.0 < after)
+            for (measure, window) in &mut node.windows {
+                if amounts[*measure] > 0.0
+                    && let Err(after) = window.check(now, amounts[*measure])
+                    && longest_wait.is_none_or(|longest| longest.0 < after)
                 {
-                    worst = Some((after, i));
+                    longest_wait = Some((after, i));
                 }
             }
-            let over = node.concurrency.ceiling.is_some_and(|c| node.in_use + request.slots > c + DUST);
-            if over && worst.is_none() {
-                worst = Some((COME_BACK, i));
+            let over_ceiling = node
+                .concurrency
+                .ceiling
+                .is_some_and(|ceiling| node.in_use + request.slots > ceiling + ROUNDING_TOLERANCE);
+            if over_ceiling && longest_wait.is_none() {
+                longest_wait = Some((MIN_RETRY_AFTER, i));
             }
         }
-        worst.map(|(after, i)| {
+        longest_wait.map(|(after, i)| {
             // Up to four times the shortest wait, or a quarter of the window's: no second refusal for most.
-            let most = (after / 4).max(3 * COME_BACK);
-            Refusal { node: self.nodes[i].name.clone(), after: after + jitter(request.jitter_seed, most) }
+            let jitter_bound = (after / 4).max(3 * MIN_RETRY_AFTER);
+            Refusal {
+                node: self.nodes[i].name.clone(),
+                after: after + jitter(request.jitter_seed, jitter_bound),
+            }
         })
     }
 
     /// When a node's own share can pay for so much, in nanoseconds from now; an hour at the latest.
-    fn paid_in(&self, n: usize, m: usize, amount: f64) -> Nanos {
-        let b = &self.nodes[n].flows[m];
-        let wait = (amount.min(b.cap) - b.level).max(0.0) / b.guarantee.max(DUST);
-        (wait.min(3600.0) * 1e9) as Nanos
+    fn time_until_funded(&self, node: usize, measure: usize, amount: f64) -> Nanos {
+        let bucket = &self.nodes[node].buckets[measure];
+        let wait_seconds =
+            (amount.min(bucket.capacity) - bucket.level).max(0.0) / bucket.guarantee.max(ROUNDING_TOLERANCE);
+        (wait_seconds.min(3600.0) * 1e9) as Nanos
     }
 
     /// What pays for so much of a measure.
-    fn source(&mut self, n: usize, m: usize, amount: f64) -> Source {
-        if !self.nodes[n].flows[m].limited || amount <= 0.0 {
-            return Source::Free;
-        }
-        self.refill(n, m);
-        if self.nodes[n].flows[m].level >= amount - DUST {
-            return Source::Own;
-        }
-        let (now, grown) = (self.now, self.grown());
-        let credit = self.nodes[n].flows[m].credit / grown;
-        let mut child = n;
-        for a in self.path(n).skip(1) {
-            if !self.nodes[a].flows[m].limited {
+    fn choose_source(&mut self, node: usize, measure: usize, amount: f64) -> Source {
+        if !self.nodes[node].buckets[measure].limited || amount <= 0.0 {
+            return Source::Unlimited;
+        }
+        self.refill(node, measure);
+        if self.nodes[node].buckets[measure].level >= amount - ROUNDING_TOLERANCE {
+            return Source::OwnShare;
+        }
+        let (now, growth) = (self.now, self.growth_factor());
+        let credit = self.nodes[node].buckets[measure].credit / growth;
+        let mut child = node;
+        for ancestor in self.path_to_root(node).skip(1) {
+            if !self.nodes[ancestor].buckets[measure].limited {
                 break;
             }
-            self.refill(a, m);
-            let (weight, own) = (self.nodes[child].weight, &self.nodes[child].flows[m]);
-            let rate = own.borrowed_of_late(now);
-            let others = if own.borrowing { 0.0 } else { weight };
-            let b = &mut self.nodes[a].flows[m];
+            self.refill(ancestor, measure);
+            let (weight, child_bucket) = (self.nodes[child].weight, &self.nodes[child].buckets[measure]);
+            let recently_borrowed = child_bucket.recently_borrowed(now);
+            let new_weight = if child_bucket.borrowing { 0.0 } else { weight };
+            let bucket = &mut self.nodes[ancestor].buckets[measure];
             if credit >= amount {
                 // A lender wants more than its share: those who owe pay back while it does.
-                b.wanted = now + RECENT;
-                if b.repaid / grown >= amount {
-                    return Source::Repaid(a);
+                bucket.wanted_until = now + ACTIVITY_PERIOD;
+                if bucket.repaid / growth >= amount {
+                    return Source::Repaid(ancestor);
                 }
             }
-            let fair = b.fill * weight / (b.borrowers + others).max(DUST);
-            let plenty = b.level - amount >= b.cap / 2.0;
-            if b.level >= amount - DUST && (plenty || rate + amount <= fair.max(amount)) {
-                return Source::Loan(a);
+            let fair_share =
+                bucket.fill_rate * weight / (bucket.borrower_weight + new_weight).max(ROUNDING_TOLERANCE);
+            let half_full = bucket.level - amount >= bucket.capacity / 2.0;
+            if bucket.level >= amount - ROUNDING_TOLERANCE
+                && (half_full || recently_borrowed + amount <= fair_share.max(amount))
+            {
+                return Source::Loan(ancestor);
             }
-            child = a;
+            child = ancestor;
         }
-        Source::Nobody
+        Source::Unfunded
     }
 
-    fn take(&mut self, n: usize, m: usize, amount: f64, source: Source) {
-        let grown = self.grown();
+    fn charge_source(&mut self, node: usize, measure: usize, amount: f64, source: Source) {
+        let growth = self.growth_factor();
         match source {
-            Source::Free | Source::Nobody => {}
-            Source::Own => self.draw(n, m, amount),
-            Source::Repaid(a) => {
-                self.nodes[a].flows[m].repaid -= amount * grown;
-                self.nodes[n].flows[m].credit -= amount * grown;
+            Source::Unlimited | Source::Unfunded => {}
+            Source::OwnShare => self.draw(node, measure, amount),
+            Source::Repaid(ancestor) => {
+                self.nodes[ancestor].buckets[measure].repaid -= amount * growth;
+                self.nodes[node].buckets[measure].credit -= amount * growth;
             }
-            Source::Loan(a) => {
+            Source::Loan(ancestor) => {
                 self.counters.loans += 1;
-                self.borrow(n, m, amount, a);
-                let child = self.path(n).take_while(|i| *i != a).last().unwrap_or(n);
+                self.borrow(node, measure, amount, ancestor);
+                let child = self.path_to_root(node).take_while(|i| *i != ancestor).last().unwrap_or(node);
                 let (now, weight) = (self.now, self.nodes[child].weight);
-                let b = &mut self.nodes[child].flows[m];
-                (b.borrowed, b.borrowed_at) = (b.borrowed_of_late(now) + amount, now);
-                if !std::mem::replace(&mut b.borrowing, true) {
-                    self.nodes[a].flows[m].borrowers += weight;
-                    self.wakes.push(Reverse((now + RECENT, Wake::Quiet(child, m))));
+                let bucket = &mut self.nodes[child].buckets[measure];
+                (bucket.borrowed_amount, bucket.borrowed_at) = (bucket.recently_borrowed(now) + amount, now);
+                if !std::mem::replace(&mut bucket.borrowing, true) {
+                    self.nodes[ancestor].buckets[measure].borrower_weight += weight;
+                    self.events.push(Reverse((now + ACTIVITY_PERIOD, Event::CheckBorrowing(child, measure))));
                 }
             }
         }
     }
 
     /// Draws on an ancestor's bucket: debts and credits grow by the same amount.
-    fn borrow(&mut self, n: usize, m: usize, amount: f64, a: usize) {
-        let grown = self.grown();
-        self.draw(a, m, amount);
-        self.own_credit(a, m);
-        let b = &mut self.nodes[a].flows[m];
-        if b.fill > FAINT {
-            b.index += amount * grown / b.fill;
+    fn borrow(&mut self, node: usize, measure: usize, amount: f64, ancestor: usize) {
+        let growth = self.growth_factor();
+        self.draw(ancestor, measure, amount);
+        self.credit_own_share(ancestor, measure);
+        let bucket = &mut self.nodes[ancestor].buckets[measure];
+        if bucket.fill_rate > MIN_LENDING_FILL_RATE {
+            bucket.drawn_index += amount * growth / bucket.fill_rate;
         } else {
-            self.nobody[m] += amount * grown;
+            self.unattributed_credit[measure] += amount * growth;
         }
-        self.counters.lent[m] += amount.max(0.0);
-        match self.nodes[n].debts.iter_mut().find(|d| d.0 == m && d.1 == a) {
-            Some(debt) => debt.2 += amount * grown,
-            None => self.nodes[n].debts.push((m, a, amount * grown)),
+        self.counters.lent[measure] += amount.max(0.0);
+        match self.nodes[node].debts.iter_mut().find(|debt| debt.0 == measure && debt.1 == ancestor) {
+            Some(debt) => debt.2 += amount * growth,
+            None => self.nodes[node].debts.push((measure, ancestor, amount * growth)),
         }
     }
 
     /// A node that has not borrowed of late leaves the borrowers of its parent.
-    fn quiet(&mut self, n: usize, m: usize) {
-        let (now, weight, parent) = (self.now, self.nodes[n].weight, self.nodes[n].parent);
-        let b = &mut self.nodes[n].flows[m];
-        let until = b.borrowed_at + RECENT;
+    fn check_borrowing(&mut self, node: usize, measure: usize) {
+        let (now, weight, parent) = (self.now, self.nodes[node].weight, self.nodes[node].parent);
+        let bucket = &mut self.nodes[node].buckets[measure];
+        let until = bucket.borrowed_at + ACTIVITY_PERIOD;
         if until > now {
-            self.wakes.push(Reverse((until, Wake::Quiet(n, m))));
-        } else if std::mem::replace(&mut b.borrowing, false)
-            && let Some(p) = parent
+            self.events.push(Reverse((until, Event::CheckBorrowing(node, measure))));
+        } else if std::mem::replace(&mut bucket.borrowing, false)
+            && let Some(parent) = parent
         {
-            let above = &mut self.nodes[p].flows[m];
-            above.borrowers = (above.borrowers - weight).max(0.0);
+            let above = &mut self.nodes[parent].buckets[measure];
+            above.borrower_weight = (above.borrower_weight - weight).max(0.0);
         }
     }
 
-    fn windows(&mut self, n: usize, m: usize, amount: f64) {
+    fn charge_windows(&mut self, node: usize, measure: usize, amount: f64) {
         let now = self.now;
-        for i in self.path(n) {
-            for (measure, window) in &mut self.nodes[i].windows {
-                if *measure == m {
+        for i in self.path_to_root(node) {
+            for (window_measure, window) in &mut self.nodes[i].windows {
+                if *window_measure == measure {
                     window.charge(now, amount);
                 }
             }
@@ -712,32 +767,35 @@
     // ---- concurrency
 
     /// Whose slots a request would use: its own, idle ones that others lend, or nobody's.
-    fn concurrency(&self, n: usize, slots: f64) -> ShareStatus {
-        let node = &self.nodes[n];
-        let Some(own) = node.concurrency.guarantee else { return ShareStatus::Within };
-        if node.in_use + slots <= own + DUST {
+    fn concurrency_status(&self, node: usize, slots: f64) -> ShareStatus {
+        let tenant = &self.nodes[node];
+        let Some(own) = tenant.concurrency.guarantee else { return ShareStatus::Within };
+        if tenant.in_use + slots <= own + ROUNDING_TOLERANCE {
             return ShareStatus::Within;
         }
-        for a in self.path(n).skip(1) {
-            let above = &self.nodes[a];
-            let Some(most) = above.concurrency.guarantee else { break };
+        for ancestor in self.path_to_root(node).skip(1) {
+            let above = &self.nodes[ancestor];
+            let Some(guarantee) = above.concurrency.guarantee else { break };
             // A part of what lenders leave idle stays free, so that they find room when they come back.
-            if above.in_use + slots <= most - self.spec.reserve * above.idle + DUST {
+            if above.in_use + slots
+                <= guarantee - self.spec.reserve * above.idle_child_slots + ROUNDING_TOLERANCE
+            {
                 return ShareStatus::Borrowed;
             }
         }
         ShareStatus::Over
     }
 
-    fn use_slots(&mut self, n: usize, slots: f64) {
-        for i in self.path(n) {
+    fn use_slots(&mut self, node: usize, slots: f64) {
+        for i in self.path_to_root(node) {
             let node = &mut self.nodes[i];
             let own = node.concurrency.guarantee.unwrap_or(0.0);
-            let before = (own - node.in_use).max(0.0);
+            let idle_before = (own - node.in_use).max(0.0);
             node.in_use = (node.in_use + slots).max(0.0);
-            let idle = (own - node.in_use).max(0.0) - before;
-            if let Some(p) = node.parent {
-                self.nodes[p].idle = (self.nodes[p].idle + idle).max(0.0);
+            let idle_change = (own - node.in_use).max(0.0) - idle_before;
+            if let Some(parent) = node.parent {
+                self.nodes[parent].idle_child_slots =
+                    (self.nodes[parent].idle_child_slots + idle_change).max(0.0);
             }
         }
     }
@@ -746,33 +804,36 @@
 
     /// A request has ended, and took so much work, in slot seconds. A ticket is settled once; a second time does nothing.
     pub fn complete(&mut self, now: Nanos, ticket: Ticket, work: f64) {
-        self.tick(now);
-        let Some(held) = self.held.remove(&ticket.0) else { return };
+        self.advance_time(now);
+        let Some(open_request) = self.open_requests.remove(&ticket.0) else { return };
         self.counters.completed += 1;
-        self.use_slots(held.node, -held.slots);
-        let more = work.max(0.0) - held.work;
-        self.windows(held.node, 1, more);
-        match held.source {
-            Source::Own | Source::Repaid(_) => self.draw(held.node, 1, more),
-            Source::Loan(a) if more > 0.0 => self.borrow(held.node, 1, more, a),
-            Source::Loan(a) => self.give_back(held.node, -more, a),
-            Source::Free | Source::Nobody => {}
+        self.use_slots(open_request.node, -open_request.slots);
+        let excess = work.max(0.0) - open_request.work;
+        self.charge_windows(open_request.node, 1, excess);
+        match open_request.source {
+            Source::OwnShare | Source::Repaid(_) => self.draw(open_request.node, 1, excess),
+            Source::Loan(ancestor) if excess > 0.0 => self.borrow(open_request.node, 1, excess, ancestor),
+            Source::Loan(ancestor) => self.return_loan(open_request.node, -excess, ancestor),
+            Source::Unlimited | Source::Unfunded => {}
         }
     }
 
     /// A job on borrowed room took less than was lent for it.
-    fn give_back(&mut self, n: usize, amount: f64, a: usize) {
-        let grown = self.grown();
-        let Some(debt) = self.nodes[n].debts.iter_mut().find(|d| d.0 == 1 && d.1 == a) else { return };
-        let back = amount.min(debt.2 / grown);
-        debt.2 -= back * grown;
-        self.draw(a, 1, -back);
-        self.own_credit(a, 1);
-        let b = &mut self.nodes[a].flows[1];
-        if b.fill > FAINT {
-            b.index -= back * grown / b.fill;
+    fn return_loan(&mut self, node: usize, amount: f64, ancestor: usize) {
+        let growth = self.growth_factor();
+        let Some(debt) = self.nodes[node].debts.iter_mut().find(|debt| debt.0 == 1 && debt.1 == ancestor)
+        else {
+            return;
+        };
+        let returned = amount.min(debt.2 / growth);
+        debt.2 -= returned * growth;
+        self.draw(ancestor, 1, -returned);
+        self.credit_own_share(ancestor, 1);
+        let bucket = &mut self.nodes[ancestor].buckets[1];
+        if bucket.fill_rate > MIN_LENDING_FILL_RATE {
+            bucket.drawn_index -= returned * growth / bucket.fill_rate;
         } else {
-            self.nobody[1] -= back * grown;
+            self.unattributed_credit[1] -= returned * growth;
         }
     }
 
@@ -781,44 +842,48 @@
     /// Puts another tree in place, whole and at once. What is in use, owed and counted stays with the nodes of the same
     /// name; jobs of a node that is gone count at the nearest of its ancestors that stays. A faulty tree changes nothing.
     pub fn replace_spec(&mut self, now: Nanos, spec: Spec) -> Result<(), SpecError> {
-        self.tick(now);
+        self.advance_time(now);
         let mut next = Quota::new(spec, self.now)?;
-        (next.epoch, next.last, next.counters) = (self.epoch, self.last, self.counters.clone());
-        let stays = |next: &Quota, mut n: usize| loop {
-            if let Some(&place) = next.places.get(&self.nodes[n].name) {
-                return Some(place);
+        (next.epoch, next.last_ticket, next.counters) = (self.epoch, self.last_ticket, self.counters.clone());
+        let remaining_node = |next: &Quota, mut node: usize| loop {
+            if let Some(&index) = next.node_indices.get(&self.nodes[node].name) {
+                return Some(index);
             }
-            n = self.nodes[n].parent?;
+            node = self.nodes[node].parent?;
         };
         for old in &self.nodes {
-            let Some(&j) = next.places.get(&old.name) else { continue };
-            for m in 0..FLOWS {
-                let short = old.flows[m].cap - old.flows[m].level;
-                if !old.flows[m].lending && next.nodes[j].flows[m].limited && short > DUST {
-                    next.draw(j, m, short.min(next.nodes[j].flows[m].cap));
+            let Some(&new_node) = next.node_indices.get(&old.name) else { continue };
+            for measure in 0..MEASURE_COUNT {
+                let missing = old.buckets[measure].capacity - old.buckets[measure].level;
+                if !old.buckets[measure].lending
+                    && next.nodes[new_node].buckets[measure].limited
+                    && missing > ROUNDING_TOLERANCE
+                {
+                    next.draw(new_node, measure, missing.min(next.nodes[new_node].buckets[measure].capacity));
                 }
             }
-            for (m, window) in &old.windows {
-                let same =
-                    next.nodes[j].windows.iter_mut().find(|(k, w)| k == m && w.length() == window.length());
-                if let Some((_, fresh)) = same {
-                    let most = fresh.most();
-                    *fresh = window.clone();
-                    fresh.limit(most);
+            for (measure, window) in &old.windows {
+                let same_window = next.nodes[new_node].windows.iter_mut().find(|(new_measure, candidate)| {
+                    new_measure == measure && candidate.length() == window.length()
+                });
+                if let Some((_, new_window)) = same_window {
+                    let limit = new_window.limit();
+                    *new_window = window.clone();
+                    new_window.set_limit(limit);
                 }
             }
         }
-        for (ticket, held) in &self.held {
-            let Some(node) = stays(&next, held.node) else { continue };
-            next.use_slots(node, held.slots);
-            let moved = next.nodes[node].name != self.nodes[held.node].name;
-            let source = match held.source {
-                Source::Own if !moved => Source::Own,
-                Source::Free => Source::Free,
+        for (ticket, open_request) in &self.open_requests {
+            let Some(node) = remaining_node(&next, open_request.node) else { continue };
+            next.use_slots(node, open_request.slots);
+            let moved = next.nodes[node].name != self.nodes[open_request.node].name;
+            let source = match open_request.source {
+                Source::OwnShare if !moved => Source::OwnShare,
+                Source::Unlimited => Source::Unlimited,
                 // Loans are closed by a change of the tree: what they were drawn from may not be there.
-                _ => Source::Nobody,
+                _ => Source::Unfunded,
             };
-            next.held.insert(*ticket, Held { node, source, ..held.clone() });
+            next.open_requests.insert(*ticket, OpenRequest { node, source, ..open_request.clone() });
         }
         *self = next;
         Ok(())
@@ -826,37 +891,51 @@
 
     /// Tickets that are not settled.
     pub fn open_tickets(&self) -> usize {
-        self.held.len()
+        self.open_requests.len()
     }
 
     /// Slots in use at a node; none if there is no such node.
     pub fn in_use(&self, node: &str) -> Option<f64> {
-        self.places.get(node).map(|n| self.nodes[*n].in_use)
+        self.node_indices.get(node).map(|node| self.nodes[*node].in_use)
     }
 
     /// What is counted in a node's windows now: measure, what is used, and what may be.
     pub fn window_usage(&mut self, now: Nanos, node: &str) -> Vec<(Measure, f64, f64)> {
-        self.tick(now);
-        let Some(&n) = self.places.get(node) else { return Vec::new() };
+        self.advance_time(now);
+        let Some(&node) = self.node_indices.get(node) else { return Vec::new() };
         let now = self.now;
         let measures = [Measure::Requests, Measure::Work];
-        self.nodes[n].windows.iter_mut().map(|(m, w)| (measures[*m], w.used(now), w.most())).collect()
+        self.nodes[node]
+            .windows
+            .iter_mut()
+            .map(|(measure, window)| (measures[*measure], window.used(now), window.limit()))
+            .collect()
     }
 
     /// The table of loans: every node that owes or is owed. Costs a look at all nodes.
     pub fn loans(&mut self, now: Nanos) -> Vec<Loan> {
-        self.tick(now);
-        let grown = self.grown();
+        self.advance_time(now);
+        let growth = self.growth_factor();
         let mut rows = Vec::new();
-        for n in 0..self.nodes.len() {
-            for (m, measure) in [Measure::Requests, Measure::Work].into_iter().enumerate() {
-                self.accrue(n, m);
-                self.own_credit(n, m);
-                let owes: f64 =
-                    self.nodes[n].debts.iter().filter(|d| d.0 == m).map(|d| d.2).sum::<f64>() / grown;
-                let is_owed = self.nodes[n].flows[m].credit / grown;
+        for node in 0..self.nodes.len() {
+            for (measure, measure_kind) in [Measure::Requests, Measure::Work].into_iter().enumerate() {
+                self.accrue_credit(node, measure);
+                self.credit_own_share(node, measure);
+                let owes: f64 = self.nodes[node]
+                    .debts
+                    .iter()
+                    .filter(|debt| debt.0 == measure)
+                    .map(|debt| debt.2)
+                    .sum::<f64>()
+                    / growth;
+                let is_owed = self.nodes[node].buckets[measure].credit / growth;
                 if owes.abs() > 1e-6 || is_owed.abs() > 1e-6 {
-                    rows.push(Loan { node: self.nodes[n].name.clone(), measure, owes, is_owed });
+                    rows.push(Loan {
+                        node: self.nodes[node].name.clone(),
+                        measure: measure_kind,
+                        owes,
+                        is_owed,
+                    });
                 }
             }
         }
@@ -865,12 +944,13 @@
 
     /// What is lent and what is owed of a measure, in all: the same but for rounding.
     pub fn balance(&mut self, now: Nanos, measure: Measure) -> (f64, f64) {
-        let m = measure as usize;
+        let measure_index = measure as usize;
         let loans = self.loans(now);
-        let grown = self.grown();
-        let waiting: f64 = self.nodes.iter().map(|n| n.flows[m].repaid).sum::<f64>() / grown;
-        let rows = loans.iter().filter(|l| l.measure == measure);
-        let (owes, owed) = rows.fold((0.0, 0.0), |s, l| (s.0 + l.owes, s.1 + l.is_owed));
-        (owes + waiting, owed + self.nobody[m] / grown)
+        let growth = self.growth_factor();
+        let unclaimed: f64 =
+            self.nodes.iter().map(|node| node.buckets[measure_index].repaid).sum::<f64>() / growth;
+        let rows = loans.iter().filter(|loan| loan.measure == measure);
+        let (owes, owed) = rows.fold((0.0, 0.0), |sum, loan| (sum.0 + loan.owes, sum.1 + loan.is_owed));
+        (owes + unclaimed, owed + self.unattributed_credit[measure_index] / growth)
     }
 }
--- a/crates/quota/src/window.rs
+++ b/crates/quota/src/window.rs
@@ -4,88 +4,93 @@
 
 /// Steps of a window. What is counted in the oldest step leaves at once, so a window holds between 7/8 and all of its
 /// length; over any stretch of its full length at most `most` and one step's use more can pass.
-const STEPS: usize = 8;
+const STEP_COUNT: usize = 8;
 
 /// What was used within a window of time.
 #[derive(Clone, Debug)]
 pub(crate) struct Window {
-    step: Nanos,
-    most: f64,
-    used: [f64; STEPS],
+    step_length: Nanos,
+    limit: f64,
+    used: [f64; STEP_COUNT],
     /// The number of the newest step.
-    newest: u64,
+    newest_step: u64,
 }
 
 impl Window {
-    pub(crate) fn new(length: Nanos, most: f64) -> Self {
-        Window { step: (length / STEPS as u64).max(1), most, used: [0.0; STEPS], newest: 0 }
+    pub(crate) fn new(length: Nanos, limit: f64) -> Self {
+        Window {
+            step_length: (length / STEP_COUNT as u64).max(1),
+            limit,
+            used: [0.0; STEP_COUNT],
+            newest_step: 0,
+        }
     }
 
-    fn turn(&mut self, now: Nanos) {
-        let step = now / self.step;
+    fn advance_to(&mut self, now: Nanos) {
+        let step = now / self.step_length;
         // A clock that steps back counts into the newest step.
-        let passed = step.saturating_sub(self.newest).min(STEPS as u64);
+        let passed = step.saturating_sub(self.newest_step).min(STEP_COUNT as u64);
         for i in 0..passed {
-            self.used[((self.newest + 1 + i) % STEPS as u64) as usize] = 0.0;
+            self.used[((self.newest_step + 1 + i) % STEP_COUNT as u64) as usize] = 0.0;
         }
         // After a long pause the steps are all empty, whatever their numbers.
-        self.newest = self.newest.max(step);
+        self.newest_step = self.newest_step.max(step);
     }
 
-    fn sum(&self) -> f64 {
+    fn total(&self) -> f64 {
         self.used.iter().sum()
     }
 
     /// Whether so much more may be used now; if not, after which time it may.
-    pub(crate) fn allows(&mut self, now: Nanos, amount: f64) -> Result<(), Nanos> {
-        self.turn(now);
-        let mut over = self.sum() + amount - self.most;
-        if over <= 1e-9 {
+    pub(crate) fn check(&mut self, now: Nanos, amount: f64) -> Result<(), Nanos> {
+        self.advance_to(now);
+        let mut excess = self.total() + amount - self.limit;
+        if excess <= 1e-9 {
             return Ok(());
         }
         // The oldest steps leave first.
-        for i in 1..=STEPS as u64 {
-            over -= self.used[((self.newest + i) % STEPS as u64) as usize];
-            if over <= 1e-9 {
-                return Err(((self.newest + i) * self.step).saturating_sub(now).max(1));
+        for i in 1..=STEP_COUNT as u64 {
+            excess -= self.used[((self.newest_step + i) % STEP_COUNT as u64) as usize];
+            if excess <= 1e-9 {
+                return Err(((self.newest_step + i) * self.step_length).saturating_sub(now).max(1));
             }
         }
-        Err(self.step * STEPS as u64)
+        Err(self.step_length * STEP_COUNT as u64)
     }
 
     /// Counts so much; less than nothing gives back what was reserved too much.
     pub(crate) fn charge(&mut self, now: Nanos, amount: f64) {
-        self.turn(now);
-        let newest = (self.newest % STEPS as u64) as usize;
-        self.used[newest] += amount;
+        self.advance_to(now);
+        let newest_index = (self.newest_step % STEP_COUNT as u64) as usize;
+        self.used[newest_index] += amount;
         // What is given back may have been counted in earlier steps.
-        let mut i = newest;
-        for _ in 0..STEPS {
+        let mut i = newest_index;
+        for _ in 0..STEP_COUNT {
             if self.used[i] >= 0.0 {
                 break;
             }
-            let left = std::mem::take(&mut self.used[i]);
-            i = (i + STEPS - 1) % STEPS;
-            self.used[i] += left;
+            let negative = std::mem::take(&mut self.used[i]);
+            i = (i + STEP_COUNT - 1) % STEP_COUNT;
+            self.used[i] += negative;
         }
-        self.used.iter_mut().for_each(|u| *u = u.max(0.0));
+        self.used.iter_mut().for_each(|step| *step = step.max(0.0));
     }
 
     /// What is used within the window now.
     pub(crate) fn used(&mut self, now: Nanos) -> f64 {
-        self.turn(now);
-        self.sum()
+        self.advance_to(now);
+        self.total()
     }
 
     pub(crate) fn length(&self) -> Nanos {
-        self.step * STEPS as u64
+        self.step_length * STEP_COUNT as u64
     }
 
-    pub(crate) fn most(&self) -> f64 {
-        self.most
+    pub(crate) fn limit(&self) -> f64 {
+        self.limit
     }
 
-    pub(crate) fn limit(&mut self, most: f64) {
-        self.most = most;
+    pub(crate) fn set_limit(&mut self, limit: f64) {
+        self.limit = limit;
     }
 }
