--- a/crates/quota/src/core.rs
+++ b/crates/quota/src/core.rs
@@ -56,7 +56,7 @@
     /// The node whose ceiling binds.
     pub node: String,
     /// When to come back, in nanoseconds from now, spread so that the refused do not return as one.
-    pub after: Nanos,
+    pub retry_after: Nanos,
 }
 
 /// The answer to a request.
@@ -576,7 +576,7 @@
             let node = self.nodes[node].name.clone();
             return Verdict::Refused(Refusal {
                 node,
-                after: after + jitter(request.jitter_seed, (after / 4).max(3 * MIN_RETRY_AFTER)),
+                retry_after: after + jitter(request.jitter_seed, (after / 4).max(3 * MIN_RETRY_AFTER)),
             });
         }
         for measure in 0..MEASURE_COUNT {
@@ -642,7 +642,7 @@
             let jitter_bound = (after / 4).max(3 * MIN_RETRY_AFTER);
             Refusal {
                 node: self.nodes[i].name.clone(),
-                after: after + jitter(request.jitter_seed, jitter_bound),
+                retry_after: after + jitter(request.jitter_seed, jitter_bound),
             }
         })
     }
--- a/crates/quota/tests/quota.rs
+++ b/crates/quota/tests/quota.rs
@@ -120,8 +120,11 @@
         match q.admit(S + i, "meadow", &QuotaRequest { jitter_seed: i, ..REQUEST }) {
             Verdict::Admitted(..) => assert!(i < 20),
             Verdict::Refused(r) => {
-                assert!(i >= 20 && r.node == "meadow" && r.after > 5 * S && r.after < 14 * S, "{i} {r:?}");
-                afters.push(r.after / 100_000_000);
+                assert!(
+                    i >= 20 && r.node == "meadow" && r.retry_after > 5 * S && r.retry_after < 14 * S,
+                    "{i} {r:?}"
+                );
+                afters.push(r.retry_after / 100_000_000);
             }
             Verdict::Unknown => panic!(),
         }
--- a/crates/scheduler/src/quotas.rs
+++ b/crates/scheduler/src/quotas.rs
@@ -120,7 +120,7 @@
             Verdict::Admitted(ticket, standing) => {
                 QuotaDecision::Admitted(QuotaGrant { ticket, class, slots }, standing != ShareStatus::Over)
             }
-            Verdict::Refused(refusal) => QuotaDecision::Refused(refusal.after),
+            Verdict::Refused(refusal) => QuotaDecision::Refused(refusal.retry_after),
             Verdict::Unknown => QuotaDecision::UnknownTenant,
         }
     }
--- a/crates/simulation/src/simulate.rs
+++ b/crates/simulation/src/simulate.rs
@@ -892,7 +892,7 @@
                 Verdict::Unknown => in_share = Some(false),
                 Verdict::Refused(refusal) => {
                     self.world.referee.answered(now, id, Answered::Refused);
-                    let after = refusal.after.min(ms(self.world.day.terms.max_retry_after_ms));
+                    let after = refusal.retry_after.min(ms(self.world.day.terms.max_retry_after_ms));
                     let way = self.delay(self.world.day.network.client_ms);
                     return self.push(now + way, Due::Answer(id, 3 + after as usize));
                 }
