--- a/crates/quota/src/core.rs
+++ b/crates/quota/src/core.rs
@@ -1,4 +1,4 @@
-//! The core: buckets, loans and tickets.
+//! Admission against a tree of token buckets: charges, loans between nodes, and tickets of admitted requests.
 
 use crate::Nanos;
 use crate::spec::{Limit, MAX_DEPTH, Measure, OverSharePolicy, Spec, SpecError};
@@ -8,143 +8,148 @@
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
-/// Flowing measures: requests and work.
+/// Number of measures that are limited by rate: requests and work.
 const MEASURE_COUNT: usize = 2;
-/// Time over which a node's borrowing is compared with its weight, and a lender's want is remembered.
+/// Period over which a node's borrowing is averaged and a lender's demand for repayment stays active.
 const ACTIVITY_PERIOD: Nanos = 1_000_000_000;
-/// A node's bucket goes no further below nothing than so many times its size: what a job took beyond its estimate.
+/// A bucket's level falls at most this many times its capacity below zero. It falls below zero when a job takes more
+/// work than estimated.
 const MAX_OVERDRAFT_FACTOR: f64 = 8.0;
-/// When no window tells better, the refused come back after this time at the earliest and four times that at the latest.
+/// Shortest time after which a refused request is told to retry, where no window gives a time.
 const MIN_RETRY_AFTER: Nanos = 50_000_000;
-/// A bucket that is filled by less than this a second has no lenders worth a credit: its loans are nobody's.
+/// Loans from a bucket that fills more slowly than this, in units per second, are credited to no lender.
 const MIN_LENDING_FILL_RATE: f64 = 1e-3;
-/// Less than this is rounding.
+/// Smaller differences are treated as rounding errors.
 const ROUNDING_TOLERANCE: f64 = 1e-9;
 
-/// What a request asks for.
+/// The amounts that a request would use.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct QuotaRequest {
-    /// Slots that it takes.
+    /// Number of slots.
     pub slots: f64,
-    /// Its work by estimate, in slot seconds.
+    /// Estimated work, in slot seconds.
     pub work: f64,
-    /// A client's further try of a request that was counted before: it is the same demand, and counts no request.
+    /// Whether a client retries a request that was counted before; a retry isn't counted as another request.
     pub retry: bool,
-    /// Any number of its own: the refused come back spread by it.
+    /// Seed of the jitter that is added to the retry time of a refusal.
     pub jitter_seed: u64,
 }
 
-/// A request that was let through, until it is settled.
+/// Identifies an admitted request until it is completed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Ticket(u64);
 
-/// Whose share a request uses.
+/// How a request relates to its tenant's share.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ShareStatus {
-    /// Its tenant's own.
+    /// Covered by the tenant's own share.
     Within,
-    /// Room that others lend.
+    /// Covered by idle shares of other nodes.
     Borrowed,
-    /// Nobody's: it may be served where room is left, after those within their share.
+    /// Covered by no share. It may be served with capacity that requests within their shares leave free.
     Over,
 }
 
-/// Why and until when a request is refused.
+/// The reason of a refusal and the time to wait before a retry.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Refusal {
-    /// The node whose ceiling binds.
+    /// The node whose ceiling or share is exhausted.
     pub node: String,
-    /// When to come back, in nanoseconds from now, spread so that the refused do not return as one.
+    /// Time to wait before a retry, in nanoseconds, with jitter so that refused requests don't return at the same time.
     pub retry_after: Nanos,
 }
 
-/// The answer to a request.
+/// The result of an admission check.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// Let through; to be settled by its ticket.
+    /// Admitted. The ticket must be passed to [`Quota::complete`] when the request ends.
     Admitted(Ticket, ShareStatus),
-    /// A ceiling on its path is reached. Nothing was charged.
+    /// A ceiling is reached, or no share covers the request and the policy is to refuse. Nothing was charged.
     Refused(Refusal),
-    /// No node has this name. Nothing was charged.
+    /// No node has the tenant's name. Nothing was charged.
     Unknown,
 }
 
-/// Counts of verdicts and of what was lent.
+/// Counters of admissions and loans.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Counters {
-    /// Requests within share.
+    /// Requests admitted within their share.
     pub within: u64,
-    /// Requests on borrowed room.
+    /// Requests admitted on borrowed share.
     pub borrowed: u64,
-    /// Requests over share.
+    /// Requests admitted over their share.
     pub over: u64,
     /// Requests refused.
     pub refused: u64,
     /// Requests of unknown tenants.
     pub unknown: u64,
-    /// Loans, and what was lent in all: requests, and slot seconds.
+    /// Number of loans.
     pub loans: u64,
-    /// See `loans`.
+    /// Amounts lent: requests, and slot seconds.
     pub lent: [f64; MEASURE_COUNT],
-    /// What was paid back.
+    /// Amounts repaid: requests, and slot seconds.
     pub repaid: [f64; MEASURE_COUNT],
-    /// Tickets settled, and those of nodes that had been removed by then.
+    /// Requests completed.
     #[serde(rename = "settled")]
     pub completed: u64,
-    /// See `completed`.
+    /// Requests completed after their node was removed.
     #[serde(rename = "settled_removed")]
     pub completed_after_removal: u64,
 }
 
-/// A row of the table of loans.
+/// Debt and credit of one node for one measure.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Loan {
-    /// The node.
+    /// Name of the node.
     pub node: String,
-    /// What is lent: requests or slot seconds.
+    /// The measure, which gives the unit of the amounts.
     pub measure: Measure,
-    /// What it owes.
+    /// Amount that the node owes to lenders.
     pub owes: f64,
-    /// What it is owed.
+    /// Amount that borrowers owe to the node.
     pub is_owed: f64,
 }
 
 #[derive(Clone, Debug, Default)]
 struct Bucket {
-    /// It takes part in the measure.
+    /// Whether shares limit the node's use of the measure.
     limited: bool,
     guarantee: f64,
-    /// The part of the guarantee that is not promised to children.
+    /// The part of the guarantee that isn't assigned to children.
     unallocated: f64,
     ceiling: Option<f64>,
     fill_rate: f64,
     level: f64,
     capacity: f64,
+    /// Time of the last refill.
     refilled_at: Nanos,
     lending: bool,
-    /// An entry in the queue of wakes is its own.
+    /// Whether the event queue holds a `BucketFull` event of this bucket.
     full_event_queued: bool,
-    /// What has been drawn from this bucket for each unit of its fill, in units that do not fade.
+    /// Sum of the amounts drawn from this bucket, each divided by the fill rate at that time, in non-decaying units.
     drawn_index: f64,
-    /// The parent's index when its credit was last brought up to date.
+    /// The parent's `drawn_index` at the last update of the credit.
     parent_index_seen: f64,
-    /// What it is owed, and what is owed to nobody's share below it; in units that do not fade.
+    /// Amount owed to this node, in non-decaying units (see `Quota::growth_factor`).
     credit: f64,
+    /// This bucket's own `drawn_index` at the last update of the credit of the unallocated share.
     own_index_seen: f64,
-    /// What was paid back here and nobody has drawn.
+    /// Amount repaid to this bucket and not yet claimed by a lender, in non-decaying units.
     repaid: f64,
-    /// A lender below wants more than its share until then.
+    /// Until this time, borrowers repay because a lender below this node needs more than its share.
     wanted_until: Nanos,
-    /// Weights of the children that borrowed of late, and this one's own borrowing from its parent.
+    /// Sum of the weights of the children that borrowed recently.
     borrower_weight: f64,
+    /// Whether this node is counted in its parent's `borrower_weight`.
     borrowing: bool,
+    /// Amount borrowed from ancestors, decayed up to `borrowed_at`.
     borrowed_amount: f64,
     borrowed_at: Nanos,
 }
 
 impl Bucket {
-    /// What this node has borrowed from above of late.
+    /// The decayed amount that this node borrowed from its ancestors.
     fn recently_borrowed(&self, now: Nanos) -> f64 {
         self.borrowed_amount * (-(now.saturating_sub(self.borrowed_at) as f64 / ACTIVITY_PERIOD as f64)).exp()
     }
@@ -158,19 +163,24 @@
     buckets: [Bucket; MEASURE_COUNT],
     concurrency: Limit,
     in_use: f64,
-    /// Guaranteed concurrency of its children that they do not use.
+    /// Guaranteed slots that the children don't use.
     idle_child_slots: f64,
     windows: Vec<(usize, Window)>,
-    /// Debts to ancestors: measure, ancestor, amount in units that do not fade.
+    /// Debts to ancestors: measure, ancestor, and amount in non-decaying units.
     debts: Vec<(usize, usize, f64)>,
 }
 
+/// The bucket that pays for an amount.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Source {
+    /// Shares don't limit the measure.
     Unlimited,
     OwnShare,
+    /// An amount repaid to this ancestor.
     Repaid(usize),
+    /// A loan from this ancestor.
     Loan(usize),
+    /// No share covers the amount.
     Unfunded,
 }
 
@@ -184,30 +194,32 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
+    /// The bucket of a node and measure may be full.
     BucketFull(usize, usize),
+    /// A node may have stopped borrowing.
     CheckBorrowing(usize, usize),
 }
 
-/// The quotas of an installation.
+/// The quotas of all nodes of a tree, with their current use.
 #[derive(Clone, Debug)]
 pub struct Quota {
     spec: Spec,
     nodes: Vec<Node>,
     node_indices: FxHashMap<String, usize>,
-    /// Nodes without children, by their numbers among schedulers.
+    /// Nodes without children, by the node number used in digests.
     leaves: FxHashMap<u32, usize>,
     open_requests: FxHashMap<u64, OpenRequest>,
     last_ticket: u64,
     events: BinaryHeap<Reverse<(Nanos, Event)>>,
     now: Nanos,
     epoch: Nanos,
-    /// Credit that belongs to no share: what was lent out of a bucket that nothing fills any more.
+    /// Credit of loans from buckets that nothing filled, which belongs to no lender; in non-decaying units.
     unattributed_credit: [f64; MEASURE_COUNT],
-    /// Counts.
+    /// Counters since the start.
     pub counters: Counters,
 }
 
-/// Something below `most`, the same for the same number.
+/// Returns a pseudorandom time below `bound` that depends only on `seed`.
 fn jitter(seed: u64, bound: Nanos) -> Nanos {
     let mut hash = seed.wrapping_add(0x9e37_79b9_7f4a_7c15);
     hash = (hash ^ (hash >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
@@ -215,7 +227,7 @@
 }
 
 impl Quota {
-    /// The quotas of a tree, all idle.
+    /// Creates the quotas of a tree with nothing in use. Fails if the specification is invalid.
     pub fn new(spec: Spec, now: Nanos) -> Result<Quota, SpecError> {
         let parents = spec.check()?;
         let window = |window_spec: &crate::WindowSpec| {
@@ -259,7 +271,7 @@
             let guarantee = nodes[i].concurrency.guarantee.unwrap_or(0.0);
             nodes[parent].idle_child_slots += guarantee;
         }
-        // A ceiling on a rate is a window of one second.
+        // The ceiling of a rate is enforced as a window of one second.
         for node in &mut nodes {
             for measure in 0..MEASURE_COUNT {
                 if let Some(ceiling) = node.buckets[measure].ceiling {
@@ -287,7 +299,7 @@
             unattributed_credit: [0.0; MEASURE_COUNT],
             counters: Counters::default(),
         };
-        // All are idle, so all lend: each bucket is full and filled by everything below it.
+        // Initially all nodes are idle and lend: each bucket is full and receives the rates of all buckets below it.
         for measure in 0..MEASURE_COUNT {
             for i in 0..quota.nodes.len() {
                 let above =
@@ -300,12 +312,13 @@
         Ok(quota)
     }
 
-    /// What one unit that does not fade is made of now: amounts are kept in such units, so that all fade alike.
+    /// Factor between current amounts and stored amounts in non-decaying units. Debts and credits are stored multiplied
+    /// by it; as it grows, they all decay at the same rate without being updated.
     fn growth_factor(&self) -> f64 {
         (self.now.saturating_sub(self.epoch) as f64 / 1e9 / self.spec.fade_s).exp()
     }
 
-    /// Brings the time up. A clock that steps back stands still until it has caught up.
+    /// Advances the time and handles the events that are due. If the clock steps back, the time stays where it is.
     fn advance_time(&mut self, now: Nanos) {
         let now = now.max(self.now);
         while let Some(&Reverse((at, event))) = self.events.peek() {
@@ -329,7 +342,7 @@
             }
         }
         self.now = now;
-        // Long before the units run out of range, all amounts are rewritten in units of today.
+        // Rescales the stored amounts before the growth factor overflows.
         if now.saturating_sub(self.epoch) as f64 / 1e9 > 500.0 * self.spec.fade_s {
             self.rebase_units();
         }
@@ -355,7 +368,7 @@
         self.epoch = self.now;
     }
 
-    /// Sets a wake for when a bucket will be full.
+    /// Queues an event for the time at which the bucket will be full.
     fn schedule_full_event(&mut self, node: usize, measure: usize) {
         let bucket = &mut self.nodes[node].buckets[measure];
         if bucket.full_event_queued
@@ -390,7 +403,7 @@
         (bucket.level, bucket.refilled_at) = ((bucket.level + refill).min(bucket.capacity), now);
     }
 
-    /// Pays back at most so much, to ancestors under which a lender wants it; what was paid.
+    /// Repays at most `max_amount` to ancestors under which a lender requested repayment. Returns the amount repaid.
     fn repay_debts(&mut self, node: usize, measure: usize, max_amount: f64) -> f64 {
         let (now, growth) = (self.now, self.growth_factor());
         let mut left = max_amount;
@@ -413,7 +426,7 @@
         max_amount - left
     }
 
-    /// Brings a lending node's credit up to date, from the top down.
+    /// Updates the credit of a lending node, after that of its ancestors.
     fn accrue_credit(&mut self, node: usize, measure: usize) {
         let Some(parent) = self.nodes[node].parent.filter(|_| self.nodes[node].buckets[measure].lending)
         else {
@@ -424,12 +437,12 @@
         let bucket = &mut self.nodes[node].buckets[measure];
         let drawn = index - bucket.parent_index_seen;
         bucket.parent_index_seen = index;
-        // What was drawn from its fill falls to what fills it: its children that lend, and its own unallocated share.
+        // Amounts drawn are credited to the nodes that fill the bucket: lending children and the unallocated share.
         bucket.drawn_index += drawn;
         self.credit_own_share(node, measure);
     }
 
-    /// Credits a node's own share with what was drawn for each unit of fill.
+    /// Credits the node's unallocated share with its part of the amounts drawn since the last update.
     fn credit_own_share(&mut self, node: usize, measure: usize) {
         let bucket = &mut self.nodes[node].buckets[measure];
         bucket.credit += bucket.unallocated * (bucket.drawn_index - bucket.own_index_seen);
@@ -440,7 +453,7 @@
         let Some(parent) =
             self.nodes[node].parent.filter(|&parent| self.nodes[parent].buckets[measure].limited)
         else {
-            // The root lends to nobody; it is simply full.
+            // The root has no parent to lend to; its bucket is full.
             let bucket = &mut self.nodes[node].buckets[measure];
             bucket.level = bucket.capacity;
             return;
@@ -482,10 +495,10 @@
         }
     }
 
-    /// Takes from a bucket, which ceases to lend by that. Less than nothing gives back to it.
+    /// Draws an amount from a bucket, which stops lending. A negative amount is returned to the bucket.
     fn draw(&mut self, node: usize, measure: usize, amount: f64) {
         if self.nodes[node].buckets[measure].lending && amount <= 0.0 {
-            // It is full; what comes back overflows.
+            // A lending bucket is full, so a returned amount has no effect.
             return;
         }
         self.stop_lending(node, measure);
@@ -496,8 +509,8 @@
         self.schedule_full_event(node, measure);
     }
 
-    /// Holds another part of a node's flowing shares: `factor` times what the tree gives it. It counts for nodes without
-    /// children; what lies above them follows.
+    /// Sets a leaf's guaranteed rates to `factor` times those of the specification, and adjusts its ancestors. Unknown
+    /// numbers and nodes with children are ignored.
     pub fn scale_share(&mut self, now: Nanos, node_number: u32, factor: f64) {
         self.advance_time(now);
         let Some(&node) = self.leaves.get(&node_number).filter(|_| factor.is_finite() && factor >= 0.0)
@@ -521,7 +534,7 @@
             bucket.guarantee += change;
             (bucket.unallocated, bucket.fill_rate, bucket.capacity) =
                 (bucket.guarantee, bucket.guarantee, bucket.guarantee * burst);
-            // As full as it was: a part that moves between schedulers is neither made nor lost.
+            // Keeps the fraction that is filled, so that moving a share between schedulers creates and loses nothing.
             bucket.level =
                 if bucket.lending { bucket.capacity } else { filled_fraction.min(1.0) * bucket.capacity };
             let lending = bucket.lending;
@@ -540,9 +553,9 @@
         }
     }
 
-    // ---- requests
+    // ---- admission
 
-    /// Asks for a request of a tenant. Nothing is charged unless it is admitted, and then on all nodes of its path.
+    /// Checks a request of a tenant. If admitted, it is charged to all nodes from the tenant to the root.
     pub fn admit(&mut self, now: Nanos, tenant: &str, request: &QuotaRequest) -> Verdict {
         self.advance_time(now);
         let Some(&node) = self.node_indices.get(tenant) else {
@@ -580,7 +593,7 @@
             });
         }
         for measure in 0..MEASURE_COUNT {
-            // What is over share in one measure uses no share in another.
+            // A request that is over its share in one measure isn't charged to the share of the other.
             if status < ShareStatus::Over {
                 self.charge_source(node, measure, amounts[measure], sources[measure]);
             }
@@ -610,7 +623,7 @@
         path.into_iter().take(len)
     }
 
-    /// The ceiling that binds, if one does.
+    /// Checks all ceilings from the node to the root. Returns the refusal with the longest wait if one is reached.
     fn check_ceilings(
         &mut self,
         node: usize,
@@ -638,7 +651,7 @@
             }
         }
         longest_wait.map(|(after, i)| {
-            // Up to four times the shortest wait, or a quarter of the window's: no second refusal for most.
+            // Spreads the retries over a quarter of the wait, so that most aren't refused again.
             let jitter_bound = (after / 4).max(3 * MIN_RETRY_AFTER);
             Refusal {
                 node: self.nodes[i].name.clone(),
@@ -647,7 +660,7 @@
         })
     }
 
-    /// When a node's own share can pay for so much, in nanoseconds from now; an hour at the latest.
+    /// Time until the node's own share covers the amount, in nanoseconds; at most an hour.
     fn time_until_funded(&self, node: usize, measure: usize, amount: f64) -> Nanos {
         let bucket = &self.nodes[node].buckets[measure];
         let wait_seconds =
@@ -655,7 +668,7 @@
         (wait_seconds.min(3600.0) * 1e9) as Nanos
     }
 
-    /// What pays for so much of a measure.
+    /// Returns the bucket that an amount can be charged to.
     fn choose_source(&mut self, node: usize, measure: usize, amount: f64) -> Source {
         if !self.nodes[node].buckets[measure].limited || amount <= 0.0 {
             return Source::Unlimited;
@@ -677,7 +690,7 @@
             let new_weight = if child_bucket.borrowing { 0.0 } else { weight };
             let bucket = &mut self.nodes[ancestor].buckets[measure];
             if credit >= amount {
-                // A lender wants more than its share: those who owe pay back while it does.
+                // This lender needs more than its share, so its borrowers repay for the next period.
                 bucket.wanted_until = now + ACTIVITY_PERIOD;
                 if bucket.repaid / growth >= amount {
                     return Source::Repaid(ancestor);
@@ -720,7 +733,7 @@
         }
     }
 
-    /// Draws on an ancestor's bucket: debts and credits grow by the same amount.
+    /// Borrows from an ancestor's bucket. The borrower's debt and the lenders' credits grow by the same amount.
     fn borrow(&mut self, node: usize, measure: usize, amount: f64, ancestor: usize) {
         let growth = self.growth_factor();
         self.draw(ancestor, measure, amount);
@@ -738,7 +751,7 @@
         }
     }
 
-    /// A node that has not borrowed of late leaves the borrowers of its parent.
+    /// Removes a node from its parent's borrowers if it hasn't borrowed within the period.
     fn check_borrowing(&mut self, node: usize, measure: usize) {
         let (now, weight, parent) = (self.now, self.nodes[node].weight, self.nodes[node].parent);
         let bucket = &mut self.nodes[node].buckets[measure];
@@ -766,7 +779,7 @@
 
     // ---- concurrency
 
-    /// Whose slots a request would use: its own, idle ones that others lend, or nobody's.
+    /// Whether the slots are covered by the node's guarantee, by idle slots of other nodes, or by neither.
     fn concurrency_status(&self, node: usize, slots: f64) -> ShareStatus {
         let tenant = &self.nodes[node];
         let Some(own) = tenant.concurrency.guarantee else { return ShareStatus::Within };
@@ -776,7 +789,7 @@
         for ancestor in self.path_to_root(node).skip(1) {
             let above = &self.nodes[ancestor];
             let Some(guarantee) = above.concurrency.guarantee else { break };
-            // A part of what lenders leave idle stays free, so that they find room when they come back.
+            // Keeps a reserve of the idle slots free for their owners.
             if above.in_use + slots
                 <= guarantee - self.spec.reserve * above.idle_child_slots + ROUNDING_TOLERANCE
             {
@@ -800,9 +813,10 @@
         }
     }
 
-    // ---- ends
+    // ---- completion
 
-    /// A request has ended, and took so much work, in slot seconds. A ticket is settled once; a second time does nothing.
+    /// Completes a request that took `work` slot seconds and charges the difference to the estimate. Completing the
+    /// same ticket again has no effect.
     pub fn complete(&mut self, now: Nanos, ticket: Ticket, work: f64) {
         self.advance_time(now);
         let Some(open_request) = self.open_requests.remove(&ticket.0) else { return };
@@ -818,7 +832,7 @@
         }
     }
 
-    /// A job on borrowed room took less than was lent for it.
+    /// Returns the unused part of a loan after a job took less work than estimated.
     fn return_loan(&mut self, node: usize, amount: f64, ancestor: usize) {
         let growth = self.growth_factor();
         let Some(debt) = self.nodes[node].debts.iter_mut().find(|debt| debt.0 == 1 && debt.1 == ancestor)
@@ -837,10 +851,10 @@
         }
     }
 
-    // ---- changes and tables
+    // ---- changes and status
 
-    /// Puts another tree in place, whole and at once. What is in use, owed and counted stays with the nodes of the same
-    /// name; jobs of a node that is gone count at the nearest of its ancestors that stays. A faulty tree changes nothing.
+    /// Replaces the tree. Use and window counts are kept for nodes of the same name; open requests of a removed node
+    /// are counted at its nearest remaining ancestor, and loans are closed. An invalid specification changes nothing.
     pub fn replace_spec(&mut self, now: Nanos, spec: Spec) -> Result<(), SpecError> {
         self.advance_time(now);
         let mut next = Quota::new(spec, self.now)?;
@@ -880,7 +894,7 @@
             let source = match open_request.source {
                 Source::OwnShare if !moved => Source::OwnShare,
                 Source::Unlimited => Source::Unlimited,
-                // Loans are closed by a change of the tree: what they were drawn from may not be there.
+                // Loans are closed, because the bucket that they were drawn from may not exist any more.
                 _ => Source::Unfunded,
             };
             next.open_requests.insert(*ticket, OpenRequest { node, source, ..open_request.clone() });
@@ -889,17 +903,17 @@
         Ok(())
     }
 
-    /// Tickets that are not settled.
+    /// Number of admitted requests that aren't completed.
     pub fn open_tickets(&self) -> usize {
         self.open_requests.len()
     }
 
-    /// Slots in use at a node; none if there is no such node.
+    /// Number of slots in use at a node; `None` for an unknown node.
     pub fn in_use(&self, node: &str) -> Option<f64> {
         self.node_indices.get(node).map(|node| self.nodes[*node].in_use)
     }
 
-    /// What is counted in a node's windows now: measure, what is used, and what may be.
+    /// Use and limit of each window of a node: measure, amount used, limit.
     pub fn window_usage(&mut self, now: Nanos, node: &str) -> Vec<(Measure, f64, f64)> {
         self.advance_time(now);
         let Some(&node) = self.node_indices.get(node) else { return Vec::new() };
@@ -912,7 +926,7 @@
             .collect()
     }
 
-    /// The table of loans: every node that owes or is owed. Costs a look at all nodes.
+    /// Debts and credits of all nodes that have any. Takes time proportional to the number of nodes.
     pub fn loans(&mut self, now: Nanos) -> Vec<Loan> {
         self.advance_time(now);
         let growth = self.growth_factor();
@@ -942,7 +956,7 @@
         rows
     }
 
-    /// What is lent and what is owed of a measure, in all: the same but for rounding.
+    /// Sums of all debts and all credits of a measure. They are equal except for rounding.
     pub fn balance(&mut self, now: Nanos, measure: Measure) -> (f64, f64) {
         let measure_index = measure as usize;
         let loans = self.loans(now);
--- a/crates/quota/src/lib.rs
+++ b/crates/quota/src/lib.rs
@@ -1,16 +1,16 @@
-//! Nested quotas: a tree of organisations, their parts and tenants, each with a guaranteed share, a ceiling and a weight
-//! for requests, work and concurrency.
+//! Hierarchical quotas: a tree of organisations, departments and tenants. Each node has a guarantee, a ceiling and a
+//! weight for requests, work and concurrency.
 //!
-//! A pure core: time is passed in, nothing is read or written. [`Quota::admit`] asks whether a request is within its
-//! tenant's share, on borrowed room, over it, or refused with the time at which to come back; [`Quota::complete`] tells
-//! what it really took. Both cost the depth of the tree, whatever the number of tenants.
+//! The crate does no I/O, and the caller passes the time. [`Quota::admit`] decides whether a request is within its
+//! tenant's share, on borrowed share, over it, or refused with a retry time. [`Quota::complete`] charges the work that
+//! the request took. Both take time proportional to the depth of the tree, independent of the number of tenants.
 //!
-//! **How lending works.** Every node has a bucket that its guaranteed rate fills. A bucket that is full lends: its rate
-//! flows into its parent's bucket, and from there, if that is full as well, further up. So at any moment a parent's bucket
-//! is filled by just the share that nobody below wants, without a look at its children. A borrower draws on the nearest
-//! ancestor's bucket and owes it; a lender's credit grows with what was drawn while it lent. A lender that comes back
-//! stops lending with its first request, and has its full bucket at once. While it wants more than its share, borrowers pay
-//! back a bounded part of theirs, and the rest stays theirs as a floor. Debts and credits fade together.
+//! **Lending.** Every node has a token bucket that is filled at its guaranteed rate. A full bucket lends: its rate
+//! flows into its parent's bucket and, if that is full too, further up. A parent's bucket is therefore filled at the
+//! rate that its descendants leave unused. A borrower draws from the nearest ancestor's bucket and owes the amount, and
+//! the lenders are credited with it. A lender stops lending with its first request and starts with a full bucket. While
+//! a lender needs more than its share, borrowers repay a bounded part of their own guarantees. Debts and credits decay
+//! at the same rate.
 #![forbid(unsafe_code)]
 
 mod core;
--- a/crates/quota/src/share_split.rs
+++ b/crates/quota/src/share_split.rs
@@ -1,107 +1,110 @@
-//! Parts: which part of each node's share a scheduler holds, by what its peers tell of their traffic.
+//! Splits each node's share among the schedulers in proportion to the traffic that they report to each other.
 //!
-//! Without a word from a peer, that peer's equal part stays reserved for it: a share is never held twice, neither by
-//! schedulers that start nor across a partition. What a dead scheduler held is used by nobody until it is back.
+//! An equal part stays reserved for a peer that sends no digests, so that no share is used twice after a start or
+//! during a network partition. The part of a failed scheduler stays unused until it returns.
 
 use crate::Nanos;
 use rustc_hash::FxHashMap;
 
-/// First byte of a digest; the module's own messages begin with smaller ones.
+/// First byte of a digest. The messages of the decision module begin with smaller values.
 pub const DIGEST_MARK: u8 = 16;
-/// The platform's longest datagram.
-const LONGEST: usize = 256;
-/// Bytes of a digest before its entries, and of an entry: a node's number, and its traffic.
-const HEAD: usize = 3;
-/// See `HEAD`.
-const ENTRY: usize = 8;
-/// Datagrams of one digest at most: some 250 nodes; further ones take turns.
-const DATAGRAMS: usize = 8;
-/// Time over which traffic is averaged.
-const SPAN: f64 = 2e9;
-/// A peer that has said nothing for so long counts as silent.
-const SILENT: Nanos = 1_500_000_000;
-/// This part of a share is always held in equal parts, so that traffic may move at once.
-const EVEN: f64 = 0.2;
-/// Nodes of which traffic is remembered; the least busy are forgotten first.
-const NODES: usize = 65_536;
-/// Traffic that counts as none, in slot seconds a second.
-const NONE: f64 = 1e-3;
+/// Maximum datagram length of the platform, in bytes.
+const MAX_DATAGRAM_BYTES: usize = 256;
+/// Length of a digest's header, in bytes.
+const HEADER_BYTES: usize = 3;
+/// Length of an entry, in bytes: the node number and its traffic.
+const ENTRY_BYTES: usize = 8;
+/// Maximum number of datagrams that are sent at a time. With more nodes, the datagrams rotate.
+const MAX_DATAGRAMS: usize = 8;
+/// Time constant of the traffic average, in nanoseconds.
+const AVERAGING_TIME_NS: f64 = 2e9;
+/// A peer that sent no digest for this long is considered silent.
+const SILENCE_TIMEOUT: Nanos = 1_500_000_000;
+/// Fraction of a share that is always split equally, so that a scheduler without recent traffic has some of it.
+const EQUAL_FRACTION: f64 = 0.2;
+/// Maximum number of nodes whose traffic is recorded. When it is reached, nodes without traffic are removed.
+const MAX_NODES: usize = 65_536;
+/// Lower traffic is treated as none, in slot seconds per second.
+const MIN_TRAFFIC: f64 = 1e-3;
 
 #[derive(Clone, Copy, Debug, Default)]
 struct Traffic {
     rate: f64,
-    at: Nanos,
+    updated_at: Nanos,
 }
 
 impl Traffic {
-    fn now(&self, now: Nanos) -> f64 {
-        self.rate * (-(now.saturating_sub(self.at) as f64) / SPAN).exp()
+    fn decayed_rate(&self, now: Nanos) -> f64 {
+        self.rate * (-(now.saturating_sub(self.updated_at) as f64) / AVERAGING_TIME_NS).exp()
     }
 }
 
-/// What a scheduler knows of its own traffic and of its peers'.
+/// Traffic of this scheduler and of its peers, by node.
 #[derive(Clone, Debug)]
 pub struct ShareSplit {
     schedulers: usize,
     own: FxHashMap<u32, Traffic>,
-    /// By peer: when it was last heard, and its traffic by node.
+    /// By peer: time of the last digest, and traffic by node number.
     peers: FxHashMap<usize, (Nanos, FxHashMap<u32, Traffic>)>,
-    turn: usize,
-    /// Digests that were none, or of peers that there are not.
+    next_datagram: usize,
+    /// Number of malformed digests and of digests from unknown peers.
     pub invalid_digests: u64,
 }
 
-/// The number of a node, the same at every scheduler.
+/// Returns the number of a node in digests, which is the same at every scheduler.
 pub fn node_number(name: &str) -> u32 {
-    // FNV-1a: short, and the same for every build.
-    name.bytes().fold(0x811c_9dc5, |h, b| (h ^ u32::from(b)).wrapping_mul(0x0100_0193))
+    // FNV-1a, which is the same in every build.
+    name.bytes().fold(0x811c_9dc5, |hash, byte| (hash ^ u32::from(byte)).wrapping_mul(0x0100_0193))
 }
 
 impl ShareSplit {
-    /// For one of so many schedulers.
+    /// Creates the state of one of `schedulers` schedulers, without traffic.
     pub fn new(schedulers: usize) -> Self {
         ShareSplit {
             schedulers: schedulers.max(1),
             own: FxHashMap::default(),
             peers: FxHashMap::default(),
-            turn: 0,
+            next_datagram: 0,
             invalid_digests: 0,
         }
     }
 
-    /// A request asks for so much work at a node, whether it is let through or not.
+    /// Records the work of a request at a node, whether the request is admitted or not.
     pub fn record_demand(&mut self, now: Nanos, node: u32, work: f64) {
-        if self.own.len() >= NODES && !self.own.contains_key(&node) {
-            self.own.retain(|_, t| t.now(now) > NONE);
-            if self.own.len() >= NODES {
+        if self.own.len() >= MAX_NODES && !self.own.contains_key(&node) {
+            self.own.retain(|_, traffic| traffic.decayed_rate(now) > MIN_TRAFFIC);
+            if self.own.len() >= MAX_NODES {
                 return;
             }
         }
         let traffic = self.own.entry(node).or_default();
-        *traffic = Traffic { rate: traffic.now(now) + work / (SPAN / 1e9), at: now };
+        *traffic =
+            Traffic { rate: traffic.decayed_rate(now) + work / (AVERAGING_TIME_NS / 1e9), updated_at: now };
     }
 
-    /// The nodes that have traffic here.
+    /// Returns the numbers of the nodes with recorded traffic, sorted.
     pub fn active_nodes(&self) -> Vec<u32> {
         let mut nodes: Vec<u32> = self.own.keys().copied().collect();
         nodes.sort_unstable();
         nodes
     }
 
-    /// What the peers are to be told now: datagrams of at most 256 bytes. Nodes without traffic are not told.
+    /// Returns the datagrams that report this scheduler's traffic to its peers, each of at most 256 bytes. Nodes
+    /// without traffic are left out.
     pub fn digests(&mut self, now: Nanos) -> Vec<Vec<u8>> {
-        self.own.retain(|_, t| t.now(now) > NONE);
-        let mut nodes: Vec<(u32, f64)> = self.own.iter().map(|(n, t)| (*n, t.now(now))).collect();
-        nodes.sort_by_key(|n| n.0);
-        let each = (LONGEST - HEAD) / ENTRY;
-        let all = nodes.chunks(each).count().max(1);
-        let chunks: Vec<&[(u32, f64)]> = nodes.chunks(each).collect();
-        let told = all.min(DATAGRAMS);
-        let first = self.turn % all;
-        self.turn = (self.turn + told) % all.max(1);
-        (0..told)
+        self.own.retain(|_, traffic| traffic.decayed_rate(now) > MIN_TRAFFIC);
+        let mut nodes: Vec<(u32, f64)> =
+            self.own.iter().map(|(node, traffic)| (*node, traffic.decayed_rate(now))).collect();
+        nodes.sort_by_key(|entry| entry.0);
+        let entries_per_datagram = (MAX_DATAGRAM_BYTES - HEADER_BYTES) / ENTRY_BYTES;
+        let chunk_count = nodes.chunks(entries_per_datagram).count().max(1);
+        let chunks: Vec<&[(u32, f64)]> = nodes.chunks(entries_per_datagram).collect();
+        let datagram_count = chunk_count.min(MAX_DATAGRAMS);
+        let first = self.next_datagram % chunk_count;
+        self.next_datagram = (self.next_datagram + datagram_count) % chunk_count.max(1);
+        (0..datagram_count)
             .map(|i| {
-                let entries = chunks.get((first + i) % all).copied().unwrap_or(&[]);
+                let entries = chunks.get((first + i) % chunk_count).copied().unwrap_or(&[]);
                 let mut bytes = vec![DIGEST_MARK, 0, entries.len() as u8];
                 for (node, rate) in entries {
                     bytes.extend(node.to_le_bytes());
@@ -112,48 +115,51 @@
             .collect()
     }
 
-    /// Takes in a peer's digest; false if it is none.
+    /// Applies a digest from a peer. Returns false if it is malformed or the peer is unknown.
     pub fn apply_digest(&mut self, now: Nanos, peer: usize, bytes: &[u8]) -> bool {
         let [DIGEST_MARK, 0, count, entries @ ..] = bytes else { return false };
-        if peer >= self.schedulers || entries.len() != usize::from(*count) * ENTRY {
+        if peer >= self.schedulers || entries.len() != usize::from(*count) * ENTRY_BYTES {
             self.invalid_digests += 1;
             return false;
         }
-        let (heard, nodes) = self.peers.entry(peer).or_default();
-        *heard = now;
-        if nodes.len() > NODES {
-            nodes.retain(|_, t| t.now(now) > NONE);
+        let (last_digest, nodes) = self.peers.entry(peer).or_default();
+        *last_digest = now;
+        if nodes.len() > MAX_NODES {
+            nodes.retain(|_, traffic| traffic.decayed_rate(now) > MIN_TRAFFIC);
         }
-        for entry in entries.chunks_exact(ENTRY) {
+        for entry in entries.chunks_exact(ENTRY_BYTES) {
             let node = u32::from_le_bytes([entry[0], entry[1], entry[2], entry[3]]);
             let rate = f64::from(f32::from_le_bytes([entry[4], entry[5], entry[6], entry[7]]));
-            if rate.is_finite() && (0.0..1e9).contains(&rate) && nodes.len() <= NODES {
-                nodes.insert(node, Traffic { rate, at: now });
+            if rate.is_finite() && (0.0..1e9).contains(&rate) && nodes.len() <= MAX_NODES {
+                nodes.insert(node, Traffic { rate, updated_at: now });
             }
         }
         true
     }
 
-    /// The part of a node's share that this scheduler holds, from 0 to 1. Parts of schedulers that hear each other
-    /// sum to 1, but for the age of their news; a silent one's equal part is left to it.
+    /// Returns this scheduler's part of a node's share, from 0 to 1. The parts of schedulers that receive each other's
+    /// digests sum to 1, except for the delay of the digests. A silent peer keeps its equal part.
     pub fn share(&self, now: Nanos, node: u32) -> f64 {
         let equal = 1.0 / self.schedulers as f64;
-        let own = self.own.get(&node).map_or(0.0, |t| t.now(now));
-        let (mut heard, mut others) = (0usize, 0.0);
-        for (at, nodes) in self.peers.values() {
-            if now.saturating_sub(*at) < SILENT {
-                heard += 1;
-                // News counts in full until the next: were it to fade, both sides of a cut would grow before they know.
-                others +=
-                    nodes.get(&node).filter(|t| now.saturating_sub(t.at) < SILENT).map_or(0.0, |t| t.rate);
+        let own = self.own.get(&node).map_or(0.0, |traffic| traffic.decayed_rate(now));
+        let (mut reachable, mut peer_traffic) = (0usize, 0.0);
+        for (digest_at, nodes) in self.peers.values() {
+            if now.saturating_sub(*digest_at) < SILENCE_TIMEOUT {
+                reachable += 1;
+                // Reported traffic doesn't decay until the peer is silent. Otherwise both sides of a partition would
+                // increase their parts before they detect it.
+                peer_traffic += nodes
+                    .get(&node)
+                    .filter(|traffic| now.saturating_sub(traffic.updated_at) < SILENCE_TIMEOUT)
+                    .map_or(0.0, |traffic| traffic.rate);
             }
         }
-        let all = own + others;
-        if heard == 0 || all < NONE {
+        let total = own + peer_traffic;
+        if reachable == 0 || total < MIN_TRAFFIC {
             return equal;
         }
-        // What those that hear each other hold together, shared by their traffic.
-        let together = (heard + 1) as f64 * equal;
-        EVEN * equal + (1.0 - EVEN) * together * own / all
+        // The reachable schedulers split the sum of their equal parts in proportion to their traffic.
+        let combined = (reachable + 1) as f64 * equal;
+        EQUAL_FRACTION * equal + (1.0 - EQUAL_FRACTION) * combined * own / total
     }
 }
--- a/crates/quota/src/spec.rs
+++ b/crates/quota/src/spec.rs
@@ -1,41 +1,41 @@
-//! What an operator writes: a tree of nodes with their shares, and its checks.
+//! The specification of a quota tree in the operator file, and its validation.
 
 use rustc_hash::FxHashMap;
 use serde::{Deserialize, Serialize};
 
-/// Levels of a tree below its root.
+/// Maximum number of levels below the root.
 pub const MAX_DEPTH: usize = 8;
-/// Nodes of a tree at most.
+/// Maximum number of nodes of a tree.
 pub const MAX_NODES: usize = 1_000_000;
-/// Windows of a node at most.
+/// Maximum number of windows of a node.
 pub const MAX_WINDOWS: usize = 8;
 
-/// A measure that flows: it is refilled with time.
+/// A quantity that is limited by rate.
 #[derive(Clone, Copy, Debug, Deserialize, Serialize, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[serde(rename_all = "snake_case")]
 pub enum Measure {
     /// Requests.
     Requests,
-    /// Units of work: slot seconds.
+    /// Work, in slot seconds.
     Work,
 }
 
-/// The quotas of an installation.
+/// A quota tree and the settings that apply to all of its nodes.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields, default)]
 #[serde(expecting = "struct Spec")]
 pub struct Spec {
-    /// What a node may use at once of its guaranteed share, in seconds of it.
+    /// Bucket capacity of each node, in seconds of its guaranteed rate.
     pub burst_s: f64,
-    /// A loan is forgotten but for 1/e in this time, in seconds.
+    /// Time in seconds in which a debt decays to 1/e.
     pub fade_s: f64,
-    /// The part of its guaranteed share that a borrower pays back while its lender wants it; the rest is its floor.
+    /// Fraction of its guaranteed rate that a borrower repays while its lender needs it. It keeps the rest.
     pub repay: f64,
-    /// The part of the idle guaranteed concurrency that is never lent, so that a lender that comes back finds room.
+    /// Fraction of the idle guaranteed concurrency that isn't lent, so that it is available to its owners at once.
     pub reserve: f64,
-    /// What becomes of a request that no share pays for.
+    /// How requests that no share covers are handled.
     pub over: OverSharePolicy,
-    /// The nodes. One without a parent is a root; there is one root.
+    /// The nodes. Exactly one of them, the root, has no parent.
     #[serde(rename = "node")]
     pub nodes: Vec<NodeSpec>,
 }
@@ -53,40 +53,41 @@
     }
 }
 
-/// What becomes of a request that no share pays for.
+/// How requests that no share covers are handled.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Serialize, PartialEq, Eq)]
 #[serde(rename_all = "snake_case", expecting = "enum Over")]
 pub enum OverSharePolicy {
-    /// It passes, behind those within their shares: nothing is left unused, and shares hold as far as that order goes.
+    /// Admitted with lower priority than requests within their shares. No capacity stays unused, and shares are
+    /// enforced only by that priority.
     #[default]
     Pass,
-    /// It is refused, with the time at which its share may pay for it: shares hold, and some room may stay unused.
+    /// Refused with the time after which the share covers it. Shares are enforced, but capacity may stay unused.
     Refuse,
 }
 
-/// One node: the installation, an organisation, a part of one, or a tenant.
+/// A node of the tree: the installation, an organisation, a department, or a tenant.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 #[serde(expecting = "struct NodeSpec")]
 pub struct NodeSpec {
-    /// Its name; a tenant's is the name in its requests.
+    /// Unique name. For a tenant, the name that its requests carry.
     pub name: String,
-    /// The node above it; none for the root.
+    /// Name of the parent; `None` for the root.
     #[serde(default)]
     pub parent: Option<String>,
-    /// Its part of what is lent, against others that borrow.
+    /// Weight by which borrowers share what is lent.
     #[serde(default = "default_weight")]
     pub weight: f64,
-    /// Requests a second.
+    /// Requests per second.
     #[serde(default)]
     pub requests: Limit,
-    /// Slot seconds a second.
+    /// Slot seconds per second.
     #[serde(default)]
     pub work: Limit,
-    /// Slots in use at once.
+    /// Number of slots in use.
     #[serde(default)]
     pub concurrency: Limit,
-    /// Ceilings over longer or shorter times.
+    /// Ceilings over sliding windows.
     #[serde(default, rename = "window")]
     pub windows: Vec<WindowSpec>,
 }
@@ -100,34 +101,34 @@
 #[serde(deny_unknown_fields, default)]
 #[serde(expecting = "struct Limit")]
 pub struct Limit {
-    /// What it may always use; none where it is not given: the measure is then not limited by shares.
+    /// Amount that the node may always use. If `None`, the measure isn't limited by shares.
     pub guarantee: Option<f64>,
-    /// What it may use at most, lent room included; none for no ceiling.
+    /// Maximum use, including borrowed share. If `None`, there is no ceiling.
     pub ceiling: Option<f64>,
 }
 
-/// A ceiling over a window of time.
+/// A ceiling over a sliding window of time.
 #[derive(Clone, Copy, Debug, Deserialize, Serialize, PartialEq)]
 #[serde(deny_unknown_fields)]
 #[serde(expecting = "struct WindowSpec")]
 pub struct WindowSpec {
-    /// What is counted.
+    /// The measure that is counted.
     pub measure: Measure,
-    /// The window's length, in seconds: 1, 10, 60, 3600 or 86400, say.
+    /// Length of the window in seconds.
     pub seconds: f64,
-    /// What may be used within any window of that length.
+    /// Maximum amount within the window.
     #[serde(rename = "most")]
     pub limit: f64,
 }
 
-/// A fault in a tree: the node's place in the list, the key, and the reason.
+/// A validation error of a quota tree.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SpecError {
-    /// Which node; none where the fault is the tree's own.
+    /// Index of the node in the list; `None` if the error concerns a setting of the whole tree.
     pub node: Option<usize>,
-    /// Which key of it.
+    /// The invalid key.
     pub key: String,
-    /// What is wrong, and what would do.
+    /// What is wrong, and which values are valid.
     pub reason: String,
 }
 
@@ -143,8 +144,8 @@
 impl std::error::Error for SpecError {}
 
 impl Spec {
-    /// The part of the tree that one of several schedulers holds: shares, ceilings and windows times `part`. No ceiling
-    /// on slots falls below one job of one slot.
+    /// Multiplies guarantees, ceilings and windows by `factor`, for one of several schedulers. A ceiling on slots stays
+    /// at least 1.
     pub fn scaled(mut self, factor: f64) -> Spec {
         let limit = |l: &mut Limit, least: f64| {
             l.guarantee = l.guarantee.map(|g| g * factor);
@@ -159,7 +160,7 @@
         self
     }
 
-    /// The first fault, if there is one. On success, each node's parent by place.
+    /// Validates the tree. Returns the index of each node's parent, or the first error.
     pub fn check(&self) -> Result<Vec<Option<usize>>, SpecError> {
         let own = |key: &str, reason: &str| SpecError { node: None, key: key.into(), reason: reason.into() };
         let at =
@@ -267,7 +268,7 @@
             }
             for (i, sum) in sums.iter().enumerate() {
                 let most = limit(i).guarantee.unwrap_or(0.0);
-                // A node that guarantees nothing itself cannot promise anything to those below it.
+                // A node without a guarantee has nothing to assign to its children.
                 if *sum > most * (1.0 + 1e-9) {
                     let reason = format!("the guarantees below it sum to {sum}, more than its own {most}");
                     return Err(at(i, key, reason));
--- a/crates/quota/src/window.rs
+++ b/crates/quota/src/window.rs
@@ -1,18 +1,19 @@
-//! A ceiling over a window of time, in eight steps.
+//! A limit on the amount used within a sliding window of time.
 
 use crate::Nanos;
 
-/// Steps of a window. What is counted in the oldest step leaves at once, so a window holds between 7/8 and all of its
-/// length; over any stretch of its full length at most `most` and one step's use more can pass.
+/// Number of steps of a window. The amounts of the oldest step are dropped together, so the window covers between 7/8
+/// of its length and all of it. Within any period of its length, at most the limit and the use of one step more can
+/// pass.
 const STEP_COUNT: usize = 8;
 
-/// What was used within a window of time.
+/// The amounts used within a sliding window, by step.
 #[derive(Clone, Debug)]
 pub(crate) struct Window {
     step_length: Nanos,
     limit: f64,
     used: [f64; STEP_COUNT],
-    /// The number of the newest step.
+    /// Number of the newest step since time 0.
     newest_step: u64,
 }
 
@@ -28,12 +29,11 @@
 
     fn advance_to(&mut self, now: Nanos) {
         let step = now / self.step_length;
-        // A clock that steps back counts into the newest step.
+        // If the clock steps back, amounts are counted in the newest step.
         let passed = step.saturating_sub(self.newest_step).min(STEP_COUNT as u64);
         for i in 0..passed {
             self.used[((self.newest_step + 1 + i) % STEP_COUNT as u64) as usize] = 0.0;
         }
-        // After a long pause the steps are all empty, whatever their numbers.
         self.newest_step = self.newest_step.max(step);
     }
 
@@ -41,14 +41,14 @@
         self.used.iter().sum()
     }
 
-    /// Whether so much more may be used now; if not, after which time it may.
+    /// Checks whether an amount fits into the window now. The error is the time to wait until it does.
     pub(crate) fn check(&mut self, now: Nanos, amount: f64) -> Result<(), Nanos> {
         self.advance_to(now);
         let mut excess = self.total() + amount - self.limit;
         if excess <= 1e-9 {
             return Ok(());
         }
-        // The oldest steps leave first.
+        // The oldest steps are dropped first.
         for i in 1..=STEP_COUNT as u64 {
             excess -= self.used[((self.newest_step + i) % STEP_COUNT as u64) as usize];
             if excess <= 1e-9 {
@@ -58,12 +58,12 @@
         Err(self.step_length * STEP_COUNT as u64)
     }
 
-    /// Counts so much; less than nothing gives back what was reserved too much.
+    /// Counts an amount. A negative amount returns what was charged too much.
     pub(crate) fn charge(&mut self, now: Nanos, amount: f64) {
         self.advance_to(now);
         let newest_index = (self.newest_step % STEP_COUNT as u64) as usize;
         self.used[newest_index] += amount;
-        // What is given back may have been counted in earlier steps.
+        // A returned amount may have been counted in earlier steps.
         let mut i = newest_index;
         for _ in 0..STEP_COUNT {
             if self.used[i] >= 0.0 {
@@ -76,7 +76,7 @@
         self.used.iter_mut().for_each(|step| *step = step.max(0.0));
     }
 
-    /// What is used within the window now.
+    /// The amount used within the window.
     pub(crate) fn used(&mut self, now: Nanos) -> f64 {
         self.advance_to(now);
         self.total()
