--- a/crates/quota/benches/admit.rs
+++ b/crates/quota/benches/admit.rs
@@ -1,4 +1,4 @@
-//! The cost of a request in the quota core: admitted and settled, by tenants and depth.
+//! Time to admit and complete a request, by number of tenants and depth of the tree.
 #![allow(missing_docs)]
 
 use criterion::{BenchmarkId, Criterion, criterion_group, criterion_main};
@@ -22,7 +22,7 @@
         });
     };
     add("root".into(), None, total);
-    // A chain of organisations, and all tenants below its end.
+    // A chain of organisations, with all tenants below the last one.
     let mut above = "root".to_string();
     for level in 1..depth {
         let name = format!("level-{level}");
--- a/crates/quota/src/spec.rs
+++ b/crates/quota/src/spec.rs
@@ -147,88 +147,103 @@
     /// Multiplies guarantees, ceilings and windows by `factor`, for one of several schedulers. A ceiling on slots stays
     /// at least 1.
     pub fn scaled(mut self, factor: f64) -> Spec {
-        let limit = |l: &mut Limit, least: f64| {
-            l.guarantee = l.guarantee.map(|g| g * factor);
-            l.ceiling = l.ceiling.map(|c| (c * factor).max(least));
+        let scale = |limit: &mut Limit, min_ceiling: f64| {
+            limit.guarantee = limit.guarantee.map(|guarantee| guarantee * factor);
+            limit.ceiling = limit.ceiling.map(|ceiling| (ceiling * factor).max(min_ceiling));
         };
-        for n in &mut self.nodes {
-            limit(&mut n.requests, 0.0);
-            limit(&mut n.work, 0.0);
-            limit(&mut n.concurrency, 1.0);
-            n.windows.iter_mut().for_each(|w| w.limit *= factor);
+        for node in &mut self.nodes {
+            scale(&mut node.requests, 0.0);
+            scale(&mut node.work, 0.0);
+            scale(&mut node.concurrency, 1.0);
+            node.windows.iter_mut().for_each(|window| window.limit *= factor);
         }
         self
     }
 
     /// Validates the tree. Returns the index of each node's parent, or the first error.
     pub fn check(&self) -> Result<Vec<Option<usize>>, SpecError> {
-        let own = |key: &str, reason: &str| SpecError { node: None, key: key.into(), reason: reason.into() };
-        let at =
+        let tree_error =
+            |key: &str, reason: &str| SpecError { node: None, key: key.into(), reason: reason.into() };
+        let node_error =
             |node: usize, key: &str, reason: String| SpecError { node: Some(node), key: key.into(), reason };
-        let above = |x: f64| x.is_finite() && x > 0.0;
-        let part = |x: f64| (0.0..=1.0).contains(&x);
-        if !above(self.burst_s) || self.burst_s > 3600.0 {
-            return Err(own("burst_s", "a time above 0 and at most 3600 s"));
+        let is_positive = |value: f64| value.is_finite() && value > 0.0;
+        let is_fraction = |value: f64| (0.0..=1.0).contains(&value);
+        if !is_positive(self.burst_s) || self.burst_s > 3600.0 {
+            return Err(tree_error("burst_s", "must be above 0 and at most 3600 seconds"));
         }
-        if !above(self.fade_s) {
-            return Err(own("fade_s", "a time above 0"));
+        if !is_positive(self.fade_s) {
+            return Err(tree_error("fade_s", "must be above 0 seconds"));
         }
-        if !part(self.repay) || self.repay > 0.9 {
-            return Err(own("repay", "a part from 0 to 0.9: a borrower keeps a floor"));
+        if !is_fraction(self.repay) || self.repay > 0.9 {
+            return Err(tree_error("repay", "must be a fraction from 0 to 0.9"));
         }
-        if !part(self.reserve) {
-            return Err(own("reserve", "a part from 0 to 1"));
+        if !is_fraction(self.reserve) {
+            return Err(tree_error("reserve", "must be a fraction from 0 to 1"));
         }
         if self.nodes.len() > MAX_NODES {
-            return Err(own("node", "more than 1000000 nodes"));
+            return Err(tree_error("node", "more than 1000000 nodes"));
         }
-        let mut places: FxHashMap<&str, usize> = FxHashMap::default();
-        for (i, n) in self.nodes.iter().enumerate() {
-            if n.name.is_empty() {
-                return Err(at(i, "name", "a node needs a name".into()));
+        let mut node_indices: FxHashMap<&str, usize> = FxHashMap::default();
+        for (i, node) in self.nodes.iter().enumerate() {
+            if node.name.is_empty() {
+                return Err(node_error(i, "name", "must not be empty".into()));
             }
-            if let Some(other) = places.insert(&n.name, i) {
-                return Err(at(i, "name", format!("{:?} is the name of node[{other}] as well", n.name)));
+            if let Some(other) = node_indices.insert(&node.name, i) {
+                return Err(node_error(
+                    i,
+                    "name",
+                    format!("{:?} is also the name of node[{other}]", node.name),
+                ));
             }
         }
         let mut parents = Vec::with_capacity(self.nodes.len());
-        for (i, n) in self.nodes.iter().enumerate() {
-            let parent = match &n.parent {
-                None => None,
-                Some(p) => Some(
-                    *places
-                        .get(p.as_str())
-                        .ok_or_else(|| at(i, "parent", format!("no node is named {p:?}")))?,
-                ),
-            };
+        for (i, node) in self.nodes.iter().enumerate() {
+            let parent =
+                match &node.parent {
+                    None => None,
+                    Some(parent_name) => Some(*node_indices.get(parent_name.as_str()).ok_or_else(|| {
+                        node_error(i, "parent", format!("no node is named {parent_name:?}"))
+                    })?),
+                };
             parents.push(parent);
-            if !above(n.weight) {
-                return Err(at(i, "weight", "a weight is above 0".into()));
+            if !is_positive(node.weight) {
+                return Err(node_error(i, "weight", "must be above 0".into()));
             }
-            for (key, limit) in [("requests", n.requests), ("work", n.work), ("concurrency", n.concurrency)] {
-                let good = |x: Option<f64>| x.is_none_or(|x| x.is_finite() && x >= 0.0);
-                if !good(limit.guarantee) || !good(limit.ceiling) {
-                    return Err(at(i, key, "guarantee and ceiling are 0 or more".into()));
+            for (key, limit) in
+                [("requests", node.requests), ("work", node.work), ("concurrency", node.concurrency)]
+            {
+                let is_valid =
+                    |value: Option<f64>| value.is_none_or(|value| value.is_finite() && value >= 0.0);
+                if !is_valid(limit.guarantee) || !is_valid(limit.ceiling) {
+                    return Err(node_error(
+                        i,
+                        key,
+                        "guarantee and ceiling must be finite and not negative".into(),
+                    ));
                 }
-                if let (Some(g), Some(c)) = (limit.guarantee, limit.ceiling)
-                    && c < g
+                if let (Some(guarantee), Some(ceiling)) = (limit.guarantee, limit.ceiling)
+                    && ceiling < guarantee
                 {
-                    return Err(at(i, key, format!("the ceiling {c} is below the guarantee {g}")));
+                    return Err(node_error(
+                        i,
+                        key,
+                        format!("the ceiling {ceiling} is below the guarantee {guarantee}"),
+                    ));
                 }
             }
-            if n.windows.len() > MAX_WINDOWS {
-                return Err(at(i, "window", format!("more than {MAX_WINDOWS} windows")));
+            if node.windows.len() > MAX_WINDOWS {
+                return Err(node_error(i, "window", format!("more than {MAX_WINDOWS} windows")));
             }
-            for (w, window) in n.windows.iter().enumerate() {
-                if !above(window.seconds) || window.seconds > 31.0 * 86_400.0 {
-                    return Err(at(
+            for (w, window) in node.windows.iter().enumerate() {
+                if !is_positive(window.seconds) || window.seconds > 31.0 * 86_400.0 {
+                    return Err(node_error(
                         i,
                         &format!("window[{w}].seconds"),
-                        "a window is above 0 and at most 31 days".into(),
+                        "must be above 0 and at most 31 days".into(),
                     ));
                 }
-                if !above(window.limit) {
-                    return Err(at(i, &format!("window[{w}].most"), "what may be used is above 0".into()));
+                if !is_positive(window.limit) {
+                    return Err(node_error(i, &format!("window[{w}].most"), "must be above 0".into()));
                 }
             }
         }
@@ -236,24 +251,36 @@
         match (roots.as_slice(), self.nodes.len()) {
             (_, 0) => return Ok(parents),
             ([], _) => {
-                return Err(at(0, "parent", "no node is a root: the parents go round in a circle".into()));
+                return Err(node_error(0, "parent", "no node is the root: the parents form a cycle".into()));
             }
             ([_], _) => {}
             ([_, second, ..], _) => {
-                return Err(at(*second, "parent", "a second root; only one node has no parent".into()));
+                return Err(node_error(
+                    *second,
+                    "parent",
+                    "second node without a parent; only the root has none".into(),
+                ));
             }
         }
         for i in 0..parents.len() {
-            let (mut up, mut steps) = (parents[i], 0);
-            while let Some(p) = up {
+            let (mut ancestor, mut steps) = (parents[i], 0);
+            while let Some(p) = ancestor {
                 steps += 1;
                 if p == i || steps > self.nodes.len() {
-                    return Err(at(i, "parent", format!("{:?} is its own ancestor", self.nodes[i].name)));
+                    return Err(node_error(
+                        i,
+                        "parent",
+                        format!("{:?} is its own ancestor", self.nodes[i].name),
+                    ));
                 }
                 if steps > MAX_DEPTH {
-                    return Err(at(i, "parent", format!("more than {MAX_DEPTH} levels below the root")));
+                    return Err(node_error(
+                        i,
+                        "parent",
+                        format!("more than {MAX_DEPTH} levels below the root"),
+                    ));
                 }
-                up = parents[p];
+                ancestor = parents[p];
             }
         }
         for measure in 0..3 {
@@ -262,16 +289,17 @@
             let key = ["requests", "work", "concurrency"][measure];
             let mut sums = vec![0.0; self.nodes.len()];
             for (i, p) in parents.iter().enumerate() {
-                if let (Some(p), Some(g)) = (p, limit(i).guarantee) {
-                    sums[*p] += g;
+                if let (Some(parent), Some(guarantee)) = (p, limit(i).guarantee) {
+                    sums[*parent] += guarantee;
                 }
             }
             for (i, sum) in sums.iter().enumerate() {
-                let most = limit(i).guarantee.unwrap_or(0.0);
+                let guarantee = limit(i).guarantee.unwrap_or(0.0);
                 // A node without a guarantee has nothing to assign to its children.
-                if *sum > most * (1.0 + 1e-9) {
-                    let reason = format!("the guarantees below it sum to {sum}, more than its own {most}");
-                    return Err(at(i, key, reason));
+                if *sum > guarantee * (1.0 + 1e-9) {
+                    let reason =
+                        format!("the guarantees of its children sum to {sum}, more than its own {guarantee}");
+                    return Err(node_error(i, key, reason));
                 }
             }
         }
--- a/crates/quota/tests/share_split.rs
+++ b/crates/quota/tests/share_split.rs
@@ -1,10 +1,10 @@
-//! Several schedulers share one tree: by talk their parts follow the traffic, and without it nobody holds a share twice.
+//! Several schedulers split one quota tree: with digests their shares follow the traffic, and no share is used twice.
 
 use loomlb_quota::share_split::{ShareSplit, node_number};
 use loomlb_quota::{Limit, NodeSpec, Quota, QuotaRequest, ShareStatus, Spec, Verdict};
 
-const S: u64 = 1_000_000_000;
-const MS: u64 = 1_000_000;
+const SECOND: u64 = 1_000_000_000;
+const MILLISECOND: u64 = 1_000_000;
 
 fn tree() -> Spec {
     let limit = |g| Limit { guarantee: Some(g), ceiling: None };
@@ -15,7 +15,7 @@
         work: limit(g),
         ..NodeSpec::default()
     };
-    // Nothing is left to borrow: what is let through shows what is held.
+    // All shares are in use, so nothing can be borrowed and the admitted work shows each scheduler's share.
     Spec {
         nodes: vec![
             node("house", None, 100.0),
@@ -26,119 +26,133 @@
     }
 }
 
-/// Schedulers with the share of `a`'s traffic that each meets; what is let through within share a second, by second.
+/// Schedulers with their shares of the quotas, and the fraction of `a`'s traffic that each receives.
 struct Tier {
-    all: Vec<(Quota, ShareSplit, f64)>,
+    schedulers: Vec<(Quota, ShareSplit, f64)>,
     alive: Vec<bool>,
-    talks: bool,
-    /// Words between these and the others are lost.
-    cut: Vec<usize>,
+    exchanges_digests: bool,
+    /// Digests between these schedulers and the others are lost.
+    partitioned: Vec<usize>,
 }
 
 impl Tier {
-    fn new(meets: &[f64], talks: bool) -> Tier {
-        let n = meets.len();
-        let one =
+    fn new(traffic: &[f64], exchanges_digests: bool) -> Tier {
+        let n = traffic.len();
+        let scheduler =
             |part: &f64| (Quota::new(tree().scaled(1.0 / n as f64), 0).unwrap(), ShareSplit::new(n), *part);
-        Tier { all: meets.iter().map(one).collect(), alive: vec![true; n], talks, cut: Vec::new() }
+        Tier {
+            schedulers: traffic.iter().map(scheduler).collect(),
+            alive: vec![true; n],
+            exchanges_digests,
+            partitioned: Vec::new(),
+        }
     }
 
-    /// A second in which 120 of work a second is asked for at `a`, and 50 at `b` evenly.
+    /// Runs one second with a demand of 120 slot seconds per second at `a` and 50 at `b`, the latter evenly
+    /// distributed. Returns the work of `a` that was admitted within its share.
     fn second(&mut self, from: u64) -> f64 {
-        let mut within = 0.0;
+        let mut admitted = 0.0;
         for step in 0..1000u64 {
-            let now = from + step * MS;
-            for s in 0..self.all.len() {
+            let now = from + step * MILLISECOND;
+            for s in 0..self.schedulers.len() {
                 if !self.alive[s] {
                     continue;
                 }
-                let n = self.all.len() as f64;
-                let (quota, parts, meets) = &mut self.all[s];
-                for (name, work) in [("a", 0.12 * *meets), ("b", 0.05 / n)] {
-                    parts.record_demand(now, node_number(name), work);
+                let n = self.schedulers.len() as f64;
+                let (quota, shares, traffic) = &mut self.schedulers[s];
+                for (name, work) in [("a", 0.12 * *traffic), ("b", 0.05 / n)] {
+                    shares.record_demand(now, node_number(name), work);
                     let request = QuotaRequest { slots: 1.0, work, retry: true, jitter_seed: now };
                     if let Verdict::Admitted(ticket, status) = quota.admit(now, name, &request) {
                         quota.complete(now, ticket, work);
-                        within += if name == "a" && status == ShareStatus::Within { work } else { 0.0 };
+                        admitted += if name == "a" && status == ShareStatus::Within { work } else { 0.0 };
                     }
                 }
             }
-            if self.talks && step % 250 == 0 {
-                self.talk(now);
+            if self.exchanges_digests && step % 250 == 0 {
+                self.exchange_digests(now);
             }
         }
-        within
+        admitted
     }
 
-    fn talk(&mut self, now: u64) {
-        for s in 0..self.all.len() {
+    fn exchange_digests(&mut self, now: u64) {
+        for s in 0..self.schedulers.len() {
             if !self.alive[s] {
                 continue;
             }
-            let words = self.all[s].1.digests(now);
-            assert!(words.iter().all(|w| w.len() <= 256));
-            for to in (0..self.all.len()).filter(|to| *to != s) {
-                if self.cut.contains(&s) == self.cut.contains(&to) {
-                    words.iter().for_each(|w| assert!(self.all[to].1.apply_digest(now, s, w)));
+            let digests = self.schedulers[s].1.digests(now);
+            assert!(digests.iter().all(|digest| digest.len() <= 256));
+            for to in (0..self.schedulers.len()).filter(|to| *to != s) {
+                if self.partitioned.contains(&s) == self.partitioned.contains(&to) {
+                    digests
+                        .iter()
+                        .for_each(|digest| assert!(self.schedulers[to].1.apply_digest(now, s, digest)));
                 }
             }
-            let (quota, parts, _) = &mut self.all[s];
+            let (quota, shares, _) = &mut self.schedulers[s];
             let n = self.alive.len() as f64;
-            for node in parts.active_nodes() {
-                quota.scale_share(now, node, parts.share(now, node) * n);
+            for node in shares.active_nodes() {
+                quota.scale_share(now, node, shares.share(now, node) * n);
             }
         }
     }
 
     fn seconds(&mut self, from: u64, count: u64) -> Vec<f64> {
-        (0..count).map(|i| self.second((from + i) * S)).collect()
+        (0..count).map(|i| self.second((from + i) * SECOND)).collect()
     }
 }
 
-fn mean(x: &[f64]) -> f64 {
-    x.iter().sum::<f64>() / x.len() as f64
+fn mean(values: &[f64]) -> f64 {
+    values.iter().sum::<f64>() / values.len() as f64
 }
 
-/// The whole share is 50 a second. A tenant whose traffic meets one of four schedulers gets a quarter without talk, and
-/// nearly all of it with.
+/// The tenant's share is 50 slot seconds per second. If one of four schedulers receives most of its traffic, the tenant
+/// gets little more than a quarter of it without digests, and nearly all of it with digests.
 #[test]
-fn talk_lets_parts_follow_uneven_traffic() {
-    for meets in [vec![0.9, 0.1], vec![0.85, 0.05, 0.05, 0.05]] {
-        let alone = mean(&Tier::new(&meets, false).seconds(0, 10)[5..]);
-        let told = mean(&Tier::new(&meets, true).seconds(0, 10)[5..]);
-        assert!(alone < 38.0, "{alone} without talk, {meets:?}");
-        assert!(told > 44.0 && told <= 52.5, "{told} with talk, {meets:?}");
-        assert!(told > alone + 5.0, "{told} with talk, {alone} without");
+fn shares_follow_uneven_traffic_if_digests_are_exchanged() {
+    for traffic in [vec![0.9, 0.1], vec![0.85, 0.05, 0.05, 0.05]] {
+        let without_digests = mean(&Tier::new(&traffic, false).seconds(0, 10)[5..]);
+        let with_digests = mean(&Tier::new(&traffic, true).seconds(0, 10)[5..]);
+        assert!(without_digests < 38.0, "{without_digests} without digests, {traffic:?}");
+        assert!(with_digests > 44.0 && with_digests <= 52.5, "{with_digests} with digests, {traffic:?}");
+        assert!(
+            with_digests > without_digests + 5.0,
+            "{with_digests} with digests, {without_digests} without"
+        );
     }
 }
 
-/// A scheduler that dies takes no more than its equal part with it, and a partition holds no share twice.
+/// The share of a failed scheduler stays reserved, at most its equal part, and a partition uses no share twice.
 #[test]
-fn a_death_or_a_partition_neither_doubles_nor_loses_a_share() {
+fn a_failure_or_a_partition_neither_duplicates_nor_loses_a_share() {
     let mut tier = Tier::new(&[0.25; 4], true);
     assert!((mean(&tier.seconds(0, 6)[3..]) - 50.0).abs() < 2.5);
     tier.alive[3] = false;
     let after = tier.seconds(6, 8);
-    assert!(after.iter().all(|x| *x <= 52.5), "{after:?}");
+    assert!(after.iter().all(|rate| *rate <= 52.5), "{after:?}");
     assert!(mean(&after[4..]) >= 50.0 * 0.75 - 2.5, "{after:?}");
     tier.alive[3] = true;
-    let back = tier.seconds(14, 6);
-    assert!((mean(&back[3..]) - 50.0).abs() < 3.0, "{back:?}");
-    // Two and two that do not hear each other: each side holds half, whatever its traffic.
-    tier.cut = vec![0, 1];
-    let cut = tier.seconds(20, 8);
-    assert!(cut.iter().all(|x| *x <= 53.0) && mean(&cut[4..]) > 45.0, "{cut:?}");
+    let after_return = tier.seconds(14, 6);
+    assert!((mean(&after_return[3..]) - 50.0).abs() < 3.0, "{after_return:?}");
+    // Two pairs without a connection between them: each pair keeps half of the share.
+    tier.partitioned = vec![0, 1];
+    let during_partition = tier.seconds(20, 8);
+    assert!(
+        during_partition.iter().all(|rate| *rate <= 53.0) && mean(&during_partition[4..]) > 45.0,
+        "{during_partition:?}"
+    );
 }
 
 #[test]
-fn what_is_no_digest_changes_nothing() {
-    let mut parts = ShareSplit::new(2);
-    parts.record_demand(S, node_number("a"), 1.0);
+fn invalid_digests_change_nothing() {
+    let mut shares = ShareSplit::new(2);
+    shares.record_demand(SECOND, node_number("a"), 1.0);
     for bytes in [&[][..], &[16], &[16, 0, 3, 1, 2], &[5, 0, 0], &[16, 0, 1, 1, 0, 0, 0, 0, 0, 0xc0, 0x7f]] {
-        parts.apply_digest(S, 1, bytes);
+        shares.apply_digest(SECOND, 1, bytes);
     }
-    assert!(!parts.apply_digest(S, 7, &[16, 0, 0]));
-    assert!((parts.share(20 * S, node_number("a")) - 0.5).abs() < 1e-9);
-    assert_eq!(parts.share(S, node_number("nobody")), 0.5);
-    assert!(parts.invalid_digests >= 2);
+    assert!(!shares.apply_digest(SECOND, 7, &[16, 0, 0]));
+    assert!((shares.share(20 * SECOND, node_number("a")) - 0.5).abs() < 1e-9);
+    assert_eq!(shares.share(SECOND, node_number("nobody")), 0.5);
+    assert!(shares.invalid_digests >= 2);
 }
