--- a/crates/capacity/src/page.rs
+++ b/crates/capacity/src/page.rs
@@ -9,7 +9,7 @@
 
 /// A figure that a page shows.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Shown {
+pub struct LinkedFigure {
     /// The page's line, from 1.
     pub line: usize,
     /// As it stands there.
@@ -17,41 +17,41 @@
     /// The file.
     pub file: String,
     /// What the file's value is divided by.
-    pub per: f64,
+    pub divisor: f64,
     /// The way to the value.
-    pub way: String,
+    pub path: String,
 }
 
 /// Why a page cannot be held to its files.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum PageError {
     /// A link to a file of figures that does not name a place in it.
-    #[error("line {line}: {link}: no place in the file; write FILE.json?per=N#/way/to/it")]
-    Place {
+    #[error("line {line}: {link}: no place in the file; write FILE.json?per=N#/path/to/value")]
+    MalformedLink {
         /// The page's line.
         line: usize,
         /// The link.
         link: String,
     },
     /// A way that leads nowhere.
-    #[error("line {line}: {file}#{way}: leads to no number; run the bench again, or correct the way")]
-    Nowhere {
+    #[error("line {line}: {file}#{path}: leads to no number; run the bench again, or correct the path")]
+    MissingValue {
         /// The page's line.
         line: usize,
         /// The file.
         file: String,
         /// The way.
-        way: String,
+        path: String,
     },
     /// The page says something else than the file.
-    #[error("line {line}: {file}#{way}: the page says {text}, the file {value}; the file is right")]
-    Drifted {
+    #[error("line {line}: {file}#{path}: the page says {text}, the file {value}; the file is right")]
+    Mismatch {
         /// The page's line.
         line: usize,
         /// The file.
         file: String,
         /// The way.
-        way: String,
+        path: String,
         /// What the page says.
         text: String,
         /// What the file says, to the page's digits.
@@ -59,7 +59,7 @@
     },
     /// A number of a measured table that no file stands behind.
     #[error("line {line}: {text}: a figure of a measured table without its file")]
-    Bare {
+    Unlinked {
         /// The page's line.
         line: usize,
         /// The number.
@@ -68,26 +68,26 @@
 }
 
 /// Opens a part of the page in which each figure has its file.
-pub const MEASURED: &str = "<!-- measured -->";
+pub const MEASURED_START: &str = "<!-- measured -->";
 /// Closes it.
-pub const OVER: &str = "<!-- over -->";
+pub const MEASURED_END: &str = "<!-- over -->";
 
 /// All figures of a page that name a file of figures.
-pub fn figures(page: &str) -> Result<Vec<Shown>, PageError> {
+pub fn linked_figures(page: &str) -> Result<Vec<LinkedFigure>, PageError> {
     let mut all = Vec::new();
     for (at, line) in page.lines().enumerate() {
         for (text, link) in links(line).filter(|(_, link)| link.contains(".json")) {
-            let error = || PageError::Place { line: at + 1, link: link.into() };
-            let (file, way) = link.split_once('#').ok_or_else(error)?;
-            let (file, per) = match file.split_once("?per=") {
-                Some((file, per)) => (file, per.parse().map_err(|_| error())?),
+            let error = || PageError::MalformedLink { line: at + 1, link: link.into() };
+            let (file, path) = link.split_once('#').ok_or_else(error)?;
+            let (file, divisor) = match file.split_once("?per=") {
+                Some((file, divisor)) => (file, divisor.parse().map_err(|_| error())?),
                 None => (file, 1.0),
             };
-            if !way.starts_with('/') {
+            if !path.starts_with('/') {
                 return Err(error());
             }
-            let (text, file, way) = (text.into(), file.into(), way.into());
-            all.push(Shown { line: at + 1, text, file, per, way });
+            let (text, file, path) = (text.into(), file.into(), path.into());
+            all.push(LinkedFigure { line: at + 1, text, file, divisor, path });
         }
     }
     Ok(all)
@@ -103,19 +103,19 @@
 }
 
 /// Numbers in a page's measured parts behind which no file stands. A table's first column and its head name things.
-pub fn bare(page: &str) -> Vec<PageError> {
+pub fn unlinked_figures(page: &str) -> Vec<PageError> {
     let (mut inside, mut rows, mut all) = (false, 0, Vec::new());
     for (at, line) in page.lines().enumerate() {
         match line.trim() {
-            MEASURED => inside = true,
-            OVER => inside = false,
+            MEASURED_START => inside = true,
+            MEASURED_END => inside = false,
             _ if !inside => {}
             row if row.starts_with('|') => {
                 rows += 1;
                 let cells = row.trim_matches('|').split('|').skip(1);
                 // The head and the line below it.
                 let numbers = cells.filter(|_| rows > 2).map(str::trim).filter(|cell| is_number(cell));
-                all.extend(numbers.map(|cell| PageError::Bare { line: at + 1, text: cell.into() }));
+                all.extend(numbers.map(|cell| PageError::Unlinked { line: at + 1, text: cell.into() }));
                 continue;
             }
             _ => {}
@@ -130,9 +130,9 @@
 }
 
 /// The value at the end of a way.
-pub fn value(file: &Value, way: &str) -> Option<f64> {
+pub fn lookup(file: &Value, path: &str) -> Option<f64> {
     let mut at = file;
-    for part in way.split('/').skip(1) {
+    for part in path.split('/').skip(1) {
         at = match (at, part.split_once('=')) {
             (Value::Array(all), Some((key, is))) => all.iter().find(|one| one[key] == is)?,
             (Value::Array(all), None) => all.get(part.parse::<usize>().ok()?)?,
@@ -144,18 +144,18 @@
 }
 
 /// Holds one figure to its file.
-pub fn hold(shown: &Shown, file: &Value) -> Result<(), PageError> {
-    let Shown { line, text, file: name, per, way } = shown.clone();
-    let Some(value) = value(file, &way) else {
-        return Err(PageError::Nowhere { line, file: name, way });
+pub fn check_figure(shown: &LinkedFigure, file: &Value) -> Result<(), PageError> {
+    let LinkedFigure { line, text, file: name, divisor, path } = shown.clone();
+    let Some(value) = lookup(file, &path) else {
+        return Err(PageError::MissingValue { line, file: name, path });
     };
     let digits = text.split_once('.').map_or(0, |(_, after)| after.len());
-    let value = written(value / per, digits);
-    if value == text { Ok(()) } else { Err(PageError::Drifted { line, file: name, way, text, value }) }
+    let value = format_number(value / divisor, digits);
+    if value == text { Ok(()) } else { Err(PageError::Mismatch { line, file: name, path, text, value }) }
 }
 
 /// A number with its thousands apart: `19,000.5`.
-pub fn written(value: f64, digits: usize) -> String {
+pub fn format_number(value: f64, digits: usize) -> String {
     let plain = format!("{value:.digits$}");
     let (whole, rest) = plain.split_at(plain.find('.').unwrap_or(plain.len()));
     let (sign, whole) = whole.split_at(usize::from(whole.starts_with('-')));
@@ -170,7 +170,7 @@
 }
 
 /// A number to about three digits that count.
-pub fn rounded(value: f64) -> String {
+pub fn format_rounded(value: f64) -> String {
     let size = value.abs();
     let digits = match size {
         _ if size == 0.0 || size >= 100.0 => 0,
@@ -178,5 +178,5 @@
         _ if size >= 1.0 => 2,
         _ => (2.0 - size.log10().floor()).clamp(0.0, 9.0) as usize,
     };
-    written(value, digits)
+    format_number(value, digits)
 }
--- a/crates/capacity/src/plan.rs
+++ b/crates/capacity/src/plan.rs
@@ -278,7 +278,7 @@
                     _ => "",
                 };
                 let way = format!("/rows/key={}/figures/{at}/value", row.key);
-                format!("[{}]({file}#{way}){mark}", page::rounded(f.value))
+                format!("[{}]({file}#{way}){mark}", page::format_rounded(f.value))
             }
         };
         let [today, target, thrice] = [0, 1, 2].map(|at| cell((at, &figures[at])));
@@ -296,7 +296,9 @@
     out += "| --- | --- | --- | --- | --- | --- | --- |\n";
     for Ranked { limit, at, ratio } in &planned.limits {
         let link = |figure: Option<f64>, name: &str| match figure {
-            Some(value) => format!("[{}]({file}#/limits/key={}/{name})", page::rounded(value), limit.key),
+            Some(value) => {
+                format!("[{}]({file}#/limits/key={}/{name})", page::format_rounded(value), limit.key)
+            }
             None => "not reached".into(),
         };
         let (at, target, ratio) =
--- a/crates/capacity/tests/page.rs
+++ b/crates/capacity/tests/page.rs
@@ -1,12 +1,15 @@
 //! Pages are held to the files that their figures came from; each kind of drift is planted once.
 
-use loomlb_capacity::page::{MEASURED, OVER, PageError, bare, figures, hold, rounded, value, written};
+use loomlb_capacity::page::{
+    MEASURED_END, MEASURED_START, PageError, check_figure, format_number, format_rounded, linked_figures,
+    lookup, unlinked_figures,
+};
 use serde_json::json;
 
 fn drifts(page: &str) -> Vec<PageError> {
     let file = json!({"series": [{"key": "a", "points": [4.26, 19000.4]}, {"key": "b", "at": -1234567.0}]});
-    match figures(page) {
-        Ok(shown) => shown.iter().filter_map(|s| hold(s, &file).err()).collect(),
+    match linked_figures(page) {
+        Ok(shown) => shown.iter().filter_map(|s| check_figure(s, &file).err()).collect(),
         Err(e) => vec![e],
     }
 }
@@ -16,7 +19,7 @@
     let page = "x [4.26](f.json#/series/key=a/points/0) and [4.3](f.json#/series/0/points/0) of\n\
         [19,000](f.json#/series/key=a/points/1) or [19.0004](f.json?per=1000#/series/key=a/points/1), \
         [-1,234,567](f.json#/series/key=b/at), [a page](other.md#part)";
-    assert_eq!(figures(page).unwrap().len(), 5);
+    assert_eq!(linked_figures(page).unwrap().len(), 5);
     assert!(drifts(page).is_empty(), "{:?}", drifts(page));
 }
 
@@ -29,30 +32,37 @@
     );
     for way in ["/series/key=c/at", "/series/9", "/series/key=a", "/series/key=a/points/x", "/none"] {
         assert!(
-            matches!(&drifts(&format!("[1](f.json#{way})"))[..], [PageError::Nowhere { line: 1, .. }]),
+            matches!(&drifts(&format!("[1](f.json#{way})"))[..], [PageError::MissingValue { line: 1, .. }]),
             "{way}"
         );
     }
     for link in ["f.json", "f.json#series", "f.json?per=x#/series"] {
-        assert!(matches!(&drifts(&format!("[1]({link})"))[..], [PageError::Place { line: 1, .. }]), "{link}");
+        assert!(
+            matches!(&drifts(&format!("[1]({link})"))[..], [PageError::MalformedLink { line: 1, .. }]),
+            "{link}"
+        );
     }
 }
 
 #[test]
 fn a_measured_table_has_no_figure_without_a_file() {
     let table = "| 1 what | 2 |\n| --- | --- |\n| 3 | [4](f.json#/a) | missing | 5 |\n";
-    assert!(bare(table).is_empty(), "outside of measured parts figures may be assumptions");
-    let page = format!("{MEASURED}\n{table}\n7 in a sentence\n\n{table}{OVER}\n{table}");
+    assert!(unlinked_figures(table).is_empty(), "outside of measured parts figures may be assumptions");
+    let page = format!("{MEASURED_START}\n{table}\n7 in a sentence\n\n{table}{MEASURED_END}\n{table}");
     assert_eq!(
-        bare(&page),
-        [PageError::Bare { line: 4, text: "5".into() }, PageError::Bare { line: 10, text: "5".into() }]
+        unlinked_figures(&page),
+        [
+            PageError::Unlinked { line: 4, text: "5".into() },
+            PageError::Unlinked { line: 10, text: "5".into() }
+        ]
     );
 }
 
 #[test]
 fn numbers_are_written_with_their_thousands_apart_and_three_digits_that_count() {
-    let said: Vec<String> = [0.0, 0.00123, 0.5, 4.256, 45.67, 999.4, 1234.5, -1234567.0].map(rounded).into();
+    let said: Vec<String> =
+        [0.0, 0.00123, 0.5, 4.256, 45.67, 999.4, 1234.5, -1234567.0].map(format_rounded).into();
     assert_eq!(said, ["0", "0.00123", "0.500", "4.26", "45.7", "999", "1,234", "-1,234,567"]);
-    assert_eq!(written(1e6, 1), "1,000,000.0");
-    assert_eq!(value(&json!([1, [2]]), "/1/0"), Some(2.0));
+    assert_eq!(format_number(1e6, 1), "1,000,000.0");
+    assert_eq!(lookup(&json!([1, [2]]), "/1/0"), Some(2.0));
 }
--- a/crates/capacity/tests/plan.rs
+++ b/crates/capacity/tests/plan.rs
@@ -1,7 +1,7 @@
 //! The plan over planted measurements: figures at their sizes, the order of limits, and what is refused.
 
 use loomlb_capacity::Source;
-use loomlb_capacity::page::{MEASURED, OVER, bare, figures, hold};
+use loomlb_capacity::page::{MEASURED_END, MEASURED_START, check_figure, linked_figures, unlinked_figures};
 use loomlb_capacity::plan::{Breaks, Figure, Limit, Measured, Plan, PlanError, Row, ranking, roles};
 
 /// Costs of 10 and 2 for each unit of size, measured up to 100; the second never gets over 7.
@@ -105,18 +105,22 @@
 fn the_tables_of_a_plan_are_held_to_the_plan_as_json() {
     let limits = vec![limit("cost", budget("line", 20.0), true), limit("none", Breaks::Absent, false)];
     let planned = Plan { rows: vec![row("a", "line")], limits }.over(&Planted).unwrap();
-    let tables =
-        format!("{MEASURED}\n{}\n{}\n{OVER}\n", roles(&planned, "plan.json"), ranking(&planned, "plan.json"));
+    let tables = format!(
+        "{MEASURED_START}\n{}\n{}\n{MEASURED_END}\n",
+        roles(&planned, "plan.json"),
+        ranking(&planned, "plan.json")
+    );
     let file = serde_json::to_value(&planned).unwrap();
-    let shown = figures(&tables).unwrap();
+    let shown = linked_figures(&tables).unwrap();
     // Three sizes of one row; where it breaks, the target and the ratio of two limits.
     assert_eq!(shown.len(), 3 + 2 * 3);
-    assert!(shown.iter().all(|s| hold(s, &file).is_ok()), "{tables}");
+    assert!(shown.iter().all(|s| check_figure(s, &file).is_ok()), "{tables}");
     assert!(
-        bare(&tables).is_empty() && tables.contains("305](plan.json#/rows/key=a/figures/2/value) (*)"),
+        unlinked_figures(&tables).is_empty()
+            && tables.contains("305](plan.json#/rows/key=a/figures/2/value) (*)"),
         "{tables}"
     );
     let mut other = file.clone();
     other["rows"][0]["figures"][1]["value"] = 106.0.into();
-    assert_eq!(shown.iter().filter(|s| hold(s, &other).is_err()).count(), 1);
+    assert_eq!(shown.iter().filter(|s| check_figure(s, &other).is_err()).count(), 1);
 }
--- a/crates/lab/tests/page.rs
+++ b/crates/lab/tests/page.rs
@@ -1,7 +1,7 @@
 //! docs/CAPACITY.md is held to what the runs wrote: each figure to its file, the tables to the plan, the plan to the slopes,
 //! and the constants that it names to the program.
 
-use loomlb_capacity::page::{MEASURED, OVER, bare, figures, hold};
+use loomlb_capacity::page::{MEASURED_END, MEASURED_START, check_figure, linked_figures, unlinked_figures};
 use loomlb_capacity::plan::{Breaks, Planned, ranking, roles};
 use loomlb_lab::capacity::target;
 use serde_json::Value;
@@ -23,20 +23,20 @@
 #[test]
 fn each_figure_of_the_page_is_what_its_file_says() {
     let page = read("docs/CAPACITY.md");
-    let shown = figures(&page).unwrap();
+    let shown = linked_figures(&page).unwrap();
     assert!(shown.len() > 100, "{} figures", shown.len());
     let wrong: Vec<String> = shown
         .iter()
         .filter_map(|figure| {
             let file: Value = serde_json::from_str(&read(&format!("docs/{}", figure.file))).unwrap();
-            hold(figure, &file).err().map(|e| e.to_string())
+            check_figure(figure, &file).err().map(|e| e.to_string())
         })
         .collect();
     assert!(wrong.is_empty(), "{}", wrong.join("\n"));
-    let bare: Vec<String> = bare(&page).iter().map(ToString::to_string).collect();
+    let bare: Vec<String> = unlinked_figures(&page).iter().map(ToString::to_string).collect();
     assert!(bare.is_empty(), "{}", bare.join("\n"));
-    assert_eq!(page.matches(MEASURED).count(), page.matches(OVER).count());
-    assert!(page.matches(MEASURED).count() >= 3);
+    assert_eq!(page.matches(MEASURED_START).count(), page.matches(MEASURED_END).count());
+    assert!(page.matches(MEASURED_START).count() >= 3);
 }
 
 #[test]
