--- a/crates/capacity/src/fit.rs
+++ b/crates/capacity/src/fit.rs
@@ -194,7 +194,7 @@
 }
 
 /// The smallest size at which a cost reaches a budget; none if it never does.
-pub fn breaks_at(fit: &Fit, budget: f64) -> Option<f64> {
+pub fn size_at_budget(fit: &Fit, budget: f64) -> Option<f64> {
     if !budget.is_finite() {
         return None;
     }
--- a/crates/capacity/src/plan.rs
+++ b/crates/capacity/src/plan.rs
@@ -6,13 +6,13 @@
 use serde::{Deserialize, Serialize};
 
 /// Where figures come from.
-pub trait Measured {
+pub trait Measurements {
     /// What a series comes to at a size; `None` where it was not measured or cannot be said.
     fn figure(&self, series: &str, size: f64) -> Option<Figure>;
     /// The size at which a series of growing costs meets a budget; `None` if it is not known to.
-    fn breaks_at(&self, series: &str, budget: f64) -> Option<f64>;
+    fn size_at_budget(&self, series: &str, budget: f64) -> Option<f64>;
     /// The greatest value of a series of outputs, such as versions a second: more does not come out, whatever goes in.
-    fn most(&self, series: &str) -> Option<f64>;
+    fn maximum(&self, series: &str) -> Option<f64>;
 }
 
 /// A cost at one size.
@@ -23,7 +23,8 @@
     /// How it came about.
     pub source: Source,
     /// The size lies beyond those that were measured: the figure follows the slope.
-    pub beyond: bool,
+    #[serde(rename = "beyond")]
+    pub extrapolated: bool,
 }
 
 /// The plan as it is written down: `docs/capacity/target.toml`.
@@ -53,7 +54,7 @@
     /// Unit of the figures that are shown.
     pub unit: String,
     /// The series' values are divided by this to be shown.
-    #[serde(default = "one")]
+    #[serde(default = "default_divisor")]
     pub per: f64,
     /// The size today, at the target, and at three times the target, in what the series counts.
     pub sizes: [f64; 3],
@@ -61,7 +62,7 @@
     pub carried_by: String,
 }
 
-fn one() -> f64 {
+fn default_divisor() -> f64 {
     1.0
 }
 
@@ -78,7 +79,7 @@
     /// The size at the target.
     pub target: f64,
     /// How the size at which it breaks is known.
-    pub breaks: Breaks,
+    pub breaks: BreakingPoint,
     /// Whether other things of the target are built on what is missing here.
     pub blocks: bool,
     /// The mechanism that carries it, or that is missing.
@@ -87,8 +88,8 @@
 
 /// How the size at which a limit breaks is known.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-#[serde(rename_all = "snake_case", deny_unknown_fields)]
-pub enum Breaks {
+#[serde(rename_all = "snake_case", deny_unknown_fields, expecting = "enum Breaks")]
+pub enum BreakingPoint {
     /// Where this series meets this budget.
     Budget {
         /// The series' key.
@@ -97,7 +98,8 @@
         budget: f64,
     },
     /// No more than the most that this series reached.
-    Most {
+    #[serde(rename = "most")]
+    Maximum {
         /// The series' key.
         series: String,
     },
@@ -110,8 +112,9 @@
         /// Its value, divided by what one unit of the size takes of it.
         value: f64,
         /// What one unit of the size takes.
-        #[serde(default = "one")]
-        each: f64,
+        #[serde(default = "default_divisor")]
+        #[serde(rename = "each")]
+        per_unit: f64,
     },
     /// Nothing of the kind is there.
     Absent,
@@ -119,7 +122,8 @@
 
 /// A row with its figures.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Costed {
+#[serde(expecting = "struct Costed")]
+pub struct CostedRow {
     /// The row.
     #[serde(flatten)]
     pub row: Row,
@@ -129,23 +133,26 @@
 
 /// A limit with its place.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Ranked {
+#[serde(expecting = "struct Ranked")]
+pub struct RankedLimit {
     /// The limit.
     #[serde(flatten)]
     pub limit: Limit,
     /// The size at which it breaks; `None` if nothing measured breaks it.
-    pub at: Option<f64>,
+    #[serde(rename = "at")]
+    pub breaks_at: Option<f64>,
     /// That size divided by the target's: below 1 the target does not hold.
     pub ratio: Option<f64>,
 }
 
 /// The plan with its figures, the limits in the order in which they break.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Planned {
+#[serde(expecting = "struct Planned")]
+pub struct EvaluatedPlan {
     /// The costs.
-    pub rows: Vec<Costed>,
+    pub rows: Vec<CostedRow>,
     /// The limits, smallest ratio first; those that do not break last.
-    pub limits: Vec<Ranked>,
+    pub limits: Vec<RankedLimit>,
 }
 
 /// What is wrong with a plan.
@@ -153,10 +160,10 @@
 pub enum PlanError {
     /// Two rows or limits have one key.
     #[error("{0}: stands there twice; give each row and limit a key of its own")]
-    Twice(String),
+    DuplicateKey(String),
     /// A size, budget or divisor that is no number above 0.
     #[error("{key}: {value} is no number above 0")]
-    Size {
+    InvalidNumber {
         /// Of which row or limit.
         key: String,
         /// What stands there.
@@ -164,7 +171,7 @@
     },
     /// A series that the report does not have.
     #[error("{key}: no series {series:?} in the report; run the bench with it, or correct the name")]
-    Series {
+    UnknownSeries {
         /// Of which row or limit.
         key: String,
         /// The name.
@@ -179,10 +186,10 @@
         keys.extend(self.limits.iter().map(|l| &*l.key));
         keys.sort_unstable();
         if let Some(pair) = keys.windows(2).find(|pair| pair[0] == pair[1]) {
-            return Err(PlanError::Twice(pair[0].into()));
+            return Err(PlanError::DuplicateKey(pair[0].into()));
         }
         let sound = |key: &str, value: f64| {
-            let error = || PlanError::Size { key: key.into(), value: value.to_string() };
+            let error = || PlanError::InvalidNumber { key: key.into(), value: value.to_string() };
             (value.is_finite() && value > 0.0).then_some(()).ok_or_else(error)
         };
         for row in &self.rows {
@@ -191,88 +198,88 @@
         for limit in &self.limits {
             sound(&limit.key, limit.target)?;
             match &limit.breaks {
-                Breaks::Budget { budget, .. } => sound(&limit.key, *budget)?,
-                Breaks::Constant { value, each, .. } => {
+                BreakingPoint::Budget { budget, .. } => sound(&limit.key, *budget)?,
+                BreakingPoint::Constant { value, per_unit, .. } => {
                     sound(&limit.key, *value)?;
-                    sound(&limit.key, *each)?;
+                    sound(&limit.key, *per_unit)?;
                 }
-                Breaks::Most { .. } | Breaks::Absent => {}
+                BreakingPoint::Maximum { .. } | BreakingPoint::Absent => {}
             }
         }
         Ok(())
     }
 
     /// The plan's figures and the order in which its limits break.
-    pub fn over(&self, measured: &dyn Measured) -> Result<Planned, PlanError> {
+    pub fn evaluate(&self, measured: &dyn Measurements) -> Result<EvaluatedPlan, PlanError> {
         self.check()?;
         let mut rows = Vec::new();
         for row in &self.rows {
             let figures = row.sizes.map(|size| measured.figure(&row.series, size));
             if figures.iter().all(Option::is_none) {
-                return Err(PlanError::Series { key: row.key.clone(), series: row.series.clone() });
+                return Err(PlanError::UnknownSeries { key: row.key.clone(), series: row.series.clone() });
             }
             let shown = |f: Figure| Figure { value: f.value / row.per, ..f };
-            rows.push(Costed { row: row.clone(), figures: figures.map(|f| f.map(shown)) });
+            rows.push(CostedRow { row: row.clone(), figures: figures.map(|f| f.map(shown)) });
         }
         let mut limits = Vec::new();
         for limit in &self.limits {
             let known = |series: &String| {
-                let error = || PlanError::Series { key: limit.key.clone(), series: series.clone() };
-                measured.most(series).ok_or_else(error)
+                let error = || PlanError::UnknownSeries { key: limit.key.clone(), series: series.clone() };
+                measured.maximum(series).ok_or_else(error)
             };
-            let at = match &limit.breaks {
-                Breaks::Budget { series, budget } => {
+            let breaks_at = match &limit.breaks {
+                BreakingPoint::Budget { series, budget } => {
                     known(series)?;
-                    measured.breaks_at(series, *budget)
+                    measured.size_at_budget(series, *budget)
                 }
-                Breaks::Most { series } => Some(known(series)?),
-                Breaks::Constant { value, each, .. } => Some(value / each),
-                Breaks::Absent => Some(0.0),
+                BreakingPoint::Maximum { series } => Some(known(series)?),
+                BreakingPoint::Constant { value, per_unit, .. } => Some(value / per_unit),
+                BreakingPoint::Absent => Some(0.0),
             };
-            let ratio = at.map(|at| at / limit.target);
-            limits.push(Ranked { limit: limit.clone(), at, ratio });
+            let ratio = breaks_at.map(|size| size / limit.target);
+            limits.push(RankedLimit { limit: limit.clone(), breaks_at, ratio });
         }
         limits.sort_by(|a, b| {
-            let of = |r: &Ranked| r.ratio.unwrap_or(f64::INFINITY);
+            let of = |r: &RankedLimit| r.ratio.unwrap_or(f64::INFINITY);
             of(a).total_cmp(&of(b)).then_with(|| a.limit.key.cmp(&b.limit.key))
         });
-        Ok(Planned { rows, limits })
+        Ok(EvaluatedPlan { rows, limits })
     }
 }
 
-impl Planned {
+impl EvaluatedPlan {
     /// The limit that goes first: the first below 1 on which other things are built.
-    pub fn first(&self) -> Option<&Ranked> {
+    pub fn first_blocker(&self) -> Option<&RankedLimit> {
         self.limits.iter().find(|l| l.limit.blocks && l.ratio.is_some_and(|ratio| ratio < 1.0))
     }
 }
 
-impl Measured for Report {
+impl Measurements for Report {
     fn figure(&self, series: &str, size: f64) -> Option<Figure> {
         let fitted = self.get(series)?;
         let value = fitted.fit.at(size)?;
-        Some(Figure { value, source: fitted.series.source, beyond: fitted.fit.extrapolated(size) })
+        Some(Figure { value, source: fitted.series.source, extrapolated: fitted.fit.extrapolated(size) })
     }
 
-    fn breaks_at(&self, series: &str, budget: f64) -> Option<f64> {
-        fit::breaks_at(&self.get(series)?.fit, budget)
+    fn size_at_budget(&self, series: &str, budget: f64) -> Option<f64> {
+        fit::size_at_budget(&self.get(series)?.fit, budget)
     }
 
-    fn most(&self, series: &str) -> Option<f64> {
+    fn maximum(&self, series: &str) -> Option<f64> {
         let points = &self.get(series)?.series.points;
         points.iter().map(|point| fit::median(&point.values)).max_by(f64::total_cmp)
     }
 }
 
 /// The table of costs in Markdown, each figure a link into `file`, which holds this plan as JSON.
-pub fn roles(planned: &Planned, file: &str) -> String {
+pub fn cost_table(planned: &EvaluatedPlan, file: &str) -> String {
     let mut out = "| role | what | unit | today | target | three times | carried by |\n".to_string();
     out += "| --- | --- | --- | --- | --- | --- | --- |\n";
-    for Costed { row, figures } in &planned.rows {
+    for CostedRow { row, figures } in &planned.rows {
         let cell = |(at, figure): (usize, &Option<Figure>)| match figure {
             None => "not known".to_string(),
             Some(f) => {
-                let mark = match (f.source, f.beyond) {
+                let mark = match (f.source, f.extrapolated) {
                     (Source::Estimated, _) => " (e)",
                     (_, true) => " (*)",
                     _ => "",
@@ -289,23 +296,23 @@
 }
 
 /// The ranking in Markdown, each figure a link into `file`, which holds this plan as JSON.
-pub fn ranking(planned: &Planned, file: &str) -> String {
+pub fn limit_table(planned: &EvaluatedPlan, file: &str) -> String {
     let mut out =
         "| limit | unit | breaks at | target | ratio | other things are built on it | carried by |\n"
             .to_string();
     out += "| --- | --- | --- | --- | --- | --- | --- |\n";
-    for Ranked { limit, at, ratio } in &planned.limits {
+    for RankedLimit { limit, breaks_at, ratio } in &planned.limits {
         let link = |figure: Option<f64>, name: &str| match figure {
             Some(value) => {
                 format!("[{}]({file}#/limits/key={}/{name})", page::format_rounded(value), limit.key)
             }
             None => "not reached".into(),
         };
-        let (at, target, ratio) =
-            (link(*at, "at"), link(Some(limit.target), "target"), link(*ratio, "ratio"));
+        let (breaks_at, target, ratio) =
+            (link(*breaks_at, "at"), link(Some(limit.target), "target"), link(*ratio, "ratio"));
         let blocks = if limit.blocks { "yes" } else { "no" };
         let Limit { what, unit, carried_by, .. } = limit;
-        out += &format!("| {what} | {unit} | {at} | {target} | {ratio} | {blocks} | {carried_by} |\n");
+        out += &format!("| {what} | {unit} | {breaks_at} | {target} | {ratio} | {blocks} | {carried_by} |\n");
     }
     out
 }
--- a/crates/capacity/tests/fit.rs
+++ b/crates/capacity/tests/fit.rs
@@ -1,6 +1,6 @@
 //! Planted lines, powers and bends are found again through noise, and what cannot be fitted is refused by its key.
 
-use loomlb_capacity::fit::{Fit, FitError, MISS, Shape, breaks_at, fit, median};
+use loomlb_capacity::fit::{Fit, FitError, MISS, Shape, fit, median, size_at_budget};
 use loomlb_capacity::{Point, Series, Source};
 use proptest::prelude::*;
 
@@ -37,7 +37,7 @@
 
 /// A cost that a fit says meets a budget at a size does so there, and not before.
 fn budget_is_met(fit: &Fit, budget: f64) {
-    let size = breaks_at(fit, budget).expect("it grows without end");
+    let size = size_at_budget(fit, budget).expect("it grows without end");
     let there = fit.at(size).unwrap();
     assert!(near(there, budget, 1e-6), "{there} of {budget} at {size}: {fit:?}");
     assert!(fit.at(size * 0.99).unwrap() <= budget * (1.0 + 1e-9), "{fit:?}");
@@ -90,8 +90,8 @@
         let found = fit(&planted(seed, |_| value)).unwrap();
         let Shape::Flat { value: told } = found.shape else { panic!("{found:?}") };
         prop_assert!(near(told, value, 0.03));
-        prop_assert_eq!(breaks_at(&found, value * 2.0), None);
-        prop_assert_eq!(breaks_at(&found, value / 2.0), Some(0.0));
+        prop_assert_eq!(size_at_budget(&found, value * 2.0), None);
+        prop_assert_eq!(size_at_budget(&found, value / 2.0), Some(0.0));
     }
 
     /// Whatever finite numbers come, a fit is made or refused, and tells finite numbers or none.
@@ -107,7 +107,7 @@
                 prop_assert!(found.spread.is_finite() && found.worst_residual.is_finite());
                 prop_assert!(found.at(size).is_none_or(f64::is_finite));
                 prop_assert!(found.slope_at(size).is_none_or(f64::is_finite));
-                prop_assert!(breaks_at(&found, budget).is_none_or(|s| s.is_finite() && s >= 0.0));
+                prop_assert!(size_at_budget(&found, budget).is_none_or(|s| s.is_finite() && s >= 0.0));
             }
             Err(e) => prop_assert!(e.to_string().starts_with("role.part.cost_by_size: "), "{}", e),
         }
--- a/crates/capacity/tests/plan.rs
+++ b/crates/capacity/tests/plan.rs
@@ -2,23 +2,25 @@
 
 use loomlb_capacity::Source;
 use loomlb_capacity::page::{MEASURED_END, MEASURED_START, check_figure, linked_figures, unlinked_figures};
-use loomlb_capacity::plan::{Breaks, Figure, Limit, Measured, Plan, PlanError, Row, ranking, roles};
+use loomlb_capacity::plan::{
+    BreakingPoint, Figure, Limit, Measurements, Plan, PlanError, Row, cost_table, limit_table,
+};
 
 /// Costs of 10 and 2 for each unit of size, measured up to 100; the second never gets over 7.
 struct Planted;
 
-impl Measured for Planted {
+impl Measurements for Planted {
     fn figure(&self, series: &str, size: f64) -> Option<Figure> {
         (series == "line").then_some(Figure {
             value: 10.0 + 2.0 * size,
             source: Source::Counted,
-            beyond: size > 100.0,
+            extrapolated: size > 100.0,
         })
     }
-    fn breaks_at(&self, series: &str, budget: f64) -> Option<f64> {
+    fn size_at_budget(&self, series: &str, budget: f64) -> Option<f64> {
         (series == "line").then_some((budget - 10.0) / 2.0)
     }
-    fn most(&self, series: &str) -> Option<f64> {
+    fn maximum(&self, series: &str) -> Option<f64> {
         [("line", 210.0), ("flat", 7.0)].into_iter().find(|s| s.0 == series).map(|s| s.1)
     }
 }
@@ -36,7 +38,7 @@
     }
 }
 
-fn limit(key: &str, breaks: Breaks, blocks: bool) -> Limit {
+fn limit(key: &str, breaks: BreakingPoint, blocks: bool) -> Limit {
     Limit {
         key: key.into(),
         what: "w".into(),
@@ -48,52 +50,62 @@
     }
 }
 
-fn budget(series: &str, budget: f64) -> Breaks {
-    Breaks::Budget { series: series.into(), budget }
+fn budget(series: &str, budget: f64) -> BreakingPoint {
+    BreakingPoint::Budget { series: series.into(), budget }
 }
 
 #[test]
 fn rows_get_their_figures_and_say_which_lie_beyond_what_was_measured() {
     let plan = Plan { rows: vec![row("a", "line")], limits: Vec::new() };
-    let planned = plan.over(&Planted).unwrap();
-    let told: Vec<(f64, bool)> =
-        planned.rows[0].figures.iter().map(|f| f.map_or((0.0, false), |f| (f.value, f.beyond))).collect();
+    let planned = plan.evaluate(&Planted).unwrap();
+    let told: Vec<(f64, bool)> = planned.rows[0]
+        .figures
+        .iter()
+        .map(|f| f.map_or((0.0, false), |f| (f.value, f.extrapolated)))
+        .collect();
     assert_eq!(told, [(10.0, false), (105.0, false), (305.0, true)]);
 }
 
 #[test]
 fn limits_stand_in_the_order_in_which_they_break_and_the_first_that_blocks_goes_first() {
-    let constant = Breaks::Constant { file: "f".into(), name: "N".into(), value: 64.0, each: 2.0 };
+    let constant = BreakingPoint::Constant { file: "f".into(), name: "N".into(), value: 64.0, per_unit: 2.0 };
     let limits = vec![
         limit("holds", budget("line", 1010.0), true),
-        limit("output", Breaks::Most { series: "flat".into() }, true),
-        limit("absent", Breaks::Absent, false),
+        limit("output", BreakingPoint::Maximum { series: "flat".into() }, true),
+        limit("absent", BreakingPoint::Absent, false),
         limit("constant", constant, true),
         limit("cost", budget("line", 20.0), true),
     ];
-    let planned = Plan { rows: Vec::new(), limits }.over(&Planted).unwrap();
+    let planned = Plan { rows: Vec::new(), limits }.evaluate(&Planted).unwrap();
     let order: Vec<(&str, f64)> =
         planned.limits.iter().map(|l| (&*l.limit.key, l.ratio.unwrap_or(f64::NAN))).collect();
     assert_eq!(
         order,
         [("absent", 0.0), ("cost", 0.25), ("output", 0.35), ("constant", 1.6), ("holds", 25.0)]
     );
-    assert_eq!(planned.first().map(|l| &*l.limit.key), Some("cost"), "nothing is built on what is absent");
+    assert_eq!(
+        planned.first_blocker().map(|l| &*l.limit.key),
+        Some("cost"),
+        "nothing is built on what is absent"
+    );
 }
 
 #[test]
 fn a_plan_that_cannot_be_worked_with_names_its_key() {
-    let of = |rows, limits| Plan { rows, limits }.over(&Planted).unwrap_err();
+    let of = |rows, limits| Plan { rows, limits }.evaluate(&Planted).unwrap_err();
     assert_eq!(
-        of(vec![row("a", "line")], vec![limit("a", Breaks::Absent, true)]),
-        PlanError::Twice("a".into())
+        of(vec![row("a", "line")], vec![limit("a", BreakingPoint::Absent, true)]),
+        PlanError::DuplicateKey("a".into())
     );
-    let missing = |key: &str| PlanError::Series { key: key.into(), series: "other".into() };
+    let missing = |key: &str| PlanError::UnknownSeries { key: key.into(), series: "other".into() };
     assert_eq!(of(vec![row("a", "other")], Vec::new()), missing("a"));
     assert_eq!(of(Vec::new(), vec![limit("b", budget("other", 1.0), true)]), missing("b"));
-    assert_eq!(of(Vec::new(), vec![limit("b", Breaks::Most { series: "other".into() }, true)]), missing("b"));
+    assert_eq!(
+        of(Vec::new(), vec![limit("b", BreakingPoint::Maximum { series: "other".into() }, true)]),
+        missing("b")
+    );
     for bad in [0.0, -1.0, f64::NAN, f64::INFINITY] {
-        let wrong = PlanError::Size { key: "b".into(), value: bad.to_string() };
+        let wrong = PlanError::InvalidNumber { key: "b".into(), value: bad.to_string() };
         assert_eq!(of(Vec::new(), vec![limit("b", budget("line", bad), true)]), wrong);
         let mut sized = row("b", "line");
         sized.sizes[1] = bad;
@@ -103,12 +115,12 @@
 
 #[test]
 fn the_tables_of_a_plan_are_held_to_the_plan_as_json() {
-    let limits = vec![limit("cost", budget("line", 20.0), true), limit("none", Breaks::Absent, false)];
-    let planned = Plan { rows: vec![row("a", "line")], limits }.over(&Planted).unwrap();
+    let limits = vec![limit("cost", budget("line", 20.0), true), limit("none", BreakingPoint::Absent, false)];
+    let planned = Plan { rows: vec![row("a", "line")], limits }.evaluate(&Planted).unwrap();
     let tables = format!(
         "{MEASURED_START}\n{}\n{}\n{MEASURED_END}\n",
-        roles(&planned, "plan.json"),
-        ranking(&planned, "plan.json")
+        cost_table(&planned, "plan.json"),
+        limit_table(&planned, "plan.json")
     );
     let file = serde_json::to_value(&planned).unwrap();
     let shown = linked_figures(&tables).unwrap();
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -518,7 +518,7 @@
         // The page stands one folder above its figures.
         let file = format!("capacity/{file}");
         report(args.json, &planned, || {
-            format!("{}\n{}", plan::roles(&planned, &file), plan::ranking(&planned, &file))
+            format!("{}\n{}", plan::cost_table(&planned, &file), plan::limit_table(&planned, &file))
         })?;
         return Ok(ExitCode::SUCCESS);
     }
--- a/crates/lab/tests/page.rs
+++ b/crates/lab/tests/page.rs
@@ -2,7 +2,7 @@
 //! and the constants that it names to the program.
 
 use loomlb_capacity::page::{MEASURED_END, MEASURED_START, check_figure, linked_figures, unlinked_figures};
-use loomlb_capacity::plan::{Breaks, Planned, ranking, roles};
+use loomlb_capacity::plan::{BreakingPoint, EvaluatedPlan, cost_table, limit_table};
 use loomlb_lab::capacity::target;
 use serde_json::Value;
 use std::path::{Path, PathBuf};
@@ -15,7 +15,7 @@
     std::fs::read_to_string(root().join(path)).unwrap_or_else(|e| panic!("{path}: {e}"))
 }
 
-fn planned() -> Planned {
+fn planned() -> EvaluatedPlan {
     let docs = root().join("docs/capacity");
     target::plan(&docs.join("target.toml"), &docs.join("slopes.json"), None).unwrap()
 }
@@ -43,11 +43,11 @@
 fn the_plan_follows_from_the_slopes_and_the_pages_tables_from_the_plan() {
     let planned = planned();
     // Through text, as it was written: a number may lose its last digit on the way.
-    let written: Planned = serde_json::from_str(&read("docs/capacity/plan.json")).unwrap();
-    let again: Planned = serde_json::from_str(&serde_json::to_string(&planned).unwrap()).unwrap();
+    let written: EvaluatedPlan = serde_json::from_str(&read("docs/capacity/plan.json")).unwrap();
+    let again: EvaluatedPlan = serde_json::from_str(&serde_json::to_string(&planned).unwrap()).unwrap();
     assert_eq!(again, written, "write docs/capacity/plan.json anew: loomlb-lab capacity --plan");
     let page = read("docs/CAPACITY.md");
-    for table in [roles(&planned, "capacity/plan.json"), ranking(&planned, "capacity/plan.json")] {
+    for table in [cost_table(&planned, "capacity/plan.json"), limit_table(&planned, "capacity/plan.json")] {
         assert!(page.contains(&table), "the page lacks this table:\n{table}");
     }
 }
@@ -56,7 +56,7 @@
 fn the_constants_that_the_ranking_names_are_those_of_the_program() {
     let mut seen = 0;
     for ranked in planned().limits {
-        let Breaks::Constant { file, name, value, .. } = ranked.limit.breaks else { continue };
+        let BreakingPoint::Constant { file, name, value, .. } = ranked.limit.breaks else { continue };
         let text = read(&file);
         let plain = |line: &str| line.replace('_', "");
         let at = text
@@ -79,7 +79,7 @@
 #[test]
 fn what_goes_first_is_what_the_page_says() {
     let planned = planned();
-    let first = planned.first().unwrap();
+    let first = planned.first_blocker().unwrap();
     assert!(first.limit.carried_by.contains("edits by key"), "{}", first.limit.key);
     assert!(read("docs/CAPACITY.md").contains("**the changes go first**"));
 }
