--- a/crates/capacity/src/report.rs
+++ b/crates/capacity/src/report.rs
@@ -19,8 +19,8 @@
 
 /// A series with what was fitted to it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-#[serde(deny_unknown_fields)]
-pub struct Fitted {
+#[serde(deny_unknown_fields, expecting = "struct Fitted")]
+pub struct FittedSeries {
     /// What was measured.
     pub series: Series,
     /// Its slope.
@@ -36,7 +36,7 @@
     /// Fewer sizes and runs than a whole bench has: good for tests, not for figures.
     pub quick: bool,
     /// By key.
-    pub series: Vec<Fitted>,
+    pub series: Vec<FittedSeries>,
 }
 
 /// Why a report cannot be used.
@@ -52,7 +52,7 @@
     },
     /// Two series have one key.
     #[error("{key}: stands there twice; keys are unique")]
-    Twice {
+    DuplicateKey {
         /// The key.
         key: String,
     },
@@ -64,29 +64,29 @@
 impl Report {
     /// Fits each series.
     pub fn new(machine: Machine, quick: bool, series: Vec<Series>) -> Result<Report, ReportError> {
-        let fitted: Result<Vec<Fitted>, FitError> =
-            series.into_iter().map(|series| fit(&series).map(|fit| Fitted { series, fit })).collect();
+        let fitted: Result<Vec<FittedSeries>, FitError> =
+            series.into_iter().map(|series| fit(&series).map(|fit| FittedSeries { series, fit })).collect();
         let report = Report { machine, quick, series: fitted? };
-        report.unique()?;
+        report.check_unique_keys()?;
         Ok(report)
     }
 
-    fn unique(&self) -> Result<(), ReportError> {
+    fn check_unique_keys(&self) -> Result<(), ReportError> {
         let mut keys = BTreeSet::new();
         match self.series.iter().find(|s| !keys.insert(&s.series.key)) {
-            Some(twice) => Err(ReportError::Twice { key: twice.series.key.clone() }),
+            Some(twice) => Err(ReportError::DuplicateKey { key: twice.series.key.clone() }),
             None => Ok(()),
         }
     }
 
     /// Reads a report. What does not fit is named by its key; points that could not be fitted are turned down, too.
-    pub fn read(text: &str) -> Result<Report, ReportError> {
+    pub fn parse(text: &str) -> Result<Report, ReportError> {
         let mut json = serde_json::Deserializer::from_str(text);
         let report: Report = serde_path_to_error::deserialize(&mut json).map_err(|e| {
             ReportError::Malformed { key: e.path().to_string(), reason: e.inner().to_string() }
         })?;
         json.end().map_err(|e| ReportError::Malformed { key: ".".into(), reason: e.to_string() })?;
-        report.unique()?;
+        report.check_unique_keys()?;
         for fitted in &report.series {
             fit(&fitted.series)?;
         }
@@ -94,13 +94,13 @@
     }
 
     /// The report as JSON, with a line for each part and an end of line.
-    pub fn write(&self) -> String {
+    pub fn to_json(&self) -> String {
         // Neither keys nor values of a report can fail: all numbers in it are finite.
         serde_json::to_string_pretty(self).unwrap_or_default() + "\n"
     }
 
     /// A series by its key.
-    pub fn get(&self, key: &str) -> Option<&Fitted> {
+    pub fn get(&self, key: &str) -> Option<&FittedSeries> {
         self.series.iter().find(|s| s.series.key == key)
     }
 
--- a/crates/capacity/tests/report.rs
+++ b/crates/capacity/tests/report.rs
@@ -19,14 +19,14 @@
 #[test]
 fn a_report_comes_back_as_it_was_written_and_a_fault_is_named_by_its_key() {
     let whole = report(vec![series("a.b.c", |s| 5.0 + 2.0 * s), series("a.b.d", |_| 7.0)]).unwrap();
-    let text = whole.write();
-    let again = Report::read(&text).unwrap();
-    assert_eq!(again.write(), text);
+    let text = whole.to_json();
+    let again = Report::parse(&text).unwrap();
+    assert_eq!(again.to_json(), text);
     assert_eq!((again.machine.clone(), again.series.len()), (whole.machine.clone(), 2));
     assert!((again.at("a.b.c", 50.0).unwrap() - 105.0).abs() < 1e-6);
     assert!(again.get("a.b.x").is_none() && again.at("a.b.x", 1.0).is_none());
 
-    let named = |text: &str| Report::read(text).unwrap_err().to_string();
+    let named = |text: &str| Report::parse(text).unwrap_err().to_string();
     let wrong = named(&text.replacen("\"counted\"", "\"guessed\"", 1));
     assert!(wrong.starts_with("series[0].series.source: "), "{wrong}");
     let missing = named(&text.replacen("\"cores\": 8,", "", 1));
@@ -38,9 +38,9 @@
     let empty = named(&text.replacen("\"size\": 10.0", "\"size\": 0.5", 1));
     assert!(empty.starts_with("a.b.c: size 0.5 follows"), "{empty}");
     for cut in [0, text.len() / 2, text.len() - 3] {
-        assert!(matches!(Report::read(&text[..cut]), Err(ReportError::Malformed { .. })));
+        assert!(matches!(Report::parse(&text[..cut]), Err(ReportError::Malformed { .. })));
     }
-    assert!(Report::read(&(text + "x")).is_err());
+    assert!(Report::parse(&(text + "x")).is_err());
     assert!(report(vec![series("a.b.c", |s| s), series("a.b.c", |s| s)]).is_err());
     assert!(report(vec![series("a.b.c", |_| f64::NAN)]).is_err());
 }
--- a/crates/lab/src/capacity.rs
+++ b/crates/lab/src/capacity.rs
@@ -17,7 +17,7 @@
 
 use crate::tables;
 use loomlb_capacity::fit::{Shape, median};
-use loomlb_capacity::report::{Fitted, Machine, Report};
+use loomlb_capacity::report::{FittedSeries, Machine, Report};
 use loomlb_capacity::{Series, Source};
 use meter::Plan;
 
@@ -72,7 +72,7 @@
     all.sort_by(|a, b| a.key.cmp(&b.key));
     let report = Report::new(machine(), options.quick, all).map_err(|e| e.to_string())?;
     if let Some(file) = &options.out {
-        std::fs::write(file, report.write()).map_err(|e| format!("{}: {e}", file.display()))?;
+        std::fs::write(file, report.to_json()).map_err(|e| format!("{}: {e}", file.display()))?;
     }
     Ok(report)
 }
@@ -98,7 +98,7 @@
     }
 }
 
-fn shape(fitted: &Fitted) -> String {
+fn shape(fitted: &FittedSeries) -> String {
     match &fitted.fit.shape {
         Shape::Flat { value } => format!("flat {}", short(*value)),
         Shape::Line { fixed, slope } => format!("{} + {} a unit", short(*fixed), short(*slope)),
--- a/crates/lab/src/capacity/target.rs
+++ b/crates/lab/src/capacity/target.rs
@@ -9,7 +9,7 @@
     let read = |file: &Path| std::fs::read_to_string(file).map_err(|e| format!("{}: {e}", file.display()));
     let named = |e: String| format!("{}: {e}", plan.display());
     let words: Plan = loomlb_config_file::parse(&read(plan)?).map_err(|e| named(e.to_string()))?;
-    let report = Report::read(&read(from)?).map_err(|e| format!("{}: {e}", from.display()))?;
+    let report = Report::parse(&read(from)?).map_err(|e| format!("{}: {e}", from.display()))?;
     let planned = words.evaluate(&report).map_err(|e| named(e.to_string()))?;
     if let Some(file) = out {
         let json = serde_json::to_string_pretty(&planned).map_err(|e| e.to_string())? + "\n";
--- a/crates/lab/src/scale/mod.rs
+++ b/crates/lab/src/scale/mod.rs
@@ -244,5 +244,5 @@
 pub fn predicted(path: &Path, workload: &Workload) -> Result<Costs, Error> {
     let failed = |reason: String| Error::Prediction { path: path.into(), reason };
     let text = std::fs::read_to_string(path).map_err(|e| failed(e.to_string()))?;
-    Slopes::read(&text).map(|slopes| predict(&slopes, workload)).map_err(|e| failed(e.to_string()))
+    Slopes::parse(&text).map(|slopes| predict(&slopes, workload)).map_err(|e| failed(e.to_string()))
 }
--- a/crates/lab/tests/capacity.rs
+++ b/crates/lab/tests/capacity.rs
@@ -200,10 +200,10 @@
     let out = run(&["--only", "discovery", "--out", file.to_str().unwrap()]);
     let table = String::from_utf8(out.stdout).unwrap();
     assert!(out.status.success() && table.contains("discovery.watch.bytes_by_changes"), "{table}");
-    let told = Report::read(&std::fs::read_to_string(&file).unwrap()).unwrap();
+    let told = Report::parse(&std::fs::read_to_string(&file).unwrap()).unwrap();
     assert_eq!(told.series.len(), 1);
     let json = run(&["--only", "discovery", "--json"]).stdout;
-    assert_eq!(Report::read(std::str::from_utf8(&json).unwrap()).unwrap(), told);
+    assert_eq!(Report::parse(std::str::from_utf8(&json).unwrap()).unwrap(), told);
     let wrong = run(&["--only", "nobody"]);
     let said = String::from_utf8(wrong.stderr).unwrap();
     assert!(!wrong.status.success() && said.contains("--only nobody: no series begins so"), "{said}");
--- a/crates/lab/tests/scale.rs
+++ b/crates/lab/tests/scale.rs
@@ -225,7 +225,7 @@
     ];
     let machine = Machine { cores: 1, memory_mb: 1, release: false };
     let slopes = Report::new(machine, true, series).unwrap();
-    std::fs::write(&file, slopes.write()).unwrap();
+    std::fs::write(&file, slopes.to_json()).unwrap();
     let (status, report, said) = run(&["--seconds", "2", "--predict", file.to_str().unwrap()]);
     assert!(matches!(status, Some(0 | 1)), "{said}");
     let (told, began) = (said.find("predicted:").unwrap(), said.find("measuring").unwrap());
