--- a/crates/capacity/src/fit.rs
+++ b/crates/capacity/src/fit.rs
@@ -8,20 +8,20 @@
 use serde::{Deserialize, Serialize};
 
 /// A cost that stays within this part of one value is flat.
-pub const FLAT: f64 = 0.05;
+pub const FLAT_TOLERANCE: f64 = 0.05;
 /// A line or a power that misses a median by more than this part of it does not hold.
-pub const MISS: f64 = 0.15;
+pub const RESIDUAL_TOLERANCE: f64 = 0.15;
 /// A line whose slope between two sizes is off by more than this part does not hold,
-pub const TURN: f64 = 0.5;
+pub const SLOPE_TOLERANCE: f64 = 0.5;
 /// where the cost grows by at least this part of itself between the two: smaller steps are noise.
-const STEP: f64 = 0.4;
+const MIN_RELATIVE_STEP: f64 = 0.4;
 
 /// Why a series cannot be fitted.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum FitError {
     /// It has no points.
     #[error("{key}: no points; measure at one size at the least")]
-    Empty {
+    NoPoints {
         /// Of the series.
         key: String,
     },
@@ -35,7 +35,7 @@
     },
     /// A size or a value that is no finite number, or a size below zero.
     #[error("{key}: {value} at size {size}: sizes are finite and not below 0, values are finite")]
-    NoNumber {
+    InvalidNumber {
         /// Of the series.
         key: String,
         /// Where.
@@ -45,7 +45,7 @@
     },
     /// Sizes that do not grow.
     #[error("{key}: size {size} follows a size that is not smaller; list each size once, the smallest first")]
-    Order {
+    UnorderedSizes {
         /// Of the series.
         key: String,
         /// The one that is out of order.
@@ -53,7 +53,7 @@
     },
     /// Values so large or so small that no slope between them can be told.
     #[error("{key}: values too far apart to fit; take a larger unit")]
-    Range {
+    OutOfRange {
         /// Of the series.
         key: String,
     },
@@ -96,7 +96,8 @@
         exponent: f64,
     },
     /// Lines that meet, from the smallest sizes on.
-    Bent {
+    #[serde(rename = "bent")]
+    Piecewise {
         /// The lines.
         segments: Vec<Segment>,
     },
@@ -121,12 +122,12 @@
 }
 
 impl Shape {
-    fn at(&self, size: f64) -> f64 {
+    fn cost_at(&self, size: f64) -> f64 {
         match self {
             Shape::Flat { value } => *value,
             Shape::Line { fixed, slope } => fixed + slope * size,
             Shape::Power { factor, exponent } => factor * size.powf(*exponent),
-            Shape::Bent { segments } => {
+            Shape::Piecewise { segments } => {
                 // The last line goes on beyond what was measured, as the first one does below it.
                 let segment = segments.iter().find(|s| size <= s.to).or(segments.last());
                 segment.map_or(0.0, |s| s.fixed + s.slope * size)
@@ -135,33 +136,35 @@
     }
 
     /// What the runs are compared by.
-    fn steepness(&self) -> f64 {
+    fn characteristic(&self) -> f64 {
         match self {
             Shape::Flat { value } => *value,
             Shape::Line { slope, .. } => *slope,
             Shape::Power { exponent, .. } => *exponent,
-            Shape::Bent { segments } => segments.last().map_or(0.0, |s| s.slope),
+            Shape::Piecewise { segments } => segments.last().map_or(0.0, |s| s.slope),
         }
     }
 
-    fn finite(&self) -> bool {
+    fn is_finite(&self) -> bool {
         match self {
             Shape::Flat { value } => value.is_finite(),
             Shape::Line { fixed, slope } => fixed.is_finite() && slope.is_finite(),
             Shape::Power { factor, exponent } => factor.is_finite() && exponent.is_finite(),
-            Shape::Bent { segments } => segments.iter().all(|s| s.fixed.is_finite() && s.slope.is_finite()),
+            Shape::Piecewise { segments } => {
+                segments.iter().all(|s| s.fixed.is_finite() && s.slope.is_finite())
+            }
         }
     }
 
     /// The same kind of shape through other points.
-    fn again(&self, points: &[(f64, f64)]) -> Option<Shape> {
+    fn refit(&self, points: &[(f64, f64)]) -> Option<Shape> {
         match self {
-            Shape::Flat { .. } => Some(flat(points)),
-            Shape::Line { .. } => line(points),
-            Shape::Power { .. } => power(points),
-            Shape::Bent { segments } => {
+            Shape::Flat { .. } => Some(fit_flat(points)),
+            Shape::Line { .. } => fit_line(points),
+            Shape::Power { .. } => fit_power(points),
+            Shape::Piecewise { segments } => {
                 let knots: Vec<f64> = segments.iter().skip(1).map(|s| s.from).collect();
-                bent(points, &knots)
+                fit_piecewise(points, &knots)
             }
         }
     }
@@ -170,9 +173,9 @@
 impl Fit {
     /// The cost at a size; none if the size is no finite number from 0 on, or the cost is beyond all numbers. Beyond the
     /// sizes that were measured it is [`Fit::extrapolated`].
-    pub fn at(&self, size: f64) -> Option<f64> {
+    pub fn cost_at(&self, size: f64) -> Option<f64> {
         let sound = size.is_finite() && size >= 0.0;
-        sound.then(|| self.shape.at(size)).filter(|v| v.is_finite())
+        sound.then(|| self.shape.cost_at(size)).filter(|v| v.is_finite())
     }
 
     /// Whether a size lies beyond those that were measured.
@@ -180,14 +183,14 @@
         !(self.from..=self.to).contains(&size)
     }
 
-    /// What one more unit of size costs at this size; none where [`Fit::at`] has none.
+    /// What one more unit of size costs at this size; none where [`Fit::cost_at`] has none.
     pub fn slope_at(&self, size: f64) -> Option<f64> {
-        self.at(size)?;
+        self.cost_at(size)?;
         let slope = match &self.shape {
             Shape::Flat { .. } => 0.0,
             Shape::Line { slope, .. } => *slope,
             Shape::Power { factor, exponent } => factor * exponent * size.powf(exponent - 1.0),
-            Shape::Bent { segments } => segments.iter().find(|s| size < s.to).or(segments.last())?.slope,
+            Shape::Piecewise { segments } => segments.iter().find(|s| size < s.to).or(segments.last())?.slope,
         };
         slope.is_finite().then_some(slope)
     }
@@ -198,7 +201,7 @@
     if !budget.is_finite() {
         return None;
     }
-    if fit.at(0.0)? >= budget {
+    if fit.cost_at(0.0)? >= budget {
         return Some(0.0);
     }
     let size = match &fit.shape {
@@ -207,7 +210,7 @@
         Shape::Power { factor, exponent } => {
             (*factor > 0.0 && *exponent > 0.0).then(|| (budget / factor).powf(1.0 / exponent))
         }
-        Shape::Bent { segments } => segments.iter().enumerate().find_map(|(i, s)| {
+        Shape::Piecewise { segments } => segments.iter().enumerate().find_map(|(i, s)| {
             let size = (budget - s.fixed) / s.slope;
             let from = if i == 0 { 0.0 } else { s.from };
             let last = i + 1 == segments.len();
@@ -223,15 +226,16 @@
 /// one that misses less is taken.
 pub fn fit(series: &Series) -> Result<Fit, FitError> {
     let key = || series.key.clone();
-    check(series)?;
+    validate(series)?;
     let medians: Vec<(f64, f64)> = series.points.iter().map(|p| (p.size, median(&p.values))).collect();
-    let shape = shape(&medians).filter(Shape::finite).ok_or_else(|| FitError::Range { key: key() })?;
-    let worst_residual = worst(&shape, &medians);
+    let shape =
+        choose_shape(&medians).filter(Shape::is_finite).ok_or_else(|| FitError::OutOfRange { key: key() })?;
+    let worst_residual = max_relative_residual(&shape, &medians);
     let spread = spread(&shape, series);
     if !worst_residual.is_finite() || !spread.is_finite() {
-        return Err(FitError::Range { key: key() });
+        return Err(FitError::OutOfRange { key: key() });
     }
-    let exponent = match power(&medians) {
+    let exponent = match fit_power(&medians) {
         Some(Shape::Power { exponent, .. }) if exponent.is_finite() => Some(exponent),
         _ => None,
     };
@@ -239,26 +243,26 @@
     Ok(Fit { shape, spread, worst_residual, exponent, from, to })
 }
 
-fn check(series: &Series) -> Result<(), FitError> {
+fn validate(series: &Series) -> Result<(), FitError> {
     let key = || series.key.clone();
     if series.points.is_empty() {
-        return Err(FitError::Empty { key: key() });
+        return Err(FitError::NoPoints { key: key() });
     }
     let mut before = -1.0;
     for point in &series.points {
         let size = point.size;
         if !size.is_finite() || size < 0.0 {
-            return Err(FitError::NoNumber { key: key(), size, value: size });
+            return Err(FitError::InvalidNumber { key: key(), size, value: size });
         }
         if size <= before {
-            return Err(FitError::Order { key: key(), size });
+            return Err(FitError::UnorderedSizes { key: key(), size });
         }
         before = size;
         if point.values.is_empty() {
             return Err(FitError::NoValue { key: key(), size });
         }
         if let Some(value) = point.values.iter().find(|v| !v.is_finite()) {
-            return Err(FitError::NoNumber { key: key(), size, value: *value });
+            return Err(FitError::InvalidNumber { key: key(), size, value: *value });
         }
     }
     Ok(())
@@ -276,71 +280,74 @@
     }
 }
 
-fn shape(points: &[(f64, f64)]) -> Option<Shape> {
-    let flat = flat(points);
-    if points.len() < 2 || worst(&flat, points) <= FLAT {
+fn choose_shape(points: &[(f64, f64)]) -> Option<Shape> {
+    let flat = fit_flat(points);
+    if points.len() < 2 || max_relative_residual(&flat, points) <= FLAT_TOLERANCE {
         return Some(flat);
     }
-    let holds = |shape: &Shape| shape.finite() && worst(shape, points) <= MISS;
-    let line = line(points).filter(|l| holds(l) && straight(l, points));
+    let holds =
+        |shape: &Shape| shape.is_finite() && max_relative_residual(shape, points) <= RESIDUAL_TOLERANCE;
+    let line = fit_line(points).filter(|l| holds(l) && is_straight(l, points));
     if line.is_some() {
         return line;
     }
     let better = |a: Option<Shape>, b: Option<Shape>| match (a, b) {
-        (Some(a), Some(b)) => Some(if worst(&b, points) < worst(&a, points) { b } else { a }),
+        (Some(a), Some(b)) => {
+            Some(if max_relative_residual(&b, points) < max_relative_residual(&a, points) { b } else { a })
+        }
         (a, b) => a.or(b),
     };
-    let sound = |shape: Option<Shape>| shape.filter(Shape::finite);
+    let sound = |shape: Option<Shape>| shape.filter(Shape::is_finite);
     let inner: Vec<f64> = points[1..points.len() - 1].iter().map(|p| p.0).collect();
-    let mut best = sound(power(points));
+    let mut best = sound(fit_power(points));
     for knot in &inner {
-        best = better(best, sound(bent(points, &[*knot])));
+        best = better(best, sound(fit_piecewise(points, &[*knot])));
     }
     if best.as_ref().is_some_and(holds) {
         return best;
     }
     for (i, first) in inner.iter().enumerate() {
         for second in &inner[i + 1..] {
-            best = better(best, sound(bent(points, &[*first, *second])));
+            best = better(best, sound(fit_piecewise(points, &[*first, *second])));
         }
     }
-    if best.as_ref().is_some_and(holds) { best } else { sound(joined(points)).or(best) }
+    if best.as_ref().is_some_and(holds) { best } else { sound(interpolate(points)).or(best) }
 }
 
 /// Whether no step of some height goes much steeper, or less steep, than the line.
-fn straight(line: &Shape, points: &[(f64, f64)]) -> bool {
+fn is_straight(line: &Shape, points: &[(f64, f64)]) -> bool {
     points.windows(2).all(|w| {
         let ((a, low), (b, high)) = (w[0], w[1]);
-        let step = (high - low).abs() > STEP * low.abs().max(high.abs());
-        !step || ((high - low) / (b - a) / line.steepness() - 1.0).abs() <= TURN
+        let step = (high - low).abs() > MIN_RELATIVE_STEP * low.abs().max(high.abs());
+        !step || ((high - low) / (b - a) / line.characteristic() - 1.0).abs() <= SLOPE_TOLERANCE
     })
 }
 
 /// How far a shape misses a point at the worst, as a part of the point's value, or of a millionth of the largest value
 /// where that is more.
-fn worst(shape: &Shape, points: &[(f64, f64)]) -> f64 {
-    let least = floor(points);
-    let miss = |(size, value): &(f64, f64)| (shape.at(*size) - value).abs() / value.abs().max(least);
+fn max_relative_residual(shape: &Shape, points: &[(f64, f64)]) -> f64 {
+    let least = min_magnitude(points);
+    let miss = |(size, value): &(f64, f64)| (shape.cost_at(*size) - value).abs() / value.abs().max(least);
     points.iter().map(miss).fold(0.0, |a, b| if b.is_nan() { f64::INFINITY } else { a.max(b) })
 }
 
-fn floor(points: &[(f64, f64)]) -> f64 {
+fn min_magnitude(points: &[(f64, f64)]) -> f64 {
     (points.iter().map(|p| p.1.abs()).fold(0.0, f64::max) * 1e-6).max(f64::MIN_POSITIVE)
 }
 
-fn flat(points: &[(f64, f64)]) -> Shape {
+fn fit_flat(points: &[(f64, f64)]) -> Shape {
     let values: Vec<f64> = points.iter().map(|p| p.1).collect();
     Shape::Flat { value: median(&values) }
 }
 
 /// The line of least relative squares.
-fn line(points: &[(f64, f64)]) -> Option<Shape> {
+fn fit_line(points: &[(f64, f64)]) -> Option<Shape> {
     let (scale, parts) = least_squares(points, &[])?;
     Some(Shape::Line { fixed: parts[0], slope: parts[1] / scale })
 }
 
 /// The power of least squares between the logarithms; none if a size or a value is not above 0.
-fn power(points: &[(f64, f64)]) -> Option<Shape> {
+fn fit_power(points: &[(f64, f64)]) -> Option<Shape> {
     if points.len() < 2 || points.iter().any(|p| p.0 <= 0.0 || p.1 <= 0.0) {
         return None;
     }
@@ -353,7 +360,7 @@
 }
 
 /// Lines that meet at the knots, of least relative squares.
-fn bent(points: &[(f64, f64)], knots: &[f64]) -> Option<Shape> {
+fn fit_piecewise(points: &[(f64, f64)], knots: &[f64]) -> Option<Shape> {
     let (scale, parts) = least_squares(points, knots)?;
     let (from, to) = (points.first()?.0, points.last()?.0);
     let (mut fixed, mut slope, mut start) = (parts[0], parts[1] / scale, from);
@@ -365,17 +372,17 @@
         start = *knot;
     }
     segments.push(Segment { from: start, to, fixed, slope });
-    Some(Shape::Bent { segments })
+    Some(Shape::Piecewise { segments })
 }
 
 /// A line from each point to the next.
-fn joined(points: &[(f64, f64)]) -> Option<Shape> {
+fn interpolate(points: &[(f64, f64)]) -> Option<Shape> {
     let segments = points.windows(2).map(|w| {
         let ((from, low), (to, high)) = (w[0], w[1]);
         let slope = (high - low) / (to - from);
         Segment { from, to, fixed: low - slope * from, slope }
     });
-    Some(Shape::Bent { segments: segments.collect() })
+    Some(Shape::Piecewise { segments: segments.collect() })
 }
 
 /// The parts of `fixed + slope * x + turns * (x - knot)+` with x the size as a part of the largest, and that largest; none
@@ -386,7 +393,7 @@
     if scale <= 0.0 || points.len() < n {
         return None;
     }
-    let least = floor(points);
+    let least = min_magnitude(points);
     let mut rows = vec![vec![0.0; n + 1]; n];
     for (size, value) in points {
         let x = size / scale;
@@ -443,7 +450,7 @@
     let runs = series.points.iter().map(|p| p.values.len()).min().unwrap_or(0);
     let each = (0..runs).filter_map(|run| {
         let points: Vec<(f64, f64)> = series.points.iter().map(|p| (p.size, p.values[run])).collect();
-        Some(shape.again(&points)?.steepness()).filter(|s| s.is_finite())
+        Some(shape.refit(&points)?.characteristic()).filter(|s| s.is_finite())
     });
     let each: Vec<f64> = each.collect();
     let most = each.iter().copied().fold(f64::NEG_INFINITY, f64::max);
--- a/crates/capacity/src/plan.rs
+++ b/crates/capacity/src/plan.rs
@@ -257,7 +257,7 @@
 impl Measurements for Report {
     fn figure(&self, series: &str, size: f64) -> Option<Figure> {
         let fitted = self.get(series)?;
-        let value = fitted.fit.at(size)?;
+        let value = fitted.fit.cost_at(size)?;
         Some(Figure { value, source: fitted.series.source, extrapolated: fitted.fit.extrapolated(size) })
     }
 
--- a/crates/capacity/src/predict.rs
+++ b/crates/capacity/src/predict.rs
@@ -32,7 +32,7 @@
 /// - `voter_memory` = live bytes: `voter.memory_by_schedulers` plus `voter.memory_by_document`. The program is not in it.
 /// - `voter_disk` = `voter.log.bytes_by_document` for each version.
 pub fn predict(report: &Report, workload: &Workload) -> Costs {
-    let at = |key: &str, size: f64| report.at(key, size);
+    let at = |key: &str, size: f64| report.cost_at(key, size);
     let Workload { schedulers, voters, workers, document, changes, renew, flows, .. } = *workload;
     let renewals = Some(1.0 / renew).filter(|r| r.is_finite() && *r > 0.0);
     // A share of renewals against those that were measured, and of voters.
@@ -69,8 +69,8 @@
         ),
     );
     let flow = report.get("scheduler.flows.memory_by_flows").and_then(|f| {
-        let none = f.fit.at(0.0)?;
-        f.fit.at(flows).map(|all| all - none)
+        let none = f.fit.cost_at(0.0)?;
+        f.fit.cost_at(flows).map(|all| all - none)
     });
     let module = add(
         at("scheduler.decision.memory_by_workers", workers),
--- a/crates/capacity/src/report.rs
+++ b/crates/capacity/src/report.rs
@@ -105,7 +105,7 @@
     }
 
     /// The cost that a series tells of at a size; none without such a series, or where its fit has none.
-    pub fn at(&self, key: &str, size: f64) -> Option<f64> {
-        self.get(key)?.fit.at(size)
+    pub fn cost_at(&self, key: &str, size: f64) -> Option<f64> {
+        self.get(key)?.fit.cost_at(size)
     }
 }
--- a/crates/capacity/tests/fit.rs
+++ b/crates/capacity/tests/fit.rs
@@ -1,6 +1,6 @@
 //! Planted lines, powers and bends are found again through noise, and what cannot be fitted is refused by its key.
 
-use loomlb_capacity::fit::{Fit, FitError, MISS, Shape, fit, median, size_at_budget};
+use loomlb_capacity::fit::{Fit, FitError, RESIDUAL_TOLERANCE, Shape, fit, median, size_at_budget};
 use loomlb_capacity::{Point, Series, Source};
 use proptest::prelude::*;
 
@@ -38,9 +38,9 @@
 /// A cost that a fit says meets a budget at a size does so there, and not before.
 fn budget_is_met(fit: &Fit, budget: f64) {
     let size = size_at_budget(fit, budget).expect("it grows without end");
-    let there = fit.at(size).unwrap();
+    let there = fit.cost_at(size).unwrap();
     assert!(near(there, budget, 1e-6), "{there} of {budget} at {size}: {fit:?}");
-    assert!(fit.at(size * 0.99).unwrap() <= budget * (1.0 + 1e-9), "{fit:?}");
+    assert!(fit.cost_at(size * 0.99).unwrap() <= budget * (1.0 + 1e-9), "{fit:?}");
 }
 
 proptest! {
@@ -53,8 +53,8 @@
         // What grows little against its fixed part is told the less well for its noise.
         let room = 0.06 * cost(10_000.0) / (slope * 10_000.0);
         prop_assert!(near(told, slope, room), "{told} of {slope}");
-        prop_assert!(near(found.at(30_000.0).unwrap(), cost(30_000.0), 0.25) && found.extrapolated(30_000.0));
-        prop_assert!(!found.extrapolated(500.0) && found.worst_residual < MISS && found.spread >= 0.0);
+        prop_assert!(near(found.cost_at(30_000.0).unwrap(), cost(30_000.0), 0.25) && found.extrapolated(30_000.0));
+        prop_assert!(!found.extrapolated(500.0) && found.worst_residual < RESIDUAL_TOLERANCE && found.spread >= 0.0);
         budget_is_met(&found, cost(50_000.0));
     }
 
@@ -74,11 +74,11 @@
         let cost = |s: f64| 50.0 + slope * s.min(knot) + slope * times * (s - knot).max(0.0);
         let found = fit(&planted(seed, cost)).unwrap();
         prop_assert!(!matches!(found.shape, Shape::Line { .. } | Shape::Flat { .. }), "{:?}", found);
-        prop_assert!(found.worst_residual < MISS);
+        prop_assert!(found.worst_residual < RESIDUAL_TOLERANCE);
         for size in SIZES {
-            prop_assert!(near(found.at(size).unwrap(), cost(size), MISS + 0.05), "{size}: {found:?}");
+            prop_assert!(near(found.cost_at(size).unwrap(), cost(size), RESIDUAL_TOLERANCE + 0.05), "{size}: {found:?}");
         }
-        if let Shape::Bent { segments } = &found.shape {
+        if let Shape::Piecewise { segments } = &found.shape {
             prop_assert!(segments.windows(2).all(|w| w[0].to == w[1].from));
             prop_assert!(near(segments.last().unwrap().slope, slope * times, 0.25), "{:?}", segments);
         }
@@ -105,7 +105,7 @@
         match fit(&series) {
             Ok(found) => {
                 prop_assert!(found.spread.is_finite() && found.worst_residual.is_finite());
-                prop_assert!(found.at(size).is_none_or(f64::is_finite));
+                prop_assert!(found.cost_at(size).is_none_or(f64::is_finite));
                 prop_assert!(found.slope_at(size).is_none_or(f64::is_finite));
                 prop_assert!(size_at_budget(&found, budget).is_none_or(|s| s.is_finite() && s >= 0.0));
             }
@@ -118,7 +118,7 @@
 #[test]
 fn a_line_that_misses_little_but_turns_is_told_as_a_bend() {
     let found = fit(&planted(7, |s| 2_000.0 + s.min(1_000.0) + 2.5 * (s - 1_000.0).max(0.0))).unwrap();
-    let Shape::Bent { segments } = &found.shape else { panic!("{found:?}") };
+    let Shape::Piecewise { segments } = &found.shape else { panic!("{found:?}") };
     assert!(near(segments.last().unwrap().slope, 2.5, 0.1), "{segments:?}");
 }
 
@@ -126,22 +126,24 @@
 fn what_is_no_series_is_refused_by_its_key() {
     let point = |size, values: &[f64]| Point { size, values: values.to_vec() };
     let key = || "role.part.cost_by_size".to_string();
-    assert_eq!(fit(&series(vec![])), Err(FitError::Empty { key: key() }));
+    assert_eq!(fit(&series(vec![])), Err(FitError::NoPoints { key: key() }));
     assert_eq!(fit(&series(vec![point(1.0, &[])])), Err(FitError::NoValue { key: key(), size: 1.0 }));
     for bad in [f64::NAN, f64::INFINITY] {
         let refused = fit(&series(vec![point(1.0, &[2.0, bad])])).unwrap_err();
-        assert!(matches!(&refused, FitError::NoNumber { key: k, size, .. } if *k == key() && *size == 1.0));
-        assert!(matches!(fit(&series(vec![point(bad, &[2.0])])), Err(FitError::NoNumber { .. })));
+        assert!(
+            matches!(&refused, FitError::InvalidNumber { key: k, size, .. } if *k == key() && *size == 1.0)
+        );
+        assert!(matches!(fit(&series(vec![point(bad, &[2.0])])), Err(FitError::InvalidNumber { .. })));
     }
     let out_of_order = fit(&series(vec![point(2.0, &[1.0]), point(2.0, &[1.0])]));
-    assert_eq!(out_of_order, Err(FitError::Order { key: key(), size: 2.0 }));
+    assert_eq!(out_of_order, Err(FitError::UnorderedSizes { key: key(), size: 2.0 }));
     // One point, and zeros, are costs like others.
     let one = fit(&series(vec![point(5.0, &[3.0, 4.0, 9.0])])).unwrap();
     assert_eq!((one.shape.clone(), one.exponent), (Shape::Flat { value: 4.0 }, None));
     assert!(one.extrapolated(6.0) && !one.extrapolated(5.0));
     let none = fit(&series(vec![point(1.0, &[0.0]), point(2.0, &[0.0])])).unwrap();
-    assert_eq!((none.at(100.0), none.worst_residual), (Some(0.0), 0.0));
-    assert_eq!((none.at(-1.0), none.at(f64::NAN)), (None, None));
+    assert_eq!((none.cost_at(100.0), none.worst_residual), (Some(0.0), 0.0));
+    assert_eq!((none.cost_at(-1.0), none.cost_at(f64::NAN)), (None, None));
     assert_eq!((median(&[]), median(&[1.0, 2.0]), median(&[3.0, 1.0, 2.0])), (0.0, 1.5, 2.0));
 }
 
--- a/crates/capacity/tests/report.rs
+++ b/crates/capacity/tests/report.rs
@@ -23,8 +23,8 @@
     let again = Report::parse(&text).unwrap();
     assert_eq!(again.to_json(), text);
     assert_eq!((again.machine.clone(), again.series.len()), (whole.machine.clone(), 2));
-    assert!((again.at("a.b.c", 50.0).unwrap() - 105.0).abs() < 1e-6);
-    assert!(again.get("a.b.x").is_none() && again.at("a.b.x", 1.0).is_none());
+    assert!((again.cost_at("a.b.c", 50.0).unwrap() - 105.0).abs() < 1e-6);
+    assert!(again.get("a.b.x").is_none() && again.cost_at("a.b.x", 1.0).is_none());
 
     let named = |text: &str| Report::parse(text).unwrap_err().to_string();
     let wrong = named(&text.replacen("\"counted\"", "\"guessed\"", 1));
--- a/crates/lab/src/capacity.rs
+++ b/crates/lab/src/capacity.rs
@@ -103,7 +103,7 @@
         Shape::Flat { value } => format!("flat {}", short(*value)),
         Shape::Line { fixed, slope } => format!("{} + {} a unit", short(*fixed), short(*slope)),
         Shape::Power { factor, exponent } => format!("{} x size^{exponent:.2}", short(*factor)),
-        Shape::Bent { segments } => {
+        Shape::Piecewise { segments } => {
             let parts = segments.iter().map(|s| format!("{} a unit to {}", short(s.slope), short(s.to)));
             format!("bends: {}", parts.collect::<Vec<String>>().join(", "))
         }
--- a/crates/lab/tests/capacity.rs
+++ b/crates/lab/tests/capacity.rs
@@ -84,8 +84,8 @@
     }
     assert!(once.quick && capacity::table(&once).contains("urgent.stop.messages_by_slots"));
     // A few bytes more for a document are that many bytes more in each answer that carries it.
-    let heard = |size| once.at("scheduler.tier.version_heard_by_document", size).unwrap();
-    let news = once.at("scheduler.tier.news_by_document", 400.0).unwrap();
+    let heard = |size| once.cost_at("scheduler.tier.version_heard_by_document", size).unwrap();
+    let news = once.cost_at("scheduler.tier.news_by_document", 400.0).unwrap();
     assert!(heard(1_000.0) - heard(400.0) > 600.0 * news, "{} {} {news}", heard(1_000.0), heard(400.0));
 }
 
