--- a/crates/capacity/src/lib.rs
+++ b/crates/capacity/src/lib.rs
@@ -42,7 +42,8 @@
     /// The unit of the values: bytes, ns, messages/s.
     pub unit: String,
     /// What the sizes count: workers, bytes of the document, tenants.
-    pub by: String,
+    #[serde(rename = "by")]
+    pub size_unit: String,
     /// How the values came about.
     pub source: Source,
     /// What the figures were taken under, or how they were reasoned.
@@ -79,7 +80,8 @@
     /// Bytes a second from one scheduler to all voters together.
     pub scheduler_sent: Option<f64>,
     /// Bytes a second from all voters to one scheduler.
-    pub scheduler_heard: Option<f64>,
+    #[serde(rename = "scheduler_heard")]
+    pub scheduler_received: Option<f64>,
     /// Processor time of one scheduler for control, as a part of a core.
     pub scheduler_cpu: Option<f64>,
     /// Resident memory of one scheduler, in bytes.
@@ -87,7 +89,8 @@
     /// Bytes a second from one voter to all schedulers and voters.
     pub voter_sent: Option<f64>,
     /// Bytes a second to one voter.
-    pub voter_heard: Option<f64>,
+    #[serde(rename = "voter_heard")]
+    pub voter_received: Option<f64>,
     /// Processor time of one voter, as a part of a core.
     pub voter_cpu: Option<f64>,
     /// Resident memory of one voter, in bytes.
@@ -97,5 +100,6 @@
     /// Versions a second that come into force.
     pub versions: Option<f64>,
     /// From a proposal until it is in force everywhere, in seconds, median.
-    pub everywhere: Option<f64>,
+    #[serde(rename = "everywhere")]
+    pub propagation_seconds: Option<f64>,
 }
--- a/crates/capacity/src/predict.rs
+++ b/crates/capacity/src/predict.rs
@@ -11,8 +11,8 @@
 /// What a workload costs by the measured slopes. Wherever a series is missing, or a size has no cost, the figure is absent.
 ///
 /// - `versions` = `change.versions_by_proposals` at the changes proposed a second.
-/// - `everywhere` = `change.everywhere_by_schedulers` at the schedulers, in seconds.
-/// - `scheduler_heard` = heard while nothing changes (`scheduler.tier.heard_idle` at the voters, by renewals a second) plus,
+/// - `propagation_seconds` = `change.everywhere_by_schedulers` at the schedulers, in seconds.
+/// - `scheduler_received` = heard while nothing changes (`scheduler.tier.heard_idle` at the voters, by renewals a second) plus,
 ///   for each version, `scheduler.tier.version_heard_by_document` at the document, by voters: each voter that is asked before
 ///   the others' news is taken in sends the whole of it.
 /// - `scheduler_sent` = `scheduler.tier.sent_idle` at the voters, by renewals, plus
@@ -25,7 +25,7 @@
 ///   its connections are not in it.
 /// - `voter_sent` = what all schedulers hear, a voter's part of it, plus `voter.raft_sent_idle` at the voters
 ///   and `voter.raft_sent_by_document` for each version.
-/// - `voter_heard` = what all schedulers send, a voter's part of it, plus the same from other voters.
+/// - `voter_received` = what all schedulers send, a voter's part of it, plus the same from other voters.
 /// - `voter_cpu` = `voter.ask.time_by_schedulers` for each scheduler and renewal, plus `voter.news.time_by_document` for each
 ///   scheduler and news of it, plus two `voter.apply.time_by_document` a version, as most are agreed and
 ///   then put in force by a second entry.
@@ -43,7 +43,7 @@
     let of = |key: &str, factor: Option<f64>| times(at(key, document), factor);
 
     let news = of("scheduler.tier.version_heard_by_document", versions.map(|v| v * more));
-    let scheduler_heard = add(times(at("scheduler.tier.heard_idle", voters), often), news);
+    let scheduler_received = add(times(at("scheduler.tier.heard_idle", voters), often), news);
     let proposed = of("scheduler.tier.proposal_sent_by_document", Some(changes / schedulers));
     let scheduler_sent = add(times(at("scheduler.tier.sent_idle", voters), often), proposed);
     let raft = add(
@@ -78,11 +78,11 @@
     );
     Costs {
         scheduler_sent,
-        scheduler_heard,
+        scheduler_received,
         scheduler_cpu: tier_time,
         scheduler_memory: add(add(module, flow), at("scheduler.tier.memory_by_document", document)),
-        voter_sent: add(part(scheduler_heard), raft),
-        voter_heard: add(part(scheduler_sent), raft),
+        voter_sent: add(part(scheduler_received), raft),
+        voter_received: add(part(scheduler_sent), raft),
         voter_cpu: voter_time,
         voter_memory: add(
             at("voter.memory_by_schedulers", schedulers),
@@ -90,6 +90,6 @@
         ),
         voter_disk: of("voter.log.bytes_by_document", versions),
         versions,
-        everywhere: at("change.everywhere_by_schedulers", schedulers).map(|ms| ms / 1e3),
+        propagation_seconds: at("change.everywhere_by_schedulers", schedulers).map(|ms| ms / 1e3),
     }
 }
--- a/crates/capacity/tests/fit.rs
+++ b/crates/capacity/tests/fit.rs
@@ -12,7 +12,7 @@
         key: "role.part.cost_by_size".into(),
         role: "role".into(),
         unit: "ns".into(),
-        by: "things".into(),
+        size_unit: "things".into(),
         source: Source::Counted,
         note: String::new(),
         points,
--- a/crates/capacity/tests/report.rs
+++ b/crates/capacity/tests/report.rs
@@ -7,9 +7,9 @@
 fn series(key: &str, cost: impl Fn(f64) -> f64) -> Series {
     let points = [1.0, 10.0, 100.0].map(|s| Point { size: s, values: vec![cost(s)] });
     let part = |n: usize| key.split('.').nth(n).unwrap_or("").to_string();
-    let (role, by) = (part(0), "things".to_string());
+    let (role, size_unit) = (part(0), "things".to_string());
     let (unit, note) = ("bytes".into(), "planted".into());
-    Series { key: key.into(), role, unit, by, source: Source::Counted, note, points: points.to_vec() }
+    Series { key: key.into(), role, unit, size_unit, source: Source::Counted, note, points: points.to_vec() }
 }
 
 fn report(all: Vec<Series>) -> Result<Report, ReportError> {
@@ -73,14 +73,14 @@
     let costs = predict(&told, &workload);
     let near = |a: Option<f64>, b: f64| a.is_some_and(|a| (a - b).abs() <= 1e-6 * b);
     // One version a second; renewals half as often as measured.
-    assert!(near(costs.versions, 1.0) && near(costs.everywhere, 0.090), "{costs:?}");
-    assert!(near(costs.scheduler_heard, 600.0 + 6_010.0), "{costs:?}");
+    assert!(near(costs.versions, 1.0) && near(costs.propagation_seconds, 0.090), "{costs:?}");
+    assert!(near(costs.scheduler_received, 600.0 + 6_010.0), "{costs:?}");
     assert!(near(costs.scheduler_sent, 300.0 + 2.0 / 50.0 * 1_000.0), "{costs:?}");
     assert!(near(costs.voter_sent, 6_610.0 * 50.0 / 3.0 + 4_300.0), "{costs:?}");
-    assert!(near(costs.voter_heard, 340.0 * 50.0 / 3.0 + 4_300.0), "{costs:?}");
+    assert!(near(costs.voter_received, 340.0 * 50.0 / 3.0 + 4_300.0), "{costs:?}");
     assert!(near(costs.voter_disk, 3_000.0), "{costs:?}");
     assert_eq!((costs.scheduler_cpu, costs.voter_cpu, costs.scheduler_memory), (None, None, None));
     // Renewals that never come, or always do, have no cost that could be told.
     let never = predict(&told, &Workload { renew: 0.0, ..workload });
-    assert!(never.scheduler_heard.is_none() && near(never.versions, 1.0));
+    assert!(never.scheduler_received.is_none() && near(never.versions, 1.0));
 }
--- a/crates/lab/src/capacity.rs
+++ b/crates/lab/src/capacity.rs
@@ -127,7 +127,7 @@
         };
         rows.push(vec![
             series.key.clone(),
-            format!("{} by {}", series.unit, series.by),
+            format!("{} by {}", series.unit, series.size_unit),
             ends.join(", "),
             shape(fitted),
             format!("{:.0} %", fit.spread * 100.0),
--- a/crates/lab/src/capacity/meter.rs
+++ b/crates/lab/src/capacity/meter.rs
@@ -82,7 +82,7 @@
 pub fn series(key: &str, unit: &str, by: &str, source: Source, note: &str) -> Series {
     let role = key.split('.').next().unwrap_or_default().to_string();
     let [unit, by, note] = [unit, by, note].map(String::from);
-    Series { key: key.into(), role, unit, by, source, note, points: Vec::new() }
+    Series { key: key.into(), role, unit, size_unit: by, source, note, points: Vec::new() }
 }
 
 /// Adds what was measured at a size.
--- a/crates/lab/src/scale/play.rs
+++ b/crates/lab/src/scale/play.rs
@@ -541,17 +541,17 @@
     };
     let measured = Costs {
         scheduler_sent: of(Role::Serving, &|p| p.tier[0]),
-        scheduler_heard: of(Role::Serving, &|p| p.tier[1]),
+        scheduler_received: of(Role::Serving, &|p| p.tier[1]),
         // What serves no jobs spends all for control.
         scheduler_cpu: of(Role::Idle, &|p| p.cpu),
         scheduler_memory: of(Role::Serving, &|p| p.memory[0]),
         voter_sent: rate(0),
-        voter_heard: rate(1),
+        voter_received: rate(1),
         voter_cpu: of(Role::Voter, &|p| p.cpu),
         voter_memory: of(Role::Voter, &|p| p.memory[0]),
         voter_disk: of(Role::Voter, &|p| p.disk),
         versions: Some(versions as f64 / span),
-        everywhere: told.in_force_s.median,
+        propagation_seconds: told.in_force_s.median,
     };
     let mut parts: Vec<Part> = Vec::new();
     for (n, host) in stage.hosts.iter().enumerate() {
--- a/crates/lab/src/scale/report.rs
+++ b/crates/lab/src/scale/report.rs
@@ -180,9 +180,9 @@
         let figure = |x: Option<f64>, by: f64| x.map_or("-".into(), |x| format!("{:.3}", x / by));
         let mut rows = vec![
             vec!["verdict".into(), self.verdict.clone()],
-            vec!["scheduler: said, heard, KB/s".into(), pair(m.scheduler_sent, m.scheduler_heard, 1e3)],
+            vec!["scheduler: said, heard, KB/s".into(), pair(m.scheduler_sent, m.scheduler_received, 1e3)],
             vec!["scheduler: control, cores; memory, MB".into(), pair2(m.scheduler_cpu, m.scheduler_memory)],
-            vec!["voter: said, heard, MB/s".into(), pair(m.voter_sent, m.voter_heard, 1e6)],
+            vec!["voter: said, heard, MB/s".into(), pair(m.voter_sent, m.voter_received, 1e6)],
             vec!["voter: cores; memory, MB".into(), pair2(m.voter_cpu, m.voter_memory)],
             vec!["voter: disk, KB/s".into(), figure(m.voter_disk, 1e3)],
             vec!["versions a second".into(), figure(m.versions, 1.0)],
--- a/crates/lab/tests/scale.rs
+++ b/crates/lab/tests/scale.rs
@@ -210,7 +210,7 @@
         key: key.into(),
         role: "scheduler".into(),
         unit: "bytes".into(),
-        by: "size".into(),
+        size_unit: "size".into(),
         source: Source::Counted,
         points: [1.0, 1e6].map(|size| Point { size, values: vec![value] }).to_vec(),
         note: String::new(),
