--- a/crates/capacity/src/fit.rs
+++ b/crates/capacity/src/fit.rs
@@ -1,101 +1,100 @@
-//! Slopes from measured points: what a cost is at no size, what each unit of size adds, and where that stops to hold.
+//! Fits a cost as a function of size to measured points: constant, linear, a power, or piecewise linear.
 //!
-//! Points are fitted by their medians. All residuals are relative, a tenth of a value and so on, so that small sizes count as
-//! much as large ones. A cost that bends is told as it bends: a straight line through it would be wrong just where nobody
-//! has measured.
+//! The medians of the points are fitted. Residuals are relative, so that small sizes count as much as large ones. A
+//! cost whose slope changes is fitted by several lines, because a single line would extrapolate it wrongly.
 
 use crate::Series;
 use serde::{Deserialize, Serialize};
 
-/// A cost that stays within this part of one value is flat.
+/// A cost whose values deviate from their median by at most this fraction is flat.
 pub const FLAT_TOLERANCE: f64 = 0.05;
-/// A line or a power that misses a median by more than this part of it does not hold.
+/// A fit is accepted if its relative residuals are at most this.
 pub const RESIDUAL_TOLERANCE: f64 = 0.15;
-/// A line whose slope between two sizes is off by more than this part does not hold,
+/// A line is accepted if the slopes between neighbouring points deviate from its slope by at most this fraction.
 pub const SLOPE_TOLERANCE: f64 = 0.5;
-/// where the cost grows by at least this part of itself between the two: smaller steps are noise.
+/// Slopes between neighbouring points whose values differ by a smaller fraction are ignored as noise.
 const MIN_RELATIVE_STEP: f64 = 0.4;
 
-/// Why a series cannot be fitted.
+/// The reason why a series can't be fitted.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum FitError {
-    /// It has no points.
-    #[error("{key}: no points; measure at one size at the least")]
+    /// The series has no points.
+    #[error("{key}: no points; measure at least one size")]
     NoPoints {
-        /// Of the series.
+        /// Key of the series.
         key: String,
     },
-    /// A size without values.
-    #[error("{key}: no value at size {size}; each size needs one run at the least")]
+    /// A point has no values.
+    #[error("{key}: no value at size {size}; measure at least one run for each size")]
     NoValue {
-        /// Of the series.
+        /// Key of the series.
         key: String,
-        /// Where.
+        /// The size of the point.
         size: f64,
     },
-    /// A size or a value that is no finite number, or a size below zero.
-    #[error("{key}: {value} at size {size}: sizes are finite and not below 0, values are finite")]
+    /// A size or a value isn't finite, or a size is negative.
+    #[error("{key}: {value} at size {size}: sizes must be finite and not negative, values must be finite")]
     InvalidNumber {
-        /// Of the series.
+        /// Key of the series.
         key: String,
-        /// Where.
+        /// The size of the point.
         size: f64,
-        /// What stands there.
+        /// The invalid number.
         value: f64,
     },
-    /// Sizes that do not grow.
+    /// The sizes don't increase.
     #[error("{key}: size {size} follows a size that is not smaller; list each size once, the smallest first")]
     UnorderedSizes {
-        /// Of the series.
+        /// Key of the series.
         key: String,
-        /// The one that is out of order.
+        /// The size that doesn't increase.
         size: f64,
     },
-    /// Values so large or so small that no slope between them can be told.
-    #[error("{key}: values too far apart to fit; take a larger unit")]
+    /// The values are too large or too small to compute a fit.
+    #[error("{key}: values differ too much to be fitted; use a larger unit")]
     OutOfRange {
-        /// Of the series.
+        /// Key of the series.
         key: String,
     },
 }
 
-/// A straight part of a cost that bends.
+/// One line of a piecewise linear fit.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Segment {
-    /// From this size on,
+    /// Smallest size.
     pub from: f64,
-    /// to this one.
+    /// Largest size.
     pub to: f64,
-    /// What the line through it says at size 0.
+    /// Value of the line at size 0.
     pub fixed: f64,
-    /// For each unit of size.
+    /// Increase per unit of size.
     pub slope: f64,
 }
 
-/// How a cost goes with size.
+/// A cost as a function of size.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Shape {
-    /// It does not.
+    /// The same value at all sizes.
     Flat {
-        /// At any size.
+        /// The value.
         value: f64,
     },
     /// `fixed + slope * size`.
     Line {
-        /// At size 0.
+        /// Value at size 0.
         fixed: f64,
-        /// For each unit of size.
+        /// Increase per unit of size.
         slope: f64,
     },
     /// `factor * size ^ exponent`.
     Power {
-        /// At size 1.
+        /// Value at size 1.
         factor: f64,
-        /// 1 is a line through 0, 2 a square.
+        /// 1 for proportional, 2 for quadratic growth.
         exponent: f64,
     },
-    /// Lines that meet, from the smallest sizes on.
+    /// Connected lines, in increasing order of size.
     #[serde(rename = "bent")]
     Piecewise {
         /// The lines.
@@ -103,21 +102,22 @@
     },
 }
 
-/// A fitted cost.
+/// A fitted cost with its accuracy.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Fit {
-    /// How it goes with size.
+    /// The fitted function.
     pub shape: Shape,
-    /// How far the runs differ, as a part of the median: in the value of a flat cost, in the exponent of a power, in the
-    /// slope of a line (the last one of those that meet). 0 where there was one run.
+    /// Difference between the largest and the smallest characteristic of single runs, relative to the median: the value
+    /// of a flat cost, the exponent of a power, or the slope of the (last) line. 0 for a single run.
     pub spread: f64,
-    /// How far a median lies off at the worst, as a part of it.
+    /// Largest relative residual of the medians.
     pub worst_residual: f64,
-    /// The slope of the logarithms, whatever the shape; none without two sizes and values above 0.
+    /// Slope between the logarithms of sizes and values, for every shape. `None` unless there are two sizes, and all
+    /// sizes and values are above 0.
     pub exponent: Option<f64>,
-    /// The smallest size that was measured.
+    /// Smallest measured size.
     pub from: f64,
-    /// The largest.
+    /// Largest measured size.
     pub to: f64,
 }
 
@@ -128,20 +128,20 @@
             Shape::Line { fixed, slope } => fixed + slope * size,
             Shape::Power { factor, exponent } => factor * size.powf(*exponent),
             Shape::Piecewise { segments } => {
-                // The last line goes on beyond what was measured, as the first one does below it.
-                let segment = segments.iter().find(|s| size <= s.to).or(segments.last());
-                segment.map_or(0.0, |s| s.fixed + s.slope * size)
+                // The first and the last line are extrapolated.
+                let segment = segments.iter().find(|segment| size <= segment.to).or(segments.last());
+                segment.map_or(0.0, |segment| segment.fixed + segment.slope * size)
             }
         }
     }
 
-    /// What the runs are compared by.
+    /// The parameter by which single runs are compared.
     fn characteristic(&self) -> f64 {
         match self {
             Shape::Flat { value } => *value,
             Shape::Line { slope, .. } => *slope,
             Shape::Power { exponent, .. } => *exponent,
-            Shape::Piecewise { segments } => segments.last().map_or(0.0, |s| s.slope),
+            Shape::Piecewise { segments } => segments.last().map_or(0.0, |segment| segment.slope),
         }
     }
 
@@ -151,19 +151,19 @@
             Shape::Line { fixed, slope } => fixed.is_finite() && slope.is_finite(),
             Shape::Power { factor, exponent } => factor.is_finite() && exponent.is_finite(),
             Shape::Piecewise { segments } => {
-                segments.iter().all(|s| s.fixed.is_finite() && s.slope.is_finite())
+                segments.iter().all(|segment| segment.fixed.is_finite() && segment.slope.is_finite())
             }
         }
     }
 
-    /// The same kind of shape through other points.
+    /// Fits the same kind of function, with the same knots, to other points.
     fn refit(&self, points: &[(f64, f64)]) -> Option<Shape> {
         match self {
             Shape::Flat { .. } => Some(fit_flat(points)),
             Shape::Line { .. } => fit_line(points),
             Shape::Power { .. } => fit_power(points),
             Shape::Piecewise { segments } => {
-                let knots: Vec<f64> = segments.iter().skip(1).map(|s| s.from).collect();
+                let knots: Vec<f64> = segments.iter().skip(1).map(|segment| segment.from).collect();
                 fit_piecewise(points, &knots)
             }
         }
@@ -171,32 +171,34 @@
 }
 
 impl Fit {
-    /// The cost at a size; none if the size is no finite number from 0 on, or the cost is beyond all numbers. Beyond the
-    /// sizes that were measured it is [`Fit::extrapolated`].
+    /// The cost at a size. `None` if the size is negative or not finite, or the cost overflows. See
+    /// [`Fit::extrapolated`] for sizes that weren't measured.
     pub fn cost_at(&self, size: f64) -> Option<f64> {
-        let sound = size.is_finite() && size >= 0.0;
-        sound.then(|| self.shape.cost_at(size)).filter(|v| v.is_finite())
+        let is_valid = size.is_finite() && size >= 0.0;
+        is_valid.then(|| self.shape.cost_at(size)).filter(|cost| cost.is_finite())
     }
 
-    /// Whether a size lies beyond those that were measured.
+    /// Whether a size is outside the measured range.
     pub fn extrapolated(&self, size: f64) -> bool {
         !(self.from..=self.to).contains(&size)
     }
 
-    /// What one more unit of size costs at this size; none where [`Fit::cost_at`] has none.
+    /// The slope at a size. `None` where [`Fit::cost_at`] returns `None`.
     pub fn slope_at(&self, size: f64) -> Option<f64> {
         self.cost_at(size)?;
         let slope = match &self.shape {
             Shape::Flat { .. } => 0.0,
             Shape::Line { slope, .. } => *slope,
             Shape::Power { factor, exponent } => factor * exponent * size.powf(exponent - 1.0),
-            Shape::Piecewise { segments } => segments.iter().find(|s| size < s.to).or(segments.last())?.slope,
+            Shape::Piecewise { segments } => {
+                segments.iter().find(|segment| size < segment.to).or(segments.last())?.slope
+            }
         };
         slope.is_finite().then_some(slope)
     }
 }
 
-/// The smallest size at which a cost reaches a budget; none if it never does.
+/// Returns the smallest size at which a cost reaches a budget, or `None` if it never does.
 pub fn size_at_budget(fit: &Fit, budget: f64) -> Option<f64> {
     if !budget.is_finite() {
         return None;
@@ -210,24 +212,27 @@
         Shape::Power { factor, exponent } => {
             (*factor > 0.0 && *exponent > 0.0).then(|| (budget / factor).powf(1.0 / exponent))
         }
-        Shape::Piecewise { segments } => segments.iter().enumerate().find_map(|(i, s)| {
-            let size = (budget - s.fixed) / s.slope;
-            let from = if i == 0 { 0.0 } else { s.from };
+        Shape::Piecewise { segments } => segments.iter().enumerate().find_map(|(i, segment)| {
+            let size = (budget - segment.fixed) / segment.slope;
+            let from = if i == 0 { 0.0 } else { segment.from };
             let last = i + 1 == segments.len();
-            // A hair's breadth: the lines meet at their ends but for rounding.
-            (s.slope > 0.0 && size >= from * (1.0 - 1e-9) && (last || size <= s.to * (1.0 + 1e-9)))
+            // The tolerance covers rounding where two lines meet.
+            (segment.slope > 0.0
+                && size >= from * (1.0 - 1e-9)
+                && (last || size <= segment.to * (1.0 + 1e-9)))
                 .then_some(size)
         }),
     };
-    size.filter(|s| s.is_finite())
+    size.filter(|value| value.is_finite())
 }
 
-/// Fits a series: flat, a line, a power or lines that meet, the first of them that holds. Of a power and two lines the
-/// one that misses less is taken.
+/// Fits a series by the simplest accepted function: flat, a line, a power or two lines, three lines, or one line per
+/// pair of neighbouring points. Of a power and two lines, the one with the smaller residual is taken.
 pub fn fit(series: &Series) -> Result<Fit, FitError> {
     let key = || series.key.clone();
     validate(series)?;
-    let medians: Vec<(f64, f64)> = series.points.iter().map(|p| (p.size, median(&p.values))).collect();
+    let medians: Vec<(f64, f64)> =
+        series.points.iter().map(|point| (point.size, median(&point.values))).collect();
     let shape =
         choose_shape(&medians).filter(Shape::is_finite).ok_or_else(|| FitError::OutOfRange { key: key() })?;
     let worst_residual = max_relative_residual(&shape, &medians);
@@ -248,16 +253,16 @@
     if series.points.is_empty() {
         return Err(FitError::NoPoints { key: key() });
     }
-    let mut before = -1.0;
+    let mut previous_size = -1.0;
     for point in &series.points {
         let size = point.size;
         if !size.is_finite() || size < 0.0 {
             return Err(FitError::InvalidNumber { key: key(), size, value: size });
         }
-        if size <= before {
+        if size <= previous_size {
             return Err(FitError::UnorderedSizes { key: key(), size });
         }
-        before = size;
+        previous_size = size;
         if point.values.is_empty() {
             return Err(FitError::NoValue { key: key(), size });
         }
@@ -268,13 +273,13 @@
     Ok(())
 }
 
-/// The median; that of an even number of values is the mean of the two in the middle. 0 of none.
+/// Returns the median, which is the mean of the two middle values for an even number of values, and 0 for no values.
 pub fn median(values: &[f64]) -> f64 {
     let mut sorted = values.to_vec();
     sorted.sort_by(f64::total_cmp);
     let (low, high) = (sorted.len().saturating_sub(1) / 2, sorted.len() / 2);
     match (sorted.get(low), sorted.get(high)) {
-        // Halved first: their sum may be beyond all numbers.
+        // Halved before the sum, which may overflow.
         (Some(a), Some(b)) => a / 2.0 + b / 2.0,
         _ => 0.0,
     }
@@ -285,9 +290,9 @@
     if points.len() < 2 || max_relative_residual(&flat, points) <= FLAT_TOLERANCE {
         return Some(flat);
     }
-    let holds =
+    let is_accepted =
         |shape: &Shape| shape.is_finite() && max_relative_residual(shape, points) <= RESIDUAL_TOLERANCE;
-    let line = fit_line(points).filter(|l| holds(l) && is_straight(l, points));
+    let line = fit_line(points).filter(|line| is_accepted(line) && is_straight(line, points));
     if line.is_some() {
         return line;
     }
@@ -297,24 +302,24 @@
         }
         (a, b) => a.or(b),
     };
-    let sound = |shape: Option<Shape>| shape.filter(Shape::is_finite);
-    let inner: Vec<f64> = points[1..points.len() - 1].iter().map(|p| p.0).collect();
-    let mut best = sound(fit_power(points));
-    for knot in &inner {
-        best = better(best, sound(fit_piecewise(points, &[*knot])));
+    let finite_only = |shape: Option<Shape>| shape.filter(Shape::is_finite);
+    let inner_sizes: Vec<f64> = points[1..points.len() - 1].iter().map(|point| point.0).collect();
+    let mut best = finite_only(fit_power(points));
+    for knot in &inner_sizes {
+        best = better(best, finite_only(fit_piecewise(points, &[*knot])));
     }
-    if best.as_ref().is_some_and(holds) {
+    if best.as_ref().is_some_and(is_accepted) {
         return best;
     }
-    for (i, first) in inner.iter().enumerate() {
-        for second in &inner[i + 1..] {
-            best = better(best, sound(fit_piecewise(points, &[*first, *second])));
+    for (i, first) in inner_sizes.iter().enumerate() {
+        for second in &inner_sizes[i + 1..] {
+            best = better(best, finite_only(fit_piecewise(points, &[*first, *second])));
         }
     }
-    if best.as_ref().is_some_and(holds) { best } else { sound(interpolate(points)).or(best) }
+    if best.as_ref().is_some_and(is_accepted) { best } else { finite_only(interpolate(points)).or(best) }
 }
 
-/// Whether no step of some height goes much steeper, or less steep, than the line.
+/// Whether the slopes between neighbouring points match the slope of the line.
 fn is_straight(line: &Shape, points: &[(f64, f64)]) -> bool {
     points.windows(2).all(|w| {
         let ((a, low), (b, high)) = (w[0], w[1]);
@@ -323,59 +328,60 @@
     })
 }
 
-/// How far a shape misses a point at the worst, as a part of the point's value, or of a millionth of the largest value
-/// where that is more.
+/// The largest residual relative to the point's value, or to a millionth of the largest value if that is greater.
 fn max_relative_residual(shape: &Shape, points: &[(f64, f64)]) -> f64 {
-    let least = min_magnitude(points);
-    let miss = |(size, value): &(f64, f64)| (shape.cost_at(*size) - value).abs() / value.abs().max(least);
-    points.iter().map(miss).fold(0.0, |a, b| if b.is_nan() { f64::INFINITY } else { a.max(b) })
+    let min_weight = min_magnitude(points);
+    let relative_residual =
+        |(size, value): &(f64, f64)| (shape.cost_at(*size) - value).abs() / value.abs().max(min_weight);
+    points.iter().map(relative_residual).fold(0.0, |a, b| if b.is_nan() { f64::INFINITY } else { a.max(b) })
 }
 
 fn min_magnitude(points: &[(f64, f64)]) -> f64 {
-    (points.iter().map(|p| p.1.abs()).fold(0.0, f64::max) * 1e-6).max(f64::MIN_POSITIVE)
+    (points.iter().map(|point| point.1.abs()).fold(0.0, f64::max) * 1e-6).max(f64::MIN_POSITIVE)
 }
 
 fn fit_flat(points: &[(f64, f64)]) -> Shape {
-    let values: Vec<f64> = points.iter().map(|p| p.1).collect();
+    let values: Vec<f64> = points.iter().map(|point| point.1).collect();
     Shape::Flat { value: median(&values) }
 }
 
-/// The line of least relative squares.
+/// Fits a line by least relative squares.
 fn fit_line(points: &[(f64, f64)]) -> Option<Shape> {
-    let (scale, parts) = least_squares(points, &[])?;
-    Some(Shape::Line { fixed: parts[0], slope: parts[1] / scale })
+    let (scale, coefficients) = least_squares(points, &[])?;
+    Some(Shape::Line { fixed: coefficients[0], slope: coefficients[1] / scale })
 }
 
-/// The power of least squares between the logarithms; none if a size or a value is not above 0.
+/// Fits a power by least squares between the logarithms. `None` if a size or a value isn't above 0.
 fn fit_power(points: &[(f64, f64)]) -> Option<Shape> {
-    if points.len() < 2 || points.iter().any(|p| p.0 <= 0.0 || p.1 <= 0.0) {
+    if points.len() < 2 || points.iter().any(|point| point.0 <= 0.0 || point.1 <= 0.0) {
         return None;
     }
-    let logs = points.iter().map(|p| (p.0.ln(), p.1.ln()));
+    let log_points = points.iter().map(|p| (p.0.ln(), p.1.ln()));
     let n = points.len() as f64;
-    let (x, y) = logs.clone().fold((0.0, 0.0), |s, p| (s.0 + p.0 / n, s.1 + p.1 / n));
-    let (xy, xx) = logs.fold((0.0, 0.0), |s, p| (s.0 + (p.0 - x) * (p.1 - y), s.1 + (p.0 - x) * (p.0 - x)));
+    let (x, y) = log_points.clone().fold((0.0, 0.0), |s, p| (s.0 + p.0 / n, s.1 + p.1 / n));
+    let (xy, xx) =
+        log_points.fold((0.0, 0.0), |s, p| (s.0 + (p.0 - x) * (p.1 - y), s.1 + (p.0 - x) * (p.0 - x)));
     let exponent = xy / xx;
     Some(Shape::Power { factor: (y - exponent * x).exp(), exponent })
 }
 
-/// Lines that meet at the knots, of least relative squares.
+/// Fits lines that meet at the knots by least relative squares.
 fn fit_piecewise(points: &[(f64, f64)], knots: &[f64]) -> Option<Shape> {
-    let (scale, parts) = least_squares(points, knots)?;
+    let (scale, coefficients) = least_squares(points, knots)?;
     let (from, to) = (points.first()?.0, points.last()?.0);
-    let (mut fixed, mut slope, mut start) = (parts[0], parts[1] / scale, from);
+    let (mut fixed, mut slope, mut start) = (coefficients[0], coefficients[1] / scale, from);
     let mut segments = Vec::with_capacity(knots.len() + 1);
-    for (knot, turn) in knots.iter().zip(&parts[2..]) {
+    for (knot, slope_change) in knots.iter().zip(&coefficients[2..]) {
         segments.push(Segment { from: start, to: *knot, fixed, slope });
-        slope += turn / scale;
-        fixed -= turn / scale * knot;
+        slope += slope_change / scale;
+        fixed -= slope_change / scale * knot;
         start = *knot;
     }
     segments.push(Segment { from: start, to, fixed, slope });
     Some(Shape::Piecewise { segments })
 }
 
-/// A line from each point to the next.
+/// Connects neighbouring points by lines.
 fn interpolate(points: &[(f64, f64)]) -> Option<Shape> {
     let segments = points.windows(2).map(|w| {
         let ((from, low), (to, high)) = (w[0], w[1]);
@@ -385,21 +391,21 @@
     Some(Shape::Piecewise { segments: segments.collect() })
 }
 
-/// The parts of `fixed + slope * x + turns * (x - knot)+` with x the size as a part of the largest, and that largest; none
-/// where the points do not determine them.
+/// Fits the coefficients of `fixed + slope * x + change * max(x - knot, 0) + ...`, where x is the size divided by the
+/// largest size. Returns the largest size and the coefficients, or `None` if the points don't determine them.
 fn least_squares(points: &[(f64, f64)], knots: &[f64]) -> Option<(f64, Vec<f64>)> {
-    let scale = points.iter().map(|p| p.0).fold(0.0, f64::max);
+    let scale = points.iter().map(|point| point.0).fold(0.0, f64::max);
     let n = 2 + knots.len();
     if scale <= 0.0 || points.len() < n {
         return None;
     }
-    let least = min_magnitude(points);
+    let min_weight = min_magnitude(points);
     let mut rows = vec![vec![0.0; n + 1]; n];
     for (size, value) in points {
         let x = size / scale;
-        let weight = value.abs().max(least);
+        let weight = value.abs().max(min_weight);
         let mut basis = vec![1.0 / weight, x / weight];
-        basis.extend(knots.iter().map(|k| (x - k / scale).max(0.0) / weight));
+        basis.extend(knots.iter().map(|knot| (x - knot / scale).max(0.0) / weight));
         for i in 0..n {
             for j in 0..n {
                 rows[i][j] += basis[i] * basis[j];
@@ -407,13 +413,13 @@
             rows[i][n] += basis[i] * (value / weight);
         }
     }
-    solve(rows).map(|parts| (scale, parts))
+    solve(rows).map(|coefficients| (scale, coefficients))
 }
 
-/// Solves a small system, a row an equation with its right side last; none if it is singular.
+/// Solves a system of linear equations, given as rows with the right side last. `None` if it is singular.
 fn solve(mut rows: Vec<Vec<f64>>) -> Option<Vec<f64>> {
     let n = rows.len();
-    // Columns of very different size are brought to one.
+    // Scales the columns to similar magnitudes.
     let scales: Vec<f64> = (0..n).map(|i| rows[i][i].sqrt()).collect();
     if scales.iter().any(|s| !s.is_normal()) {
         return None;
@@ -430,31 +436,36 @@
         if rows[i][i].is_nan() || rows[i][i].abs() < 1e-13 {
             return None;
         }
-        let (done, below) = rows.split_at_mut(i + 1);
-        let above = &done[i];
-        for row in below {
-            let part = row[i] / above[i];
-            row.iter_mut().zip(above).skip(i).for_each(|(cell, above)| *cell -= part * above);
+        let (done, rows_below) = rows.split_at_mut(i + 1);
+        let pivot_row = &done[i];
+        for row in rows_below {
+            let factor = row[i] / pivot_row[i];
+            row.iter_mut().zip(pivot_row).skip(i).for_each(|(cell, above)| *cell -= factor * above);
         }
     }
-    let mut parts = vec![0.0; n];
+    let mut solution = vec![0.0; n];
     for i in (0..n).rev() {
-        let known: f64 = (i + 1..n).map(|j| rows[i][j] * parts[j]).sum();
-        parts[i] = (rows[i][n] - known) / rows[i][i];
+        let known_terms: f64 = (i + 1..n).map(|j| rows[i][j] * solution[j]).sum();
+        solution[i] = (rows[i][n] - known_terms) / rows[i][i];
     }
-    Some(parts.iter().zip(&scales).map(|(p, s)| p / s).collect())
+    Some(solution.iter().zip(&scales).map(|(value, scale)| value / scale).collect())
 }
 
-/// How far the runs differ in what the shape is told by, as a part of the median run's.
+/// Difference between the largest and the smallest characteristic of single runs, relative to the median.
 fn spread(shape: &Shape, series: &Series) -> f64 {
-    let runs = series.points.iter().map(|p| p.values.len()).min().unwrap_or(0);
-    let each = (0..runs).filter_map(|run| {
-        let points: Vec<(f64, f64)> = series.points.iter().map(|p| (p.size, p.values[run])).collect();
-        Some(shape.refit(&points)?.characteristic()).filter(|s| s.is_finite())
+    let runs = series.points.iter().map(|point| point.values.len()).min().unwrap_or(0);
+    let characteristics = (0..runs).filter_map(|run| {
+        let points: Vec<(f64, f64)> =
+            series.points.iter().map(|point| (point.size, point.values[run])).collect();
+        Some(shape.refit(&points)?.characteristic()).filter(|value| value.is_finite())
     });
-    let each: Vec<f64> = each.collect();
-    let most = each.iter().copied().fold(f64::NEG_INFINITY, f64::max);
-    let least = each.iter().copied().fold(f64::INFINITY, f64::min);
-    let middle = median(&each).abs();
-    if each.len() < 2 || middle <= 0.0 { 0.0 } else { ((most - least) / middle).min(f64::MAX) }
+    let characteristics: Vec<f64> = characteristics.collect();
+    let largest = characteristics.iter().copied().fold(f64::NEG_INFINITY, f64::max);
+    let smallest = characteristics.iter().copied().fold(f64::INFINITY, f64::min);
+    let middle = median(&characteristics).abs();
+    if characteristics.len() < 2 || middle <= 0.0 {
+        0.0
+    } else {
+        ((largest - smallest) / middle).min(f64::MAX)
+    }
 }
--- a/crates/capacity/src/lib.rs
+++ b/crates/capacity/src/lib.rs
@@ -1,5 +1,6 @@
-//! What a role of the fleet costs by its size: points that were measured, slopes fitted to them, and what they come to at a
-//! size that nobody has run yet. Pure: no I/O, no clock. The laboratory measures, docs/CAPACITY.md is held to the results.
+//! Capacity planning: costs of the roles of a fleet measured at several sizes, fits to the measured points, and
+//! predictions for other sizes. The crate does no I/O. `loomlb-lab` measures, and a test compares docs/CAPACITY.md with
+//! the results.
 
 #![forbid(unsafe_code)]
 
@@ -11,7 +12,7 @@
 
 use serde::{Deserialize, Serialize};
 
-/// How a figure came about.
+/// How a value was obtained.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Source {
@@ -19,87 +20,87 @@
     Counted,
     /// Timed, or read from the system.
     Timed,
-    /// Reasoned; nothing was run.
+    /// Estimated without a run.
     Estimated,
 }
 
-/// All values that were measured at one size.
+/// The values measured at one size.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Point {
-    /// The size, in the unit that [`Series::by`] names.
+    /// The size, in [`Series::size_unit`].
     pub size: f64,
-    /// One value a run.
+    /// One value per run.
     pub values: Vec<f64>,
 }
 
-/// One cost of a role over sizes.
+/// One cost of a role, measured at several sizes.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Series {
-    /// Its key, unique in a report: `scheduler.tier_link.heard_by_document`.
+    /// Key, unique in a report, such as `scheduler.tier.heard_by_document`.
     pub key: String,
-    /// Whose cost: scheduler, voter, discovery, change, quota, planner, urgent.
+    /// The role that has the cost: scheduler, voter, discovery, change, quota, planner, urgent.
     pub role: String,
-    /// The unit of the values: bytes, ns, messages/s.
+    /// Unit of the values: bytes, ns, messages/s.
     pub unit: String,
-    /// What the sizes count: workers, bytes of the document, tenants.
+    /// Unit of the sizes: workers, bytes of the document, tenants.
     #[serde(rename = "by")]
     pub size_unit: String,
-    /// How the values came about.
+    /// How the values were obtained.
     pub source: Source,
-    /// What the figures were taken under, or how they were reasoned.
+    /// Conditions of the measurement, or the basis of the estimate.
     #[serde(default)]
     pub note: String,
-    /// From the smallest size on.
+    /// Points in increasing order of size.
     pub points: Vec<Point>,
 }
 
-/// The fleet that a prediction is made for, or that a run had.
+/// Size and load of a fleet, of a prediction or of a run.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Workload {
-    /// Schedulers on one tier.
+    /// Number of schedulers in the tier.
     pub schedulers: f64,
-    /// Voters of that tier.
+    /// Number of voters of the tier.
     pub voters: f64,
-    /// Workers in a scheduler's list.
+    /// Number of workers in a scheduler's list.
     pub workers: f64,
-    /// Size of the agreed document, in bytes.
+    /// Size of the replicated document, in bytes.
     pub document: f64,
-    /// Changes of it proposed a second, over the tier.
+    /// Changes of the document proposed per second in the whole tier.
     pub changes: f64,
-    /// Time between two renewals of a lease, in seconds.
+    /// Interval between renewals of a lease, in seconds.
     pub renew: f64,
-    /// Jobs that one scheduler starts a second.
+    /// Jobs started per second by one scheduler.
     pub starts: f64,
-    /// Flows open at one scheduler.
+    /// Number of flows open at one scheduler.
     pub flows: f64,
 }
 
-/// What a workload comes to, predicted or measured. A figure that is not known is absent.
+/// Costs of a workload, predicted or measured. Unknown costs are `None`.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Costs {
-    /// Bytes a second from one scheduler to all voters together.
+    /// Bytes per second from one scheduler to all voters.
     pub scheduler_sent: Option<f64>,
-    /// Bytes a second from all voters to one scheduler.
+    /// Bytes per second from all voters to one scheduler.
     #[serde(rename = "scheduler_heard")]
     pub scheduler_received: Option<f64>,
-    /// Processor time of one scheduler for control, as a part of a core.
+    /// Processor time of one scheduler for the control plane, as a fraction of a core.
     pub scheduler_cpu: Option<f64>,
     /// Resident memory of one scheduler, in bytes.
     pub scheduler_memory: Option<f64>,
-    /// Bytes a second from one voter to all schedulers and voters.
+    /// Bytes per second from one voter to all schedulers and voters.
     pub voter_sent: Option<f64>,
-    /// Bytes a second to one voter.
+    /// Bytes per second to one voter.
     #[serde(rename = "voter_heard")]
     pub voter_received: Option<f64>,
-    /// Processor time of one voter, as a part of a core.
+    /// Processor time of one voter, as a fraction of a core.
     pub voter_cpu: Option<f64>,
     /// Resident memory of one voter, in bytes.
     pub voter_memory: Option<f64>,
-    /// Bytes a second that one voter writes to its disk.
+    /// Bytes per second that one voter writes to disk.
     pub voter_disk: Option<f64>,
-    /// Versions a second that come into force.
+    /// Versions of the document applied per second.
     pub versions: Option<f64>,
-    /// From a proposal until it is in force everywhere, in seconds, median.
+    /// Median time from a proposal until all schedulers apply it, in seconds.
     #[serde(rename = "everywhere")]
     pub propagation_seconds: Option<f64>,
 }
--- a/crates/capacity/src/page.rs
+++ b/crates/capacity/src/page.rs
@@ -1,80 +1,82 @@
-//! A page's figures and the files that they came from. A figure on a page is a link: its text is the number, its target
-//! the file and the place in it, so that a reader can go there and a test can hold the page to what the runs wrote.
+//! Comparison of the figures on a page with the files that they come from. A figure is a link: its text is the number,
+//! and its target names the file and the value in it, so that a test can compare both.
 //!
-//! `[45.1](capacity/slopes.json?per=1000#/series/key=scheduler.tier.heard/points/2)`: the file beside the page, what the
-//! value is divided by, and the way to it: names and numbers as in JSON pointers (RFC 6901), and `key=value` for the
-//! element of a list whose `key` says so.
+//! `[45.1](capacity/slopes.json?per=1000#/series/key=scheduler.tier.heard/points/2)`: the file relative to the page,
+//! the divisor of the value, and its path: names and indices as in JSON pointers (RFC 6901), and `key=value` for the
+//! list element whose `key` has this value.
 
 use serde_json::Value;
 
-/// A figure that a page shows.
+/// A figure on a page that links to a file.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LinkedFigure {
-    /// The page's line, from 1.
+    /// Line number on the page, from 1.
     pub line: usize,
-    /// As it stands there.
+    /// The number as written on the page.
     pub text: String,
-    /// The file.
+    /// Name of the linked file.
     pub file: String,
-    /// What the file's value is divided by.
+    /// Divisor of the value in the file.
     pub divisor: f64,
-    /// The way to the value.
+    /// Path to the value in the file.
     pub path: String,
 }
 
-/// Why a page cannot be held to its files.
+/// A difference between a page and its files, or an invalid link.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum PageError {
-    /// A link to a file of figures that does not name a place in it.
-    #[error("line {line}: {link}: no place in the file; write FILE.json?per=N#/path/to/value")]
+    /// A link to a JSON file doesn't name a value in it.
+    #[error("line {line}: {link}: the link names no value in the file; write FILE.json?per=N#/path/to/value")]
     MalformedLink {
-        /// The page's line.
+        /// Line number on the page.
         line: usize,
         /// The link.
         link: String,
     },
-    /// A way that leads nowhere.
-    #[error("line {line}: {file}#{path}: leads to no number; run the bench again, or correct the path")]
+    /// The file has no number at the path.
+    #[error(
+        "line {line}: {file}#{path}: the file has no number at this path; run `loomlb-lab capacity` again, or correct the path"
+    )]
     MissingValue {
-        /// The page's line.
+        /// Line number on the page.
         line: usize,
-        /// The file.
+        /// Name of the linked file.
         file: String,
-        /// The way.
+        /// Path in the file.
         path: String,
     },
-    /// The page says something else than the file.
-    #[error("line {line}: {file}#{path}: the page says {text}, the file {value}; the file is right")]
+    /// The number on the page differs from the file.
+    #[error("line {line}: {file}#{path}: the page says {text}, the file {value}; correct the page")]
     Mismatch {
-        /// The page's line.
+        /// Line number on the page.
         line: usize,
-        /// The file.
+        /// Name of the linked file.
         file: String,
-        /// The way.
+        /// Path in the file.
         path: String,
-        /// What the page says.
+        /// The number on the page.
         text: String,
-        /// What the file says, to the page's digits.
+        /// The number in the file, formatted with the same digits.
         value: String,
     },
-    /// A number of a measured table that no file stands behind.
-    #[error("line {line}: {text}: a figure of a measured table without its file")]
+    /// A number in a measured table has no link to a file.
+    #[error("line {line}: {text}: figure in a measured table without a link to its file")]
     Unlinked {
-        /// The page's line.
+        /// Line number on the page.
         line: usize,
         /// The number.
         text: String,
     },
 }
 
-/// Opens a part of the page in which each figure has its file.
+/// Begins a part of the page in which all figures in tables must link to files.
 pub const MEASURED_START: &str = "<!-- measured -->";
-/// Closes it.
+/// Ends such a part.
 pub const MEASURED_END: &str = "<!-- over -->";
 
-/// All figures of a page that name a file of figures.
+/// Returns all figures of a page that link to JSON files.
 pub fn linked_figures(page: &str) -> Result<Vec<LinkedFigure>, PageError> {
-    let mut all = Vec::new();
+    let mut figures = Vec::new();
     for (at, line) in page.lines().enumerate() {
         for (text, link) in links(line).filter(|(_, link)| link.contains(".json")) {
             let error = || PageError::MalformedLink { line: at + 1, link: link.into() };
@@ -87,13 +89,13 @@
                 return Err(error());
             }
             let (text, file, path) = (text.into(), file.into(), path.into());
-            all.push(LinkedFigure { line: at + 1, text, file, divisor, path });
+            figures.push(LinkedFigure { line: at + 1, text, file, divisor, path });
         }
     }
-    Ok(all)
+    Ok(figures)
 }
 
-/// The links of a line: text and target.
+/// Returns text and target of each link in a line.
 fn links(line: &str) -> impl Iterator<Item = (&str, &str)> {
     line.match_indices("](").filter_map(move |(at, _)| {
         let text = &line[line[..at].rfind('[')? + 1..at];
@@ -102,50 +104,53 @@
     })
 }
 
-/// Numbers in a page's measured parts behind which no file stands. A table's first column and its head name things.
+/// Returns the numbers in tables of measured parts that don't link to a file. The first column and the header are
+/// ignored.
 pub fn unlinked_figures(page: &str) -> Vec<PageError> {
-    let (mut inside, mut rows, mut all) = (false, 0, Vec::new());
+    let (mut measured, mut rows, mut errors) = (false, 0, Vec::new());
     for (at, line) in page.lines().enumerate() {
         match line.trim() {
-            MEASURED_START => inside = true,
-            MEASURED_END => inside = false,
-            _ if !inside => {}
+            MEASURED_START => measured = true,
+            MEASURED_END => measured = false,
+            _ if !measured => {}
             row if row.starts_with('|') => {
                 rows += 1;
                 let cells = row.trim_matches('|').split('|').skip(1);
-                // The head and the line below it.
+                // Skips the header and the separator.
                 let numbers = cells.filter(|_| rows > 2).map(str::trim).filter(|cell| is_number(cell));
-                all.extend(numbers.map(|cell| PageError::Unlinked { line: at + 1, text: cell.into() }));
+                errors.extend(numbers.map(|cell| PageError::Unlinked { line: at + 1, text: cell.into() }));
                 continue;
             }
             _ => {}
         }
         rows = 0;
     }
-    all
+    errors
 }
 
 fn is_number(cell: &str) -> bool {
     cell.starts_with(|c: char| c.is_ascii_digit())
 }
 
-/// The value at the end of a way.
+/// Returns the number at a path.
 pub fn lookup(file: &Value, path: &str) -> Option<f64> {
-    let mut at = file;
+    let mut current = file;
     for part in path.split('/').skip(1) {
-        at = match (at, part.split_once('=')) {
-            (Value::Array(all), Some((key, is))) => all.iter().find(|one| one[key] == is)?,
-            (Value::Array(all), None) => all.get(part.parse::<usize>().ok()?)?,
-            (Value::Object(all), _) => all.get(part)?,
+        current = match (current, part.split_once('=')) {
+            (Value::Array(items), Some((key, expected))) => {
+                items.iter().find(|item| item[key] == expected)?
+            }
+            (Value::Array(items), None) => items.get(part.parse::<usize>().ok()?)?,
+            (Value::Object(fields), _) => fields.get(part)?,
             _ => return None,
         };
     }
-    at.as_f64()
+    current.as_f64()
 }
 
-/// Holds one figure to its file.
-pub fn check_figure(shown: &LinkedFigure, file: &Value) -> Result<(), PageError> {
-    let LinkedFigure { line, text, file: name, divisor, path } = shown.clone();
+/// Compares one figure with its file.
+pub fn check_figure(figure: &LinkedFigure, file: &Value) -> Result<(), PageError> {
+    let LinkedFigure { line, text, file: name, divisor, path } = figure.clone();
     let Some(value) = lookup(file, &path) else {
         return Err(PageError::MissingValue { line, file: name, path });
     };
@@ -154,22 +159,22 @@
     if value == text { Ok(()) } else { Err(PageError::Mismatch { line, file: name, path, text, value }) }
 }
 
-/// A number with its thousands apart: `19,000.5`.
+/// Formats a number with thousands separators: `19,000.5`.
 pub fn format_number(value: f64, digits: usize) -> String {
     let plain = format!("{value:.digits$}");
-    let (whole, rest) = plain.split_at(plain.find('.').unwrap_or(plain.len()));
-    let (sign, whole) = whole.split_at(usize::from(whole.starts_with('-')));
+    let (integer, fraction) = plain.split_at(plain.find('.').unwrap_or(plain.len()));
+    let (sign, integer) = integer.split_at(usize::from(integer.starts_with('-')));
     let mut out = String::from(sign);
-    for (at, digit) in whole.chars().enumerate() {
-        if at > 0 && (whole.len() - at).is_multiple_of(3) {
+    for (at, digit) in integer.chars().enumerate() {
+        if at > 0 && (integer.len() - at).is_multiple_of(3) {
             out.push(',');
         }
         out.push(digit);
     }
-    out + rest
+    out + fraction
 }
 
-/// A number to about three digits that count.
+/// Formats a number with about three significant digits.
 pub fn format_rounded(value: f64) -> String {
     let size = value.abs();
     let digits = match size {
--- a/crates/capacity/src/plan.rs
+++ b/crates/capacity/src/plan.rs
@@ -1,40 +1,40 @@
-//! The target: what each role's costs come to at named sizes, and which of the target's limits breaks first. Pure: the
-//! plan's words come from a file, its figures from whoever has measured.
+//! Evaluation of a capacity plan: the costs of each role at given sizes, and the order in which the limits of the
+//! target break. The plan comes from a file, the figures from a [`Measurements`] source.
 
 use crate::report::Report;
 use crate::{Source, fit, page};
 use serde::{Deserialize, Serialize};
 
-/// Where figures come from.
+/// A source of measured costs.
 pub trait Measurements {
-    /// What a series comes to at a size; `None` where it was not measured or cannot be said.
+    /// The cost of a series at a size; `None` if it is unknown.
     fn figure(&self, series: &str, size: f64) -> Option<Figure>;
-    /// The size at which a series of growing costs meets a budget; `None` if it is not known to.
+    /// The size at which a growing cost reaches a budget; `None` if it never does, or is unknown.
     fn size_at_budget(&self, series: &str, budget: f64) -> Option<f64>;
-    /// The greatest value of a series of outputs, such as versions a second: more does not come out, whatever goes in.
+    /// The largest value of a series of throughputs, such as versions per second.
     fn maximum(&self, series: &str) -> Option<f64>;
 }
 
 /// A cost at one size.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Figure {
-    /// In the series' unit.
+    /// The cost, in the unit of the series.
     pub value: f64,
-    /// How it came about.
+    /// How the series was obtained.
     pub source: Source,
-    /// The size lies beyond those that were measured: the figure follows the slope.
+    /// Whether the size is outside the measured range.
     #[serde(rename = "beyond")]
     pub extrapolated: bool,
 }
 
-/// The plan as it is written down: `docs/capacity/target.toml`.
+/// The plan in `docs/capacity/target.toml`.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Plan {
     /// Costs of roles at three sizes.
     #[serde(default, rename = "row")]
     pub rows: Vec<Row>,
-    /// What the target must not exceed, or must reach.
+    /// Limits that the target must not exceed.
     #[serde(default, rename = "limit")]
     pub limits: Vec<Limit>,
 }
@@ -43,22 +43,22 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Row {
-    /// Names the row; unique.
+    /// Unique key of the row.
     pub key: String,
-    /// Whose cost.
+    /// The role that has the cost.
     pub role: String,
-    /// What it is.
+    /// Description of the cost.
     pub cost: String,
-    /// The series that gives it.
+    /// Key of the series.
     pub series: String,
-    /// Unit of the figures that are shown.
+    /// Unit of the displayed figures.
     pub unit: String,
-    /// The series' values are divided by this to be shown.
+    /// Divisor from the unit of the series to the displayed unit.
     #[serde(default = "default_divisor")]
     pub per: f64,
-    /// The size today, at the target, and at three times the target, in what the series counts.
+    /// The size today, at the target, and at three times the target, in the size unit of the series.
     pub sizes: [f64; 3],
-    /// The mechanism that carries it (a crate), or "missing".
+    /// The crate that implements it, or "missing".
     pub carried_by: String,
 }
 
@@ -66,121 +66,123 @@
     1.0
 }
 
-/// Something of the target that breaks at some size.
+/// A limit of the target that breaks at some size.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Limit {
-    /// Names the limit; unique.
+    /// Unique key of the limit.
     pub key: String,
-    /// What grows, and what it must not exceed.
+    /// Description: what grows, and what it must not exceed.
     pub what: String,
     /// Unit of the sizes.
     pub unit: String,
     /// The size at the target.
     pub target: f64,
-    /// How the size at which it breaks is known.
+    /// How the breaking size is determined.
     pub breaks: BreakingPoint,
-    /// Whether other things of the target are built on what is missing here.
+    /// Whether other parts of the target depend on this limit.
     pub blocks: bool,
-    /// The mechanism that carries it, or that is missing.
+    /// The mechanism that implements it, or that is missing.
     pub carried_by: String,
 }
 
-/// How the size at which a limit breaks is known.
+/// How the breaking size of a limit is determined.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", deny_unknown_fields, expecting = "enum Breaks")]
 pub enum BreakingPoint {
-    /// Where this series meets this budget.
+    /// The size at which the series reaches the budget.
     Budget {
-        /// The series' key.
+        /// Key of the series.
         series: String,
-        /// In the series' unit.
+        /// The budget, in the unit of the series.
         budget: f64,
     },
-    /// No more than the most that this series reached.
+    /// The largest value of the series.
     #[serde(rename = "most")]
     Maximum {
-        /// The series' key.
+        /// Key of the series.
         series: String,
     },
     /// A constant of the program.
     Constant {
-        /// The file that has it, from the root.
+        /// File that defines it, relative to the root of the repository.
         file: String,
-        /// Its name there.
+        /// Name of the constant.
         name: String,
-        /// Its value, divided by what one unit of the size takes of it.
+        /// Value of the constant.
         value: f64,
-        /// What one unit of the size takes.
+        /// Amount used by one unit of the size.
         #[serde(default = "default_divisor")]
         #[serde(rename = "each")]
         per_unit: f64,
     },
-    /// Nothing of the kind is there.
+    /// The mechanism doesn't exist.
     Absent,
 }
 
-/// A row with its figures.
+/// A row with its costs.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(expecting = "struct Costed")]
 pub struct CostedRow {
     /// The row.
     #[serde(flatten)]
     pub row: Row,
-    /// Its figures at its sizes, already divided by `per`.
+    /// Costs at the three sizes, in the displayed unit.
     pub figures: [Option<Figure>; 3],
 }
 
-/// A limit with its place.
+/// A limit with the size at which it breaks.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(expecting = "struct Ranked")]
 pub struct RankedLimit {
     /// The limit.
     #[serde(flatten)]
     pub limit: Limit,
-    /// The size at which it breaks; `None` if nothing measured breaks it.
+    /// The size at which it breaks; `None` if it doesn't.
     #[serde(rename = "at")]
     pub breaks_at: Option<f64>,
-    /// That size divided by the target's: below 1 the target does not hold.
+    /// The breaking size divided by the target size. Below 1, the target isn't reached.
     pub ratio: Option<f64>,
 }
 
-/// The plan with its figures, the limits in the order in which they break.
+/// A plan with its costs, and its limits in the order in which they break.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(expecting = "struct Planned")]
 pub struct EvaluatedPlan {
     /// The costs.
     pub rows: Vec<CostedRow>,
-    /// The limits, smallest ratio first; those that do not break last.
+    /// The limits in increasing order of the ratio; those that don't break come last.
     pub limits: Vec<RankedLimit>,
 }
 
-/// What is wrong with a plan.
+/// An error in a plan.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum PlanError {
-    /// Two rows or limits have one key.
-    #[error("{0}: stands there twice; give each row and limit a key of its own")]
+    /// Two rows or limits have the same key.
+    #[error("{0}: duplicate key; give each row and limit a unique key")]
     DuplicateKey(String),
-    /// A size, budget or divisor that is no number above 0.
-    #[error("{key}: {value} is no number above 0")]
+    /// A size, budget or divisor isn't a number above 0.
+    #[error("{key}: {value} must be a finite number above 0")]
     InvalidNumber {
-        /// Of which row or limit.
+        /// Key of the row or limit.
         key: String,
-        /// What stands there.
+        /// The invalid number.
         value: String,
     },
-    /// A series that the report does not have.
-    #[error("{key}: no series {series:?} in the report; run the bench with it, or correct the name")]
+    /// The report doesn't have the series.
+    #[error(
+        "{key}: no series {series:?} in the report; run `loomlb-lab capacity` with this series, or correct the name"
+    )]
     UnknownSeries {
-        /// Of which row or limit.
+        /// Key of the row or limit.
         key: String,
-        /// The name.
+        /// Key of the missing series.
         series: String,
     },
 }
 
 impl Plan {
-    /// The first thing that cannot be worked with.
+    /// Checks keys and numbers, and returns the first error.
     fn check(&self) -> Result<(), PlanError> {
         let mut keys: Vec<&str> = self.rows.iter().map(|r| &*r.key).collect();
         keys.extend(self.limits.iter().map(|l| &*l.key));
@@ -188,20 +190,20 @@
         if let Some(pair) = keys.windows(2).find(|pair| pair[0] == pair[1]) {
             return Err(PlanError::DuplicateKey(pair[0].into()));
         }
-        let sound = |key: &str, value: f64| {
+        let check_number = |key: &str, value: f64| {
             let error = || PlanError::InvalidNumber { key: key.into(), value: value.to_string() };
             (value.is_finite() && value > 0.0).then_some(()).ok_or_else(error)
         };
         for row in &self.rows {
-            row.sizes.iter().chain([&row.per]).try_for_each(|size| sound(&row.key, *size))?;
+            row.sizes.iter().chain([&row.per]).try_for_each(|size| check_number(&row.key, *size))?;
         }
         for limit in &self.limits {
-            sound(&limit.key, limit.target)?;
+            check_number(&limit.key, limit.target)?;
             match &limit.breaks {
-                BreakingPoint::Budget { budget, .. } => sound(&limit.key, *budget)?,
+                BreakingPoint::Budget { budget, .. } => check_number(&limit.key, *budget)?,
                 BreakingPoint::Constant { value, per_unit, .. } => {
-                    sound(&limit.key, *value)?;
-                    sound(&limit.key, *per_unit)?;
+                    check_number(&limit.key, *value)?;
+                    check_number(&limit.key, *per_unit)?;
                 }
                 BreakingPoint::Maximum { .. } | BreakingPoint::Absent => {}
             }
@@ -209,7 +211,7 @@
         Ok(())
     }
 
-    /// The plan's figures and the order in which its limits break.
+    /// Computes the costs of all rows and the order in which the limits break.
     pub fn evaluate(&self, measured: &dyn Measurements) -> Result<EvaluatedPlan, PlanError> {
         self.check()?;
         let mut rows = Vec::new();
@@ -218,21 +220,24 @@
             if figures.iter().all(Option::is_none) {
                 return Err(PlanError::UnknownSeries { key: row.key.clone(), series: row.series.clone() });
             }
-            let shown = |f: Figure| Figure { value: f.value / row.per, ..f };
-            rows.push(CostedRow { row: row.clone(), figures: figures.map(|f| f.map(shown)) });
+            let to_displayed_unit = |figure: Figure| Figure { value: figure.value / row.per, ..figure };
+            rows.push(CostedRow {
+                row: row.clone(),
+                figures: figures.map(|figure| figure.map(to_displayed_unit)),
+            });
         }
         let mut limits = Vec::new();
         for limit in &self.limits {
-            let known = |series: &String| {
+            let maximum_of = |series: &String| {
                 let error = || PlanError::UnknownSeries { key: limit.key.clone(), series: series.clone() };
                 measured.maximum(series).ok_or_else(error)
             };
             let breaks_at = match &limit.breaks {
                 BreakingPoint::Budget { series, budget } => {
-                    known(series)?;
+                    maximum_of(series)?;
                     measured.size_at_budget(series, *budget)
                 }
-                BreakingPoint::Maximum { series } => Some(known(series)?),
+                BreakingPoint::Maximum { series } => Some(maximum_of(series)?),
                 BreakingPoint::Constant { value, per_unit, .. } => Some(value / per_unit),
                 BreakingPoint::Absent => Some(0.0),
             };
@@ -240,15 +245,15 @@
             limits.push(RankedLimit { limit: limit.clone(), breaks_at, ratio });
         }
         limits.sort_by(|a, b| {
-            let of = |r: &RankedLimit| r.ratio.unwrap_or(f64::INFINITY);
-            of(a).total_cmp(&of(b)).then_with(|| a.limit.key.cmp(&b.limit.key))
+            let ratio_or_infinity = |limit: &RankedLimit| limit.ratio.unwrap_or(f64::INFINITY);
+            ratio_or_infinity(a).total_cmp(&ratio_or_infinity(b)).then_with(|| a.limit.key.cmp(&b.limit.key))
         });
         Ok(EvaluatedPlan { rows, limits })
     }
 }
 
 impl EvaluatedPlan {
-    /// The limit that goes first: the first below 1 on which other things are built.
+    /// The first limit that other parts depend on and that breaks below the target.
     pub fn first_blocker(&self) -> Option<&RankedLimit> {
         self.limits.iter().find(|l| l.limit.blocks && l.ratio.is_some_and(|ratio| ratio < 1.0))
     }
@@ -271,7 +276,7 @@
     }
 }
 
-/// The table of costs in Markdown, each figure a link into `file`, which holds this plan as JSON.
+/// Formats the costs as a Markdown table. Each figure links to `file`, the JSON file of this plan.
 pub fn cost_table(planned: &EvaluatedPlan, file: &str) -> String {
     let mut out = "| role | what | unit | today | target | three times | carried by |\n".to_string();
     out += "| --- | --- | --- | --- | --- | --- | --- |\n";
@@ -284,18 +289,18 @@
                     (_, true) => " (*)",
                     _ => "",
                 };
-                let way = format!("/rows/key={}/figures/{at}/value", row.key);
-                format!("[{}]({file}#{way}){mark}", page::format_rounded(f.value))
+                let path = format!("/rows/key={}/figures/{at}/value", row.key);
+                format!("[{}]({file}#{path}){mark}", page::format_rounded(f.value))
             }
         };
-        let [today, target, thrice] = [0, 1, 2].map(|at| cell((at, &figures[at])));
+        let [today, target, triple] = [0, 1, 2].map(|at| cell((at, &figures[at])));
         let Row { role, cost, unit, carried_by, .. } = row;
-        out += &format!("| {role} | {cost} | {unit} | {today} | {target} | {thrice} | {carried_by} |\n");
+        out += &format!("| {role} | {cost} | {unit} | {today} | {target} | {triple} | {carried_by} |\n");
     }
     out
 }
 
-/// The ranking in Markdown, each figure a link into `file`, which holds this plan as JSON.
+/// Formats the limits as a Markdown table. Each figure links to `file`, the JSON file of this plan.
 pub fn limit_table(planned: &EvaluatedPlan, file: &str) -> String {
     let mut out =
         "| limit | unit | breaks at | target | ratio | other things are built on it | carried by |\n"
--- a/crates/capacity/src/predict.rs
+++ b/crates/capacity/src/predict.rs
@@ -1,94 +1,107 @@
-//! From slopes to what a workload costs.
+//! Prediction of the costs of a workload from fitted series.
 
 use crate::report::Report;
 use crate::{Costs, Workload};
 
-/// Renewals a second under which the series were measured: one every quarter of a second.
-pub const RENEWALS: f64 = 4.0;
-/// Voters under which the series by document, changes and schedulers were measured.
-pub const VOTERS: f64 = 3.0;
+/// Renewals per second during the measurement of the series.
+pub const MEASURED_RENEWALS_PER_SECOND: f64 = 4.0;
+/// Number of voters during the measurement of the series by document, changes and schedulers.
+pub const MEASURED_VOTERS: f64 = 3.0;
 
-/// What a workload costs by the measured slopes. Wherever a series is missing, or a size has no cost, the figure is absent.
+/// Predicts the costs of a workload. A cost is `None` if a series that it needs is missing or has no cost at the size.
 ///
-/// - `versions` = `change.versions_by_proposals` at the changes proposed a second.
-/// - `propagation_seconds` = `change.everywhere_by_schedulers` at the schedulers, in seconds.
-/// - `scheduler_received` = heard while nothing changes (`scheduler.tier.heard_idle` at the voters, by renewals a second) plus,
-///   for each version, `scheduler.tier.version_heard_by_document` at the document, by voters: each voter that is asked before
-///   the others' news is taken in sends the whole of it.
-/// - `scheduler_sent` = `scheduler.tier.sent_idle` at the voters, by renewals, plus
-///   `scheduler.tier.proposal_sent_by_document` for each change, over all schedulers, as any may propose.
-/// - `scheduler_cpu` = `scheduler.tier.time_idle` (a question sealed and its answer opened) for each voter and renewal, plus
-///   `scheduler.tier.time_by_document` for each answer with news (`scheduler.tier.news_by_document`), as a part of a core.
-///   What a scheduler does to put a document in force, its sockets and its jobs are not in it.
-/// - `scheduler_memory` = live bytes: `scheduler.decision.memory_by_workers`, `scheduler.list.memory_by_workers`, the slope
-///   of `scheduler.flows.memory_by_flows` at the flows, and `scheduler.tier.memory_by_document`. The program's own pages and
-///   its connections are not in it.
-/// - `voter_sent` = what all schedulers hear, a voter's part of it, plus `voter.raft_sent_idle` at the voters
-///   and `voter.raft_sent_by_document` for each version.
-/// - `voter_received` = what all schedulers send, a voter's part of it, plus the same from other voters.
-/// - `voter_cpu` = `voter.ask.time_by_schedulers` for each scheduler and renewal, plus `voter.news.time_by_document` for each
-///   scheduler and news of it, plus two `voter.apply.time_by_document` a version, as most are agreed and
-///   then put in force by a second entry.
-/// - `voter_memory` = live bytes: `voter.memory_by_schedulers` plus `voter.memory_by_document`. The program is not in it.
-/// - `voter_disk` = `voter.log.bytes_by_document` for each version.
+/// - `versions`: `change.versions_by_proposals` at the number of changes proposed per second.
+/// - `propagation_seconds`: `change.everywhere_by_schedulers` at the number of schedulers.
+/// - `scheduler_received`: traffic without changes (`scheduler.tier.heard_idle` at the number of voters, in proportion
+///   to the renewals per second) plus, for each version, `scheduler.tier.version_heard_by_document`, in proportion to
+///   the number of voters: each voter that is asked before the update from another one is applied sends the whole
+///   update.
+/// - `scheduler_sent`: `scheduler.tier.sent_idle` at the number of voters, in proportion to the renewals, plus
+///   `scheduler.tier.proposal_sent_by_document` for each change, divided among all schedulers.
+/// - `scheduler_cpu`: `scheduler.tier.time_idle` (sealing a request and opening its response) for each voter and
+///   renewal, plus `scheduler.tier.time_by_document` for each response with an update
+///   (`scheduler.tier.news_by_document`), as a fraction of a core. It doesn't include applying a document, network I/O
+///   or jobs.
+/// - `scheduler_memory`: live bytes of `scheduler.decision.memory_by_workers`, `scheduler.list.memory_by_workers`,
+///   `scheduler.flows.memory_by_flows` less its value at 0, and `scheduler.tier.memory_by_document`. It doesn't include
+///   the program itself and its connections.
+/// - `voter_sent`: one voter's part of the bytes that all schedulers receive, plus `voter.raft_sent_idle` at the number
+///   of voters and `voter.raft_sent_by_document` for each version.
+/// - `voter_received`: one voter's part of the bytes that all schedulers send, plus the same Raft traffic from other
+///   voters.
+/// - `voter_cpu`: `voter.ask.time_by_schedulers` for each scheduler and renewal, plus `voter.news.time_by_document` for
+///   each update to a scheduler, plus two `voter.apply.time_by_document` for each version, because most versions are
+///   agreed by one log entry and activated by another.
+/// - `voter_memory`: live bytes of `voter.memory_by_schedulers` plus `voter.memory_by_document`, without the program
+///   itself.
+/// - `voter_disk`: `voter.log.bytes_by_document` for each version.
 pub fn predict(report: &Report, workload: &Workload) -> Costs {
     let at = |key: &str, size: f64| report.cost_at(key, size);
     let Workload { schedulers, voters, workers, document, changes, renew, flows, .. } = *workload;
-    let renewals = Some(1.0 / renew).filter(|r| r.is_finite() && *r > 0.0);
-    // A share of renewals against those that were measured, and of voters.
-    let (often, more) = (renewals.map(|r| r / RENEWALS), voters / VOTERS);
+    let renewals = Some(1.0 / renew).filter(|rate| rate.is_finite() && *rate > 0.0);
+    // Relative to the number of renewals and voters during the measurement.
+    let (renewal_ratio, voter_ratio) =
+        (renewals.map(|rate| rate / MEASURED_RENEWALS_PER_SECOND), voters / MEASURED_VOTERS);
     let versions = at("change.versions_by_proposals", changes);
-    let add = |a: Option<f64>, b: Option<f64>| Some(a? + b?);
-    let times = |a: Option<f64>, b: Option<f64>| Some(a? * b?);
-    let of = |key: &str, factor: Option<f64>| times(at(key, document), factor);
+    let sum = |a: Option<f64>, b: Option<f64>| Some(a? + b?);
+    let product = |a: Option<f64>, b: Option<f64>| Some(a? * b?);
+    let at_document = |key: &str, factor: Option<f64>| product(at(key, document), factor);
 
-    let news = of("scheduler.tier.version_heard_by_document", versions.map(|v| v * more));
-    let scheduler_received = add(times(at("scheduler.tier.heard_idle", voters), often), news);
-    let proposed = of("scheduler.tier.proposal_sent_by_document", Some(changes / schedulers));
-    let scheduler_sent = add(times(at("scheduler.tier.sent_idle", voters), often), proposed);
-    let raft = add(
+    let updates =
+        at_document("scheduler.tier.version_heard_by_document", versions.map(|rate| rate * voter_ratio));
+    let scheduler_received = sum(product(at("scheduler.tier.heard_idle", voters), renewal_ratio), updates);
+    let proposals = at_document("scheduler.tier.proposal_sent_by_document", Some(changes / schedulers));
+    let scheduler_sent = sum(product(at("scheduler.tier.sent_idle", voters), renewal_ratio), proposals);
+    let raft = sum(
         at("voter.raft_sent_idle", voters),
-        of("voter.raft_sent_by_document", versions.map(|v| v * (voters - 1.0) / (VOTERS - 1.0))),
+        at_document(
+            "voter.raft_sent_by_document",
+            versions.map(|rate| rate * (voters - 1.0) / (MEASURED_VOTERS - 1.0)),
+        ),
     );
-    let part = |all: Option<f64>| all.map(|a| a * schedulers / voters);
+    let voter_share = |per_scheduler: Option<f64>| per_scheduler.map(|amount| amount * schedulers / voters);
 
-    let asks = renewals.map(|r| r * voters / 1e9);
-    // Answers with news that one scheduler hears from one voter in a second.
-    let news_each = of("scheduler.tier.news_by_document", versions.map(|v| v / VOTERS));
-    let tier_time = add(
-        times(at("scheduler.tier.time_idle", document), asks),
-        of("scheduler.tier.time_by_document", news_each.map(|n| n * voters / 1e9)),
+    let requests_per_scheduler = renewals.map(|rate| rate * voters / 1e9);
+    // Responses with an update per second that one scheduler receives from one voter.
+    let updates_per_link =
+        at_document("scheduler.tier.news_by_document", versions.map(|rate| rate / MEASURED_VOTERS));
+    let scheduler_time = sum(
+        product(at("scheduler.tier.time_idle", document), requests_per_scheduler),
+        at_document("scheduler.tier.time_by_document", updates_per_link.map(|rate| rate * voters / 1e9)),
     );
-    let asked = renewals.map(|r| r * schedulers / 1e9);
-    let told = news_each.map(|n| n * schedulers / 1e9);
-    let voter_time = add(
-        times(at("voter.ask.time_by_schedulers", schedulers), asked),
-        add(
-            of("voter.news.time_by_document", told),
-            of("voter.apply.time_by_document", versions.map(|v| 2.0 * v / 1e9)),
+    let requests_per_voter = renewals.map(|rate| rate * schedulers / 1e9);
+    let updates_per_voter = updates_per_link.map(|rate| rate * schedulers / 1e9);
+    let voter_time = sum(
+        product(at("voter.ask.time_by_schedulers", schedulers), requests_per_voter),
+        sum(
+            at_document("voter.news.time_by_document", updates_per_voter),
+            at_document("voter.apply.time_by_document", versions.map(|rate| 2.0 * rate / 1e9)),
         ),
     );
-    let flow = report.get("scheduler.flows.memory_by_flows").and_then(|f| {
-        let none = f.fit.cost_at(0.0)?;
-        f.fit.cost_at(flows).map(|all| all - none)
+    let flow_memory = report.get("scheduler.flows.memory_by_flows").and_then(|fitted| {
+        let base = fitted.fit.cost_at(0.0)?;
+        fitted.fit.cost_at(flows).map(|total| total - base)
     });
-    let module = add(
+    let worker_memory = sum(
         at("scheduler.decision.memory_by_workers", workers),
         at("scheduler.list.memory_by_workers", workers),
     );
     Costs {
         scheduler_sent,
         scheduler_received,
-        scheduler_cpu: tier_time,
-        scheduler_memory: add(add(module, flow), at("scheduler.tier.memory_by_document", document)),
-        voter_sent: add(part(scheduler_received), raft),
-        voter_received: add(part(scheduler_sent), raft),
+        scheduler_cpu: scheduler_time,
+        scheduler_memory: sum(
+            sum(worker_memory, flow_memory),
+            at("scheduler.tier.memory_by_document", document),
+        ),
+        voter_sent: sum(voter_share(scheduler_received), raft),
+        voter_received: sum(voter_share(scheduler_sent), raft),
         voter_cpu: voter_time,
-        voter_memory: add(
+        voter_memory: sum(
             at("voter.memory_by_schedulers", schedulers),
             at("voter.memory_by_document", document),
         ),
-        voter_disk: of("voter.log.bytes_by_document", versions),
+        voter_disk: at_document("voter.log.bytes_by_document", versions),
         versions,
         propagation_seconds: at("change.everywhere_by_schedulers", schedulers).map(|ms| ms / 1e3),
     }
--- a/crates/capacity/src/report.rs
+++ b/crates/capacity/src/report.rs
@@ -1,68 +1,68 @@
-//! A run of the bench: the machine, and each series with its fit. Written and read as JSON.
+//! Report of a measurement: the machine, and each series with its fit. Stored as JSON.
 
 use crate::Series;
 use crate::fit::{Fit, FitError, fit};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
 
-/// Where the figures were taken. Timed ones mean little without it.
+/// The machine of a measurement, on which timed values depend.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Machine {
-    /// Cores that the program could use.
+    /// Number of available cores.
     pub cores: usize,
-    /// Memory of the machine, in megabytes of 2^20 bytes; 0 if it is not known.
+    /// Memory in MiB; 0 if unknown.
     pub memory_mb: u64,
-    /// Whether the program was built for release.
+    /// Whether the program was built in release mode.
     pub release: bool,
 }
 
-/// A series with what was fitted to it.
+/// A series with its fit.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, expecting = "struct Fitted")]
 pub struct FittedSeries {
-    /// What was measured.
+    /// The measured series.
     pub series: Series,
-    /// Its slope.
+    /// The fit to its points.
     pub fit: Fit,
 }
 
-/// All that a run of the bench has measured.
+/// All results of a measurement.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Report {
-    /// Where.
+    /// The machine.
     pub machine: Machine,
-    /// Fewer sizes and runs than a whole bench has: good for tests, not for figures.
+    /// Whether fewer sizes and runs were measured, as in tests.
     pub quick: bool,
-    /// By key.
+    /// The series, each with a unique key.
     pub series: Vec<FittedSeries>,
 }
 
-/// Why a report cannot be used.
+/// An error in a report.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum ReportError {
-    /// It is no report.
-    #[error("{key}: {reason}; write the report anew with `loomlb-lab capacity --out FILE`")]
+    /// The text isn't a valid report.
+    #[error("{key}: {reason}; write the report again with `loomlb-lab capacity --out FILE`")]
     Malformed {
-        /// Where, as in `series[3].fit.from`.
+        /// Path of the invalid key, such as `series[3].fit.from`.
         key: String,
-        /// What is wrong there.
+        /// The error at this key.
         reason: String,
     },
-    /// Two series have one key.
-    #[error("{key}: stands there twice; keys are unique")]
+    /// Two series have the same key.
+    #[error("{key}: duplicate key; keys must be unique")]
     DuplicateKey {
         /// The key.
         key: String,
     },
-    /// A series that no slope can be fitted to.
+    /// A series can't be fitted.
     #[error(transparent)]
     Fit(#[from] FitError),
 }
 
 impl Report {
-    /// Fits each series.
+    /// Fits all series and checks that their keys are unique.
     pub fn new(machine: Machine, quick: bool, series: Vec<Series>) -> Result<Report, ReportError> {
         let fitted: Result<Vec<FittedSeries>, FitError> =
             series.into_iter().map(|series| fit(&series).map(|fit| FittedSeries { series, fit })).collect();
@@ -74,12 +74,12 @@
     fn check_unique_keys(&self) -> Result<(), ReportError> {
         let mut keys = BTreeSet::new();
         match self.series.iter().find(|s| !keys.insert(&s.series.key)) {
-            Some(twice) => Err(ReportError::DuplicateKey { key: twice.series.key.clone() }),
+            Some(duplicate) => Err(ReportError::DuplicateKey { key: duplicate.series.key.clone() }),
             None => Ok(()),
         }
     }
 
-    /// Reads a report. What does not fit is named by its key; points that could not be fitted are turned down, too.
+    /// Parses a report and checks that its series can be fitted. An error names the invalid key.
     pub fn parse(text: &str) -> Result<Report, ReportError> {
         let mut json = serde_json::Deserializer::from_str(text);
         let report: Report = serde_path_to_error::deserialize(&mut json).map_err(|e| {
@@ -93,18 +93,18 @@
         Ok(report)
     }
 
-    /// The report as JSON, with a line for each part and an end of line.
+    /// Returns the report as indented JSON with a newline at the end.
     pub fn to_json(&self) -> String {
-        // Neither keys nor values of a report can fail: all numbers in it are finite.
+        // Serialization can't fail: the keys are strings, and all numbers are finite.
         serde_json::to_string_pretty(self).unwrap_or_default() + "\n"
     }
 
-    /// A series by its key.
+    /// Returns the series with a key.
     pub fn get(&self, key: &str) -> Option<&FittedSeries> {
         self.series.iter().find(|s| s.series.key == key)
     }
 
-    /// The cost that a series tells of at a size; none without such a series, or where its fit has none.
+    /// Returns the cost of a series at a size; `None` if the series is missing or its fit has no cost there.
     pub fn cost_at(&self, key: &str, size: f64) -> Option<f64> {
         self.get(key)?.fit.cost_at(size)
     }
