--- a/crates/capacity/src/page.rs
+++ b/crates/capacity/src/page.rs
@@ -35,7 +35,7 @@
     },
     /// The file has no number at the path.
     #[error(
-        "line {line}: {file}#{path}: the file has no number at this path; run `loomlb-lab capacity` again, or correct the path"
+        "line {line}: {file}#{path}: no number at this path; run `loomlb-lab capacity` again, or correct it"
     )]
     MissingValue {
         /// Line number on the page.
--- a/crates/capacity/tests/report.rs
+++ b/crates/capacity/tests/report.rs
@@ -1,4 +1,4 @@
-//! A report is read as it was written, what is wrong in it is named, and a workload's costs follow from it.
+//! Tests of parsing reports and of predictions from them.
 
 use loomlb_capacity::predict::predict;
 use loomlb_capacity::report::{Machine, Report, ReportError};
@@ -17,26 +17,26 @@
 }
 
 #[test]
-fn a_report_comes_back_as_it_was_written_and_a_fault_is_named_by_its_key() {
-    let whole = report(vec![series("a.b.c", |s| 5.0 + 2.0 * s), series("a.b.d", |_| 7.0)]).unwrap();
-    let text = whole.to_json();
-    let again = Report::parse(&text).unwrap();
-    assert_eq!(again.to_json(), text);
-    assert_eq!((again.machine.clone(), again.series.len()), (whole.machine.clone(), 2));
-    assert!((again.cost_at("a.b.c", 50.0).unwrap() - 105.0).abs() < 1e-6);
-    assert!(again.get("a.b.x").is_none() && again.cost_at("a.b.x", 1.0).is_none());
+fn a_report_survives_a_round_trip_and_errors_name_the_key() {
+    let original = report(vec![series("a.b.c", |s| 5.0 + 2.0 * s), series("a.b.d", |_| 7.0)]).unwrap();
+    let text = original.to_json();
+    let parsed = Report::parse(&text).unwrap();
+    assert_eq!(parsed.to_json(), text);
+    assert_eq!((parsed.machine.clone(), parsed.series.len()), (original.machine.clone(), 2));
+    assert!((parsed.cost_at("a.b.c", 50.0).unwrap() - 105.0).abs() < 1e-6);
+    assert!(parsed.get("a.b.x").is_none() && parsed.cost_at("a.b.x", 1.0).is_none());
 
-    let named = |text: &str| Report::parse(text).unwrap_err().to_string();
-    let wrong = named(&text.replacen("\"counted\"", "\"guessed\"", 1));
-    assert!(wrong.starts_with("series[0].series.source: "), "{wrong}");
-    let missing = named(&text.replacen("\"cores\": 8,", "", 1));
+    let error_of = |text: &str| Report::parse(text).unwrap_err().to_string();
+    let invalid_value = error_of(&text.replacen("\"counted\"", "\"guessed\"", 1));
+    assert!(invalid_value.starts_with("series[0].series.source: "), "{invalid_value}");
+    let missing = error_of(&text.replacen("\"cores\": 8,", "", 1));
     assert!(missing.starts_with("machine: missing field `cores`"), "{missing}");
-    let unknown = named(&text.replacen("\"cores\": 8,", "\"cores\": 8, \"speed\": 1,", 1));
+    let unknown = error_of(&text.replacen("\"cores\": 8,", "\"cores\": 8, \"speed\": 1,", 1));
     assert!(unknown.contains("machine.speed: unknown field `speed`"), "{unknown}");
-    let twice = named(&text.replace("a.b.d", "a.b.c"));
-    assert!(twice.starts_with("a.b.c: stands there twice"), "{twice}");
-    let empty = named(&text.replacen("\"size\": 10.0", "\"size\": 0.5", 1));
-    assert!(empty.starts_with("a.b.c: size 0.5 follows"), "{empty}");
+    let duplicate = error_of(&text.replace("a.b.d", "a.b.c"));
+    assert!(duplicate.starts_with("a.b.c: duplicate key"), "{duplicate}");
+    let unordered = error_of(&text.replacen("\"size\": 10.0", "\"size\": 0.5", 1));
+    assert!(unordered.starts_with("a.b.c: size 0.5 follows"), "{unordered}");
     for cut in [0, text.len() / 2, text.len() - 3] {
         assert!(matches!(Report::parse(&text[..cut]), Err(ReportError::Malformed { .. })));
     }
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn costs_follow_from_the_slopes_and_what_has_no_slope_is_absent() {
+fn costs_are_predicted_from_the_fits_and_unknown_ones_are_none() {
     let workload = Workload {
         schedulers: 50.0,
         voters: 3.0,
@@ -58,7 +58,7 @@
         flows: 20.0,
     };
     assert_eq!(predict(&report(vec![]).unwrap(), &workload), Costs::default());
-    let told = report(vec![
+    let measured = report(vec![
         series("change.versions_by_proposals", |s| 0.5 * s),
         series("scheduler.tier.heard_idle", |s| 400.0 * s),
         series("scheduler.tier.version_heard_by_document", |s| 10.0 + 6.0 * s),
@@ -70,17 +70,17 @@
         series("change.everywhere_by_schedulers", |s| 40.0 + s),
     ])
     .unwrap();
-    let costs = predict(&told, &workload);
-    let near = |a: Option<f64>, b: f64| a.is_some_and(|a| (a - b).abs() <= 1e-6 * b);
-    // One version a second; renewals half as often as measured.
-    assert!(near(costs.versions, 1.0) && near(costs.propagation_seconds, 0.090), "{costs:?}");
-    assert!(near(costs.scheduler_received, 600.0 + 6_010.0), "{costs:?}");
-    assert!(near(costs.scheduler_sent, 300.0 + 2.0 / 50.0 * 1_000.0), "{costs:?}");
-    assert!(near(costs.voter_sent, 6_610.0 * 50.0 / 3.0 + 4_300.0), "{costs:?}");
-    assert!(near(costs.voter_received, 340.0 * 50.0 / 3.0 + 4_300.0), "{costs:?}");
-    assert!(near(costs.voter_disk, 3_000.0), "{costs:?}");
+    let costs = predict(&measured, &workload);
+    let is_near = |a: Option<f64>, b: f64| a.is_some_and(|a| (a - b).abs() <= 1e-6 * b);
+    // One version per second; half as many renewals as measured.
+    assert!(is_near(costs.versions, 1.0) && is_near(costs.propagation_seconds, 0.090), "{costs:?}");
+    assert!(is_near(costs.scheduler_received, 600.0 + 6_010.0), "{costs:?}");
+    assert!(is_near(costs.scheduler_sent, 300.0 + 2.0 / 50.0 * 1_000.0), "{costs:?}");
+    assert!(is_near(costs.voter_sent, 6_610.0 * 50.0 / 3.0 + 4_300.0), "{costs:?}");
+    assert!(is_near(costs.voter_received, 340.0 * 50.0 / 3.0 + 4_300.0), "{costs:?}");
+    assert!(is_near(costs.voter_disk, 3_000.0), "{costs:?}");
     assert_eq!((costs.scheduler_cpu, costs.voter_cpu, costs.scheduler_memory), (None, None, None));
-    // Renewals that never come, or always do, have no cost that could be told.
-    let never = predict(&told, &Workload { renew: 0.0, ..workload });
-    assert!(never.scheduler_received.is_none() && near(never.versions, 1.0));
+    // An interval of 0 between renewals has no defined cost.
+    let without_renewals = predict(&measured, &Workload { renew: 0.0, ..workload });
+    assert!(without_renewals.scheduler_received.is_none() && is_near(without_renewals.versions, 1.0));
 }
