--- a/crates/conformance/src/lib.rs
+++ b/crates/conformance/src/lib.rs
@@ -1,5 +1,5 @@
-//! What every store under a voter must do, stated once. [`broken`] plays each clause on a store and names those that it
-//! breaks; a store that tears, fills up or loses power is made by a [`Faulty`] place beneath it.
+//! What every store under a voter must do, stated once. [`violations`] plays each clause on a store and names those that it
+//! breaks; a store that tears, fills up or loses power is made by a [`FaultyStorage`] place beneath it.
 
 #![forbid(unsafe_code)]
 
@@ -15,17 +15,17 @@
 use std::rc::Rc;
 
 /// A store as the suite needs it, empty when it is made.
-pub trait Subject {
+pub trait StoreUnderTest {
     /// Opens it for a voter.
-    fn open(&self, owner: &str, found: bool) -> Result<(Box<dyn LogStore>, StoredLog), StoreError>;
+    fn open(&self, owner: &str, create: bool) -> Result<(Box<dyn LogStore>, StoredLog), StoreError>;
     /// What lasts, byte for byte.
-    fn bytes(&self) -> Vec<u8>;
+    fn stored_bytes(&self) -> Vec<u8>;
     /// Puts other bytes there while nobody has it open.
-    fn set_bytes(&self, bytes: &[u8]);
+    fn overwrite(&self, bytes: &[u8]);
     /// Has this go wrong next.
-    fn plan(&self, fault: StorageFault);
+    fn inject_fault(&self, fault: StorageFault);
     /// The disk works again; what was open still is.
-    fn mend(&self);
+    fn clear_fault(&self);
     /// The machine starts again: what is planned is over, and what was open is open no more. What was not synced is lost
     /// where the store can show that.
     fn restart(&self);
@@ -33,15 +33,15 @@
 
 /// A clause that a store breaks.
 #[derive(Debug, thiserror::Error)]
-#[error("{clause}: {story}")]
-pub struct Broken {
+#[error("{clause}: {details}")]
+pub struct Violation {
     /// The clause.
     pub clause: &'static str,
     /// What was seen.
-    pub story: String,
+    pub details: String,
 }
 
-type Play = fn(&dyn Subject) -> Result<(), Seen>;
+type Play = fn(&dyn StoreUnderTest) -> Result<(), Seen>;
 
 /// What a clause saw that it must not see.
 #[derive(Debug)]
@@ -54,7 +54,7 @@
 }
 
 /// The clauses, by their words.
-pub const STORE: &[(&str, Play)] = &[
+pub const STORE_CLAUSES: &[(&str, Play)] = &[
     ("what was acknowledged is there again, in order", acknowledged),
     ("an entry replaces those from its index on", replaces),
     ("the latest vote counts", vote),
@@ -75,11 +75,11 @@
 ];
 
 /// Plays all clauses, each on a store of its own.
-pub fn broken(make: &dyn Fn() -> Box<dyn Subject>) -> Vec<Broken> {
+pub fn violations(make: &dyn Fn() -> Box<dyn StoreUnderTest>) -> Vec<Violation> {
     let play = |(clause, play): &(&'static str, Play)| {
-        play(&*make()).err().map(|Seen(story)| Broken { clause, story })
+        play(&*make()).err().map(|Seen(details)| Violation { clause, details })
     };
-    STORE.iter().filter_map(play).collect()
+    STORE_CLAUSES.iter().filter_map(play).collect()
 }
 
 const MINE: &str = "a of a, b, c";
@@ -103,12 +103,12 @@
 }
 
 /// Index and term of what a reopened store holds.
-fn found(s: &dyn Subject) -> Result<Vec<(u64, u64)>, Seen> {
+fn found(s: &dyn StoreUnderTest) -> Result<Vec<(u64, u64)>, Seen> {
     Ok(s.open(MINE, false)?.1.entries.iter().map(|e| (e.index, e.term)).collect())
 }
 
 /// A store with entries 1 to `n`, closed again.
-fn founded(s: &dyn Subject, n: u64) -> Result<(), Seen> {
+fn founded(s: &dyn StoreUnderTest, n: u64) -> Result<(), Seen> {
     let (mut disk, loaded) = s.open(MINE, true)?;
     same("entries of a new store", loaded.entries.len(), 0)?;
     (1..=n).try_for_each(|i| disk.append(&[entry(i, 1)], None))?;
@@ -119,7 +119,7 @@
     (1..=n).map(|i| (i, 1)).collect()
 }
 
-fn acknowledged(s: &dyn Subject) -> Result<(), Seen> {
+fn acknowledged(s: &dyn StoreUnderTest) -> Result<(), Seen> {
     founded(s, 5)?;
     for n in 6..9 {
         same("entries", found(s)?, all(n - 1))?;
@@ -128,13 +128,13 @@
     same("entries", found(s)?, all(8))
 }
 
-fn replaces(s: &dyn Subject) -> Result<(), Seen> {
+fn replaces(s: &dyn StoreUnderTest) -> Result<(), Seen> {
     founded(s, 5)?;
     s.open(MINE, false)?.0.append(&[entry(3, 2), entry(4, 2)], None)?;
     same("entries", found(s)?, vec![(1, 1), (2, 1), (3, 2), (4, 2)])
 }
 
-fn vote(s: &dyn Subject) -> Result<(), Seen> {
+fn vote(s: &dyn StoreUnderTest) -> Result<(), Seen> {
     founded(s, 1)?;
     for term in 1..4 {
         s.open(MINE, false)?.0.append(&[], Some(&hard(term)))?;
@@ -143,7 +143,7 @@
     Ok(())
 }
 
-fn picture(s: &dyn Subject) -> Result<(), Seen> {
+fn picture(s: &dyn StoreUnderTest) -> Result<(), Seen> {
     founded(s, 5)?;
     let (mut disk, _) = s.open(MINE, false)?;
     disk.replace(&snapshot(5), &[entry(6, 1)], Some(&hard(4)))?;
@@ -155,13 +155,13 @@
     same("entries", loaded.entries.iter().map(|e| e.index).collect(), vec![6, 7])
 }
 
-fn torn(s: &dyn Subject) -> Result<(), Seen> {
+fn torn(s: &dyn StoreUnderTest) -> Result<(), Seen> {
     founded(s, 2)?;
-    let before = s.bytes().len();
+    let before = s.stored_bytes().len();
     s.open(MINE, false)?.0.append(&[entry(3, 1)], None)?;
-    let whole = s.bytes();
+    let whole = s.stored_bytes();
     for cut in before..whole.len() {
-        s.set_bytes(&whole[..cut]);
+        s.overwrite(&whole[..cut]);
         same("entries of a torn store", found(s)?, all(2))?;
         s.open(MINE, false)?.0.append(&[entry(3, 1)], None)?;
         same("entries written after a tear", found(s)?, all(3))?;
@@ -169,29 +169,29 @@
     Ok(())
 }
 
-fn damage(s: &dyn Subject) -> Result<(), Seen> {
+fn damage(s: &dyn StoreUnderTest) -> Result<(), Seen> {
     founded(s, 2)?;
-    let at = s.bytes().len() - 3;
+    let at = s.stored_bytes().len() - 3;
     s.open(MINE, false)?.0.append(&[entry(3, 1)], None)?;
-    let mut bytes = s.bytes();
+    let mut bytes = s.stored_bytes();
     bytes[at] ^= 1;
-    s.set_bytes(&bytes);
+    s.overwrite(&bytes);
     let refused = s.open(MINE, false).err().map(|e| e.code());
     same("a damaged store", refused, Some("store-damaged"))?;
-    same("its bytes", s.bytes() == bytes, true)
+    same("its bytes", s.stored_bytes() == bytes, true)
 }
 
-fn foreign(s: &dyn Subject) -> Result<(), Seen> {
+fn foreign(s: &dyn StoreUnderTest) -> Result<(), Seen> {
     founded(s, 2)?;
-    let before = s.bytes();
+    let before = s.stored_bytes();
     for owner in ["b of a, b, c", "a of a, b, d"] {
         same("for another", s.open(owner, true).err().map(|e| e.code()), Some("store-foreign"))?;
     }
-    same("its bytes", s.bytes() == before, true)?;
+    same("its bytes", s.stored_bytes() == before, true)?;
     same("entries", found(s)?, all(2))
 }
 
-fn openers(s: &dyn Subject) -> Result<(), Seen> {
+fn openers(s: &dyn StoreUnderTest) -> Result<(), Seen> {
     founded(s, 2)?;
     let (mut disk, _) = s.open(MINE, false)?;
     same("for a second", s.open(MINE, false).err().map(|e| e.code()), Some("store-taken"))?;
@@ -203,16 +203,16 @@
     Ok(())
 }
 
-fn missing(s: &dyn Subject) -> Result<(), Seen> {
+fn missing(s: &dyn StoreUnderTest) -> Result<(), Seen> {
     same("unasked", s.open(MINE, false).err().map(|e| e.code()), Some("store-missing"))?;
     same("asked", s.open(MINE, true).is_ok(), true)?;
     same("entries", found(s)?, Vec::new())
 }
 
-fn short(s: &dyn Subject) -> Result<(), Seen> {
+fn short(s: &dyn StoreUnderTest) -> Result<(), Seen> {
     founded(s, 2)?;
     let (mut disk, _) = s.open(MINE, false)?;
-    s.plan(StorageFault::ShortWrites(7));
+    s.inject_fault(StorageFault::ShortWrites(7));
     disk.append(&[entry(3, 1)], None)?;
     drop(disk);
     s.restart();
@@ -220,10 +220,10 @@
 }
 
 /// After a fault nothing is acknowledged until it is opened anew, though the cause may be gone.
-fn stopped(s: &dyn Subject, fault: StorageFault) -> Result<(), Seen> {
+fn stopped(s: &dyn StoreUnderTest, fault: StorageFault) -> Result<(), Seen> {
     founded(s, 2)?;
     let (mut disk, _) = s.open(MINE, false)?;
-    s.plan(fault);
+    s.inject_fault(fault);
     same("a write that fails", disk.append(&[entry(3, 1)], None).is_err(), true)?;
     same("the next one", disk.append(&[entry(4, 1)], None).is_err(), true)?;
     same("a replacement", disk.replace(&snapshot(4), &[], None).is_err(), true)?;
@@ -234,21 +234,21 @@
     if after == all(3) { Ok(()) } else { same("entries", after, all(2)) }
 }
 
-fn full(s: &dyn Subject) -> Result<(), Seen> {
+fn full(s: &dyn StoreUnderTest) -> Result<(), Seen> {
     stopped(s, StorageFault::DiskFull(11))
 }
 
-fn sync(s: &dyn Subject) -> Result<(), Seen> {
+fn sync(s: &dyn StoreUnderTest) -> Result<(), Seen> {
     stopped(s, StorageFault::SyncFailsOnce)
 }
 
-fn power(s: &dyn Subject) -> Result<(), Seen> {
+fn power(s: &dyn StoreUnderTest) -> Result<(), Seen> {
     founded(s, 2)?;
-    let whole = s.bytes();
+    let whole = s.stored_bytes();
     for reached in 0..64 {
-        s.set_bytes(&whole);
+        s.overwrite(&whole);
         let (mut disk, _) = s.open(MINE, false)?;
-        s.plan(StorageFault::PowerLoss(reached));
+        s.inject_fault(StorageFault::PowerLoss(reached));
         same("a write that fails", disk.append(&[entry(3, 1)], None).is_err(), true)?;
         drop(disk);
         s.restart();
@@ -260,10 +260,10 @@
     Ok(())
 }
 
-fn power_in_swap(s: &dyn Subject) -> Result<(), Seen> {
+fn power_in_swap(s: &dyn StoreUnderTest) -> Result<(), Seen> {
     founded(s, 3)?;
     let (mut disk, _) = s.open(MINE, false)?;
-    s.plan(StorageFault::PowerLoss(20));
+    s.inject_fault(StorageFault::PowerLoss(20));
     let done = disk.replace(&snapshot(3), &[entry(4, 1)], None).is_ok();
     drop(disk);
     s.restart();
@@ -285,16 +285,16 @@
     StorageFault::EverySyncFails,
 ];
 
-fn recovers_from_an_append(s: &dyn Subject) -> Result<(), Seen> {
+fn recovers_from_an_append(s: &dyn StoreUnderTest) -> Result<(), Seen> {
     founded(s, 2)?;
     let (mut disk, _) = s.open(MINE, false)?;
     let mut acknowledged = 2;
     for fault in PASSING {
         let next = [entry(acknowledged + 1, 1)];
-        s.plan(fault);
+        s.inject_fault(fault);
         same("a write that fails", disk.append(&next, Some(&hard(9))).is_err(), true)?;
         same("the next one", disk.append(&next, None).is_err(), true)?;
-        s.mend();
+        s.clear_fault();
         same("before it recovers", disk.append(&next, None).is_err(), true)?;
         let loaded = disk.recover()?;
         let entries = loaded.entries.iter().map(|e| (e.index, e.term)).collect();
@@ -309,13 +309,13 @@
     same("entries", found(s)?, all(acknowledged))
 }
 
-fn recovers_from_a_replacement(s: &dyn Subject) -> Result<(), Seen> {
+fn recovers_from_a_replacement(s: &dyn StoreUnderTest) -> Result<(), Seen> {
     founded(s, 3)?;
     let (mut disk, _) = s.open(MINE, false)?;
     for fault in PASSING {
-        s.plan(fault);
+        s.inject_fault(fault);
         same("a replacement that fails", disk.replace(&snapshot(2), &[], None).is_err(), true)?;
-        s.mend();
+        s.clear_fault();
         let loaded = disk.recover()?;
         same("the picture that was not acknowledged", loaded.snapshot.is_none(), true)?;
         same("recovered entries", loaded.entries.len(), 3)?;
@@ -327,13 +327,13 @@
 }
 
 /// The kernel may show pages that it failed to write, and take them for written.
-fn read_back_lasts(s: &dyn Subject) -> Result<(), Seen> {
+fn read_back_lasts(s: &dyn StoreUnderTest) -> Result<(), Seen> {
     founded(s, 2)?;
     let (mut disk, _) = s.open(MINE, false)?;
-    s.plan(StorageFault::SyncFailsOnceReadable);
+    s.inject_fault(StorageFault::SyncFailsOnceReadable);
     same("a write that fails", disk.append(&[entry(3, 1)], None).is_err(), true)?;
     drop(disk);
-    s.mend();
+    s.clear_fault();
     let (disk, loaded) = s.open(MINE, false)?;
     drop(disk);
     s.restart();
@@ -343,19 +343,19 @@
 
 /// A place that fails as planned, over another one.
 #[derive(Clone, Debug)]
-pub struct Faulty<P> {
+pub struct FaultyStorage<P> {
     /// The place beneath.
-    pub place: P,
+    pub location: P,
     /// What goes wrong next.
     pub fault: Rc<Cell<Option<StorageFault>>>,
 }
 
-impl<P: StorageLocation> StorageLocation for Faulty<P> {
+impl<P: StorageLocation> StorageLocation for FaultyStorage<P> {
     fn name(&self) -> String {
-        self.place.name()
+        self.location.name()
     }
     fn open(&self, create: bool) -> io::Result<Box<dyn DurableFile>> {
-        let file = self.place.open(create)?;
+        let file = self.location.open(create)?;
         Ok(Box::new(Failing { file, fault: Rc::clone(&self.fault), dead: false }))
     }
 }
--- a/crates/conformance/src/tier_client.rs
+++ b/crates/conformance/src/tier_client.rs
@@ -4,7 +4,7 @@
 //! Renewals are a second apart here, so that what comes at once and what comes in its turn can be told apart on a busy
 //! machine.
 
-use crate::Broken;
+use crate::Violation;
 use loomlb_consensus::EffectiveRules;
 use loomlb_consensus::document::DocumentBody;
 use loomlb_consensus::link_protocol::{self, Channel, GREETING_BYTES, LinkMessage, Nonce, PROTOCOL_VERSION};
@@ -284,16 +284,18 @@
 pub type Start<'a> = &'a dyn Fn(&[SocketAddr]) -> Box<dyn std::any::Any>;
 
 /// Plays voters to a scheduler that acts on these settings, and names the clauses that it breaks.
-pub fn broken(start: Start<'_>, settings: &serde_json::Value) -> Vec<Broken> {
-    let mut all: Vec<Broken> = Vec::new();
-    let mut say = |clause: &'static str, story: String| {
+pub fn violations(start: Start<'_>, settings: &serde_json::Value) -> Vec<Violation> {
+    let mut all: Vec<Violation> = Vec::new();
+    let mut say = |clause: &'static str, details: String| {
         if !all.iter().any(|b| b.clause == clause) {
-            all.push(Broken { clause, story });
+            all.push(Violation { clause, details });
         }
     };
     let voters = match Voters::open() {
         Ok(voters) => voters,
-        Err(e) => return vec![Broken { clause: GREETING, story: format!("the suite cannot listen: {e}") }],
+        Err(e) => {
+            return vec![Violation { clause: GREETING, details: format!("the suite cannot listen: {e}") }];
+        }
     };
     let client = start(&voters.at);
     let asked_all = |heard: &[Heard], after: Instant| {
--- a/crates/conformance/tests/store.rs
+++ b/crates/conformance/tests/store.rs
@@ -1,6 +1,6 @@
 //! Every store passes the same clauses, and a store with one planted fault breaks the clause that the fault is about.
 
-use loomlb_conformance::{Faulty, STORE, Subject, broken};
+use loomlb_conformance::{FaultyStorage, STORE_CLAUSES, StoreUnderTest, violations};
 use loomlb_consensus::log_store::{LogFile, LogStore, StoredLog};
 use loomlb_consensus::storage::{DurableFile, MemoryStorage, StorageFault, StorageLocation};
 use loomlb_consensus::store_error::StoreError;
@@ -12,48 +12,49 @@
 
 /// A voter's log on a real file, with faults put between them.
 struct OnDisk {
-    place: Faulty<std::path::PathBuf>,
+    location: FaultyStorage<std::path::PathBuf>,
     _directory: tempfile::TempDir,
 }
 
 impl OnDisk {
     fn new() -> OnDisk {
         let directory = tempfile::tempdir().unwrap();
-        let place = Faulty { place: directory.path().join("voter.log"), fault: Rc::new(Cell::new(None)) };
-        OnDisk { place, _directory: directory }
+        let location =
+            FaultyStorage { location: directory.path().join("voter.log"), fault: Rc::new(Cell::new(None)) };
+        OnDisk { location, _directory: directory }
     }
     fn path(&self) -> &Path {
-        &self.place.place
+        &self.location.location
     }
 }
 
-impl Subject for OnDisk {
-    fn open(&self, owner: &str, found: bool) -> Result<(Box<dyn LogStore>, StoredLog), StoreError> {
-        LogFile::open(&self.place, owner, found)
+impl StoreUnderTest for OnDisk {
+    fn open(&self, owner: &str, create: bool) -> Result<(Box<dyn LogStore>, StoredLog), StoreError> {
+        LogFile::open(&self.location, owner, create)
             .map(|(log, loaded)| (Box::new(log) as Box<dyn LogStore>, loaded))
     }
-    fn bytes(&self) -> Vec<u8> {
+    fn stored_bytes(&self) -> Vec<u8> {
         std::fs::read(self.path()).unwrap()
     }
-    fn set_bytes(&self, bytes: &[u8]) {
+    fn overwrite(&self, bytes: &[u8]) {
         std::fs::write(self.path(), bytes).unwrap();
     }
-    fn plan(&self, fault: StorageFault) {
-        self.place.fault.set(Some(fault));
+    fn inject_fault(&self, fault: StorageFault) {
+        self.location.fault.set(Some(fault));
     }
-    fn mend(&self) {
-        self.place.fault.set(None);
+    fn clear_fault(&self) {
+        self.location.fault.set(None);
     }
     fn restart(&self) {
-        self.place.fault.set(None);
+        self.location.fault.set(None);
     }
 }
 
 #[test]
 fn a_voters_log_keeps_the_contract_in_memory_and_on_a_file() {
-    let in_memory = broken(&|| Box::new(InMemory(MemoryStorage::default(), None)));
+    let in_memory = violations(&|| Box::new(InMemory(MemoryStorage::default(), None)));
     assert!(in_memory.is_empty(), "{in_memory:#?}");
-    let on_disk = broken(&|| Box::new(OnDisk::new()));
+    let on_disk = violations(&|| Box::new(OnDisk::new()));
     assert!(on_disk.is_empty(), "{on_disk:#?}");
 }
 
@@ -88,14 +89,14 @@
     }
     fn open(&self, create: bool) -> io::Result<Box<dyn DurableFile>> {
         let file = self.0.open(create)?;
-        Ok(Box::new(BadFile { file, place: self.0.clone(), bad: self.1 }))
+        Ok(Box::new(BadFile { file, storage: self.0.clone(), bad: self.1 }))
     }
 }
 
 #[derive(Debug)]
 struct BadFile {
     file: Box<dyn DurableFile>,
-    place: MemoryStorage,
+    storage: MemoryStorage,
     bad: Option<Bad>,
 }
 
@@ -124,7 +125,7 @@
         }
         let swapped = self.file.replace_contents(bytes);
         if swapped.is_err() && self.bad == Some(Bad::SwapInPlace) {
-            self.place.overwrite(&bytes[..bytes.len() / 2]);
+            self.storage.overwrite(&bytes[..bytes.len() / 2]);
         }
         swapped
     }
@@ -170,8 +171,8 @@
     }
 }
 
-impl Subject for InMemory {
-    fn open(&self, owner: &str, found: bool) -> Result<(Box<dyn LogStore>, StoredLog), StoreError> {
+impl StoreUnderTest for InMemory {
+    fn open(&self, owner: &str, create: bool) -> Result<(Box<dyn LogStore>, StoredLog), StoreError> {
         let InMemory(memory, bad) = self;
         let before = memory.durable_bytes().len();
         if *bad == Some(Bad::TwoOpeners) {
@@ -180,11 +181,11 @@
         }
         let whose = if *bad == Some(Bad::AnyOwner) { "a of a, b, c" } else { owner };
         let opened =
-            LogFile::open(&BadPlace(memory.clone(), *bad), whose, found || *bad == Some(Bad::FoundsUnasked));
+            LogFile::open(&BadPlace(memory.clone(), *bad), whose, create || *bad == Some(Bad::FoundsUnasked));
         let opened = match opened {
             Err(StoreError::Damaged { offset: at, .. }) if *bad == Some(Bad::DamageCut) => {
                 memory.overwrite(&memory.durable_bytes()[..at]);
-                LogFile::open(memory, whose, found)
+                LogFile::open(memory, whose, create)
             }
             opened => opened,
         };
@@ -203,16 +204,16 @@
         let last = loaded.entries.last().map_or(0, |e| e.index);
         Ok((Box::new(BadLog(Box::new(log), *bad, last)), loaded))
     }
-    fn bytes(&self) -> Vec<u8> {
+    fn stored_bytes(&self) -> Vec<u8> {
         self.0.durable_bytes()
     }
-    fn set_bytes(&self, bytes: &[u8]) {
+    fn overwrite(&self, bytes: &[u8]) {
         self.0.overwrite(bytes);
     }
-    fn plan(&self, fault: StorageFault) {
+    fn inject_fault(&self, fault: StorageFault) {
         self.0.inject_fault(fault);
     }
-    fn mend(&self) {
+    fn clear_fault(&self) {
         self.0.clear_fault();
     }
     fn restart(&self) {
@@ -241,11 +242,11 @@
         Bad::RecoversUnreplaced,
         Bad::ReadBackNotRewritten,
     ];
-    for ((clause, _), bad) in STORE.iter().zip(planted) {
-        let found = broken(&|| Box::new(InMemory(MemoryStorage::default(), Some(bad))));
+    for ((clause, _), bad) in STORE_CLAUSES.iter().zip(planted) {
+        let found = violations(&|| Box::new(InMemory(MemoryStorage::default(), Some(bad))));
         assert!(found.iter().any(|b| b.clause == *clause), "{bad:?} is not found by {clause:?}: {found:#?}");
     }
-    assert_eq!(STORE.len(), planted.len());
+    assert_eq!(STORE_CLAUSES.len(), planted.len());
 }
 
 /// Whoever reads an error finds what to do, there and on the page.
--- a/crates/lab/tests/tier_client.rs
+++ b/crates/lab/tests/tier_client.rs
@@ -31,13 +31,13 @@
     Box::new(opened.unwrap().0)
 }
 
-fn story(broken: &[loomlb_conformance::Broken]) -> String {
+fn story(broken: &[loomlb_conformance::Violation]) -> String {
     broken.iter().map(ToString::to_string).collect::<Vec<_>>().join("\n")
 }
 
 #[test]
 fn a_hollow_scheduler_keeps_the_contract() {
-    let broken = tier_client::broken(&|voters| hollow(voters, None), &settings(1, 1));
+    let broken = tier_client::violations(&|voters| hollow(voters, None), &settings(1, 1));
     assert!(broken.is_empty(), "{}", story(&broken));
 }
 
@@ -71,7 +71,7 @@
         let child = command.stdin(Stdio::null()).stdout(Stdio::null()).stderr(Stdio::null()).spawn().unwrap();
         Box::new(Real(child, files))
     };
-    let broken = tier_client::broken(&real, &settings(1, 1));
+    let broken = tier_client::violations(&real, &settings(1, 1));
     assert!(broken.is_empty(), "{}", story(&broken));
 }
 
@@ -96,7 +96,7 @@
         for (flaw, clause) in planted {
             let settings = &settings;
             scope.spawn(move || {
-                let broken = tier_client::broken(&|voters| hollow(voters, Some(flaw)), settings);
+                let broken = tier_client::violations(&|voters| hollow(voters, Some(flaw)), settings);
                 assert!(broken.iter().any(|b| b.clause.starts_with(clause)), "{flaw:?}: {}", story(&broken));
             });
         }
