--- a/crates/fault-plan/src/lib.rs
+++ b/crates/fault-plan/src/lib.rs
@@ -20,7 +20,7 @@
 /// The file name of the preloaded library, as cargo builds it.
 const LIBRARY: &str = "libloomlb_fault_shim.so";
 /// A `count` that never runs out.
-pub const WITHOUT_END: u64 = u64::MAX;
+pub const UNLIMITED: u64 = u64::MAX;
 
 /// A kind of system call that can be made to fail.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -37,7 +37,7 @@
     /// `connect`, which fails at once.
     Connect,
     /// `epoll_wait` and `epoll_pwait`.
-    Wait,
+    EpollWait,
     /// `read`, `readv`, `recv`, `recvfrom` and `recvmsg` on a TCP socket.
     SocketRead,
     /// `write`, `writev`, `send`, `sendto` and `sendmsg` on a TCP socket.
@@ -68,7 +68,7 @@
         Call::Listen,
         Call::Accept,
         Call::Connect,
-        Call::Wait,
+        Call::EpollWait,
         Call::SocketRead,
         Call::SocketWrite,
         Call::DatagramSend,
@@ -90,7 +90,7 @@
     Errno,
     /// Calls that still pass before any fails.
     Skip,
-    /// Calls that still fail; [`WITHOUT_END`] for all.
+    /// Calls that still fail; [`UNLIMITED`] for all.
     Count,
     /// One of so many calls fails; 0 and 1 stand for each.
     EveryNth,
@@ -123,9 +123,9 @@
 const LIMIT_FIELDS: usize = 4;
 
 /// The number of 64-bit words of a plan.
-pub const WORDS: usize = CALLS_END + Limit::COUNT * LIMIT_FIELDS + 1;
+pub const WORD_COUNT: usize = CALLS_END + Limit::COUNT * LIMIT_FIELDS + 1;
 /// The word that holds the step of the wall clock, in nanoseconds, as a signed number.
-pub const WALL_OFFSET: usize = WORDS - 1;
+pub const WALL_CLOCK_OFFSET_WORD: usize = WORD_COUNT - 1;
 
 /// Where a word of a call's slot is.
 pub const fn call_word(call: Call, field: Field) -> usize {
@@ -153,10 +153,10 @@
 
 /// Which calls of a kind fail.
 #[derive(Clone, Copy, Debug)]
-pub struct Turns {
+pub struct FaultSchedule {
     /// So many pass first.
     pub skip: u64,
-    /// So many fail then; [`WITHOUT_END`] for all.
+    /// So many fail then; [`UNLIMITED`] for all.
     pub count: u64,
     /// One of so many fails, the first of them; 0 and 1 stand for each.
     pub every_nth: u64,
@@ -182,7 +182,7 @@
     /// A plan under which everything passes.
     pub fn new() -> io::Result<FaultPlan> {
         let (file, path) = tempfile::NamedTempFile::new()?.into_parts();
-        file.set_len((WORDS * size_of::<u64>()) as u64)?;
+        file.set_len((WORD_COUNT * size_of::<u64>()) as u64)?;
         Ok(FaultPlan { file, path: Place::Own(path) })
     }
 
@@ -208,16 +208,16 @@
 
     /// The same after `skip` calls have passed.
     pub fn fail_after(&self, call: Call, errno: i32, skip: u64, count: u64) -> &FaultPlan {
-        self.arm(call, errno, Turns { skip, count, every_nth: 1 })
+        self.inject(call, errno, FaultSchedule { skip, count, every_nth: 1 })
     }
 
     /// Has one call of `nth` fail, without end.
     pub fn fail_every(&self, call: Call, errno: i32, nth: u64) -> &FaultPlan {
-        self.arm(call, errno, Turns { skip: 0, count: WITHOUT_END, every_nth: nth })
+        self.inject(call, errno, FaultSchedule { skip: 0, count: UNLIMITED, every_nth: nth })
     }
 
     /// Lets calls of a kind pass again.
-    pub fn pass(&self, call: Call) -> &FaultPlan {
+    pub fn allow(&self, call: Call) -> &FaultPlan {
         self.write(call_word(call, Field::Errno), 0);
         self
     }
@@ -246,7 +246,7 @@
 
     /// Moves the wall clock by so many nanoseconds from its true time, in place of an earlier step.
     pub fn step_wall_clock(&self, nanos: i64) -> &FaultPlan {
-        self.write(WALL_OFFSET, nanos as u64);
+        self.write(WALL_CLOCK_OFFSET_WORD, nanos as u64);
         self
     }
 
@@ -256,7 +256,7 @@
     }
 
     /// Calls whose length was cut by this plan.
-    pub fn cut(&self, limit: Limit) -> u64 {
+    pub fn shortened_calls(&self, limit: Limit) -> u64 {
         self.read(limit_word(limit, LimitField::Hits))
     }
 
@@ -278,12 +278,12 @@
     }
 
     /// Has calls of a kind fail with this error number, in place of what was planned for them.
-    pub fn arm(&self, call: Call, errno: i32, turns: Turns) -> &FaultPlan {
+    pub fn inject(&self, call: Call, errno: i32, schedule: FaultSchedule) -> &FaultPlan {
         let words = [
             (Field::Errno, 0),
-            (Field::Skip, turns.skip),
-            (Field::Count, turns.count),
-            (Field::EveryNth, turns.every_nth),
+            (Field::Skip, schedule.skip),
+            (Field::Count, schedule.count),
+            (Field::EveryNth, schedule.every_nth),
             (Field::Seen, 0),
             // Last: from here on calls fail.
             (Field::Errno, errno as u64),
--- a/crates/fault-shim/src/calls.rs
+++ b/crates/fault-shim/src/calls.rs
@@ -125,8 +125,8 @@
     Call::Accept => fn accept(fd: c_int, address: *mut sockaddr, length: *mut socklen_t) -> c_int;
     Call::Accept => fn accept4(fd: c_int, address: *mut sockaddr, length: *mut socklen_t, flags: c_int) -> c_int;
     Call::Connect => fn connect(fd: c_int, address: *const sockaddr, length: socklen_t) -> c_int;
-    Call::Wait => fn epoll_wait(epoll: c_int, events: *mut epoll_event, most: c_int, timeout: c_int) -> c_int;
-    Call::Wait => fn epoll_pwait(
+    Call::EpollWait => fn epoll_wait(epoll: c_int, events: *mut epoll_event, most: c_int, timeout: c_int) -> c_int;
+    Call::EpollWait => fn epoll_pwait(
         epoll: c_int, events: *mut epoll_event, most: c_int, timeout: c_int, mask: *const sigset_t
     ) -> c_int;
     Call::Sync => fn fsync(fd: c_int) -> c_int;
--- a/crates/fault-shim/src/plan.rs
+++ b/crates/fault-shim/src/plan.rs
@@ -2,7 +2,8 @@
 
 use libc::{c_char, c_int, c_void};
 use loomlb_fault_plan::{
-    Call, Field, Limit, LimitField, PLAN_VARIABLE, WALL_OFFSET, WITHOUT_END, WORDS, call_word, limit_word,
+    Call, Field, Limit, LimitField, PLAN_VARIABLE, UNLIMITED, WALL_CLOCK_OFFSET_WORD, WORD_COUNT, call_word,
+    limit_word,
 };
 use std::ptr::null_mut;
 use std::sync::atomic::{AtomicPtr, AtomicU64, Ordering};
@@ -38,7 +39,7 @@
         if fd < 0 {
             return;
         }
-        let (length, access) = (WORDS * size_of::<u64>(), libc::PROT_READ | libc::PROT_WRITE);
+        let (length, access) = (WORD_COUNT * size_of::<u64>(), libc::PROT_READ | libc::PROT_WRITE);
         let mapped = libc::mmap(null_mut(), length, access, libc::MAP_SHARED, fd, 0);
         libc::close(fd);
         if mapped != libc::MAP_FAILED {
@@ -49,16 +50,16 @@
 
 fn word(index: usize) -> Option<&'static AtomicU64> {
     let plan = PLAN.load(Ordering::Acquire);
-    if plan.is_null() || index >= WORDS {
+    if plan.is_null() || index >= WORD_COUNT {
         return None;
     }
-    // SAFETY: the mapping is `WORDS` words long and lives until the process ends.
+    // SAFETY: the mapping is `WORD_COUNT` words long and lives until the process ends.
     Some(unsafe { &*plan.add(index) })
 }
 
 /// Takes one from a number that is above 0; false if there is none to take.
 fn take_one(number: &AtomicU64) -> bool {
-    let less = |n: u64| if n == WITHOUT_END { Some(n) } else { n.checked_sub(1) };
+    let less = |n: u64| if n == UNLIMITED { Some(n) } else { n.checked_sub(1) };
     number.fetch_update(Ordering::AcqRel, Ordering::Acquire, less).is_ok()
 }
 
@@ -111,7 +112,7 @@
 
 /// The step of the wall clock in nanoseconds.
 pub(crate) fn wall_offset() -> i64 {
-    word(WALL_OFFSET).map_or(0, |offset| offset.load(Ordering::Acquire) as i64)
+    word(WALL_CLOCK_OFFSET_WORD).map_or(0, |offset| offset.load(Ordering::Acquire) as i64)
 }
 
 /// The C library's own function behind one of ours.
--- a/crates/fault-shim/tests/smoke.rs
+++ b/crates/fault-shim/tests/smoke.rs
@@ -3,7 +3,7 @@
 
 #![expect(clippy::disallowed_methods, reason = "the wall clock is one of the things that a plan moves")]
 
-use loomlb_fault_plan::{Call, FaultPlan, Limit, Turns, WITHOUT_END};
+use loomlb_fault_plan::{Call, FaultPlan, FaultSchedule, Limit, UNLIMITED};
 use std::fs::File;
 use std::io::{self, Read, Seek, Write};
 use std::net::{TcpListener, TcpStream, UdpSocket};
@@ -45,7 +45,7 @@
     match call {
         Call::Socket | Call::Bind | Call::Listen => TcpListener::bind("127.0.0.1:0").map(|_| ()),
         Call::Accept | Call::Connect => connected().map(|_| ()),
-        Call::Wait => {
+        Call::EpollWait => {
             unreachable!("the runtime takes no error but an interrupted wait: see the test of that")
         }
         Call::SocketRead => {
@@ -82,7 +82,7 @@
         make(call).unwrap();
         return;
     }
-    for (number, call) in Call::ALL.into_iter().enumerate().filter(|(_, call)| *call != Call::Wait) {
+    for (number, call) in Call::ALL.into_iter().enumerate().filter(|(_, call)| *call != Call::EpollWait) {
         let plan = FaultPlan::new().unwrap();
         let output = run_under(&plan, NAME, &number.to_string());
         assert!(output.status.success(), "{call:?}: {}", String::from_utf8_lossy(&output.stderr));
@@ -104,7 +104,7 @@
     }
     let plan = FaultPlan::new().unwrap();
     // Nine listeners bind, then six datagram sockets.
-    plan.arm(Call::Bind, ERRNO, Turns { skip: 9, count: WITHOUT_END, every_nth: 3 });
+    plan.inject(Call::Bind, ERRNO, FaultSchedule { skip: 9, count: UNLIMITED, every_nth: 3 });
     plan.fail_after(Call::Listen, ERRNO, 100, 1);
     let output = run_under(&plan, "skipped_calls_pass_and_one_of_many_fails", "yes");
     assert!(output.status.success(), "{}", String::from_utf8_lossy(&output.stderr));
@@ -118,10 +118,10 @@
         return runtime.block_on(async { tokio::time::sleep(Duration::from_millis(5)).await });
     }
     let plan = FaultPlan::new().unwrap();
-    plan.fail(Call::Wait, libc::EINTR, 3);
+    plan.fail(Call::EpollWait, libc::EINTR, 3);
     let output = run_under(&plan, "waits_are_interrupted_as_planned", "yes");
     assert!(output.status.success(), "{}", String::from_utf8_lossy(&output.stderr));
-    assert_eq!(plan.hits(Call::Wait), 3);
+    assert_eq!(plan.hits(Call::EpollWait), 3);
 }
 
 #[test]
@@ -143,7 +143,7 @@
     let output = run_under(&plan, "reads_and_writes_are_as_short_as_planned", "yes");
     assert!(output.status.success(), "{}", String::from_utf8_lossy(&output.stderr));
     for limit in [Limit::SocketRead, Limit::SocketWrite, Limit::FileRead, Limit::FileWrite] {
-        assert!(plan.cut(limit) > 0, "{limit:?}");
+        assert!(plan.shortened_calls(limit) > 0, "{limit:?}");
     }
 }
 
--- a/tests/system_calls.rs
+++ b/tests/system_calls.rs
@@ -4,7 +4,7 @@
 
 use loomlb_emulator::rig::{self, Rig};
 use loomlb_emulator::{Options, Stop};
-use loomlb_fault_plan::{Call, FaultPlan, Limit, WITHOUT_END};
+use loomlb_fault_plan::{Call, FaultPlan, Limit, UNLIMITED};
 use loomlb_simulation::Day;
 use stage::{Agent, Comers, Mode, Narrow, Platform, Server, Stage, job, response, until};
 use std::process::{Command, Stdio};
@@ -69,11 +69,11 @@
 fn a_start_waits_for_a_second_without_descriptors() {
     let (target, discovery) = (Server::new("t"), Server::new("d"));
     let plan = FaultPlan::new().unwrap();
-    plan.fail(Call::Socket, libc::ENFILE, WITHOUT_END);
+    plan.fail(Call::Socket, libc::ENFILE, UNLIMITED);
     let stage = std::thread::scope(|scope| {
         scope.spawn(|| {
             std::thread::sleep(Duration::from_secs(1));
-            plan.pass(Call::Socket);
+            plan.allow(Call::Socket);
         });
         Stage::under(&plan, &[&target], &discovery, ALL_ADDRESSES)
     });
@@ -95,7 +95,7 @@
     std::fs::write(&file, config).unwrap();
     for (errno, code) in [(libc::ENFILE, "socket-machine-files"), (0, "socket-in-use")] {
         let plan = FaultPlan::new().unwrap();
-        plan.fail(Call::Socket, errno, WITHOUT_END);
+        plan.fail(Call::Socket, errno, UNLIMITED);
         let mut command = Command::new(env!("CARGO_BIN_EXE_loomlb"));
         command.args(["serve", "--config"]).arg(&file).env_clear().stderr(Stdio::piped());
         plan.apply(&mut command);
@@ -145,10 +145,10 @@
         let mut idle = stage.connect();
         idle.say(HEALTH);
         assert_eq!(idle.answer(), "HTTP/1.1 200 OK | ready");
-        plan.fail(Call::Accept, errno, WITHOUT_END);
+        plan.fail(Call::Accept, errno, UNLIMITED);
         let mut client = stage.connect();
         assert!(idle.closed());
-        plan.pass(Call::Accept);
+        plan.allow(Call::Accept);
         client.say(HEALTH);
         assert_eq!(client.answer(), "HTTP/1.1 200 OK | ready", "{errno}");
     }
@@ -191,12 +191,12 @@
     {
         let plan = FaultPlan::new().unwrap();
         let stage = Stage::under(&plan, &[&target], &discovery, "");
-        plan.fail(call, errno, WITHOUT_END);
+        plan.fail(call, errno, UNLIMITED);
         let mut client = stage.connect();
         client.say(&job("lodge", "a", "3.0"));
         let before = plan.hits(call);
         until("it is tried again", || plan.hits(call) >= before + 4);
-        plan.pass(call);
+        plan.allow(call);
         serve(&stage, &target, "a");
         assert_eq!(client.answer(), "HTTP/1.1 200 OK | yes", "{call:?}: {errno}");
         let counted = stage.counters(&["served", "forwards", "NoConnection", "NotSent", "dials"]);
@@ -211,7 +211,7 @@
     for errno in LOCAL {
         let plan = FaultPlan::new().unwrap();
         let stage = Stage::under(&plan, &[&target], &discovery, "");
-        plan.fail(Call::Connect, errno, WITHOUT_END);
+        plan.fail(Call::Connect, errno, UNLIMITED);
         // One ends with the time to connect, the other with its own.
         for (id, seconds) in [("a", "3.0"), ("b", "0.3")] {
             assert!(stage.ask(&job("lodge", id, seconds)).starts_with("HTTP/1.1 503"), "{errno}");
@@ -258,7 +258,7 @@
         assert_eq!(client.answer(), "HTTP/1.1 200 OK | yes", "{errno}");
         // Another process, as the idle connection to the target would be used again.
         let (plan, stage, _discovery) = settled(&[&target]);
-        plan.fail(Call::Connect, errno, WITHOUT_END);
+        plan.fail(Call::Connect, errno, UNLIMITED);
         assert!(stage.ask(&job("lodge", "b", "3.0")).starts_with("HTTP/1.1 503"), "{errno}");
         assert_eq!(stage.counters(&["NoConnection", "NotSent"]), "NoConnection=1 NotSent=0", "{errno}");
     }
@@ -287,7 +287,7 @@
         let plan = FaultPlan::new().unwrap();
         plan.short_reads(bytes).short_writes(bytes);
         plan.fail_every(Call::SocketRead, libc::EINTR, 3).fail_every(Call::SocketWrite, libc::EINTR, 3);
-        plan.fail_every(Call::Wait, libc::EINTR, 3);
+        plan.fail_every(Call::EpollWait, libc::EINTR, 3);
         let stage = Stage::under(&plan, &[], &discovery.server, r#""control":"127.0.0.1:0","#);
         discovery.called("from=2", 1);
         let mut client = stage.connect();
@@ -307,8 +307,10 @@
             stage.counters(&["served", "forwards", "list_faults"]),
             "served=3 forwards=3 list_faults=0"
         );
-        assert!(plan.cut(Limit::SocketRead) > 0 && plan.cut(Limit::SocketWrite) > 0);
-        assert!([Call::SocketRead, Call::SocketWrite, Call::Wait].iter().all(|call| plan.hits(*call) > 0));
+        assert!(plan.shortened_calls(Limit::SocketRead) > 0 && plan.shortened_calls(Limit::SocketWrite) > 0);
+        assert!(
+            [Call::SocketRead, Call::SocketWrite, Call::EpollWait].iter().all(|call| plan.hits(*call) > 0)
+        );
     }
 }
 
@@ -368,7 +370,7 @@
 fn a_tier_comes_up_through_failing_calls() {
     let plan = FaultPlan::new().unwrap();
     plan.fail_every(Call::Accept, libc::ECONNABORTED, 3).fail_every(Call::Connect, libc::EADDRNOTAVAIL, 3);
-    plan.fail_every(Call::Wait, libc::EINTR, 3);
+    plan.fail_every(Call::EpollWait, libc::EINTR, 3);
     plan.fail(Call::Socket, libc::ENFILE, 12).fail(Call::Bind, libc::ENOBUFS, 6).fail(
         Call::Listen,
         libc::ENOMEM,
@@ -386,7 +388,7 @@
     let rig = Rig::start(options).unwrap();
     assert!((0..3).all(|n| rig.ready(n)), "not all serve");
     assert!(rig.until(|rig| rig.all_on(&[0, 1, 2], 1)));
-    for call in [Call::Accept, Call::Connect, Call::Wait, Call::Socket, Call::Bind, Call::Listen] {
+    for call in [Call::Accept, Call::Connect, Call::EpollWait, Call::Socket, Call::Bind, Call::Listen] {
         assert!(plan.hits(call) > 0, "{call:?}");
     }
 }
@@ -397,7 +399,7 @@
 fn a_day_of_failing_calls_breaks_no_rule() {
     let plan = FaultPlan::new().unwrap();
     plan.fail_every(Call::Accept, libc::ECONNABORTED, 5).fail_every(Call::Connect, libc::EADDRNOTAVAIL, 3);
-    plan.fail_every(Call::Wait, libc::EINTR, 3);
+    plan.fail_every(Call::EpollWait, libc::EINTR, 3);
     plan.limit_every(Limit::SocketRead, 100, 2).limit_every(Limit::SocketWrite, 100, 2);
     let day = Day::read(include_str!("../crates/lab/days/every.toml")).unwrap();
     let options = Options::new(plan.wrap(env!("CARGO_BIN_EXE_loomlb")));
@@ -406,8 +408,8 @@
     assert_eq!(played.breaches, 0, "{}", stories.join("\n"));
     assert_eq!((played.crashes, played.mangled, played.strangers), (0, 0, 0));
     assert!(played.served * 10 > played.figures.requests * 6, "{played:?}");
-    for call in [Call::Accept, Call::Connect, Call::Wait] {
+    for call in [Call::Accept, Call::Connect, Call::EpollWait] {
         assert!(plan.hits(call) > 0, "{call:?}");
     }
-    assert!(plan.cut(Limit::SocketRead) > 0 && plan.cut(Limit::SocketWrite) > 0);
+    assert!(plan.shortened_calls(Limit::SocketRead) > 0 && plan.shortened_calls(Limit::SocketWrite) > 0);
 }
--- a/tests/tier.rs
+++ b/tests/tier.rs
@@ -4,7 +4,7 @@
 use loomlb_consensus::history_check::{CheckReport, check_history};
 use loomlb_consensus::log_store::LogFile;
 use loomlb_emulator::rig::{Options, Rig, Way};
-use loomlb_fault_plan::{Call, FaultPlan, WITHOUT_END};
+use loomlb_fault_plan::{Call, FaultPlan, UNLIMITED};
 use serde_json::{Value, json};
 use std::time::Duration;
 
@@ -344,11 +344,11 @@
 const SYNC_FAILS: DiskFault = (&[Call::Sync], libc::EIO);
 
 fn fail(plan: &FaultPlan, (calls, errno): DiskFault) {
-    calls.iter().for_each(|call| _ = plan.fail(*call, errno, WITHOUT_END));
+    calls.iter().for_each(|call| _ = plan.fail(*call, errno, UNLIMITED));
 }
 
 fn pass(plan: &FaultPlan, (calls, _): DiskFault) {
-    calls.iter().for_each(|call| _ = plan.pass(*call));
+    calls.iter().for_each(|call| _ = plan.allow(*call));
 }
 
 #[test]
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -2,7 +2,7 @@
 
 mod stage;
 
-use loomlb_fault_plan::{Call, FaultPlan, Limit, WITHOUT_END};
+use loomlb_fault_plan::{Call, FaultPlan, Limit, UNLIMITED};
 use loomlb_hot_restart::words::{Frames, VERSION, Word};
 use stage::{Line, Platform, Server, Stage, job, response, until};
 use std::io::{Read, Write};
@@ -190,14 +190,14 @@
     assert!(before.contains(r#""name":"lodge""#));
     // The write ends half-way.
     plan.limit(Limit::FileWrite, 40);
-    plan.fail_after(Call::FileWrite, libc::ENOSPC, 1, WITHOUT_END);
+    plan.fail_after(Call::FileWrite, libc::ENOSPC, 1, UNLIMITED);
     old.reload(r#""name":"lodge""#, r#""name":"sign""#);
     old.logged("configuration reloaded");
     assert_eq!(kept(), before, "the file of before, complete");
     let names = || std::fs::read_dir(platform.folder.path()).unwrap().map(|entry| entry.unwrap().file_name());
     let fresh = format!("loomlb-127.0.0.1-0.{}", old.id());
     assert!(!names().any(|name| name == *fresh), "a half-written file is left");
-    plan.pass(Call::FileWrite);
+    plan.allow(Call::FileWrite);
     plan.limit(Limit::FileWrite, 0);
     until("the reload is kept", || kept().contains(r#""name":"sign""#));
 }
