--- a/crates/fault-plan/src/lib.rs
+++ b/crates/fault-plan/src/lib.rs
@@ -1,8 +1,8 @@
-//! Fault injection for tests of the real program: which of its system calls fail, and how.
+//! Injects faults into the system calls of the real program in tests.
 //!
 //! A [`FaultPlan`] is a small file of 64-bit words. The shared library built from `loomlb-fault-shim` is preloaded into
-//! the program under test, maps this file and consults it before each call that it intercepts; the test writes the
-//! same words through the file, at any time while the program runs. The layout is private to these two crates.
+//! the program under test, maps this file and reads it before each intercepted call. The test may change the words at
+//! any time while the program runs. The layout is private to these two crates.
 //!
 //! Raw system calls that do not go through the C library (those of `rustix`) are not intercepted.
 
@@ -15,11 +15,11 @@
 use std::path::{Path, PathBuf};
 use std::process::Command;
 
-/// The environment variable that names the plan's file to the preloaded library.
+/// The environment variable with the path of the plan's file, read by the preloaded library.
 pub const PLAN_VARIABLE: &str = "LOOMLB_FAULT_PLAN";
 /// The file name of the preloaded library, as cargo builds it.
-const LIBRARY: &str = "libloomlb_fault_shim.so";
-/// A `count` that never runs out.
+const LIBRARY_FILE: &str = "libloomlb_fault_shim.so";
+/// A `count` without a limit.
 pub const UNLIMITED: u64 = u64::MAX;
 
 /// A kind of system call that can be made to fail.
@@ -34,7 +34,7 @@
     Listen,
     /// `accept` and `accept4`.
     Accept,
-    /// `connect`, which fails at once.
+    /// `connect`, which fails immediately.
     Connect,
     /// `epoll_wait` and `epoll_pwait`.
     EpollWait,
@@ -50,7 +50,7 @@
     FileRead,
     /// `write`, `writev` and `pwrite` on a regular file.
     FileWrite,
-    /// `fsync` and `fdatasync`, of a directory too.
+    /// `fsync` and `fdatasync` on files and directories.
     Sync,
     /// `open`, `openat` and `creat` for writing or creating.
     OpenForWriting,
@@ -86,21 +86,21 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(usize)]
 pub enum Field {
-    /// The error number to fail with; 0 lets calls pass.
+    /// Error number of failing calls; 0 for no faults.
     Errno,
-    /// Calls that still pass before any fails.
+    /// Remaining calls that pass before the first fault.
     Skip,
-    /// Calls that still fail; [`UNLIMITED`] for all.
+    /// Remaining calls that fail; [`UNLIMITED`] for all.
     Count,
-    /// One of so many calls fails; 0 and 1 stand for each.
+    /// Every nth call fails; 0 and 1 mean every call.
     EveryNth,
-    /// Calls seen since a fault was planned, those skipped left out.
+    /// Calls since the fault was injected, except skipped ones.
     Seen,
-    /// Calls that have failed so.
+    /// Number of injected failures.
     Hits,
 }
 
-/// A limit on the bytes that one call moves.
+/// A limit on the number of bytes that one call transfers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(usize)]
 pub enum Limit {
@@ -118,166 +118,166 @@
     const COUNT: usize = 4;
 }
 
-const FIELDS: usize = 6;
-const CALLS_END: usize = Call::ALL.len() * FIELDS;
-const LIMIT_FIELDS: usize = 4;
+const FIELDS_PER_CALL: usize = 6;
+const LIMITS_START: usize = Call::ALL.len() * FIELDS_PER_CALL;
+const FIELDS_PER_LIMIT: usize = 4;
 
-/// The number of 64-bit words of a plan.
-pub const WORD_COUNT: usize = CALLS_END + Limit::COUNT * LIMIT_FIELDS + 1;
-/// The word that holds the step of the wall clock, in nanoseconds, as a signed number.
+/// Number of 64-bit words of a plan.
+pub const WORD_COUNT: usize = LIMITS_START + Limit::COUNT * FIELDS_PER_LIMIT + 1;
+/// Index of the word with the offset of the wall clock, in nanoseconds, as a signed number.
 pub const WALL_CLOCK_OFFSET_WORD: usize = WORD_COUNT - 1;
 
-/// Where a word of a call's slot is.
+/// Returns the index of a word of a call's slot.
 pub const fn call_word(call: Call, field: Field) -> usize {
-    call as usize * FIELDS + field as usize
+    call as usize * FIELDS_PER_CALL + field as usize
 }
 
 /// One word of a limit's slot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(usize)]
 pub enum LimitField {
-    /// Bytes at most; 0 for no limit.
+    /// Maximum number of bytes; 0 for no limit.
     Bytes,
-    /// One of so many calls is limited; 0 and 1 stand for each.
+    /// Every nth call is limited; 0 and 1 mean every call.
     EveryNth,
-    /// Calls seen since there is a limit.
+    /// Calls that exceeded the limit, shortened or not.
     Seen,
-    /// Calls whose length was cut.
+    /// Number of shortened calls.
     Hits,
 }
 
-/// Where a word of a limit's slot is.
+/// Returns the index of a word of a limit's slot.
 pub const fn limit_word(limit: Limit, field: LimitField) -> usize {
-    CALLS_END + limit as usize * LIMIT_FIELDS + field as usize
+    LIMITS_START + limit as usize * FIELDS_PER_LIMIT + field as usize
 }
 
 /// Which calls of a kind fail.
 #[derive(Clone, Copy, Debug)]
 pub struct FaultSchedule {
-    /// So many pass first.
+    /// Number of calls that pass first.
     pub skip: u64,
-    /// So many fail then; [`UNLIMITED`] for all.
+    /// Number of calls that fail afterwards; [`UNLIMITED`] for all.
     pub count: u64,
-    /// One of so many fails, the first of them; 0 and 1 stand for each.
+    /// The first of every n calls fails; 0 and 1 mean every call.
     pub every_nth: u64,
 }
 
-/// Which system calls of a program fail. Dropping it removes the file; a program that has it mapped goes on with it.
+/// A plan of system call faults. Dropping it removes the file; a program that has mapped the file continues to use it.
 #[derive(Debug)]
 pub struct FaultPlan {
     file: File,
-    path: Place,
+    path: PlanPath,
 }
 
-/// Whose the plan's file is.
+/// The path of the plan's file, and whether this plan owns it.
 #[derive(Debug)]
-enum Place {
-    /// Ours, and removed with the plan.
-    Own(tempfile::TempPath),
-    /// That of the test which has started this process.
+enum PlanPath {
+    /// Created by this plan, and removed when it is dropped.
+    Owned(tempfile::TempPath),
+    /// Created by the test that started this process.
     Inherited(PathBuf),
 }
 
 impl FaultPlan {
-    /// A plan under which everything passes.
+    /// Creates a plan without faults.
     pub fn new() -> io::Result<FaultPlan> {
         let (file, path) = tempfile::NamedTempFile::new()?.into_parts();
         file.set_len((WORD_COUNT * size_of::<u64>()) as u64)?;
-        Ok(FaultPlan { file, path: Place::Own(path) })
+        Ok(FaultPlan { file, path: PlanPath::Owned(path) })
     }
 
-    /// The plan that this process runs under, if it runs under one.
+    /// Returns the plan of the current process, or `None` if it runs without one.
     pub fn inherited() -> Option<FaultPlan> {
         let path = PathBuf::from(std::env::var_os(PLAN_VARIABLE)?);
         let file = File::options().read(true).write(true).open(&path).ok()?;
-        Some(FaultPlan { file, path: Place::Inherited(path) })
+        Some(FaultPlan { file, path: PlanPath::Inherited(path) })
     }
 
-    /// The plan's file.
+    /// Returns the path of the plan's file.
     pub fn path(&self) -> &Path {
         match &self.path {
-            Place::Own(path) => path,
-            Place::Inherited(path) => path,
+            PlanPath::Owned(path) => path,
+            PlanPath::Inherited(path) => path,
         }
     }
 
-    /// Has the next `count` calls of a kind fail with this error number.
+    /// Makes the next `count` calls of a kind fail with an error number.
     pub fn fail(&self, call: Call, errno: i32, count: u64) -> &FaultPlan {
         self.fail_after(call, errno, 0, count)
     }
 
-    /// The same after `skip` calls have passed.
+    /// Makes `count` calls of a kind fail after `skip` calls have passed.
     pub fn fail_after(&self, call: Call, errno: i32, skip: u64, count: u64) -> &FaultPlan {
         self.inject(call, errno, FaultSchedule { skip, count, every_nth: 1 })
     }
 
-    /// Has one call of `nth` fail, without end.
+    /// Makes every `nth` call fail, without a limit.
     pub fn fail_every(&self, call: Call, errno: i32, nth: u64) -> &FaultPlan {
         self.inject(call, errno, FaultSchedule { skip: 0, count: UNLIMITED, every_nth: nth })
     }
 
-    /// Lets calls of a kind pass again.
+    /// Ends the faults of a kind of call.
     pub fn allow(&self, call: Call) -> &FaultPlan {
         self.write(call_word(call, Field::Errno), 0);
         self
     }
 
-    /// Has each call move at most so many bytes; 0 for no limit.
+    /// Limits each call to a number of bytes; 0 for no limit.
     pub fn limit(&self, limit: Limit, bytes: u64) -> &FaultPlan {
         self.limit_every(limit, bytes, 1)
     }
 
-    /// Has one call of `nth` move at most so many bytes.
+    /// Limits every `nth` call to a number of bytes.
     pub fn limit_every(&self, limit: Limit, bytes: u64, nth: u64) -> &FaultPlan {
         self.write(limit_word(limit, LimitField::EveryNth), nth);
         self.write(limit_word(limit, LimitField::Bytes), bytes);
         self
     }
 
-    /// Reads of sockets bring at most so many bytes each.
+    /// Limits each read from a TCP socket to a number of bytes.
     pub fn short_reads(&self, bytes: u64) -> &FaultPlan {
         self.limit(Limit::SocketRead, bytes)
     }
 
-    /// Writes to sockets take at most so many bytes each.
+    /// Limits each write to a TCP socket to a number of bytes.
     pub fn short_writes(&self, bytes: u64) -> &FaultPlan {
         self.limit(Limit::SocketWrite, bytes)
     }
 
-    /// Moves the wall clock by so many nanoseconds from its true time, in place of an earlier step.
+    /// Sets the offset of the wall clock from its true time, in nanoseconds.
     pub fn step_wall_clock(&self, nanos: i64) -> &FaultPlan {
         self.write(WALL_CLOCK_OFFSET_WORD, nanos as u64);
         self
     }
 
-    /// Calls of a kind that have failed by this plan.
+    /// Returns the number of injected failures of a kind of call.
     pub fn hits(&self, call: Call) -> u64 {
         self.read(call_word(call, Field::Hits))
     }
 
-    /// Calls whose length was cut by this plan.
+    /// Returns the number of calls that were shortened by a limit.
     pub fn shortened_calls(&self, limit: Limit) -> u64 {
         self.read(limit_word(limit, LimitField::Hits))
     }
 
-    /// Has a program start under this plan.
+    /// Sets the environment of a command so that the program runs under this plan.
     pub fn apply(&self, command: &mut Command) {
         command.env("LD_PRELOAD", library()).env(PLAN_VARIABLE, self.path());
     }
 
-    /// A command line that runs `program` under this plan, for what takes arguments in place of a [`Command`].
+    /// Returns a command line that runs `program` under this plan, for callers that don't use a [`Command`].
     pub fn wrap(&self, program: impl Into<OsString>) -> Vec<OsString> {
-        let variable = |name: &str, value: &Path| {
+        let assignment = |name: &str, value: &Path| {
             let mut text = OsString::from(name);
             text.push("=");
             text.push(value);
             text
         };
-        let preload = variable("LD_PRELOAD", &library());
-        vec!["/usr/bin/env".into(), preload, variable(PLAN_VARIABLE, self.path()), program.into()]
+        let preload = assignment("LD_PRELOAD", &library());
+        vec!["/usr/bin/env".into(), preload, assignment(PLAN_VARIABLE, self.path()), program.into()]
     }
 
-    /// Has calls of a kind fail with this error number, in place of what was planned for them.
+    /// Makes calls of a kind fail with an error number by a schedule, which replaces an earlier one.
     pub fn inject(&self, call: Call, errno: i32, schedule: FaultSchedule) -> &FaultPlan {
         let words = [
             (Field::Errno, 0),
@@ -285,7 +285,7 @@
             (Field::Count, schedule.count),
             (Field::EveryNth, schedule.every_nth),
             (Field::Seen, 0),
-            // Last: from here on calls fail.
+            // The error number is written last, because it activates the fault.
             (Field::Errno, errno as u64),
         ];
         for (field, value) in words {
@@ -295,23 +295,27 @@
     }
 
     fn write(&self, word: usize, value: u64) {
-        let at = (word * size_of::<u64>()) as u64;
-        self.file.write_all_at(&value.to_ne_bytes(), at).expect("the plan's file can be written");
+        let offset = (word * size_of::<u64>()) as u64;
+        self.file.write_all_at(&value.to_ne_bytes(), offset).expect("write the fault plan's file");
     }
 
     fn read(&self, word: usize) -> u64 {
         let mut bytes = [0; size_of::<u64>()];
-        let at = (word * size_of::<u64>()) as u64;
-        self.file.read_exact_at(&mut bytes, at).expect("the plan's file can be read");
+        let offset = (word * size_of::<u64>()) as u64;
+        self.file.read_exact_at(&mut bytes, offset).expect("read the fault plan's file");
         u64::from_ne_bytes(bytes)
     }
 }
 
-/// Where cargo has built the library: beside the tests, as a dependency of theirs.
+/// Returns the path of the preloaded library, which cargo builds next to the tests that depend on it.
+///
+/// # Panics
+///
+/// If the library isn't there.
 pub fn library() -> PathBuf {
-    let test = std::env::current_exe().expect("a test knows its own file");
-    let folder = test.parent().expect("a file is in a folder");
-    let places = [folder.join(LIBRARY), folder.join("deps").join(LIBRARY)];
-    let found = places.iter().find(|place| place.exists());
-    found.unwrap_or_else(|| panic!("{LIBRARY}: not in {}", folder.display())).clone()
+    let test = std::env::current_exe().expect("path of the test executable");
+    let directory = test.parent().expect("directory of the test executable");
+    let candidates = [directory.join(LIBRARY_FILE), directory.join("deps").join(LIBRARY_FILE)];
+    let found = candidates.iter().find(|candidate| candidate.exists());
+    found.unwrap_or_else(|| panic!("{LIBRARY_FILE} not found in {}", directory.display())).clone()
 }
--- a/crates/fault-shim/src/calls.rs
+++ b/crates/fault-shim/src/calls.rs
@@ -1,8 +1,8 @@
-//! The functions of the C library that are replaced. Each has the C library's own signature and contract, so what makes a
-//! call sound is what makes it sound there; each fails as planned, or calls the one that it replaces.
+//! The intercepted functions of the C library. Each has the signature and the safety contract of the original function.
+//! It fails as planned, or calls the original.
 #![allow(clippy::missing_safety_doc, missing_docs, reason = "the contracts are those of the C library")]
 
-use crate::plan::{Original, allowed, fails, wall_offset};
+use crate::plan::{Original, allowed_bytes, should_fail, wall_clock_offset};
 use libc::{
     c_char, c_int, c_uint, c_void, clockid_t, epoll_event, iovec, mode_t, msghdr, off_t, off64_t, sigset_t,
     size_t, sockaddr, socklen_t, ssize_t, time_t, timespec, timeval,
@@ -10,21 +10,21 @@
 use loomlb_fault_plan::{Call, Limit};
 use std::mem::{MaybeUninit, transmute};
 
-const NANOS_A_SECOND: i64 = 1_000_000_000;
-const NANOS_A_MICROSECOND: i64 = 1_000;
-/// Vectored calls whose bytes are limited look at so many of their parts.
-const PARTS: usize = 16;
+const NANOS_PER_SECOND: i64 = 1_000_000_000;
+const NANOS_PER_MICROSECOND: i64 = 1_000;
+/// Maximum number of buffers of a vectored call that is shortened.
+const MAX_BUFFERS: usize = 16;
 
-/// What a descriptor stands for, as far as the plan tells them apart.
+/// The kinds of descriptors that a plan distinguishes.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Behind {
+enum DescriptorKind {
     Tcp,
     Datagram,
     File,
     Other,
 }
 
-fn option(fd: c_int, name: c_int) -> c_int {
+fn socket_option(fd: c_int, name: c_int) -> c_int {
     let mut value: c_int = 0;
     let mut length = size_of::<c_int>() as socklen_t;
     // SAFETY: value and length outlive the call, and the length is that of the value.
@@ -32,84 +32,88 @@
     if read == 0 { value } else { -1 }
 }
 
-fn behind(fd: c_int) -> Behind {
+fn descriptor_kind(fd: c_int) -> DescriptorKind {
     let mut status = MaybeUninit::<libc::stat>::zeroed();
     // SAFETY: the error number is this thread's own; `fstat` fills the structure or fails.
     let (errno, mode) = unsafe {
         let errno = *libc::__errno_location();
-        let known = libc::fstat(fd, status.as_mut_ptr()) == 0;
-        (errno, if known { status.assume_init().st_mode } else { 0 })
+        let succeeded = libc::fstat(fd, status.as_mut_ptr()) == 0;
+        (errno, if succeeded { status.assume_init().st_mode } else { 0 })
     };
-    let found = match mode & libc::S_IFMT {
-        libc::S_IFREG => Behind::File,
-        libc::S_IFSOCK if option(fd, libc::SO_TYPE) == libc::SOCK_DGRAM => Behind::Datagram,
-        libc::S_IFSOCK if matches!(option(fd, libc::SO_DOMAIN), libc::AF_INET | libc::AF_INET6) => {
-            Behind::Tcp
+    let kind = match mode & libc::S_IFMT {
+        libc::S_IFREG => DescriptorKind::File,
+        libc::S_IFSOCK if socket_option(fd, libc::SO_TYPE) == libc::SOCK_DGRAM => DescriptorKind::Datagram,
+        libc::S_IFSOCK if matches!(socket_option(fd, libc::SO_DOMAIN), libc::AF_INET | libc::AF_INET6) => {
+            DescriptorKind::Tcp
         }
-        _ => Behind::Other,
+        _ => DescriptorKind::Other,
     };
-    // SAFETY: as above. Looking must not change the error number that the caller may still read.
+    // SAFETY: as above. Restores the error number, which the caller may still read.
     unsafe { *libc::__errno_location() = errno };
-    found
+    kind
 }
 
-/// Whether a read of so many bytes fails, else how many bytes it may bring.
+/// Returns the number of bytes that a read may transfer, or `None` if it must fail.
 fn read_allowed(fd: c_int, bytes: usize) -> Option<usize> {
-    let (call, limit) = match behind(fd) {
-        Behind::Tcp => (Call::SocketRead, Some(Limit::SocketRead)),
-        Behind::Datagram => (Call::DatagramReceive, None),
-        Behind::File => (Call::FileRead, Some(Limit::FileRead)),
-        Behind::Other => return Some(bytes),
+    let (call, limit) = match descriptor_kind(fd) {
+        DescriptorKind::Tcp => (Call::SocketRead, Some(Limit::SocketRead)),
+        DescriptorKind::Datagram => (Call::DatagramReceive, None),
+        DescriptorKind::File => (Call::FileRead, Some(Limit::FileRead)),
+        DescriptorKind::Other => return Some(bytes),
     };
-    if fails(call) { None } else { Some(limit.map_or(bytes, |limit| allowed(limit, bytes))) }
+    if should_fail(call) { None } else { Some(limit.map_or(bytes, |limit| allowed_bytes(limit, bytes))) }
 }
 
-/// Whether a write of so many bytes fails, else how many of them it may take.
+/// Returns the number of bytes that a write may transfer, or `None` if it must fail.
 fn write_allowed(fd: c_int, bytes: usize) -> Option<usize> {
-    let (call, limit) = match behind(fd) {
-        Behind::Tcp => (Call::SocketWrite, Some(Limit::SocketWrite)),
-        Behind::Datagram => (Call::DatagramSend, None),
-        Behind::File => (Call::FileWrite, Some(Limit::FileWrite)),
-        Behind::Other => return Some(bytes),
+    let (call, limit) = match descriptor_kind(fd) {
+        DescriptorKind::Tcp => (Call::SocketWrite, Some(Limit::SocketWrite)),
+        DescriptorKind::Datagram => (Call::DatagramSend, None),
+        DescriptorKind::File => (Call::FileWrite, Some(Limit::FileWrite)),
+        DescriptorKind::Other => return Some(bytes),
     };
-    if fails(call) { None } else { Some(limit.map_or(bytes, |limit| allowed(limit, bytes))) }
+    if should_fail(call) { None } else { Some(limit.map_or(bytes, |limit| allowed_bytes(limit, bytes))) }
 }
 
-/// The sum of the parts of a vectored call.
-unsafe fn total(parts: *const iovec, count: usize) -> usize {
-    // SAFETY: the caller passes as many parts as it says.
-    (0..count).map(|at| unsafe { (*parts.add(at)).iov_len }).fold(0, usize::saturating_add)
+/// Returns the total length of the buffers of a vectored call.
+unsafe fn total_length(buffers: *const iovec, count: usize) -> usize {
+    // SAFETY: the caller passes `count` buffers.
+    (0..count).map(|index| unsafe { (*buffers.add(index)).iov_len }).fold(0, usize::saturating_add)
 }
 
-/// Parts cut to so many bytes, with their number.
-unsafe fn cut(parts: *const iovec, count: usize, bytes: usize) -> ([iovec; PARTS], usize) {
-    let mut kept = [iovec { iov_base: std::ptr::null_mut(), iov_len: 0 }; PARTS];
-    let (mut left, mut used) = (bytes, 0);
-    while used < count.min(PARTS) && left > 0 {
-        // SAFETY: the caller passes as many parts as it says.
-        let part = unsafe { *parts.add(used) };
-        kept[used] = iovec { iov_len: part.iov_len.min(left), ..part };
-        left -= kept[used].iov_len;
+/// Returns the buffers shortened to a total length, and their number.
+unsafe fn shorten_buffers(
+    buffers: *const iovec,
+    count: usize,
+    bytes: usize,
+) -> ([iovec; MAX_BUFFERS], usize) {
+    let mut shortened = [iovec { iov_base: std::ptr::null_mut(), iov_len: 0 }; MAX_BUFFERS];
+    let (mut remaining, mut used) = (bytes, 0);
+    while used < count.min(MAX_BUFFERS) && remaining > 0 {
+        // SAFETY: the caller passes `count` buffers.
+        let buffer = unsafe { *buffers.add(used) };
+        shortened[used] = iovec { iov_len: buffer.iov_len.min(remaining), ..buffer };
+        remaining -= shortened[used].iov_len;
         used += 1;
     }
-    (kept, used)
+    (shortened, used)
 }
 
-/// The C library's function of the same name, with its type.
+/// The C library's function of the same name, cast to its type.
 macro_rules! original {
     ($name:ident, fn($($arg:ty),*) -> $ret:ty) => {{
         static ORIGINAL: Original = Original::new(concat!(stringify!($name), "\0").as_bytes());
-        // The C library\'s function of this name has this type: the caller is in an unsafe block that says why it may call.
+        // The C library\'s function of this name has this type. The caller\'s unsafe block states why the call is safe.
         transmute::<*mut c_void, unsafe extern "C" fn($($arg),*) -> $ret>(ORIGINAL.address())
     }};
 }
 
-/// Functions that fail as a whole or not at all.
-macro_rules! failing {
+/// Defines functions that fail or call the original unchanged.
+macro_rules! intercept_fallible {
     ($($call:expr => fn $name:ident($($arg:ident: $type:ty),*) -> $ret:ty;)*) => {$(
         #[unsafe(no_mangle)]
         pub unsafe extern "C" fn $name($($arg: $type),*) -> $ret {
-            if fails($call) {
+            if should_fail($call) {
                 return -1;
             }
             // SAFETY: the caller's arguments, passed on.
@@ -118,16 +122,16 @@
     )*};
 }
 
-failing! {
+intercept_fallible! {
     Call::Socket => fn socket(domain: c_int, kind: c_int, protocol: c_int) -> c_int;
     Call::Bind => fn bind(fd: c_int, address: *const sockaddr, length: socklen_t) -> c_int;
     Call::Listen => fn listen(fd: c_int, backlog: c_int) -> c_int;
     Call::Accept => fn accept(fd: c_int, address: *mut sockaddr, length: *mut socklen_t) -> c_int;
     Call::Accept => fn accept4(fd: c_int, address: *mut sockaddr, length: *mut socklen_t, flags: c_int) -> c_int;
     Call::Connect => fn connect(fd: c_int, address: *const sockaddr, length: socklen_t) -> c_int;
-    Call::EpollWait => fn epoll_wait(epoll: c_int, events: *mut epoll_event, most: c_int, timeout: c_int) -> c_int;
+    Call::EpollWait => fn epoll_wait(epoll: c_int, events: *mut epoll_event, max_events: c_int, timeout: c_int) -> c_int;
     Call::EpollWait => fn epoll_pwait(
-        epoll: c_int, events: *mut epoll_event, most: c_int, timeout: c_int, mask: *const sigset_t
+        epoll: c_int, events: *mut epoll_event, max_events: c_int, timeout: c_int, mask: *const sigset_t
     ) -> c_int;
     Call::Sync => fn fsync(fd: c_int) -> c_int;
     Call::Sync => fn fdatasync(fd: c_int) -> c_int;
@@ -142,13 +146,13 @@
     Call::Truncate => fn ftruncate64(fd: c_int, length: off64_t) -> c_int;
 }
 
-/// Functions that open a file; those that only read pass. The mode is an optional argument in C and is passed on
-/// whatever it holds, as the C library looks at it only where the flags say that it is there.
-macro_rules! opening {
+/// Defines functions that open a file, which only fail when opening for writing. The mode is an optional argument in C;
+/// it is always forwarded, because the C library ignores it unless the flags require it.
+macro_rules! intercept_open {
     ($(fn $name:ident($($arg:ident: $type:ty),*; $flags:ident);)*) => {$(
         #[unsafe(no_mangle)]
         pub unsafe extern "C" fn $name($($arg: $type,)* $flags: c_int, mode: mode_t) -> c_int {
-            if $flags & (libc::O_WRONLY | libc::O_RDWR | libc::O_CREAT) != 0 && fails(Call::OpenForWriting) {
+            if $flags & (libc::O_WRONLY | libc::O_RDWR | libc::O_CREAT) != 0 && should_fail(Call::OpenForWriting) {
                 return -1;
             }
             // SAFETY: the caller's arguments, passed on to the variadic function of the same name.
@@ -163,15 +167,15 @@
     )*};
 }
 
-opening! {
+intercept_open! {
     fn open(path: *const c_char; flags);
     fn open64(path: *const c_char; flags);
-    fn openat(folder: c_int, path: *const c_char; flags);
-    fn openat64(folder: c_int, path: *const c_char; flags);
+    fn openat(directory: c_int, path: *const c_char; flags);
+    fn openat64(directory: c_int, path: *const c_char; flags);
 }
 
-/// Functions that move bytes of one buffer.
-macro_rules! moving {
+/// Defines functions that transfer one buffer.
+macro_rules! intercept_transfer {
     ($($allowed:ident => fn $name:ident(
         $fd:ident: c_int, $buffer:ident: $pointer:ty, $bytes:ident: size_t $(, $arg:ident: $type:ty)*
     );)*) => {$(
@@ -188,7 +192,7 @@
     )*};
 }
 
-moving! {
+intercept_transfer! {
     read_allowed => fn read(fd: c_int, buffer: *mut c_void, bytes: size_t);
     read_allowed => fn pread(fd: c_int, buffer: *mut c_void, bytes: size_t, at: off_t);
     read_allowed => fn pread64(fd: c_int, buffer: *mut c_void, bytes: size_t, at: off64_t);
@@ -205,47 +209,47 @@
     );
 }
 
-/// Functions that move bytes of several buffers.
-macro_rules! vectored {
+/// Defines functions that transfer several buffers.
+macro_rules! intercept_vectored {
     ($($allowed:ident => fn $name:ident;)*) => {$(
         #[unsafe(no_mangle)]
-        pub unsafe extern "C" fn $name(fd: c_int, parts: *const iovec, count: c_int) -> ssize_t {
+        pub unsafe extern "C" fn $name(fd: c_int, buffers: *const iovec, count: c_int) -> ssize_t {
             // SAFETY: the caller's arguments, passed on with no more bytes than it has.
             unsafe {
-                let all = total(parts, count.max(0) as usize);
-                let Some(bytes) = $allowed(fd, all) else { return -1 };
+                let total_bytes = total_length(buffers, count.max(0) as usize);
+                let Some(bytes) = $allowed(fd, total_bytes) else { return -1 };
                 let call = original!($name, fn(c_int, *const iovec, c_int) -> ssize_t);
-                if bytes == all {
-                    return call(fd, parts, count);
+                if bytes == total_bytes {
+                    return call(fd, buffers, count);
                 }
-                let (kept, used) = cut(parts, count.max(0) as usize, bytes);
-                call(fd, kept.as_ptr(), used as c_int)
+                let (shortened, used) = shorten_buffers(buffers, count.max(0) as usize, bytes);
+                call(fd, shortened.as_ptr(), used as c_int)
             }
         }
     )*};
 }
 
-vectored! {
+intercept_vectored! {
     read_allowed => fn readv;
     write_allowed => fn writev;
 }
 
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn recvmsg(fd: c_int, message: *mut msghdr, flags: c_int) -> ssize_t {
-    // SAFETY: the caller's message; its list of parts is another one only during the call.
+    // SAFETY: the caller's message is valid; its list of buffers is replaced only during the call.
     unsafe {
-        let (parts, count) = ((*message).msg_iov, (*message).msg_iovlen);
-        let all = total(parts, count);
-        let Some(bytes) = read_allowed(fd, all) else { return -1 };
+        let (buffers, count) = ((*message).msg_iov, (*message).msg_iovlen);
+        let total_bytes = total_length(buffers, count);
+        let Some(bytes) = read_allowed(fd, total_bytes) else { return -1 };
         let call = original!(recvmsg, fn(c_int, *mut msghdr, c_int) -> ssize_t);
-        if bytes == all {
+        if bytes == total_bytes {
             return call(fd, message, flags);
         }
-        let (mut kept, used) = cut(parts, count, bytes);
-        (*message).msg_iov = kept.as_mut_ptr();
+        let (mut shortened, used) = shorten_buffers(buffers, count, bytes);
+        (*message).msg_iov = shortened.as_mut_ptr();
         (*message).msg_iovlen = used;
         let read = call(fd, message, flags);
-        (*message).msg_iov = parts;
+        (*message).msg_iov = buffers;
         (*message).msg_iovlen = count;
         read
     }
@@ -255,25 +259,25 @@
 pub unsafe extern "C" fn sendmsg(fd: c_int, message: *const msghdr, flags: c_int) -> ssize_t {
     // SAFETY: a copy of the caller's message, with no more bytes than it has.
     unsafe {
-        let (parts, count) = ((*message).msg_iov, (*message).msg_iovlen);
-        let all = total(parts, count);
-        let Some(bytes) = write_allowed(fd, all) else { return -1 };
+        let (buffers, count) = ((*message).msg_iov, (*message).msg_iovlen);
+        let total_bytes = total_length(buffers, count);
+        let Some(bytes) = write_allowed(fd, total_bytes) else { return -1 };
         let call = original!(sendmsg, fn(c_int, *const msghdr, c_int) -> ssize_t);
-        if bytes == all {
+        if bytes == total_bytes {
             return call(fd, message, flags);
         }
-        let (mut kept, used) = cut(parts, count, bytes);
-        let mut shorter = *message;
-        shorter.msg_iov = kept.as_mut_ptr();
-        shorter.msg_iovlen = used;
-        call(fd, &shorter, flags)
+        let (mut shortened, used) = shorten_buffers(buffers, count, bytes);
+        let mut shortened_message = *message;
+        shortened_message.msg_iov = shortened.as_mut_ptr();
+        shortened_message.msg_iovlen = used;
+        call(fd, &shortened_message, flags)
     }
 }
 
-/// Seconds and nanoseconds moved by the planned step.
-fn moved(seconds: time_t, nanos: i64) -> (time_t, i64) {
-    let sum = nanos + wall_offset();
-    (seconds + sum.div_euclid(NANOS_A_SECOND), sum.rem_euclid(NANOS_A_SECOND))
+/// Adds the planned offset to a time in seconds and nanoseconds.
+fn shifted_time(seconds: time_t, nanos: i64) -> (time_t, i64) {
+    let sum = nanos + wall_clock_offset();
+    (seconds + sum.div_euclid(NANOS_PER_SECOND), sum.rem_euclid(NANOS_PER_SECOND))
 }
 
 #[unsafe(no_mangle)]
@@ -282,7 +286,7 @@
     unsafe {
         let result = original!(clock_gettime, fn(clockid_t, *mut timespec) -> c_int)(clock, time);
         if result == 0 && matches!(clock, libc::CLOCK_REALTIME | libc::CLOCK_REALTIME_COARSE) {
-            ((*time).tv_sec, (*time).tv_nsec) = moved((*time).tv_sec, (*time).tv_nsec);
+            ((*time).tv_sec, (*time).tv_nsec) = shifted_time((*time).tv_sec, (*time).tv_nsec);
         }
         result
     }
@@ -294,8 +298,8 @@
     unsafe {
         let result = original!(gettimeofday, fn(*mut timeval, *mut c_void) -> c_int)(time, zone);
         if result == 0 && !time.is_null() {
-            let (seconds, nanos) = moved((*time).tv_sec, (*time).tv_usec * NANOS_A_MICROSECOND);
-            ((*time).tv_sec, (*time).tv_usec) = (seconds, nanos / NANOS_A_MICROSECOND);
+            let (seconds, nanos) = shifted_time((*time).tv_sec, (*time).tv_usec * NANOS_PER_MICROSECOND);
+            ((*time).tv_sec, (*time).tv_usec) = (seconds, nanos / NANOS_PER_MICROSECOND);
         }
         result
     }
--- a/crates/fault-shim/src/plan.rs
+++ b/crates/fault-shim/src/plan.rs
@@ -1,4 +1,4 @@
-//! The plan of the test, mapped into the program.
+//! Access to the test's fault plan, which is mapped into the program.
 
 use libc::{c_char, c_int, c_void};
 use loomlb_fault_plan::{
@@ -10,13 +10,13 @@
 
 static PLAN: AtomicPtr<AtomicU64> = AtomicPtr::new(null_mut());
 
-/// The variable's name as the C library wants it.
-const VARIABLE: [u8; PLAN_VARIABLE.len() + 1] = {
+/// The name of the variable with a terminating zero byte.
+const VARIABLE_C_STRING: [u8; PLAN_VARIABLE.len() + 1] = {
     let mut name = [0; PLAN_VARIABLE.len() + 1];
-    let mut at = 0;
-    while at < PLAN_VARIABLE.len() {
-        name[at] = PLAN_VARIABLE.as_bytes()[at];
-        at += 1;
+    let mut index = 0;
+    while index < PLAN_VARIABLE.len() {
+        name[index] = PLAN_VARIABLE.as_bytes()[index];
+        index += 1;
     }
     name
 };
@@ -30,7 +30,7 @@
     // SAFETY: the name ends with a zero byte. The path stays valid while this runs, as nothing changes the environment
     // before `main`. The mapping is never unmapped, and is read and written through atomics alone.
     unsafe {
-        let path: *const c_char = libc::getenv(VARIABLE.as_ptr().cast());
+        let path: *const c_char = libc::getenv(VARIABLE_C_STRING.as_ptr().cast());
         if path.is_null() {
             return;
         }
@@ -57,81 +57,84 @@
     Some(unsafe { &*plan.add(index) })
 }
 
-/// Takes one from a number that is above 0; false if there is none to take.
-fn take_one(number: &AtomicU64) -> bool {
-    let less = |n: u64| if n == UNLIMITED { Some(n) } else { n.checked_sub(1) };
-    number.fetch_update(Ordering::AcqRel, Ordering::Acquire, less).is_ok()
+/// Decrements a number unless it is 0 or unlimited. Returns false if it is 0.
+fn decrement(number: &AtomicU64) -> bool {
+    let decremented = |value: u64| if value == UNLIMITED { Some(value) } else { value.checked_sub(1) };
+    number.fetch_update(Ordering::AcqRel, Ordering::Acquire, decremented).is_ok()
 }
 
-/// Whether this one of many calls is meant.
-fn is_turn(seen: &AtomicU64, every_nth: &AtomicU64) -> bool {
-    let turn = seen.fetch_add(1, Ordering::AcqRel);
-    turn.is_multiple_of(every_nth.load(Ordering::Acquire).max(1))
+/// Counts a call, and returns whether it is one of every nth calls.
+fn is_nth_call(seen: &AtomicU64, every_nth: &AtomicU64) -> bool {
+    let call_number = seen.fetch_add(1, Ordering::AcqRel);
+    call_number.is_multiple_of(every_nth.load(Ordering::Acquire).max(1))
 }
 
-/// The error number that this call is to fail with.
-fn planned(call: Call) -> Option<c_int> {
+/// Returns the error number with which this call must fail.
+fn planned_errno(call: Call) -> Option<c_int> {
     let errno = word(call_word(call, Field::Errno))?.load(Ordering::Acquire) as c_int;
-    if errno == 0 || take_one(word(call_word(call, Field::Skip))?) {
+    if errno == 0 || decrement(word(call_word(call, Field::Skip))?) {
         return None;
     }
-    if !is_turn(word(call_word(call, Field::Seen))?, word(call_word(call, Field::EveryNth))?) {
+    if !is_nth_call(word(call_word(call, Field::Seen))?, word(call_word(call, Field::EveryNth))?) {
         return None;
     }
-    if !take_one(word(call_word(call, Field::Count))?) {
+    if !decrement(word(call_word(call, Field::Count))?) {
         return None;
     }
     word(call_word(call, Field::Hits))?.fetch_add(1, Ordering::AcqRel);
     Some(errno)
 }
 
-/// Whether this call fails; the error number is set then.
-pub(crate) fn fails(call: Call) -> bool {
-    let Some(errno) = planned(call) else { return false };
-    // SAFETY: the C library's own error number of this thread.
+/// Returns whether this call must fail, and sets `errno` if so.
+pub(crate) fn should_fail(call: Call) -> bool {
+    let Some(errno) = planned_errno(call) else { return false };
+    // SAFETY: the location of this thread's `errno` is valid.
     unsafe { *libc::__errno_location() = errno };
     true
 }
 
-/// How many of these bytes the call may move.
-pub(crate) fn allowed(limit: Limit, bytes: usize) -> usize {
-    shortened(limit, bytes).unwrap_or(bytes)
+/// Returns the number of bytes that the call may transfer.
+pub(crate) fn allowed_bytes(limit: Limit, bytes: usize) -> usize {
+    shortened_length(limit, bytes).unwrap_or(bytes)
 }
 
-fn shortened(limit: Limit, bytes: usize) -> Option<usize> {
-    let most = word(limit_word(limit, LimitField::Bytes))?.load(Ordering::Acquire) as usize;
-    if most == 0 || bytes <= most {
+fn shortened_length(limit: Limit, bytes: usize) -> Option<usize> {
+    let max_bytes = word(limit_word(limit, LimitField::Bytes))?.load(Ordering::Acquire) as usize;
+    if max_bytes == 0 || bytes <= max_bytes {
         return None;
     }
-    if !is_turn(word(limit_word(limit, LimitField::Seen))?, word(limit_word(limit, LimitField::EveryNth))?) {
+    if !is_nth_call(
+        word(limit_word(limit, LimitField::Seen))?,
+        word(limit_word(limit, LimitField::EveryNth))?,
+    ) {
         return None;
     }
     word(limit_word(limit, LimitField::Hits))?.fetch_add(1, Ordering::AcqRel);
-    Some(most)
+    Some(max_bytes)
 }
 
-/// The step of the wall clock in nanoseconds.
-pub(crate) fn wall_offset() -> i64 {
+/// Returns the offset of the wall clock in nanoseconds.
+pub(crate) fn wall_clock_offset() -> i64 {
     word(WALL_CLOCK_OFFSET_WORD).map_or(0, |offset| offset.load(Ordering::Acquire) as i64)
 }
 
-/// The C library's own function behind one of ours.
+/// The C library's implementation of an intercepted function.
 pub(crate) struct Original {
     name: &'static [u8],
-    found: AtomicPtr<c_void>,
+    address: AtomicPtr<c_void>,
 }
 
 impl Original {
-    /// Of a name that ends with a zero byte.
+    /// Creates it for a name that ends with a zero byte.
     pub(crate) const fn new(name: &'static [u8]) -> Original {
-        Original { name, found: AtomicPtr::new(null_mut()) }
+        Original { name, address: AtomicPtr::new(null_mut()) }
     }
 
-    /// Its address, looked up once; the process ends if there is none, as no call could pass.
+    /// Returns the address of the function, which is looked up once. Aborts the process if it doesn't exist.
     pub(crate) fn address(&self) -> *mut c_void {
-        let found = self.found.load(Ordering::Acquire);
-        if !found.is_null() {
-            return found;
+        let known_address = self.address.load(Ordering::Acquire);
+        if !known_address.is_null() {
+            return known_address;
         }
         // SAFETY: the name ends with a zero byte; `abort` does not return.
         let address = unsafe { libc::dlsym(libc::RTLD_NEXT, self.name.as_ptr().cast()) };
@@ -139,7 +142,7 @@
             // SAFETY: ends the process.
             unsafe { libc::abort() };
         }
-        self.found.store(address, Ordering::Release);
+        self.address.store(address, Ordering::Release);
         address
     }
 }
--- a/crates/fault-shim/tests/smoke.rs
+++ b/crates/fault-shim/tests/smoke.rs
@@ -1,7 +1,7 @@
-//! Each kind of call fails under a plan that says so, in a process that has the library preloaded. Each test starts its
-//! own file again for that; a variable tells the process under the plan that it is the one.
+//! Tests that planned faults are injected into a process with the preloaded library. Each test runs itself again as a
+//! child process under a plan; an environment variable marks the child.
 
-#![expect(clippy::disallowed_methods, reason = "the wall clock is one of the things that a plan moves")]
+#![expect(clippy::disallowed_methods, reason = "the tests read the wall clock that a plan shifts")]
 
 use loomlb_fault_plan::{Call, FaultPlan, FaultSchedule, Limit, UNLIMITED};
 use std::fs::File;
@@ -10,23 +10,23 @@
 use std::process::{Command, Output};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-const INSIDE: &str = "LOOMLB_FAULT_SMOKE";
-/// An error number that none of these calls gives by itself.
+const CHILD_VARIABLE: &str = "LOOMLB_FAULT_SMOKE";
+/// An error number that these calls don't return without a fault.
 const ERRNO: i32 = libc::EXDEV;
 
-/// Runs a test of this file again, under a plan.
-fn run_under(plan: &FaultPlan, test: &str, inside: &str) -> Output {
+/// Runs a test of this file in a child process under a plan.
+fn run_under(plan: &FaultPlan, test: &str, child_argument: &str) -> Output {
     let mut command = Command::new(std::env::current_exe().unwrap());
-    command.args(["--exact", test, "--nocapture"]).env(INSIDE, inside);
+    command.args(["--exact", test, "--nocapture"]).env(CHILD_VARIABLE, child_argument);
     plan.apply(&mut command);
     command.output().unwrap()
 }
 
-fn inside() -> Option<String> {
-    std::env::var(INSIDE).ok()
+fn child_argument() -> Option<String> {
+    std::env::var(CHILD_VARIABLE).ok()
 }
 
-fn connected() -> io::Result<(TcpStream, TcpStream)> {
+fn connected_pair() -> io::Result<(TcpStream, TcpStream)> {
     let listener = TcpListener::bind("127.0.0.1:0")?;
     let client = TcpStream::connect(listener.local_addr()?)?;
     Ok((client, listener.accept()?.0))
@@ -38,22 +38,22 @@
     receiver.recv_from(&mut [0; 8]).map(|_| ())
 }
 
-/// Makes a call of this kind.
-fn make(call: Call) -> io::Result<()> {
-    let folder = tempfile::tempdir().unwrap();
-    let path = folder.path().join("file");
+/// Makes a system call of this kind.
+fn make_call(call: Call) -> io::Result<()> {
+    let directory = tempfile::tempdir().unwrap();
+    let path = directory.path().join("file");
     match call {
         Call::Socket | Call::Bind | Call::Listen => TcpListener::bind("127.0.0.1:0").map(|_| ()),
-        Call::Accept | Call::Connect => connected().map(|_| ()),
+        Call::Accept | Call::Connect => connected_pair().map(|_| ()),
         Call::EpollWait => {
-            unreachable!("the runtime takes no error but an interrupted wait: see the test of that")
+            unreachable!("tested by waits_are_interrupted_as_planned")
         }
         Call::SocketRead => {
-            let (mut client, mut served) = connected()?;
-            served.write_all(b"x")?;
+            let (mut client, mut server) = connected_pair()?;
+            server.write_all(b"x")?;
             client.read(&mut [0; 8]).map(|_| ())
         }
-        Call::SocketWrite => connected()?.0.write(b"x").map(|_| ()),
+        Call::SocketWrite => connected_pair()?.0.write(b"x").map(|_| ()),
         Call::DatagramSend | Call::DatagramReceive => receive_a_datagram(),
         Call::FileRead => {
             let mut file = tempfile::tempfile()?;
@@ -64,7 +64,7 @@
         Call::OpenForWriting => File::create(path).map(|_| ()),
         Call::Rename => {
             File::create(&path)?;
-            std::fs::rename(&path, folder.path().join("other"))
+            std::fs::rename(&path, directory.path().join("other"))
         }
         Call::Truncate => tempfile::tempfile()?.set_len(8),
     }
@@ -73,13 +73,13 @@
 #[test]
 fn each_kind_of_call_fails_as_planned_and_no_other() {
     const NAME: &str = "each_kind_of_call_fails_as_planned_and_no_other";
-    if let Some(number) = inside() {
+    if let Some(number) = child_argument() {
         let call = Call::ALL[number.parse::<usize>().unwrap()];
-        // Planned here, so that it is not the runner of the tests that meets it.
+        // Injected here, so that the fault doesn't hit the test runner.
         FaultPlan::inherited().unwrap().fail(call, ERRNO, 1);
-        let error = make(call).unwrap_err();
+        let error = make_call(call).unwrap_err();
         assert_eq!(error.raw_os_error(), Some(ERRNO), "{call:?}: {error}");
-        make(call).unwrap();
+        make_call(call).unwrap();
         return;
     }
     for (number, call) in Call::ALL.into_iter().enumerate().filter(|(_, call)| *call != Call::EpollWait) {
@@ -94,16 +94,16 @@
 
 #[test]
 fn skipped_calls_pass_and_one_of_many_fails() {
-    if inside().is_some() {
+    if child_argument().is_some() {
         let listener = || TcpListener::bind("127.0.0.1:0").is_ok();
-        let passed: Vec<bool> = (0..9).map(|_| listener()).collect();
-        assert_eq!(passed, [true, true, true, true, true, true, true, true, true]);
-        let connected: Vec<bool> = (0..6).map(|_| UdpSocket::bind("127.0.0.1:0").is_ok()).collect();
-        assert_eq!(connected, [false, true, true, false, true, true]);
+        let listeners: Vec<bool> = (0..9).map(|_| listener()).collect();
+        assert_eq!(listeners, [true, true, true, true, true, true, true, true, true]);
+        let datagram_sockets: Vec<bool> = (0..6).map(|_| UdpSocket::bind("127.0.0.1:0").is_ok()).collect();
+        assert_eq!(datagram_sockets, [false, true, true, false, true, true]);
         return;
     }
     let plan = FaultPlan::new().unwrap();
-    // Nine listeners bind, then six datagram sockets.
+    // Nine listeners are bound, then six datagram sockets.
     plan.inject(Call::Bind, ERRNO, FaultSchedule { skip: 9, count: UNLIMITED, every_nth: 3 });
     plan.fail_after(Call::Listen, ERRNO, 100, 1);
     let output = run_under(&plan, "skipped_calls_pass_and_one_of_many_fails", "yes");
@@ -113,7 +113,7 @@
 
 #[test]
 fn waits_are_interrupted_as_planned() {
-    if inside().is_some() {
+    if child_argument().is_some() {
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
         return runtime.block_on(async { tokio::time::sleep(Duration::from_millis(5)).await });
     }
@@ -126,9 +126,9 @@
 
 #[test]
 fn reads_and_writes_are_as_short_as_planned() {
-    if inside().is_some() {
-        let (mut client, mut served) = connected().unwrap();
-        assert_eq!(served.write(b"abcdefgh").unwrap(), 5);
+    if child_argument().is_some() {
+        let (mut client, mut server) = connected_pair().unwrap();
+        assert_eq!(server.write(b"abcdefgh").unwrap(), 5);
         let mut first = [0; 8];
         assert_eq!(client.read(&mut first).unwrap(), 3);
         assert_eq!(&first[..3], b"abc");
@@ -150,10 +150,10 @@
 #[test]
 fn the_wall_clock_moves_as_planned() {
     const STEP: Duration = Duration::from_secs(86_400);
-    if let Some(started) = inside() {
+    if let Some(started) = child_argument() {
         let started = Duration::from_nanos(started.parse().unwrap());
-        let apart = SystemTime::now().duration_since(UNIX_EPOCH).unwrap() - started;
-        assert!(apart >= STEP && apart < STEP * 2, "{apart:?}");
+        let offset = SystemTime::now().duration_since(UNIX_EPOCH).unwrap() - started;
+        assert!(offset >= STEP && offset < STEP * 2, "{offset:?}");
         return;
     }
     let plan = FaultPlan::new().unwrap();
