--- a/crates/conformance/src/tier_client.rs
+++ b/crates/conformance/src/tier_client.rs
@@ -1,8 +1,7 @@
-//! What every scheduler must do on its links to the voters, stated once. The suite plays the voters on loopback; whoever
-//! is started against it, a process of the program or a hollow scheduler, must keep each clause.
+//! Conformance suite for schedulers as clients of the voters. The suite simulates the voters on the loopback interface
+//! and checks a scheduler that connects to them, either the real program or a simulated scheduler.
 //!
-//! Renewals are a second apart here, so that what comes at once and what comes in its turn can be told apart on a busy
-//! machine.
+//! The renewal interval is one second, so that immediate requests can be distinguished from renewals on a busy machine.
 
 use crate::Violation;
 use loomlb_consensus::EffectiveRules;
@@ -19,129 +18,146 @@
 
 /// The key of the tier.
 pub const KEY: &str = "a key for the contract";
-/// The name under which the scheduler must come.
+/// The name that the scheduler must use.
 pub const NAME: &str = "the-client";
-/// Time between two renewals that the scheduler is to be configured with, in seconds.
+/// The renewal interval that the scheduler must be configured with, in seconds.
 pub const RENEW_S: f64 = 1.0;
-/// The bound that goes with it, in seconds.
+/// The bound that the scheduler must be configured with, in seconds.
 pub const BOUND_S: f64 = 6.0;
-/// Voters.
+/// Number of voters.
 pub const VOTERS: usize = 3;
 
-/// What must happen does so within this; only a failure waits for it.
-const LONG: Duration = Duration::from_secs(6);
-/// What comes at once is there within this, which is well before the next renewal.
-const ONCE: Duration = Duration::from_millis(600);
-/// Over so long questions are counted,
-const WINDOW: Duration = Duration::from_millis(4_500);
-/// of which so many are due: four or five, with wide bounds.
-const DUE: std::ops::RangeInclusive<usize> = 2..=9;
+/// Time to wait for an expected event.
+const EVENT_TIMEOUT: Duration = Duration::from_secs(6);
+/// Longest time until an immediate request, well below the renewal interval.
+const IMMEDIATE_LIMIT: Duration = Duration::from_millis(600);
+/// Period in which lease requests are counted.
+const PACE_PERIOD: Duration = Duration::from_millis(4_500);
+/// Accepted number of lease requests to a voter in the period: four or five are expected.
+const EXPECTED_REQUESTS: std::ops::RangeInclusive<usize> = 2..=9;
 
-/// The clauses, by their words.
-pub const CLAUSES: [&str; 11] =
-    [GREETING, HELLO, NUMBERS, FIRST_ASK, STATE, AT_ONCE, ALL, PACE, ANEW, CODE, PROPOSALS];
-const GREETING: &str = "a link begins with a greeting, and with words under the tier's key";
-const HELLO: &str = "the first word says format, name and process, and no vote";
-const NUMBERS: &str = "the numbers of questions rise";
-const FIRST_ASK: &str = "who knows nothing says state 0 and acts on nothing";
-const STATE: &str = "after news the next question says that state and what is acted on";
-const AT_ONCE: &str = "who acts on something else asks at once";
-const ALL: &str = "all voters are asked";
-const PACE: &str = "questions come at the pace of the renewals";
-const ANEW: &str = "a link that broke is opened anew, with a number never used before";
-const CODE: &str = "a false code ends the link, and its word counts for nothing";
-const PROPOSALS: &str = "nothing is proposed but by who has no document";
+/// The texts of the clauses.
+pub const CLAUSES: [&str; 11] = [
+    GREETING,
+    HELLO,
+    REQUEST_NUMBERS,
+    INITIAL_STATE,
+    REPORTED_STATE,
+    IMMEDIATE_REQUEST,
+    ALL_VOTERS,
+    PACE,
+    RECONNECT,
+    AUTHENTICATION,
+    PROPOSALS,
+];
+const GREETING: &str = "a link begins with a greeting and messages sealed with the tier's key";
+const HELLO: &str = "the first message states version, name and process, and no voter";
+const REQUEST_NUMBERS: &str = "the numbers of lease requests increase";
+const INITIAL_STATE: &str = "a scheduler without a state reports state 0 and applies no rules";
+const REPORTED_STATE: &str =
+    "after an update, the next lease request reports the state and the rules in effect";
+const IMMEDIATE_REQUEST: &str = "a scheduler whose rules changed sends lease requests at once";
+const ALL_VOTERS: &str = "all voters receive lease requests";
+const PACE: &str = "lease requests are sent at the renewal interval";
+const RECONNECT: &str = "a broken link is opened again with a new nonce";
+const AUTHENTICATION: &str = "a message with an invalid authentication code is ignored and ends the link";
+const PROPOSALS: &str = "a scheduler that has a document proposes none";
 
-/// What a voter heard.
+/// An event on a link to a voter.
 #[derive(Clone, Debug)]
-struct Heard {
+struct LinkEvent {
     at: Instant,
     link: u64,
     voter: usize,
-    what: What,
+    kind: EventKind,
 }
 
 #[derive(Clone, Debug)]
-enum What {
+enum EventKind {
     Nonce(Nonce),
-    Word(LinkMessage),
-    /// What cannot be read, or is no greeting.
-    Faulty(String),
-    /// The other end has closed.
+    Message(LinkMessage),
+    /// An invalid message or greeting. The text is empty if the error is on the voter's side.
+    ProtocolError(String),
+    /// The scheduler closed the link.
     Closed,
 }
 
-/// What the voters tell.
+/// State of the simulated voters.
 #[derive(Debug, Default)]
-struct Tell {
+struct VoterState {
     state: ReplicatedState,
-    /// The next answer of this voter has a false code; its link, once it was sent.
-    falsely: Option<usize>,
-    /// The link that was told a false word, and when.
-    lied: Option<(u64, Instant)>,
-    /// Links of this voter end.
-    ends: Option<usize>,
+    /// The voter whose next response gets an invalid authentication code.
+    invalid_response_from: Option<usize>,
+    /// The link on which the invalid response was sent, and the time.
+    invalid_response_on: Option<(u64, Instant)>,
+    /// The voter that closes its links.
+    closing_voter: Option<usize>,
 }
 
 #[derive(Debug, Default)]
 struct Shared {
-    heard: Mutex<Vec<Heard>>,
-    tell: Mutex<Tell>,
+    events: Mutex<Vec<LinkEvent>>,
+    voter_state: Mutex<VoterState>,
     links: AtomicU64,
-    over: AtomicBool,
+    stopped: AtomicBool,
 }
 
 impl Shared {
-    fn heard(&self) -> MutexGuard<'_, Vec<Heard>> {
-        self.heard.lock().unwrap_or_else(PoisonError::into_inner)
+    fn events(&self) -> MutexGuard<'_, Vec<LinkEvent>> {
+        self.events.lock().unwrap_or_else(PoisonError::into_inner)
     }
-    fn tell(&self) -> MutexGuard<'_, Tell> {
-        self.tell.lock().unwrap_or_else(PoisonError::into_inner)
+    fn voter_state(&self) -> MutexGuard<'_, VoterState> {
+        self.voter_state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-/// Voters that only listen and answer.
+/// Simulated voters, which only respond to requests.
 #[derive(Debug)]
 struct Voters {
     shared: Arc<Shared>,
-    at: Vec<SocketAddr>,
+    addresses: Vec<SocketAddr>,
 }
 
 impl Voters {
     fn open() -> io::Result<Voters> {
         let shared: Arc<Shared> = Arc::default();
-        let mut at = Vec::new();
+        let mut addresses = Vec::new();
         for voter in 0..VOTERS {
             let listener = TcpListener::bind("127.0.0.1:0")?;
-            at.push(listener.local_addr()?);
+            addresses.push(listener.local_addr()?);
             listener.set_nonblocking(true)?;
             let shared = Arc::clone(&shared);
             std::thread::spawn(move || {
-                while !shared.over.load(Ordering::Relaxed) {
+                while !shared.stopped.load(Ordering::Relaxed) {
                     let Ok((stream, _)) = listener.accept() else {
                         std::thread::sleep(Duration::from_millis(5));
                         continue;
                     };
                     let (shared, link) = (Arc::clone(&shared), shared.links.fetch_add(1, Ordering::Relaxed));
                     std::thread::spawn(move || {
-                        let ended = serve(&shared, voter, link, stream);
-                        hear(&shared, voter, link, ended.err().map_or(What::Closed, What::Faulty));
+                        let ended = serve_link(&shared, voter, link, stream);
+                        record(
+                            &shared,
+                            voter,
+                            link,
+                            ended.err().map_or(EventKind::Closed, EventKind::ProtocolError),
+                        );
                     });
                 }
             });
         }
-        Ok(Voters { shared, at })
+        Ok(Voters { shared, addresses })
     }
 
-    fn heard(&self) -> Vec<Heard> {
-        self.shared.heard().clone()
+    fn events(&self) -> Vec<LinkEvent> {
+        self.shared.events().clone()
     }
 
-    /// Waits for something; false if it does not come.
-    fn until(&self, so: impl Fn(&[Heard]) -> bool) -> bool {
-        let end = Instant::now() + LONG;
+    /// Waits until the condition holds. Returns false after a timeout.
+    fn wait_until(&self, condition: impl Fn(&[LinkEvent]) -> bool) -> bool {
+        let end = Instant::now() + EVENT_TIMEOUT;
         while Instant::now() < end {
-            if so(&self.heard()) {
+            if condition(&self.events()) {
                 return true;
             }
             std::thread::sleep(Duration::from_millis(5));
@@ -152,103 +168,105 @@
 
 impl Drop for Voters {
     fn drop(&mut self) {
-        self.shared.over.store(true, Ordering::Relaxed);
+        self.shared.stopped.store(true, Ordering::Relaxed);
     }
 }
 
-fn hear(shared: &Shared, voter: usize, link: u64, what: What) {
-    shared.heard().push(Heard { at: Instant::now(), link, voter, what });
+fn record(shared: &Shared, voter: usize, link: u64, kind: EventKind) {
+    shared.events().push(LinkEvent { at: Instant::now(), link, voter, kind });
 }
 
-/// One link. An error is what the other end did wrong.
-fn serve(shared: &Shared, voter: usize, link: u64, mut stream: TcpStream) -> Result<(), String> {
-    // Words of this side, which are no fault of the other.
-    let broke = |_: io::Error| String::new();
-    stream.set_nonblocking(false).map_err(broke)?;
-    stream.set_nodelay(true).map_err(broke)?;
-    stream.set_read_timeout(Some(Duration::from_millis(20))).map_err(broke)?;
-    let mut first = Vec::new();
-    let begun = Instant::now();
-    while first.len() < GREETING_BYTES {
+/// Serves one link. An error describes a protocol violation of the scheduler.
+fn serve_link(shared: &Shared, voter: usize, link: u64, mut stream: TcpStream) -> Result<(), String> {
+    // I/O errors on this side aren't violations of the scheduler.
+    let own_error = |_: io::Error| String::new();
+    stream.set_nonblocking(false).map_err(own_error)?;
+    stream.set_nodelay(true).map_err(own_error)?;
+    stream.set_read_timeout(Some(Duration::from_millis(20))).map_err(own_error)?;
+    let mut received = Vec::new();
+    let started_at = Instant::now();
+    while received.len() < GREETING_BYTES {
         let mut byte = [0; 1];
         match stream.read(&mut byte) {
-            Ok(1) => first.push(byte[0]),
-            Ok(_) => return Err("it closed within its greeting".into()),
-            Err(e) if waits(&e) && begun.elapsed() < LONG => {}
+            Ok(1) => received.push(byte[0]),
+            Ok(_) => return Err("link closed during the greeting".into()),
+            Err(e) if is_timeout(&e) && started_at.elapsed() < EVENT_TIMEOUT => {}
             Err(e) => return Err(format!("no greeting: {e}")),
         }
     }
-    let mut whole = [0; GREETING_BYTES];
-    whole.copy_from_slice(&first);
-    let theirs = link_protocol::parse_greeting(&whole).map_err(|e| format!("its greeting: {e}"))?;
-    hear(shared, voter, link, What::Nonce(theirs));
-    let mut mine = Nonce::default();
-    mine[..8].copy_from_slice(&link.to_le_bytes());
-    mine[8] = voter as u8;
-    stream.write_all(&link_protocol::greeting(&mine)).map_err(broke)?;
-    let (mut from, mut to) = link_protocol::derive_channels(KEY, &theirs, &mine);
+    let mut greeting = [0; GREETING_BYTES];
+    greeting.copy_from_slice(&received);
+    let client_nonce =
+        link_protocol::parse_greeting(&greeting).map_err(|e| format!("invalid greeting: {e}"))?;
+    record(shared, voter, link, EventKind::Nonce(client_nonce));
+    let mut voter_nonce = Nonce::default();
+    voter_nonce[..8].copy_from_slice(&link.to_le_bytes());
+    voter_nonce[8] = voter as u8;
+    stream.write_all(&link_protocol::greeting(&voter_nonce)).map_err(own_error)?;
+    let (mut incoming, mut outgoing) = link_protocol::derive_channels(KEY, &client_nonce, &voter_nonce);
     let mut bytes = Vec::new();
-    while !shared.over.load(Ordering::Relaxed) {
-        if shared.tell().ends == Some(voter) {
+    while !shared.stopped.load(Ordering::Relaxed) {
+        if shared.voter_state().closing_voter == Some(voter) {
             return Ok(());
         }
-        match from.open(&mut bytes) {
-            Ok(Some(word)) => {
-                hear(shared, voter, link, What::Word(word.clone()));
-                answer(shared, voter, link, word, &mut to, &mut stream).map_err(broke)?;
+        match incoming.open(&mut bytes) {
+            Ok(Some(message)) => {
+                record(shared, voter, link, EventKind::Message(message.clone()));
+                respond(shared, voter, link, message, &mut outgoing, &mut stream).map_err(own_error)?;
                 continue;
             }
             Ok(None) => {}
-            Err(e) => return Err(format!("a word: {e}")),
+            Err(e) => return Err(format!("invalid message: {e}")),
         }
-        let mut some = [0; 4096];
-        match stream.read(&mut some) {
+        let mut chunk = [0; 4096];
+        match stream.read(&mut chunk) {
             Ok(0) => return Ok(()),
-            Ok(length) => bytes.extend_from_slice(&some[..length]),
-            Err(e) if waits(&e) => {}
+            Ok(length) => bytes.extend_from_slice(&chunk[..length]),
+            Err(e) if is_timeout(&e) => {}
             Err(_) => return Ok(()),
         }
     }
     Ok(())
 }
 
-fn waits(e: &io::Error) -> bool {
+fn is_timeout(e: &io::Error) -> bool {
     matches!(e.kind(), io::ErrorKind::WouldBlock | io::ErrorKind::TimedOut)
 }
 
-fn answer(
+fn respond(
     shared: &Shared,
     voter: usize,
     link: u64,
-    word: LinkMessage,
-    to: &mut Channel,
+    message: LinkMessage,
+    outgoing: &mut Channel,
     stream: &mut TcpStream,
 ) -> io::Result<()> {
-    let mut tell = shared.tell();
-    match word {
-        LinkMessage::LeaseRequest { number, rules: acting, index, .. } => {
-            let news = (tell.state.index > index).then(|| Box::new(tell.state.clone()));
-            let falsely = tell.falsely == Some(voter);
-            let news = if falsely { Some(Box::new(lie(&tell.state))) } else { news };
+    let mut voter_state = shared.voter_state();
+    match message {
+        LinkMessage::LeaseRequest { number, rules, index, .. } => {
+            let newer_state = (voter_state.state.index > index).then(|| Box::new(voter_state.state.clone()));
+            let send_invalid = voter_state.invalid_response_from == Some(voter);
+            let newer_state =
+                if send_invalid { Some(Box::new(false_state(&voter_state.state))) } else { newer_state };
             let reply = LinkMessage::LeaseResponse {
                 number,
-                granted: acting.is_some(),
-                newer_state: news,
+                granted: rules.is_some(),
+                newer_state,
                 lists: ListSummary::default(),
             };
-            let mut bytes = to.seal(&reply);
-            if falsely {
+            let mut bytes = outgoing.seal(&reply);
+            if send_invalid {
                 bytes[6] ^= 1;
-                tell.falsely = None;
-                tell.lied = Some((link, Instant::now()));
+                voter_state.invalid_response_from = None;
+                voter_state.invalid_response_on = Some((link, Instant::now()));
             }
             stream.write_all(&bytes)
         }
         LinkMessage::Propose(Command::Propose { token, .. }) => {
-            // Its outcome is known once there is a document.
-            if tell.state.outcome(token).is_none() {
-                let outcome = ProposalOutcome::StaleBase(tell.state.newest_version());
-                tell.state.outcomes.push_back((token, outcome));
+            // Each proposal is rejected once, as based on an old version.
+            if voter_state.state.outcome(token).is_none() {
+                let outcome = ProposalOutcome::StaleBase(voter_state.state.newest_version());
+                voter_state.state.outcomes.push_back((token, outcome));
             }
             Ok(())
         }
@@ -256,202 +274,257 @@
     }
 }
 
-/// The state that a false word tells: nobody must ever act on it.
-fn lie(state: &ReplicatedState) -> ReplicatedState {
-    let mut lie = state.clone();
-    lie.index += 1000;
-    if let Some(active) = &mut lie.active {
+/// The state in the invalid response, which the scheduler must ignore.
+fn false_state(state: &ReplicatedState) -> ReplicatedState {
+    let mut false_state = state.clone();
+    false_state.index += 1000;
+    if let Some(active) = &mut false_state.active {
         active.version += 1000;
     }
-    lie
+    false_state
 }
 
-type Question = (Instant, u64, usize, u64, Option<EffectiveRules>, u64);
+type LeaseRequestEvent = (Instant, u64, usize, u64, Option<EffectiveRules>, u64);
 
-/// Questions: when, on which link, to which voter, their number, what is acted on, and which state.
-fn questions(heard: &[Heard]) -> Vec<Question> {
-    let asks = heard.iter().filter_map(|h| match &h.what {
-        What::Word(LinkMessage::LeaseRequest { number, rules: acting, index, .. }) => {
-            Some((h.at, h.link, h.voter, *number, *acting, *index))
+/// Returns the lease requests: time, link, voter, number, rules in effect, and index of the state.
+fn lease_requests(events: &[LinkEvent]) -> Vec<LeaseRequestEvent> {
+    let requests = events.iter().filter_map(|event| match &event.kind {
+        EventKind::Message(LinkMessage::LeaseRequest { number, rules, index, .. }) => {
+            Some((event.at, event.link, event.voter, *number, *rules, *index))
         }
         _ => None,
     });
-    asks.collect()
+    requests.collect()
 }
 
-/// Starts a scheduler against the voters, named [`NAME`], with [`KEY`], [`RENEW_S`] and [`BOUND_S`]. It lives until what
-/// is given back is dropped.
+/// Starts a scheduler with the voters' addresses, [`NAME`], [`KEY`], [`RENEW_S`] and [`BOUND_S`]. It runs until the
+/// returned value is dropped.
 pub type Start<'a> = &'a dyn Fn(&[SocketAddr]) -> Box<dyn std::any::Any>;
 
-/// Plays voters to a scheduler that acts on these settings, and names the clauses that it breaks.
+/// Checks a scheduler that applies these settings, and returns the clauses that it violates.
 pub fn violations(start: Start<'_>, settings: &serde_json::Value) -> Vec<Violation> {
-    let mut all: Vec<Violation> = Vec::new();
-    let mut say = |clause: &'static str, details: String| {
-        if !all.iter().any(|b| b.clause == clause) {
-            all.push(Violation { clause, details });
+    let mut violations: Vec<Violation> = Vec::new();
+    let mut report = |clause: &'static str, details: String| {
+        if !violations.iter().any(|violation| violation.clause == clause) {
+            violations.push(Violation { clause, details });
         }
     };
     let voters = match Voters::open() {
         Ok(voters) => voters,
         Err(e) => {
-            return vec![Violation { clause: GREETING, details: format!("the suite cannot listen: {e}") }];
+            return vec![Violation {
+                clause: GREETING,
+                details: format!("the simulated voters cannot listen: {e}"),
+            }];
         }
     };
-    let client = start(&voters.at);
-    let asked_all = |heard: &[Heard], after: Instant| {
-        (0..VOTERS).all(|v| questions(heard).iter().any(|q| q.2 == v && q.0 > after))
+    let client = start(&voters.addresses);
+    let all_voters_received_requests = |events: &[LinkEvent], after: Instant| {
+        (0..VOTERS)
+            .all(|voter| lease_requests(events).iter().any(|request| request.2 == voter && request.0 > after))
     };
-    let begun = Instant::now();
-    if !voters.until(|heard| asked_all(heard, begun)) {
-        say(ALL, format!("{} questions in {LONG:?}", questions(&voters.heard()).len()));
+    let started_at = Instant::now();
+    if !voters.wait_until(|events| all_voters_received_requests(events, started_at)) {
+        report(
+            ALL_VOTERS,
+            format!("{} lease requests in {EVENT_TIMEOUT:?}", lease_requests(&voters.events()).len()),
+        );
     }
-    before(&voters.heard(), &mut say);
+    check_initial_requests(&voters.events(), &mut report);
 
-    // The first document, then one that contradicts it, then that one in force.
-    let body = |aim: u64| {
+    // A first document, a second one that is pending, and the second one active.
+    let document_body = |give_up: u64| {
         let mut settings = settings.clone();
-        settings["classes"][0]["give_up"] = aim.into();
+        settings["classes"][0]["give_up"] = give_up.into();
         DocumentBody::new(&settings, BTreeSet::new())
     };
-    let document = |version, aim| Some(Document { version, proposer: "another".into(), body: body(aim) });
-    let (old, new) = (document(1, 3_000_000_000), document(2, 2_000_000_000));
+    let document = |version, give_up| {
+        Some(Document { version, proposer: "another".into(), body: document_body(give_up) })
+    };
+    let (first, second) = (document(1, 3_000_000_000), document(2, 2_000_000_000));
     let steps = [
-        (10, old.clone(), None, EffectiveRules::On(1)),
-        (11, old, new.clone(), EffectiveRules::Between(1)),
-        (12, new, None, EffectiveRules::On(2)),
+        (10, first.clone(), None, EffectiveRules::On(1)),
+        (11, first, second.clone(), EffectiveRules::Between(1)),
+        (12, second, None, EffectiveRules::On(2)),
     ];
-    let mut given = Instant::now();
-    for (index, active, coming, acting) in steps {
-        given = Instant::now();
+    let mut published_at = Instant::now();
+    for (index, active, pending, expected_rules) in steps {
+        published_at = Instant::now();
         {
-            let mut tell = voters.shared.tell();
-            (tell.state.index, tell.state.active, tell.state.pending) = (index, active, coming);
+            let mut voter_state = voters.shared.voter_state();
+            (voter_state.state.index, voter_state.state.active, voter_state.state.pending) =
+                (index, active, pending);
         }
-        let knows = |q: &Question| q.0 > given && q.5 >= index;
-        if !voters.until(|h| (0..VOTERS).all(|v| questions(h).iter().any(|q| q.2 == v && knows(q)))) {
-            say(STATE, format!("nobody heard that it has state {index}"));
+        let has_state = |request: &LeaseRequestEvent| request.0 > published_at && request.5 >= index;
+        if !voters.wait_until(|events| {
+            (0..VOTERS).all(|voter| {
+                lease_requests(events).iter().any(|request| request.2 == voter && has_state(request))
+            })
+        }) {
+            report(REPORTED_STATE, format!("not all voters received a lease request with state {index}"));
         }
-        let heard = voters.heard();
-        if let Some(q) = questions(&heard).iter().find(|q| knows(q) && q.4 != Some(acting)) {
-            say(STATE, format!("with state {index} it acts on {:?}, and {acting:?} is due", q.4));
+        let events = voters.events();
+        if let Some(request) = lease_requests(&events)
+            .iter()
+            .find(|request| has_state(request) && request.4 != Some(expected_rules))
+        {
+            report(
+                REPORTED_STATE,
+                format!("rules in effect with state {index}: {:?}, expected {expected_rules:?}", request.4),
+            );
         }
-        at_once(&heard, given, index, &mut say);
+        check_immediate_request(&events, published_at, index, &mut report);
     }
-    let settled = Instant::now();
-    std::thread::sleep(WINDOW);
-    let after = voters.heard();
+    let window_start = Instant::now();
+    std::thread::sleep(PACE_PERIOD);
+    let events = voters.events();
     for voter in 0..VOTERS {
-        let count = questions(&after)
+        let count = lease_requests(&events)
             .iter()
-            .filter(|q| q.2 == voter && q.0 > settled && q.0 <= settled + WINDOW)
+            .filter(|request| {
+                request.2 == voter && request.0 > window_start && request.0 <= window_start + PACE_PERIOD
+            })
             .count();
-        if !DUE.contains(&count) {
-            say(PACE, format!("voter {voter} was asked {count} times in {WINDOW:?}"));
+        if !EXPECTED_REQUESTS.contains(&count) {
+            report(PACE, format!("voter {voter} received {count} lease requests in {PACE_PERIOD:?}"));
         }
     }
 
-    // A link ends, and one is told a false word.
-    let cut = Instant::now();
-    voters.shared.tell().ends = Some(0);
+    // Closes the links of one voter, and sends an invalid response from another one.
+    let closed_at = Instant::now();
+    voters.shared.voter_state().closing_voter = Some(0);
     std::thread::sleep(Duration::from_millis(100));
-    voters.shared.tell().ends = None;
-    if !voters.until(|h| questions(h).iter().any(|q| q.2 == 0 && q.0 > cut + Duration::from_millis(100))) {
-        say(ANEW, "no question on a new link".into());
+    voters.shared.voter_state().closing_voter = None;
+    if !voters.wait_until(|events| {
+        lease_requests(events)
+            .iter()
+            .any(|request| request.2 == 0 && request.0 > closed_at + Duration::from_millis(100))
+    }) {
+        report(RECONNECT, "no lease request on a new link".into());
     }
-    voters.shared.tell().falsely = Some(1);
-    let lied = |voters: &Voters| voters.shared.tell().lied;
-    voters.until(|_| lied(&voters).is_some());
-    match lied(&voters) {
-        None => say(CODE, "voter 1 was asked no more".into()),
+    voters.shared.voter_state().invalid_response_from = Some(1);
+    let invalid_response = |voters: &Voters| voters.shared.voter_state().invalid_response_on;
+    voters.wait_until(|_| invalid_response(&voters).is_some());
+    match invalid_response(&voters) {
+        None => report(AUTHENTICATION, "voter 1 received no further lease request".into()),
         Some((link, at)) => {
-            let closed = |h: &Heard| h.link == link && matches!(h.what, What::Closed | What::Faulty(_));
-            if !voters.until(|h| h.iter().any(|h| closed(h) && h.at > at)) {
-                say(CODE, "the link goes on".into());
+            let closed = |event: &LinkEvent| {
+                event.link == link && matches!(event.kind, EventKind::Closed | EventKind::ProtocolError(_))
+            };
+            if !voters.wait_until(|events| events.iter().any(|event| closed(event) && event.at > at)) {
+                report(AUTHENTICATION, "the link stays open".into());
             }
-            if !voters.until(|h| questions(h).iter().any(|q| q.2 == 1 && q.1 != link && q.0 > at)) {
-                say(CODE, "no new link after it".into());
+            if !voters.wait_until(|events| {
+                lease_requests(events)
+                    .iter()
+                    .any(|request| request.2 == 1 && request.1 != link && request.0 > at)
+            }) {
+                report(AUTHENTICATION, "no new link was opened".into());
             }
-            if let Some(q) = questions(&voters.heard()).iter().find(|q| q.5 >= 1000) {
-                say(CODE, format!("it acts on {:?} of a false word", q.4));
+            if let Some(request) = lease_requests(&voters.events()).iter().find(|request| request.5 >= 1000) {
+                report(AUTHENTICATION, format!("rules {:?} of the invalid message are in effect", request.4));
             }
         }
     }
     drop(client);
-    let heard = voters.heard();
-    throughout(&heard, &mut say);
-    // What was on its way when the document came is no fault.
-    let late = heard.iter().find(|h| {
-        h.at > given + Duration::from_secs(2) && matches!(h.what, What::Word(LinkMessage::Propose(_)))
+    let events = voters.events();
+    check_all_events(&events, &mut report);
+    // Proposals sent just before the document arrived are allowed.
+    let late_proposal = events.iter().find(|event| {
+        event.at > published_at + Duration::from_secs(2)
+            && matches!(event.kind, EventKind::Message(LinkMessage::Propose(_)))
     });
-    if let Some(late) = late {
-        say(PROPOSALS, format!("voter {} heard one while there is a document", late.voter));
+    if let Some(late_proposal) = late_proposal {
+        report(
+            PROPOSALS,
+            format!("voter {} received a proposal while there is a document", late_proposal.voter),
+        );
     }
-    all
+    violations
 }
 
-/// What must hold before there is a document.
-fn before(heard: &[Heard], say: &mut dyn FnMut(&'static str, String)) {
-    for q in questions(heard).iter().filter(|q| q.4.is_some() || q.5 != 0) {
-        say(FIRST_ASK, format!("question {} says state {} and {:?}", q.3, q.5, q.4));
+/// Checks the lease requests before there is a document.
+fn check_initial_requests(events: &[LinkEvent], report: &mut dyn FnMut(&'static str, String)) {
+    for request in lease_requests(events).iter().filter(|request| request.4.is_some() || request.5 != 0) {
+        report(
+            INITIAL_STATE,
+            format!("lease request {} reports state {} and rules {:?}", request.3, request.5, request.4),
+        );
     }
 }
 
-/// Who learns of something else to act on asks all again, long before the next renewal: on the link that brought it, and
-/// on the others.
-fn at_once(heard: &[Heard], given: Instant, index: u64, say: &mut dyn FnMut(&'static str, String)) {
-    let all = questions(heard);
-    // The first question after the news was there is the one that it was told in answer to.
-    let Some(told) = all.iter().find(|q| q.0 > given && q.5 < index).map(|q| q.0) else { return };
-    let next = all.iter().find(|q| q.0 > told && q.5 >= index).map(|q| q.0 - told);
+/// Checks that a scheduler whose rules changed sends the next lease request long before the next renewal.
+fn check_immediate_request(
+    events: &[LinkEvent],
+    published_at: Instant,
+    index: u64,
+    report: &mut dyn FnMut(&'static str, String),
+) {
+    let requests = lease_requests(events);
+    // The response to the first lease request after the change contains the update.
+    let Some(update_requested_at) = requests
+        .iter()
+        .find(|request| request.0 > published_at && request.5 < index)
+        .map(|request| request.0)
+    else {
+        return;
+    };
+    let next = requests
+        .iter()
+        .find(|request| request.0 > update_requested_at && request.5 >= index)
+        .map(|request| request.0 - update_requested_at);
     match next {
-        Some(time) if time <= ONCE => {}
-        Some(time) => say(AT_ONCE, format!("state {index}: {time:?} after it was told")),
-        None => say(AT_ONCE, format!("state {index}: never")),
+        Some(time) if time <= IMMEDIATE_LIMIT => {}
+        Some(time) => report(IMMEDIATE_REQUEST, format!("state {index}: request after {time:?}")),
+        None => report(IMMEDIATE_REQUEST, format!("state {index}: no request")),
     }
 }
 
-/// What must hold all the time.
-fn throughout(heard: &[Heard], say: &mut dyn FnMut(&'static str, String)) {
+/// Checks all events for clauses that always apply.
+fn check_all_events(events: &[LinkEvent], report: &mut dyn FnMut(&'static str, String)) {
     let mut nonces: BTreeMap<Nonce, u64> = BTreeMap::new();
-    let mut first_words: BTreeSet<u64> = BTreeSet::new();
+    let mut links_with_messages: BTreeSet<u64> = BTreeSet::new();
     let mut numbers: BTreeMap<(usize, u64), u64> = BTreeMap::new();
-    let mut process: BTreeMap<u64, u64> = BTreeMap::new();
-    for h in heard {
-        match &h.what {
-            What::Nonce(nonce) => {
-                if let Some(link) = nonces.insert(*nonce, h.link) {
-                    say(ANEW, format!("links {link} and {} begin with the same number", h.link));
+    let mut processes_by_link: BTreeMap<u64, u64> = BTreeMap::new();
+    for event in events {
+        match &event.kind {
+            EventKind::Nonce(nonce) => {
+                if let Some(link) = nonces.insert(*nonce, event.link) {
+                    report(RECONNECT, format!("links {link} and {} use the same nonce", event.link));
                 }
             }
-            What::Faulty(why) if !why.is_empty() => say(GREETING, why.clone()),
-            What::Faulty(_) | What::Closed => {}
-            What::Word(word) => {
-                if first_words.insert(h.link) {
-                    match word {
+            EventKind::ProtocolError(why) if !why.is_empty() => report(GREETING, why.clone()),
+            EventKind::ProtocolError(_) | EventKind::Closed => {}
+            EventKind::Message(message) => {
+                if links_with_messages.insert(event.link) {
+                    match message {
                         LinkMessage::Hello {
                             format: PROTOCOL_VERSION,
                             name,
                             process: number,
                             voter: None,
                         } if name == NAME => {
-                            process.insert(h.link, *number);
+                            processes_by_link.insert(event.link, *number);
                         }
-                        other => say(HELLO, format!("{other:?}")),
+                        other => report(HELLO, format!("{other:?}")),
                     }
                 }
-                if let LinkMessage::LeaseRequest { number, .. } = word {
-                    let by = (h.voter, process.get(&h.link).copied().unwrap_or(0));
-                    let last = numbers.insert(by, *number);
+                if let LinkMessage::LeaseRequest { number, .. } = message {
+                    let sender = (event.voter, processes_by_link.get(&event.link).copied().unwrap_or(0));
+                    let last = numbers.insert(sender, *number);
                     if last.is_some_and(|last| last >= *number) {
-                        say(NUMBERS, format!("voter {} heard {last:?} and then {number}", h.voter));
+                        report(
+                            REQUEST_NUMBERS,
+                            format!("voter {} received number {last:?} and then {number}", event.voter),
+                        );
                     }
                 }
             }
         }
     }
-    let mut of: Vec<u64> = process.values().copied().collect();
-    of.dedup();
-    if of.len() > 1 {
-        say(HELLO, format!("{} processes where there is one", of.len()));
+    let mut process_numbers: Vec<u64> = processes_by_link.values().copied().collect();
+    process_numbers.dedup();
+    if process_numbers.len() > 1 {
+        report(HELLO, format!("{} process numbers, expected one", process_numbers.len()));
     }
 }
--- a/crates/lab/tests/tier_client.rs
+++ b/crates/lab/tests/tier_client.rs
@@ -78,18 +78,18 @@
 #[test]
 fn what_a_hollow_scheduler_does_wrong_is_found() {
     let planted = [
-        (Flaw::AsksBeforeInForce, "after news the next question says"),
-        (Flaw::RepeatsNumbers, "the numbers of questions rise"),
-        (Flaw::SilentOnState, "after news the next question says"),
-        (Flaw::WaitsForTheNextRenewal, "who acts on something else asks at once"),
-        (Flaw::AsksOne, "all voters are asked"),
-        (Flaw::Hurries, "questions come at the pace"),
-        (Flaw::ClaimsAVote, "the first word says"),
-        (Flaw::SameNonce, "a link that broke is opened anew"),
-        (Flaw::TakesFalseCodes, "a false code ends the link"),
+        (Flaw::AsksBeforeInForce, "after an update, the next lease request reports"),
+        (Flaw::RepeatsNumbers, "the numbers of lease requests increase"),
+        (Flaw::SilentOnState, "after an update, the next lease request reports"),
+        (Flaw::WaitsForTheNextRenewal, "a scheduler whose rules changed sends lease requests at once"),
+        (Flaw::AsksOne, "all voters receive lease requests"),
+        (Flaw::Hurries, "lease requests are sent at the renewal interval"),
+        (Flaw::ClaimsAVote, "the first message states"),
+        (Flaw::SameNonce, "a broken link is opened again"),
+        (Flaw::TakesFalseCodes, "a message with an invalid authentication code"),
         (Flaw::OtherKey, "a link begins with a greeting"),
-        (Flaw::ClaimsAState, "who knows nothing says state 0"),
-        (Flaw::Proposes, "nothing is proposed"),
+        (Flaw::ClaimsAState, "a scheduler without a state reports state 0"),
+        (Flaw::Proposes, "a scheduler that has a document proposes none"),
     ];
     let settings = settings(1, 1);
     std::thread::scope(|scope| {
