--- a/crates/capacity/src/plan.rs
+++ b/crates/capacity/src/plan.rs
@@ -1,39 +1,40 @@
-//! The target: what each role's costs come to at named sizes, and which of the target's limits breaks first. Pure: the
-//! plan's words come from a file, its figures from whoever has measured.
+//! Evaluation of a capacity plan: the costs of each role at given sizes, and the order in which the limits of the
+//! target break. The plan comes from a file, the figures from a [`Measurements`] source.
 
 use crate::report::Report;
 use crate::{Source, fit, page};
 use serde::{Deserialize, Serialize};
 
-/// Where figures come from.
-pub trait Measured {
-    /// What a series comes to at a size; `None` where it was not measured or cannot be said.
+/// A source of measured costs.
+pub trait Measurements {
+    /// The cost of a series at a size; `None` if it is unknown.
     fn figure(&self, series: &str, size: f64) -> Option<Figure>;
-    /// The size at which a series of growing costs meets a budget; `None` if it is not known to.
-    fn breaks_at(&self, series: &str, budget: f64) -> Option<f64>;
-    /// The greatest value of a series of outputs, such as versions a second: more does not come out, whatever goes in.
-    fn most(&self, series: &str) -> Option<f64>;
+    /// The size at which a growing cost reaches a budget; `None` if it never does, or is unknown.
+    fn size_at_budget(&self, series: &str, budget: f64) -> Option<f64>;
+    /// The largest value of a series of throughputs, such as versions per second.
+    fn maximum(&self, series: &str) -> Option<f64>;
 }
 
 /// A cost at one size.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Figure {
-    /// In the series' unit.
+    /// The cost, in the unit of the series.
     pub value: f64,
-    /// How it came about.
+    /// How the series was obtained.
     pub source: Source,
-    /// The size lies beyond those that were measured: the figure follows the slope.
-    pub beyond: bool,
+    /// Whether the size is outside the measured range.
+    #[serde(rename = "beyond")]
+    pub extrapolated: bool,
 }
 
-/// The plan as it is written down: `docs/capacity/target.toml`.
+/// The plan in `docs/capacity/target.toml`.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Plan {
     /// Costs of roles at three sizes.
     #[serde(default, rename = "row")]
     pub rows: Vec<Row>,
-    /// What the target must not exceed, or must reach.
+    /// Limits that the target must not exceed.
     #[serde(default, rename = "limit")]
     pub limits: Vec<Limit>,
 }
@@ -42,268 +43,281 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Row {
-    /// Names the row; unique.
+    /// Unique key of the row.
     pub key: String,
-    /// Whose cost.
+    /// The role that has the cost.
     pub role: String,
-    /// What it is.
+    /// Description of the cost.
     pub cost: String,
-    /// The series that gives it.
+    /// Key of the series.
     pub series: String,
-    /// Unit of the figures that are shown.
+    /// Unit of the displayed figures.
     pub unit: String,
-    /// The series' values are divided by this to be shown.
-    #[serde(default = "one")]
+    /// Divisor from the unit of the series to the displayed unit.
+    #[serde(default = "default_divisor")]
     pub per: f64,
-    /// The size today, at the target, and at three times the target, in what the series counts.
+    /// The size today, at the target, and at three times the target, in the size unit of the series.
     pub sizes: [f64; 3],
-    /// The mechanism that carries it (a crate), or "missing".
+    /// The crate that implements it, or "missing".
     pub carried_by: String,
 }
 
-fn one() -> f64 {
+fn default_divisor() -> f64 {
     1.0
 }
 
-/// Something of the target that breaks at some size.
+/// A limit of the target that breaks at some size.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Limit {
-    /// Names the limit; unique.
+    /// Unique key of the limit.
     pub key: String,
-    /// What grows, and what it must not exceed.
+    /// Description: what grows, and what it must not exceed.
     pub what: String,
     /// Unit of the sizes.
     pub unit: String,
     /// The size at the target.
     pub target: f64,
-    /// How the size at which it breaks is known.
-    pub breaks: Breaks,
-    /// Whether other things of the target are built on what is missing here.
+    /// How the breaking size is determined.
+    pub breaks: BreakingPoint,
+    /// Whether other parts of the target depend on this limit.
     pub blocks: bool,
-    /// The mechanism that carries it, or that is missing.
+    /// The mechanism that implements it, or that is missing.
     pub carried_by: String,
 }
 
-/// How the size at which a limit breaks is known.
+/// How the breaking size of a limit is determined.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-#[serde(rename_all = "snake_case", deny_unknown_fields)]
-pub enum Breaks {
-    /// Where this series meets this budget.
+#[serde(rename_all = "snake_case", deny_unknown_fields, expecting = "enum Breaks")]
+pub enum BreakingPoint {
+    /// The size at which the series reaches the budget.
     Budget {
-        /// The series' key.
+        /// Key of the series.
         series: String,
-        /// In the series' unit.
+        /// The budget, in the unit of the series.
         budget: f64,
     },
-    /// No more than the most that this series reached.
-    Most {
-        /// The series' key.
+    /// The largest value of the series.
+    #[serde(rename = "most")]
+    Maximum {
+        /// Key of the series.
         series: String,
     },
     /// A constant of the program.
     Constant {
-        /// The file that has it, from the root.
+        /// File that defines it, relative to the root of the repository.
         file: String,
-        /// Its name there.
+        /// Name of the constant.
         name: String,
-        /// Its value, divided by what one unit of the size takes of it.
+        /// Value of the constant.
         value: f64,
-        /// What one unit of the size takes.
-        #[serde(default = "one")]
-        each: f64,
+        /// Amount used by one unit of the size.
+        #[serde(default = "default_divisor")]
+        #[serde(rename = "each")]
+        per_unit: f64,
     },
-    /// Nothing of the kind is there.
+    /// The mechanism doesn't exist.
     Absent,
 }
 
-/// A row with its figures.
+/// A row with its costs.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Costed {
+#[serde(expecting = "struct Costed")]
+pub struct CostedRow {
     /// The row.
     #[serde(flatten)]
     pub row: Row,
-    /// Its figures at its sizes, already divided by `per`.
+    /// Costs at the three sizes, in the displayed unit.
     pub figures: [Option<Figure>; 3],
 }
 
-/// A limit with its place.
+/// A limit with the size at which it breaks.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Ranked {
+#[serde(expecting = "struct Ranked")]
+pub struct RankedLimit {
     /// The limit.
     #[serde(flatten)]
     pub limit: Limit,
-    /// The size at which it breaks; `None` if nothing measured breaks it.
-    pub at: Option<f64>,
-    /// That size divided by the target's: below 1 the target does not hold.
+    /// The size at which it breaks; `None` if it doesn't.
+    #[serde(rename = "at")]
+    pub breaks_at: Option<f64>,
+    /// The breaking size divided by the target size. Below 1, the target isn't reached.
     pub ratio: Option<f64>,
 }
 
-/// The plan with its figures, the limits in the order in which they break.
+/// A plan with its costs, and its limits in the order in which they break.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Planned {
+#[serde(expecting = "struct Planned")]
+pub struct EvaluatedPlan {
     /// The costs.
-    pub rows: Vec<Costed>,
-    /// The limits, smallest ratio first; those that do not break last.
-    pub limits: Vec<Ranked>,
+    pub rows: Vec<CostedRow>,
+    /// The limits in increasing order of the ratio; those that don't break come last.
+    pub limits: Vec<RankedLimit>,
 }
 
-/// What is wrong with a plan.
+/// An error in a plan.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum PlanError {
-    /// Two rows or limits have one key.
-    #[error("{0}: stands there twice; give each row and limit a key of its own")]
-    Twice(String),
-    /// A size, budget or divisor that is no number above 0.
-    #[error("{key}: {value} is no number above 0")]
-    Size {
-        /// Of which row or limit.
+    /// Two rows or limits have the same key.
+    #[error("{0}: duplicate key; give each row and limit a unique key")]
+    DuplicateKey(String),
+    /// A size, budget or divisor isn't a number above 0.
+    #[error("{key}: {value} must be a finite number above 0")]
+    InvalidNumber {
+        /// Key of the row or limit.
         key: String,
-        /// What stands there.
+        /// The invalid number.
         value: String,
     },
-    /// A series that the report does not have.
-    #[error("{key}: no series {series:?} in the report; run the bench with it, or correct the name")]
-    Series {
-        /// Of which row or limit.
+    /// The report doesn't have the series.
+    #[error(
+        "{key}: no series {series:?} in the report; run `loomlb-lab capacity` with this series, or correct the name"
+    )]
+    UnknownSeries {
+        /// Key of the row or limit.
         key: String,
-        /// The name.
+        /// Key of the missing series.
         series: String,
     },
 }
 
 impl Plan {
-    /// The first thing that cannot be worked with.
+    /// Checks keys and numbers, and returns the first error.
     fn check(&self) -> Result<(), PlanError> {
         let mut keys: Vec<&str> = self.rows.iter().map(|r| &*r.key).collect();
         keys.extend(self.limits.iter().map(|l| &*l.key));
         keys.sort_unstable();
         if let Some(pair) = keys.windows(2).find(|pair| pair[0] == pair[1]) {
-            return Err(PlanError::Twice(pair[0].into()));
+            return Err(PlanError::DuplicateKey(pair[0].into()));
         }
-        let sound = |key: &str, value: f64| {
-            let error = || PlanError::Size { key: key.into(), value: value.to_string() };
+        let check_number = |key: &str, value: f64| {
+            let error = || PlanError::InvalidNumber { key: key.into(), value: value.to_string() };
             (value.is_finite() && value > 0.0).then_some(()).ok_or_else(error)
         };
         for row in &self.rows {
-            row.sizes.iter().chain([&row.per]).try_for_each(|size| sound(&row.key, *size))?;
+            row.sizes.iter().chain([&row.per]).try_for_each(|size| check_number(&row.key, *size))?;
         }
         for limit in &self.limits {
-            sound(&limit.key, limit.target)?;
+            check_number(&limit.key, limit.target)?;
             match &limit.breaks {
-                Breaks::Budget { budget, .. } => sound(&limit.key, *budget)?,
-                Breaks::Constant { value, each, .. } => {
-                    sound(&limit.key, *value)?;
-                    sound(&limit.key, *each)?;
+                BreakingPoint::Budget { budget, .. } => check_number(&limit.key, *budget)?,
+                BreakingPoint::Constant { value, per_unit, .. } => {
+                    check_number(&limit.key, *value)?;
+                    check_number(&limit.key, *per_unit)?;
                 }
-                Breaks::Most { .. } | Breaks::Absent => {}
+                BreakingPoint::Maximum { .. } | BreakingPoint::Absent => {}
             }
         }
         Ok(())
     }
 
-    /// The plan's figures and the order in which its limits break.
-    pub fn over(&self, measured: &dyn Measured) -> Result<Planned, PlanError> {
+    /// Computes the costs of all rows and the order in which the limits break.
+    pub fn evaluate(&self, measured: &dyn Measurements) -> Result<EvaluatedPlan, PlanError> {
         self.check()?;
         let mut rows = Vec::new();
         for row in &self.rows {
             let figures = row.sizes.map(|size| measured.figure(&row.series, size));
             if figures.iter().all(Option::is_none) {
-                return Err(PlanError::Series { key: row.key.clone(), series: row.series.clone() });
+                return Err(PlanError::UnknownSeries { key: row.key.clone(), series: row.series.clone() });
             }
-            let shown = |f: Figure| Figure { value: f.value / row.per, ..f };
-            rows.push(Costed { row: row.clone(), figures: figures.map(|f| f.map(shown)) });
+            let to_displayed_unit = |figure: Figure| Figure { value: figure.value / row.per, ..figure };
+            rows.push(CostedRow {
+                row: row.clone(),
+                figures: figures.map(|figure| figure.map(to_displayed_unit)),
+            });
         }
         let mut limits = Vec::new();
         for limit in &self.limits {
-            let known = |series: &String| {
-                let error = || PlanError::Series { key: limit.key.clone(), series: series.clone() };
-                measured.most(series).ok_or_else(error)
+            let maximum_of = |series: &String| {
+                let error = || PlanError::UnknownSeries { key: limit.key.clone(), series: series.clone() };
+                measured.maximum(series).ok_or_else(error)
             };
-            let at = match &limit.breaks {
-                Breaks::Budget { series, budget } => {
-                    known(series)?;
-                    measured.breaks_at(series, *budget)
+            let breaks_at = match &limit.breaks {
+                BreakingPoint::Budget { series, budget } => {
+                    maximum_of(series)?;
+                    measured.size_at_budget(series, *budget)
                 }
-                Breaks::Most { series } => Some(known(series)?),
-                Breaks::Constant { value, each, .. } => Some(value / each),
-                Breaks::Absent => Some(0.0),
+                BreakingPoint::Maximum { series } => Some(maximum_of(series)?),
+                BreakingPoint::Constant { value, per_unit, .. } => Some(value / per_unit),
+                BreakingPoint::Absent => Some(0.0),
             };
-            let ratio = at.map(|at| at / limit.target);
-            limits.push(Ranked { limit: limit.clone(), at, ratio });
+            let ratio = breaks_at.map(|size| size / limit.target);
+            limits.push(RankedLimit { limit: limit.clone(), breaks_at, ratio });
         }
         limits.sort_by(|a, b| {
-            let of = |r: &Ranked| r.ratio.unwrap_or(f64::INFINITY);
-            of(a).total_cmp(&of(b)).then_with(|| a.limit.key.cmp(&b.limit.key))
+            let ratio_or_infinity = |limit: &RankedLimit| limit.ratio.unwrap_or(f64::INFINITY);
+            ratio_or_infinity(a).total_cmp(&ratio_or_infinity(b)).then_with(|| a.limit.key.cmp(&b.limit.key))
         });
-        Ok(Planned { rows, limits })
+        Ok(EvaluatedPlan { rows, limits })
     }
 }
 
-impl Planned {
-    /// The limit that goes first: the first below 1 on which other things are built.
-    pub fn first(&self) -> Option<&Ranked> {
+impl EvaluatedPlan {
+    /// The first limit that other parts depend on and that breaks below the target.
+    pub fn first_blocker(&self) -> Option<&RankedLimit> {
         self.limits.iter().find(|l| l.limit.blocks && l.ratio.is_some_and(|ratio| ratio < 1.0))
     }
 }
 
-impl Measured for Report {
+impl Measurements for Report {
     fn figure(&self, series: &str, size: f64) -> Option<Figure> {
         let fitted = self.get(series)?;
-        let value = fitted.fit.at(size)?;
-        Some(Figure { value, source: fitted.series.source, beyond: fitted.fit.extrapolated(size) })
+        let value = fitted.fit.cost_at(size)?;
+        Some(Figure { value, source: fitted.series.source, extrapolated: fitted.fit.extrapolated(size) })
     }
 
-    fn breaks_at(&self, series: &str, budget: f64) -> Option<f64> {
-        fit::breaks_at(&self.get(series)?.fit, budget)
+    fn size_at_budget(&self, series: &str, budget: f64) -> Option<f64> {
+        fit::size_at_budget(&self.get(series)?.fit, budget)
     }
 
-    fn most(&self, series: &str) -> Option<f64> {
+    fn maximum(&self, series: &str) -> Option<f64> {
         let points = &self.get(series)?.series.points;
         points.iter().map(|point| fit::median(&point.values)).max_by(f64::total_cmp)
     }
 }
 
-/// The table of costs in Markdown, each figure a link into `file`, which holds this plan as JSON.
-pub fn roles(planned: &Planned, file: &str) -> String {
+/// Formats the costs as a Markdown table. Each figure links to `file`, the JSON file of this plan.
+pub fn cost_table(planned: &EvaluatedPlan, file: &str) -> String {
     let mut out = "| role | what | unit | today | target | three times | carried by |\n".to_string();
     out += "| --- | --- | --- | --- | --- | --- | --- |\n";
-    for Costed { row, figures } in &planned.rows {
+    for CostedRow { row, figures } in &planned.rows {
         let cell = |(at, figure): (usize, &Option<Figure>)| match figure {
             None => "not known".to_string(),
             Some(f) => {
-                let mark = match (f.source, f.beyond) {
+                let mark = match (f.source, f.extrapolated) {
                     (Source::Estimated, _) => " (e)",
                     (_, true) => " (*)",
                     _ => "",
                 };
-                let way = format!("/rows/key={}/figures/{at}/value", row.key);
-                format!("[{}]({file}#{way}){mark}", page::rounded(f.value))
+                let path = format!("/rows/key={}/figures/{at}/value", row.key);
+                format!("[{}]({file}#{path}){mark}", page::format_rounded(f.value))
             }
         };
-        let [today, target, thrice] = [0, 1, 2].map(|at| cell((at, &figures[at])));
+        let [today, target, triple] = [0, 1, 2].map(|at| cell((at, &figures[at])));
         let Row { role, cost, unit, carried_by, .. } = row;
-        out += &format!("| {role} | {cost} | {unit} | {today} | {target} | {thrice} | {carried_by} |\n");
+        out += &format!("| {role} | {cost} | {unit} | {today} | {target} | {triple} | {carried_by} |\n");
     }
     out
 }
 
-/// The ranking in Markdown, each figure a link into `file`, which holds this plan as JSON.
-pub fn ranking(planned: &Planned, file: &str) -> String {
+/// Formats the limits as a Markdown table. Each figure links to `file`, the JSON file of this plan.
+pub fn limit_table(planned: &EvaluatedPlan, file: &str) -> String {
     let mut out =
         "| limit | unit | breaks at | target | ratio | other things are built on it | carried by |\n"
             .to_string();
     out += "| --- | --- | --- | --- | --- | --- | --- |\n";
-    for Ranked { limit, at, ratio } in &planned.limits {
+    for RankedLimit { limit, breaks_at, ratio } in &planned.limits {
         let link = |figure: Option<f64>, name: &str| match figure {
-            Some(value) => format!("[{}]({file}#/limits/key={}/{name})", page::rounded(value), limit.key),
+            Some(value) => {
+                format!("[{}]({file}#/limits/key={}/{name})", page::format_rounded(value), limit.key)
+            }
             None => "not reached".into(),
         };
-        let (at, target, ratio) =
-            (link(*at, "at"), link(Some(limit.target), "target"), link(*ratio, "ratio"));
+        let (breaks_at, target, ratio) =
+            (link(*breaks_at, "at"), link(Some(limit.target), "target"), link(*ratio, "ratio"));
         let blocks = if limit.blocks { "yes" } else { "no" };
         let Limit { what, unit, carried_by, .. } = limit;
-        out += &format!("| {what} | {unit} | {at} | {target} | {ratio} | {blocks} | {carried_by} |\n");
+        out += &format!("| {what} | {unit} | {breaks_at} | {target} | {ratio} | {blocks} | {carried_by} |\n");
     }
     out
 }
--- a/crates/lab/tests/capacity.rs
+++ b/crates/lab/tests/capacity.rs
@@ -84,8 +84,8 @@
     }
     assert!(once.quick && capacity::table(&once).contains("urgent.stop.messages_by_slots"));
     // A few bytes more for a document are that many bytes more in each answer that carries it.
-    let heard = |size| once.at("scheduler.tier.version_heard_by_document", size).unwrap();
-    let news = once.at("scheduler.tier.news_by_document", 400.0).unwrap();
+    let heard = |size| once.cost_at("scheduler.tier.version_heard_by_document", size).unwrap();
+    let news = once.cost_at("scheduler.tier.news_by_document", 400.0).unwrap();
     assert!(heard(1_000.0) - heard(400.0) > 600.0 * news, "{} {} {news}", heard(1_000.0), heard(400.0));
 }
 
@@ -200,10 +200,10 @@
     let out = run(&["--only", "discovery", "--out", file.to_str().unwrap()]);
     let table = String::from_utf8(out.stdout).unwrap();
     assert!(out.status.success() && table.contains("discovery.watch.bytes_by_changes"), "{table}");
-    let told = Report::read(&std::fs::read_to_string(&file).unwrap()).unwrap();
+    let told = Report::parse(&std::fs::read_to_string(&file).unwrap()).unwrap();
     assert_eq!(told.series.len(), 1);
     let json = run(&["--only", "discovery", "--json"]).stdout;
-    assert_eq!(Report::read(std::str::from_utf8(&json).unwrap()).unwrap(), told);
+    assert_eq!(Report::parse(std::str::from_utf8(&json).unwrap()).unwrap(), told);
     let wrong = run(&["--only", "nobody"]);
     let said = String::from_utf8(wrong.stderr).unwrap();
     assert!(!wrong.status.success() && said.contains("--only nobody: no series begins so"), "{said}");
--- a/crates/quota/benches/admit.rs
+++ b/crates/quota/benches/admit.rs
@@ -1,8 +1,8 @@
-//! The cost of a request in the quota core: admitted and settled, by tenants and depth.
+//! Time to admit and complete a request, by number of tenants and depth of the tree.
 #![allow(missing_docs)]
 
 use criterion::{BenchmarkId, Criterion, criterion_group, criterion_main};
-use loomlb_quota::{Ask, Limit, NodeSpec, Quota, Spec, Verdict};
+use loomlb_quota::{Limit, NodeSpec, Quota, QuotaRequest, Spec, Verdict};
 use std::hint::black_box;
 
 fn tree(tenants: usize, depth: usize) -> Spec {
@@ -22,7 +22,7 @@
         });
     };
     add("root".into(), None, total);
-    // A chain of organisations, and all tenants below its end.
+    // A chain of organisations, with all tenants below the last one.
     let mut above = "root".to_string();
     for level in 1..depth {
         let name = format!("level-{level}");
@@ -47,10 +47,10 @@
             b.iter(|| {
                 now += 10_000;
                 i = (i + 7919) % tenants;
-                let ask = Ask { slots: 1.0, work: 0.3, retry: false, spread: now };
-                if let Verdict::Admitted(ticket, standing) = quota.admit(now, &names[i], &ask) {
-                    black_box(standing);
-                    quota.settle(now, ticket, 0.25);
+                let request = QuotaRequest { slots: 1.0, work: 0.3, retry: false, jitter_seed: now };
+                if let Verdict::Admitted(ticket, status) = quota.admit(now, &names[i], &request) {
+                    black_box(status);
+                    quota.complete(now, ticket, 0.25);
                 }
             });
         });
--- a/crates/quota/src/spec.rs
+++ b/crates/quota/src/spec.rs
@@ -1,90 +1,98 @@
-//! What an operator writes: a tree of nodes with their shares, and its checks.
+//! The specification of a quota tree in the operator file, and its validation.
 
 use rustc_hash::FxHashMap;
 use serde::{Deserialize, Serialize};
 
-/// Levels of a tree below its root.
-pub const DEPTH: usize = 8;
-/// Nodes of a tree at most.
-pub const NODES: usize = 1_000_000;
-/// Windows of a node at most.
-pub const WINDOWS: usize = 8;
+/// Maximum number of levels below the root.
+pub const MAX_DEPTH: usize = 8;
+/// Maximum number of nodes of a tree.
+pub const MAX_NODES: usize = 1_000_000;
+/// Maximum number of windows of a node.
+pub const MAX_WINDOWS: usize = 8;
 
-/// A measure that flows: it is refilled with time.
+/// A quantity that is limited by rate.
 #[derive(Clone, Copy, Debug, Deserialize, Serialize, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[serde(rename_all = "snake_case")]
 pub enum Measure {
     /// Requests.
     Requests,
-    /// Units of work: slot seconds.
+    /// Work, in slot seconds.
     Work,
 }
 
-/// The quotas of an installation.
+/// A quota tree and the settings that apply to all of its nodes.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields, default)]
 #[serde(expecting = "struct Spec")]
 pub struct Spec {
-    /// What a node may use at once of its guaranteed share, in seconds of it.
+    /// Bucket capacity of each node, in seconds of its guaranteed rate.
     pub burst_s: f64,
-    /// A loan is forgotten but for 1/e in this time, in seconds.
+    /// Time in seconds in which a debt decays to 1/e.
     pub fade_s: f64,
-    /// The part of its guaranteed share that a borrower pays back while its lender wants it; the rest is its floor.
+    /// Fraction of its guaranteed rate that a borrower repays while its lender needs it. It keeps the rest.
     pub repay: f64,
-    /// The part of the idle guaranteed concurrency that is never lent, so that a lender that comes back finds room.
+    /// Fraction of the idle guaranteed concurrency that isn't lent, so that it is available to its owners at once.
     pub reserve: f64,
-    /// What becomes of a request that no share pays for.
-    pub over: Over,
-    /// The nodes. One without a parent is a root; there is one root.
+    /// How requests that no share covers are handled.
+    pub over: OverSharePolicy,
+    /// The nodes. Exactly one of them, the root, has no parent.
     #[serde(rename = "node")]
     pub nodes: Vec<NodeSpec>,
 }
 
 impl Default for Spec {
     fn default() -> Self {
-        Spec { burst_s: 1.0, fade_s: 60.0, repay: 0.05, reserve: 0.1, over: Over::Pass, nodes: Vec::new() }
+        Spec {
+            burst_s: 1.0,
+            fade_s: 60.0,
+            repay: 0.05,
+            reserve: 0.1,
+            over: OverSharePolicy::Pass,
+            nodes: Vec::new(),
+        }
     }
 }
 
-/// What becomes of a request that no share pays for.
+/// How requests that no share covers are handled.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Serialize, PartialEq, Eq)]
-#[serde(rename_all = "snake_case")]
-pub enum Over {
-    /// It passes, behind those within their shares: nothing is left unused, and shares hold as far as that order goes.
+#[serde(rename_all = "snake_case", expecting = "enum Over")]
+pub enum OverSharePolicy {
+    /// Admitted with lower priority than requests within their shares. No capacity stays unused, and shares are
+    /// enforced only by that priority.
     #[default]
     Pass,
-    /// It is refused, with the time at which its share may pay for it: shares hold, and some room may stay unused.
+    /// Refused with the time after which the share covers it. Shares are enforced, but capacity may stay unused.
     Refuse,
 }
 
-/// One node: the installation, an organisation, a part of one, or a tenant.
+/// A node of the tree: the installation, an organisation, a department, or a tenant.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 #[serde(expecting = "struct NodeSpec")]
 pub struct NodeSpec {
-    /// Its name; a tenant's is the name in its requests.
+    /// Unique name. For a tenant, the name that its requests carry.
     pub name: String,
-    /// The node above it; none for the root.
+    /// Name of the parent; `None` for the root.
     #[serde(default)]
     pub parent: Option<String>,
-    /// Its part of what is lent, against others that borrow.
-    #[serde(default = "one")]
+    /// Weight by which borrowers share what is lent.
+    #[serde(default = "default_weight")]
     pub weight: f64,
-    /// Requests a second.
+    /// Requests per second.
     #[serde(default)]
     pub requests: Limit,
-    /// Slot seconds a second.
+    /// Slot seconds per second.
     #[serde(default)]
     pub work: Limit,
-    /// Slots in use at once.
+    /// Number of slots in use.
     #[serde(default)]
     pub concurrency: Limit,
-    /// Ceilings over longer or shorter times.
+    /// Ceilings over sliding windows.
     #[serde(default, rename = "window")]
     pub windows: Vec<WindowSpec>,
 }
 
-fn one() -> f64 {
+fn default_weight() -> f64 {
     1.0
 }
 
@@ -93,37 +101,38 @@
 #[serde(deny_unknown_fields, default)]
 #[serde(expecting = "struct Limit")]
 pub struct Limit {
-    /// What it may always use; none where it is not given: the measure is then not limited by shares.
+    /// Amount that the node may always use. If `None`, the measure isn't limited by shares.
     pub guarantee: Option<f64>,
-    /// What it may use at most, lent room included; none for no ceiling.
+    /// Maximum use, including borrowed share. If `None`, there is no ceiling.
     pub ceiling: Option<f64>,
 }
 
-/// A ceiling over a window of time.
+/// A ceiling over a sliding window of time.
 #[derive(Clone, Copy, Debug, Deserialize, Serialize, PartialEq)]
 #[serde(deny_unknown_fields)]
 #[serde(expecting = "struct WindowSpec")]
 pub struct WindowSpec {
-    /// What is counted.
+    /// The measure that is counted.
     pub measure: Measure,
-    /// The window's length, in seconds: 1, 10, 60, 3600 or 86400, say.
+    /// Length of the window in seconds.
     pub seconds: f64,
-    /// What may be used within any window of that length.
-    pub most: f64,
+    /// Maximum amount within the window.
+    #[serde(rename = "most")]
+    pub limit: f64,
 }
 
-/// A fault in a tree: the node's place in the list, the key, and the reason.
+/// A validation error of a quota tree.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Fault {
-    /// Which node; none where the fault is the tree's own.
+pub struct SpecError {
+    /// Index of the node in the list; `None` if the error concerns a setting of the whole tree.
     pub node: Option<usize>,
-    /// Which key of it.
+    /// The invalid key.
     pub key: String,
-    /// What is wrong, and what would do.
+    /// What is wrong, and which values are valid.
     pub reason: String,
 }
 
-impl std::fmt::Display for Fault {
+impl std::fmt::Display for SpecError {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self.node {
             Some(i) => write!(f, "node[{i}].{}: {}", self.key, self.reason),
@@ -132,93 +141,109 @@
     }
 }
 
-impl std::error::Error for Fault {}
+impl std::error::Error for SpecError {}
 
 impl Spec {
-    /// The part of the tree that one of several schedulers holds: shares, ceilings and windows times `part`. No ceiling
-    /// on slots falls below one job of one slot.
-    pub fn part(mut self, part: f64) -> Spec {
-        let limit = |l: &mut Limit, least: f64| {
-            l.guarantee = l.guarantee.map(|g| g * part);
-            l.ceiling = l.ceiling.map(|c| (c * part).max(least));
+    /// Multiplies guarantees, ceilings and windows by `factor`, for one of several schedulers. A ceiling on slots stays
+    /// at least 1.
+    pub fn scaled(mut self, factor: f64) -> Spec {
+        let scale = |limit: &mut Limit, min_ceiling: f64| {
+            limit.guarantee = limit.guarantee.map(|guarantee| guarantee * factor);
+            limit.ceiling = limit.ceiling.map(|ceiling| (ceiling * factor).max(min_ceiling));
         };
-        for n in &mut self.nodes {
-            limit(&mut n.requests, 0.0);
-            limit(&mut n.work, 0.0);
-            limit(&mut n.concurrency, 1.0);
-            n.windows.iter_mut().for_each(|w| w.most *= part);
+        for node in &mut self.nodes {
+            scale(&mut node.requests, 0.0);
+            scale(&mut node.work, 0.0);
+            scale(&mut node.concurrency, 1.0);
+            node.windows.iter_mut().for_each(|window| window.limit *= factor);
         }
         self
     }
 
-    /// The first fault, if there is one. On success, each node's parent by place.
-    pub fn check(&self) -> Result<Vec<Option<usize>>, Fault> {
-        let own = |key: &str, reason: &str| Fault { node: None, key: key.into(), reason: reason.into() };
-        let at = |node: usize, key: &str, reason: String| Fault { node: Some(node), key: key.into(), reason };
-        let above = |x: f64| x.is_finite() && x > 0.0;
-        let part = |x: f64| (0.0..=1.0).contains(&x);
-        if !above(self.burst_s) || self.burst_s > 3600.0 {
-            return Err(own("burst_s", "a time above 0 and at most 3600 s"));
+    /// Validates the tree. Returns the index of each node's parent, or the first error.
+    pub fn check(&self) -> Result<Vec<Option<usize>>, SpecError> {
+        let tree_error =
+            |key: &str, reason: &str| SpecError { node: None, key: key.into(), reason: reason.into() };
+        let node_error =
+            |node: usize, key: &str, reason: String| SpecError { node: Some(node), key: key.into(), reason };
+        let is_positive = |value: f64| value.is_finite() && value > 0.0;
+        let is_fraction = |value: f64| (0.0..=1.0).contains(&value);
+        if !is_positive(self.burst_s) || self.burst_s > 3600.0 {
+            return Err(tree_error("burst_s", "must be above 0 and at most 3600 seconds"));
         }
-        if !above(self.fade_s) {
-            return Err(own("fade_s", "a time above 0"));
+        if !is_positive(self.fade_s) {
+            return Err(tree_error("fade_s", "must be above 0 seconds"));
         }
-        if !part(self.repay) || self.repay > 0.9 {
-            return Err(own("repay", "a part from 0 to 0.9: a borrower keeps a floor"));
+        if !is_fraction(self.repay) || self.repay > 0.9 {
+            return Err(tree_error("repay", "must be a fraction from 0 to 0.9"));
         }
-        if !part(self.reserve) {
-            return Err(own("reserve", "a part from 0 to 1"));
+        if !is_fraction(self.reserve) {
+            return Err(tree_error("reserve", "must be a fraction from 0 to 1"));
         }
-        if self.nodes.len() > NODES {
-            return Err(own("node", "more than 1000000 nodes"));
+        if self.nodes.len() > MAX_NODES {
+            return Err(tree_error("node", "more than 1000000 nodes"));
         }
-        let mut places: FxHashMap<&str, usize> = FxHashMap::default();
-        for (i, n) in self.nodes.iter().enumerate() {
-            if n.name.is_empty() {
-                return Err(at(i, "name", "a node needs a name".into()));
+        let mut node_indices: FxHashMap<&str, usize> = FxHashMap::default();
+        for (i, node) in self.nodes.iter().enumerate() {
+            if node.name.is_empty() {
+                return Err(node_error(i, "name", "must not be empty".into()));
             }
-            if let Some(other) = places.insert(&n.name, i) {
-                return Err(at(i, "name", format!("{:?} is the name of node[{other}] as well", n.name)));
+            if let Some(other) = node_indices.insert(&node.name, i) {
+                return Err(node_error(
+                    i,
+                    "name",
+                    format!("{:?} is also the name of node[{other}]", node.name),
+                ));
             }
         }
         let mut parents = Vec::with_capacity(self.nodes.len());
-        for (i, n) in self.nodes.iter().enumerate() {
-            let parent = match &n.parent {
-                None => None,
-                Some(p) => Some(
-                    *places
-                        .get(p.as_str())
-                        .ok_or_else(|| at(i, "parent", format!("no node is named {p:?}")))?,
-                ),
-            };
+        for (i, node) in self.nodes.iter().enumerate() {
+            let parent =
+                match &node.parent {
+                    None => None,
+                    Some(parent_name) => Some(*node_indices.get(parent_name.as_str()).ok_or_else(|| {
+                        node_error(i, "parent", format!("no node is named {parent_name:?}"))
+                    })?),
+                };
             parents.push(parent);
-            if !above(n.weight) {
-                return Err(at(i, "weight", "a weight is above 0".into()));
+            if !is_positive(node.weight) {
+                return Err(node_error(i, "weight", "must be above 0".into()));
             }
-            for (key, limit) in [("requests", n.requests), ("work", n.work), ("concurrency", n.concurrency)] {
-                let good = |x: Option<f64>| x.is_none_or(|x| x.is_finite() && x >= 0.0);
-                if !good(limit.guarantee) || !good(limit.ceiling) {
-                    return Err(at(i, key, "guarantee and ceiling are 0 or more".into()));
+            for (key, limit) in
+                [("requests", node.requests), ("work", node.work), ("concurrency", node.concurrency)]
+            {
+                let is_valid =
+                    |value: Option<f64>| value.is_none_or(|value| value.is_finite() && value >= 0.0);
+                if !is_valid(limit.guarantee) || !is_valid(limit.ceiling) {
+                    return Err(node_error(
+                        i,
+                        key,
+                        "guarantee and ceiling must be finite and not negative".into(),
+                    ));
                 }
-                if let (Some(g), Some(c)) = (limit.guarantee, limit.ceiling)
-                    && c < g
+                if let (Some(guarantee), Some(ceiling)) = (limit.guarantee, limit.ceiling)
+                    && ceiling < guarantee
                 {
-                    return Err(at(i, key, format!("the ceiling {c} is below the guarantee {g}")));
+                    return Err(node_error(
+                        i,
+                        key,
+                        format!("the ceiling {ceiling} is below the guarantee {guarantee}"),
+                    ));
                 }
             }
-            if n.windows.len() > WINDOWS {
-                return Err(at(i, "window", format!("more than {WINDOWS} windows")));
+            if node.windows.len() > MAX_WINDOWS {
+                return Err(node_error(i, "window", format!("more than {MAX_WINDOWS} windows")));
             }
-            for (w, window) in n.windows.iter().enumerate() {
-                if !above(window.seconds) || window.seconds > 31.0 * 86_400.0 {
-                    return Err(at(
+            for (w, window) in node.windows.iter().enumerate() {
+                if !is_positive(window.seconds) || window.seconds > 31.0 * 86_400.0 {
+                    return Err(node_error(
                         i,
                         &format!("window[{w}].seconds"),
-                        "a window is above 0 and at most 31 days".into(),
+                        "must be above 0 and at most 31 days".into(),
                     ));
                 }
-                if !above(window.most) {
-                    return Err(at(i, &format!("window[{w}].most"), "what may be used is above 0".into()));
+                if !is_positive(window.limit) {
+                    return Err(node_error(i, &format!("window[{w}].most"), "must be above 0".into()));
                 }
             }
         }
@@ -226,24 +251,36 @@
         match (roots.as_slice(), self.nodes.len()) {
             (_, 0) => return Ok(parents),
             ([], _) => {
-                return Err(at(0, "parent", "no node is a root: the parents go round in a circle".into()));
+                return Err(node_error(0, "parent", "no node is the root: the parents form a cycle".into()));
             }
             ([_], _) => {}
             ([_, second, ..], _) => {
-                return Err(at(*second, "parent", "a second root; only one node has no parent".into()));
+                return Err(node_error(
+                    *second,
+                    "parent",
+                    "second node without a parent; only the root has none".into(),
+                ));
             }
         }
         for i in 0..parents.len() {
-            let (mut up, mut steps) = (parents[i], 0);
-            while let Some(p) = up {
+            let (mut ancestor, mut steps) = (parents[i], 0);
+            while let Some(p) = ancestor {
                 steps += 1;
                 if p == i || steps > self.nodes.len() {
-                    return Err(at(i, "parent", format!("{:?} is its own ancestor", self.nodes[i].name)));
+                    return Err(node_error(
+                        i,
+                        "parent",
+                        format!("{:?} is its own ancestor", self.nodes[i].name),
+                    ));
                 }
-                if steps > DEPTH {
-                    return Err(at(i, "parent", format!("more than {DEPTH} levels below the root")));
+                if steps > MAX_DEPTH {
+                    return Err(node_error(
+                        i,
+                        "parent",
+                        format!("more than {MAX_DEPTH} levels below the root"),
+                    ));
                 }
-                up = parents[p];
+                ancestor = parents[p];
             }
         }
         for measure in 0..3 {
@@ -252,16 +289,17 @@
             let key = ["requests", "work", "concurrency"][measure];
             let mut sums = vec![0.0; self.nodes.len()];
             for (i, p) in parents.iter().enumerate() {
-                if let (Some(p), Some(g)) = (p, limit(i).guarantee) {
-                    sums[*p] += g;
+                if let (Some(parent), Some(guarantee)) = (p, limit(i).guarantee) {
+                    sums[*parent] += guarantee;
                 }
             }
             for (i, sum) in sums.iter().enumerate() {
-                let most = limit(i).guarantee.unwrap_or(0.0);
-                // A node that guarantees nothing itself cannot promise anything to those below it.
-                if *sum > most * (1.0 + 1e-9) {
-                    let reason = format!("the guarantees below it sum to {sum}, more than its own {most}");
-                    return Err(at(i, key, reason));
+                let guarantee = limit(i).guarantee.unwrap_or(0.0);
+                // A node without a guarantee has nothing to assign to its children.
+                if *sum > guarantee * (1.0 + 1e-9) {
+                    let reason =
+                        format!("the guarantees of its children sum to {sum}, more than its own {guarantee}");
+                    return Err(node_error(i, key, reason));
                 }
             }
         }
--- a/crates/scheduler/src/quotas.rs
+++ b/crates/scheduler/src/quotas.rs
@@ -5,8 +5,8 @@
 //! applies its own shares.
 
 use loomlb_policy::Nanos;
-use loomlb_quota::parts::{self, Parts};
-use loomlb_quota::{Ask, Quota, Spec, Standing, Ticket, Verdict};
+use loomlb_quota::share_split::{self, ShareSplit};
+use loomlb_quota::{Quota, QuotaRequest, ShareStatus, Spec, Ticket, Verdict};
 use std::cell::RefCell;
 use std::fmt;
 
@@ -47,7 +47,7 @@
     /// Number of schedulers that share the quotas. Each holds an equal part, or one in proportion to its traffic if the
     /// schedulers exchange messages.
     schedulers: u32,
-    parts: RefCell<Parts>,
+    parts: RefCell<ShareSplit>,
 }
 
 impl fmt::Debug for TenantQuotas {
@@ -79,7 +79,7 @@
         now: Nanos,
     ) -> Result<TenantQuotas, String> {
         let schedulers = schedulers.max(1);
-        let quota = source.spec.map(|spec| Quota::new(spec.part(1.0 / f64::from(schedulers)), now));
+        let quota = source.spec.map(|spec| Quota::new(spec.scaled(1.0 / f64::from(schedulers)), now));
         let quota = quota.transpose().map_err(|error| format!("quota: {error}"))?;
         let mean_work = aims.iter().map(initial_mean_work).collect();
         Ok(TenantQuotas {
@@ -87,7 +87,7 @@
             mean_work: RefCell::new(mean_work),
             reload: source.reload,
             schedulers,
-            parts: RefCell::new(Parts::new(schedulers as usize)),
+            parts: RefCell::new(ShareSplit::new(schedulers as usize)),
         })
     }
 
@@ -114,13 +114,13 @@
         let slots = slots.max(1.0);
         let work = self.mean_work.borrow().get(class).copied().unwrap_or(0.0) * slots;
         if self.schedulers > 1 {
-            self.parts.borrow_mut().asked(now, parts::number(tenant), work);
+            self.parts.borrow_mut().record_demand(now, share_split::node_number(tenant), work);
         }
-        match quota.admit(now, tenant, &Ask { slots, work, retry, spread }) {
+        match quota.admit(now, tenant, &QuotaRequest { slots, work, retry, jitter_seed: spread }) {
             Verdict::Admitted(ticket, standing) => {
-                QuotaDecision::Admitted(QuotaGrant { ticket, class, slots }, standing != Standing::Over)
+                QuotaDecision::Admitted(QuotaGrant { ticket, class, slots }, standing != ShareStatus::Over)
             }
-            Verdict::Refused(refusal) => QuotaDecision::Refused(refusal.after),
+            Verdict::Refused(refusal) => QuotaDecision::Refused(refusal.retry_after),
             Verdict::Unknown => QuotaDecision::UnknownTenant,
         }
     }
@@ -133,7 +133,7 @@
             *mean_work += (run_seconds - *mean_work) * MEAN_WORK_GAIN;
         }
         if let Some(quota) = self.quota.borrow_mut().as_mut() {
-            quota.settle(now, grant.ticket, run_seconds * grant.slots);
+            quota.complete(now, grant.ticket, run_seconds * grant.slots);
         }
     }
 
@@ -143,17 +143,17 @@
         let mut quota = self.quota.borrow_mut();
         let Some(quota) = quota.as_mut().filter(|_| self.schedulers > 1) else { return Vec::new() };
         let mut parts = self.parts.borrow_mut();
-        for node in parts.nodes() {
-            quota.hold(now, node, parts.part(now, node) * f64::from(self.schedulers));
+        for node in parts.active_nodes() {
+            quota.scale_share(now, node, parts.share(now, node) * f64::from(self.schedulers));
         }
-        parts.digest(now)
+        parts.digests(now)
     }
 
     /// Handles a peer's datagram if it is a traffic digest; false if it is for the decision module.
     pub fn handle_digest(&self, now: Nanos, peer: usize, bytes: &[u8]) -> bool {
-        let is_digest = bytes.first() == Some(&parts::MARK) && self.quota.borrow().is_some();
+        let is_digest = bytes.first() == Some(&share_split::DIGEST_MARK) && self.quota.borrow().is_some();
         if is_digest {
-            self.parts.borrow_mut().hear(now, peer, bytes);
+            self.parts.borrow_mut().apply_digest(now, peer, bytes);
         }
         is_digest
     }
@@ -165,10 +165,10 @@
         let mut quota = self.quota.borrow_mut();
         match (quota.as_mut(), new_spec) {
             (Some(quota), Some(spec)) => {
-                quota.change(now, spec.part(part)).map_err(|error| format!("quota: {error}"))
+                quota.replace_spec(now, spec.scaled(part)).map_err(|error| format!("quota: {error}"))
             }
             (_, new_spec) => {
-                let new_quota = new_spec.map(|spec| Quota::new(spec.part(part), now)).transpose();
+                let new_quota = new_spec.map(|spec| Quota::new(spec.scaled(part), now)).transpose();
                 *quota = new_quota.map_err(|error| format!("quota: {error}"))?;
                 Ok(())
             }
@@ -189,7 +189,7 @@
             c.over,
             c.refused,
             c.unknown,
-            quota.open(),
+            quota.open_tickets(),
             c.lent[0],
             c.lent[1]
         );
--- a/crates/simulation/src/simulate.rs
+++ b/crates/simulation/src/simulate.rs
@@ -19,7 +19,7 @@
     Action, AttemptResult, ClassId, Dispatcher, Event, JobProgress, ListKind, LoadReport, Nanos, Outcome,
     PeerId, Recipient, Request as PolicyRequest, RequestId, Settings, TenantId,
 };
-use loomlb_quota::{Ask, Quota, Standing, Ticket, Verdict};
+use loomlb_quota::{Quota, QuotaRequest, ShareStatus, Ticket, Verdict};
 use rayon::prelude::*;
 use rustc_hash::FxHashMap;
 use serde::Serialize;
@@ -342,7 +342,7 @@
             settings::dispatcher_settings(&self.world.scenario, s, self.arrivals.tenant_rates());
         let part = 1.0 / self.world.scenario.schedulers.count as f64;
         let quota =
-            self.world.scenario.quota.clone().and_then(|spec| Quota::new(spec.part(part), self.now).ok());
+            self.world.scenario.quota.clone().and_then(|spec| Quota::new(spec.scaled(part), self.now).ok());
         SchedulerNode {
             decider: (self.make_decider)(settings, self.restart_rng.next_u64()),
             quota,
@@ -651,7 +651,7 @@
             if flow.run_time_s > 0.0 {
                 node.mean_job_s[flow.class] += (flow.run_time_s - node.mean_job_s[flow.class]) * 0.05;
             }
-            quota.settle(now, ticket, flow.run_time_s * f64::from(flow.slots));
+            quota.complete(now, ticket, flow.run_time_s * f64::from(flow.slots));
         }
     }
 
@@ -955,15 +955,15 @@
         if let Some(quota) = &mut self.nodes[s].quota {
             let tenant = tenant.map_or("", |t| self.world.scenario.tenants[t].name.as_str());
             let size = f64::from(slots.max(1));
-            let ask = Ask { slots: size, work: mean * size, retry: false, spread: id };
+            let ask = QuotaRequest { slots: size, work: mean * size, retry: false, jitter_seed: id };
             match quota.admit(now, tenant, &ask) {
                 Verdict::Admitted(ticket, standing) => {
-                    (quota_ticket, in_share) = (Some(ticket), Some(standing != Standing::Over));
+                    (quota_ticket, in_share) = (Some(ticket), Some(standing != ShareStatus::Over));
                 }
                 Verdict::Unknown => in_share = Some(false),
                 Verdict::Refused(refusal) => {
                     self.world.invariant_checker.response_sent(now, id, FinalResponse::Refused);
-                    let after = refusal.after.min(ms(self.world.scenario.terms.max_retry_after_ms));
+                    let after = refusal.retry_after.min(ms(self.world.scenario.terms.max_retry_after_ms));
                     let delay = self.delay(self.world.scenario.network.client_ms);
                     return self.push(now + delay, ScheduledEvent::Response(id, 3 + after as usize));
                 }
