--- a/tests/system_calls.rs
+++ b/tests/system_calls.rs
@@ -1,4 +1,4 @@
-//! System calls of the real program that fail as Linux documents it, by turn at each place where the program makes them.
+//! Injects failures that Linux documents into the system calls of the built program, at each place that makes the call.
 
 mod stage;
 
@@ -11,36 +11,37 @@
 use std::time::{Duration, Instant};
 
 const HEALTH: &str = "GET /healthz HTTP/1.1\r\nHost: h\r\n\r\n";
-/// A second address and a socket to peers: with the clients' listener all that a start opens.
+/// Configures the control listener and the peer socket, so that startup opens every kind of socket.
 const ALL_ADDRESSES: &str =
     r#""control":"127.0.0.1:0","peer_listen":"127.0.0.1:0","peers":["127.0.0.1:1","127.0.0.1:2"],"#;
-/// The places where a start opens a socket, in their order.
-const PLACES: [&str; 3] = ["listen", "control", "peer_listen"];
-/// What may fail for a moment as a socket is opened.
-const AT_A_START: [i32; 5] = [libc::ENFILE, libc::EMFILE, libc::ENOBUFS, libc::ENOMEM, libc::EINTR];
-/// What accept passes on of a connection that is gone.
-const GONE: [i32; 6] =
+/// Configuration keys of the sockets that startup opens, in the order of opening.
+const SOCKET_KEYS: [&str; 3] = ["listen", "control", "peer_listen"];
+/// Transient errors of the calls that open a socket.
+const SOCKET_OPEN_ERRORS: [i32; 5] = [libc::ENFILE, libc::EMFILE, libc::ENOBUFS, libc::ENOMEM, libc::EINTR];
+/// Errors of `accept` that concern only the connection being accepted.
+const ACCEPT_CONNECTION_ERRORS: [i32; 6] =
     [libc::ECONNABORTED, libc::EPROTO, libc::ENETDOWN, libc::EHOSTUNREACH, libc::ENETUNREACH, libc::EINTR];
-/// What fails a connect on this machine.
-const LOCAL: [i32; 5] = [libc::EADDRNOTAVAIL, libc::ENOBUFS, libc::ENFILE, libc::EMFILE, libc::ENOMEM];
+/// Errors of `connect` whose cause is a resource of the local machine.
+const LOCAL_CONNECT_ERRORS: [i32; 5] =
+    [libc::EADDRNOTAVAIL, libc::ENOBUFS, libc::ENFILE, libc::EMFILE, libc::ENOMEM];
 
-/// What a target calls back with for a job that is done.
-fn done(target: &Server, id: &str) -> String {
+/// Returns the call-back body with which a target reports a finished job.
+fn done_call_back(target: &Server, id: &str) -> String {
     let name = &target.name;
     format!(r#"{{"id":"{id}","from":"{name}","state":"done","result":"yes","load":{{"rif":1,"x0":3}}}}"#)
 }
 
-/// Has the target take the next forward and call back, and says how often it has heard the job by then.
-fn serve(stage: &Stage, target: &Server, id: &str) {
+/// Accepts the next forward at the target, checks its id, and reports the job as done.
+fn serve_next_forward(stage: &Stage, target: &Server, id: &str) {
     let mut forward = target.accept();
-    let heard = forward.hear();
-    assert!(heard.contains(&format!("X-Correlation-Id: {id}\r\n")), "{heard}");
+    let request = forward.hear();
+    assert!(request.contains(&format!("X-Correlation-Id: {id}\r\n")), "{request}");
     forward.say(&response("202 Accepted", ""));
-    stage.call_back(&done(target, id));
+    stage.call_back(&done_call_back(target, id));
 }
 
-/// The program with these targets and its plan, once its discovery has told all and nothing is under way for a while.
-fn settled(targets: &[&Server]) -> (FaultPlan, Stage, Agent) {
+/// Starts the program with a fault plan and waits until it has the list of these targets and asks for the next one.
+fn start_with_list(targets: &[&Server]) -> (FaultPlan, Stage, Agent) {
     let entries: Vec<String> = targets.iter().map(|target| target.entry("active")).collect();
     let (plan, discovery) = (FaultPlan::new().unwrap(), Agent::new(Mode::Answers, &entries));
     let stage = Stage::under(&plan, targets, &discovery.server, "");
@@ -49,13 +50,13 @@
 }
 
 #[test]
-fn a_start_opens_each_socket_though_it_fails_for_a_moment() {
+fn startup_retries_each_socket_call_that_fails_transiently() {
     let (target, discovery) = (Server::new("t"), Server::new("d"));
-    for (call, places) in [(Call::Socket, 3), (Call::Bind, 3), (Call::Listen, 2)] {
-        for (place, key) in PLACES.iter().enumerate().take(places) {
-            for errno in AT_A_START {
+    for (call, socket_count) in [(Call::Socket, 3), (Call::Bind, 3), (Call::Listen, 2)] {
+        for (index, key) in SOCKET_KEYS.iter().enumerate().take(socket_count) {
+            for errno in SOCKET_OPEN_ERRORS {
                 let plan = FaultPlan::new().unwrap();
-                plan.fail_after(call, errno, place as u64, 3);
+                plan.fail_after(call, errno, index as u64, 3);
                 let stage = Stage::under(&plan, &[&target], &discovery, ALL_ADDRESSES);
                 assert_eq!(stage.ask(HEALTH), "HTTP/1.1 200 OK | ready", "{call:?} of {key}: {errno}");
                 assert!(plan.hits(call) == 3, "{call:?} of {key}: {errno}: {}", plan.hits(call));
@@ -64,9 +65,9 @@
     }
 }
 
-/// As many files are open on the machine as can be, for the first second of a start.
+/// Every `socket` call fails with `ENFILE` for the first second of startup.
 #[test]
-fn a_start_waits_for_a_second_without_descriptors() {
+fn startup_keeps_retrying_while_the_machine_has_no_descriptors() {
     let (target, discovery) = (Server::new("t"), Server::new("d"));
     let plan = FaultPlan::new().unwrap();
     plan.fail(Call::Socket, libc::ENFILE, WITHOUT_END);
@@ -81,15 +82,15 @@
     assert!(plan.hits(Call::Socket) > 3);
 }
 
-/// What lasts ends the program within the time that it has to become ready, and says what to do.
+/// Guards against a startup that hangs, or exits without an error code, when a socket can never be opened.
 #[test]
-fn a_start_that_fails_for_good_ends_in_time_and_advises() {
+fn startup_exits_in_time_with_an_error_code_when_a_socket_cannot_be_opened() {
     let files = tempfile::tempdir().unwrap();
     let file = files.path().join("config.json");
-    let (taken, discovery) = (Server::new("taken"), Server::new("d"));
+    let (occupied, discovery) = (Server::new("taken"), Server::new("d"));
     let config = format!(
         r#"{{"listen":"{}","discovery":"{}","settings":{{"classes":[{{"name":"view"}}]}}}}"#,
-        taken.at(),
+        occupied.at(),
         discovery.at()
     );
     std::fs::write(&file, config).unwrap();
@@ -99,45 +100,45 @@
         let mut command = Command::new(env!("CARGO_BIN_EXE_loomlb"));
         command.args(["serve", "--config"]).arg(&file).env_clear().stderr(Stdio::piped());
         plan.apply(&mut command);
-        let begun = Instant::now();
+        let started_at = Instant::now();
         let output = command.output().unwrap();
-        let said = String::from_utf8(output.stderr).unwrap();
-        assert_eq!(output.status.code(), Some(1), "{said}");
-        assert!(said.contains(&format!("loomlb: listen: {}: ", taken.at())), "{said}");
-        assert!(said.contains(&format!("[{code}]")), "{said}");
-        assert!(begun.elapsed() < Duration::from_secs(9), "{:?}", begun.elapsed());
+        let stderr = String::from_utf8(output.stderr).unwrap();
+        assert_eq!(output.status.code(), Some(1), "{stderr}");
+        assert!(stderr.contains(&format!("loomlb: listen: {}: ", occupied.at())), "{stderr}");
+        assert!(stderr.contains(&format!("[{code}]")), "{stderr}");
+        assert!(started_at.elapsed() < Duration::from_secs(9), "{:?}", started_at.elapsed());
     }
 }
 
 #[test]
-fn an_aborted_accept_closes_no_other_connection_and_the_next_one_is_accepted() {
+fn an_aborted_accept_closes_no_other_connection_and_the_next_connection_is_accepted() {
     let (target, discovery) = (Server::new("t"), Server::new("d"));
     let plan = FaultPlan::new().unwrap();
     let stage = Stage::under(&plan, &[&target], &discovery, r#""control":"127.0.0.1:0","#);
-    // Idle and never of use: the first to make room.
+    // An idle connection that brought no job is the first to be closed when descriptors run out.
     let mut idle = stage.connect();
     idle.say(HEALTH);
     assert_eq!(idle.answer(), "HTTP/1.1 200 OK | ready");
-    for errno in GONE {
+    for errno in ACCEPT_CONNECTION_ERRORS {
         plan.fail(Call::Accept, errno, 5);
         let mut client = stage.connect();
         client.say(&job("view", &format!("a{errno}"), "3.0"));
-        serve(&stage, &target, &format!("a{errno}"));
+        serve_next_forward(&stage, &target, &format!("a{errno}"));
         assert_eq!(client.answer(), "HTTP/1.1 200 OK | yes", "{errno}");
         idle.say(HEALTH);
         assert_eq!(
             idle.answer(),
             "HTTP/1.1 200 OK | ready",
-            "closed for a connection that was gone: {errno}"
+            "the idle connection was closed after a failed accept: {errno}"
         );
     }
-    assert_eq!(plan.hits(Call::Accept), 5 * GONE.len() as u64);
-    let counted = stage.counters(&["accept_faults", "accept_gone"]);
-    assert_eq!(counted, format!("accept_faults={0} accept_gone={0}", 5 * GONE.len()));
+    assert_eq!(plan.hits(Call::Accept), 5 * ACCEPT_CONNECTION_ERRORS.len() as u64);
+    let counters = stage.counters(&["accept_faults", "accept_gone"]);
+    assert_eq!(counters, format!("accept_faults={0} accept_gone={0}", 5 * ACCEPT_CONNECTION_ERRORS.len()));
 }
 
 #[test]
-fn without_descriptors_an_idle_connection_makes_room_for_a_new_one() {
+fn an_idle_connection_is_closed_for_a_new_one_when_descriptors_run_out() {
     let (target, discovery) = (Server::new("t"), Server::new("d"));
     for errno in [libc::EMFILE, libc::ENFILE, libc::ENOBUFS, libc::ENOMEM] {
         let plan = FaultPlan::new().unwrap();
@@ -155,64 +156,68 @@
 }
 
 #[test]
-fn the_second_address_answers_after_accepts_that_failed() {
+fn the_control_listener_answers_after_failed_accepts() {
     let (target, discovery) = (Server::new("t"), Server::new("d"));
     let plan = FaultPlan::new().unwrap();
     let stage = Stage::under(&plan, &[&target], &discovery, r#""control":"127.0.0.1:0","#);
-    for errno in GONE.into_iter().chain([libc::EMFILE, libc::ENFILE, libc::ENOBUFS, libc::ENOMEM]) {
+    for errno in
+        ACCEPT_CONNECTION_ERRORS.into_iter().chain([libc::EMFILE, libc::ENFILE, libc::ENOBUFS, libc::ENOMEM])
+    {
         plan.fail(Call::Accept, errno, 3);
         assert!(stage.order("GET /control/ready").starts_with("HTTP/1.1 200"), "{errno}");
     }
 }
 
 #[test]
-fn a_successor_finds_its_predecessor_through_failing_calls() {
+fn a_successor_takes_over_from_its_predecessor_despite_failing_calls() {
     let (target, discovery, platform) = (Server::new("t"), Server::new("d"), Platform::new());
     let plan = FaultPlan::new().unwrap();
-    // Of the process before: its second address is bound first, then the socket by which it is found.
+    // The predecessor binds its control listener first, then its hot-restart socket.
     plan.fail_after(Call::Bind, libc::ENOBUFS, 1, 2);
-    let before = Stage::beside_under(&plan, &[&target], &discovery, &platform);
-    until("it can be found", || platform.link().exists());
+    let predecessor = Stage::beside_under(&plan, &[&target], &discovery, &platform);
+    until("the hot-restart socket of the predecessor exists", || platform.link().exists());
     plan.fail(Call::Accept, libc::ECONNABORTED, 3);
-    let its = FaultPlan::new().unwrap();
-    // The process after binds its second address, then connects to the one before.
-    its.fail(Call::Connect, libc::EAGAIN, 2);
-    let after = Stage::beside_under(&its, &[], &discovery, &platform);
-    after.logged("taken over from the predecessor");
-    assert_eq!((plan.hits(Call::Accept), its.hits(Call::Connect)), (3, 2));
-    drop(before);
+    let successor_plan = FaultPlan::new().unwrap();
+    // The successor binds its control listener, then connects to the predecessor.
+    successor_plan.fail(Call::Connect, libc::EAGAIN, 2);
+    let successor = Stage::beside_under(&successor_plan, &[], &discovery, &platform);
+    successor.logged("taken over from the predecessor");
+    assert_eq!((plan.hits(Call::Accept), successor_plan.hits(Call::Connect)), (3, 2));
+    drop(predecessor);
 }
 
 #[test]
-fn a_worker_is_not_blamed_for_a_connect_that_failed_on_this_machine() {
+fn a_local_connect_error_is_retried_and_not_counted_against_the_worker() {
     let (target, discovery) = (Server::new("t"), Server::new("d"));
-    for (call, errno) in
-        LOCAL.map(|errno| (Call::Connect, errno)).into_iter().chain([(Call::Socket, libc::EMFILE)])
+    for (call, errno) in LOCAL_CONNECT_ERRORS
+        .map(|errno| (Call::Connect, errno))
+        .into_iter()
+        .chain([(Call::Socket, libc::EMFILE)])
     {
         let plan = FaultPlan::new().unwrap();
         let stage = Stage::under(&plan, &[&target], &discovery, "");
         plan.fail(call, errno, WITHOUT_END);
         let mut client = stage.connect();
         client.say(&job("lodge", "a", "3.0"));
-        let before = plan.hits(call);
-        until("it is tried again", || plan.hits(call) >= before + 4);
+        let hits_before = plan.hits(call);
+        until("the connect is retried", || plan.hits(call) >= hits_before + 4);
         plan.pass(call);
-        serve(&stage, &target, "a");
+        serve_next_forward(&stage, &target, "a");
         assert_eq!(client.answer(), "HTTP/1.1 200 OK | yes", "{call:?}: {errno}");
-        let counted = stage.counters(&["served", "forwards", "NoConnection", "NotSent", "dials"]);
-        assert_eq!(counted, "served=1 forwards=1 NoConnection=0 NotSent=0 dials=1", "{call:?}: {errno}");
+        let counters = stage.counters(&["served", "forwards", "NoConnection", "NotSent", "dials"]);
+        assert_eq!(counters, "served=1 forwards=1 NoConnection=0 NotSent=0 dials=1", "{call:?}: {errno}");
         assert_ne!(stage.counters(&["dials_again"]), "dials_again=0");
     }
 }
 
 #[test]
-fn a_job_that_this_machine_cannot_send_is_refused_and_counts_as_not_sent() {
+fn a_job_whose_connects_fail_locally_is_rejected_and_counted_as_not_sent() {
     let (target, discovery) = (Server::new("t"), Server::new("d"));
-    for errno in LOCAL {
+    for errno in LOCAL_CONNECT_ERRORS {
         let plan = FaultPlan::new().unwrap();
         let stage = Stage::under(&plan, &[&target], &discovery, "");
         plan.fail(Call::Connect, errno, WITHOUT_END);
-        // One ends with the time to connect, the other with its own.
+        // The first job ends at the connect timeout, the second at its own deadline.
         for (id, seconds) in [("a", "3.0"), ("b", "0.3")] {
             assert!(stage.ask(&job("lodge", id, seconds)).starts_with("HTTP/1.1 503"), "{errno}");
         }
@@ -220,55 +225,56 @@
     }
 }
 
-/// More dials than there may be connections, each given up with its job's time while it hangs.
+/// Guards against cancelled dials that keep counting against the connection limit: every dial hangs until its job's
+/// deadline, and there are more of them than connections allowed.
 #[test]
-fn dials_that_are_given_up_take_no_place_of_later_ones() {
+fn cancelled_dials_do_not_use_up_the_connection_limit() {
     let (mut narrow, discovery) = (Narrow::new("t"), Server::new("d"));
     let stage = Stage::new(&[&narrow.server], &discovery);
     let ids: Vec<String> = (0..64).map(|number| format!("a{number}")).collect();
-    for some in ids.chunks(8) {
-        let mut clients: Vec<_> = some.iter().map(|_| stage.connect()).collect();
-        clients.iter_mut().zip(some).for_each(|(client, id)| client.say(&job("lodge", id, "0.2")));
+    for chunk in ids.chunks(8) {
+        let mut clients: Vec<_> = chunk.iter().map(|_| stage.connect()).collect();
+        clients.iter_mut().zip(chunk).for_each(|(client, id)| client.say(&job("lodge", id, "0.2")));
         assert!(clients.iter_mut().all(|client| client.answer().starts_with("HTTP/1.1 50")));
     }
     narrow.widen();
     let mut client = stage.connect();
     client.say(&job("lodge", "b", "3.0"));
     let mut forward = loop {
-        // Dials that were given up may have come up all the same, and say nothing.
-        let mut line = narrow.server.accept();
-        if line.hear().contains("X-Correlation-Id: b\r\n") {
-            break line;
+        // Cancelled dials may still complete; they send nothing.
+        let mut connection = narrow.server.accept();
+        if connection.hear().contains("X-Correlation-Id: b\r\n") {
+            break connection;
         }
     };
     forward.say(&response("202 Accepted", ""));
-    stage.call_back(&done(&narrow.server, "b"));
+    stage.call_back(&done_call_back(&narrow.server, "b"));
     assert_eq!(client.answer(), "HTTP/1.1 200 OK | yes");
 }
 
 #[test]
-fn a_way_that_fails_for_a_moment_is_tried_again_and_one_that_lasts_is_evidence() {
+fn an_unreachable_target_is_retried_and_counted_as_a_failure_only_if_it_stays_unreachable() {
     for errno in [libc::ENETUNREACH, libc::EHOSTUNREACH] {
         let target = Server::new("t");
-        let (plan, stage, _discovery) = settled(&[&target]);
+        let (plan, stage, _discovery) = start_with_list(&[&target]);
         plan.fail(Call::Connect, errno, 1);
         let mut client = stage.connect();
         client.say(&job("lodge", "a", "3.0"));
-        serve(&stage, &target, "a");
+        serve_next_forward(&stage, &target, "a");
         assert_eq!(client.answer(), "HTTP/1.1 200 OK | yes", "{errno}");
-        // Another process, as the idle connection to the target would be used again.
-        let (plan, stage, _discovery) = settled(&[&target]);
+        // Starts another process, because this one would reuse its idle connection to the target.
+        let (plan, stage, _discovery) = start_with_list(&[&target]);
         plan.fail(Call::Connect, errno, WITHOUT_END);
         assert!(stage.ask(&job("lodge", "b", "3.0")).starts_with("HTTP/1.1 503"), "{errno}");
         assert_eq!(stage.counters(&["NoConnection", "NotSent"]), "NoConnection=1 NotSent=0", "{errno}");
     }
 }
 
-/// A connect that failed on this machine is tried again at once: no fault of discovery's, and no pause for one.
+/// Guards against counting a local connect error as a failure of discovery and backing off for it.
 #[test]
-fn discovery_is_asked_again_at_once_after_a_connect_that_failed_on_this_machine() {
+fn discovery_is_retried_at_once_after_a_local_connect_error() {
     let target = Server::new("t");
-    for errno in LOCAL {
+    for errno in LOCAL_CONNECT_ERRORS {
         let discovery = Agent::new(Mode::Answers, &[target.entry("active")]);
         let plan = FaultPlan::new().unwrap();
         plan.fail(Call::Connect, errno, 3);
@@ -280,7 +286,7 @@
 }
 
 #[test]
-fn short_and_interrupted_reads_and_writes_lose_nothing() {
+fn short_and_interrupted_reads_and_writes_lose_no_data() {
     let target = Server::new("t");
     for bytes in [1, 7, 64] {
         let discovery = Agent::new(Mode::Answers, &[target.entry("active")]);
@@ -299,7 +305,7 @@
             }
             assert!(forward.hear().contains(&format!("X-Correlation-Id: {id}\r\n")), "{bytes} bytes: {id}");
             forward.say(&response("202 Accepted", ""));
-            stage.call_back(&done(&target, id));
+            stage.call_back(&done_call_back(&target, id));
             assert_eq!(client.answer(), "HTTP/1.1 200 OK | yes", "{bytes} bytes: {id}");
         }
         assert!(stage.order("GET /control/ready").starts_with("HTTP/1.1 200"));
@@ -312,9 +318,9 @@
     }
 }
 
-/// Two requests in one packet: the second is there already when the first is read, and no edge tells of it.
+/// Guards against waiting for an edge-triggered event while pipelined requests are already in the socket buffer.
 #[test]
-fn a_request_behind_a_short_read_is_answered_at_once() {
+fn pipelined_requests_after_a_short_read_are_answered_at_once() {
     let (target, discovery) = (Server::new("t"), Server::new("d"));
     let plan = FaultPlan::new().unwrap();
     plan.short_reads(HEALTH.len() as u64);
@@ -326,46 +332,47 @@
     }
 }
 
-/// However a connection shows that it is broken: what may have run is not sent again, and what cannot have run is.
+/// Guards against resending a job that may have run, and against dropping one that cannot have run, when a connection
+/// breaks with an error other than a reset.
 #[test]
-fn a_broken_connection_is_treated_like_a_reset_whatever_its_error() {
+fn every_error_of_a_broken_connection_is_handled_like_a_reset() {
     for errno in [libc::ECONNRESET, libc::ETIMEDOUT, libc::EHOSTUNREACH, libc::ENETUNREACH, libc::EPIPE] {
-        let alone = Server::new("t");
-        let (plan, stage, _discovery) = settled(&[&alone]);
+        let only_target = Server::new("t");
+        let (plan, stage, _discovery) = start_with_list(&[&only_target]);
         let mut client = stage.connect();
         client.say(&job("lodge", "a", "3.0"));
-        let mut forward = alone.accept();
+        let mut forward = only_target.accept();
         forward.hear();
         plan.fail(Call::SocketRead, errno, 1);
-        // Its connection is the only one on which something comes.
+        // No other connection receives data, so the fault hits the read of this one.
         forward.say("HTTP/1.1 202");
         assert_eq!(client.answer(), "HTTP/1.1 502 Bad Gateway | failed", "{errno}");
         assert_eq!(plan.hits(Call::SocketRead), 1);
         assert_eq!(stage.counters(&["forwards", "Reset"]), "forwards=1 Reset=1", "{errno}");
-        // Before the last byte is written it cannot have run.
+        // A job whose request was not completely written cannot have run.
         let (first, second) = (Server::new("t"), Server::new("u"));
-        let (plan, stage, _discovery) = settled(&[&first, &second]);
-        let comers = Comers::new(&[&first, &second]);
+        let (plan, stage, _discovery) = start_with_list(&[&first, &second]);
+        let connections = Comers::new(&[&first, &second]);
         plan.fail(Call::SocketWrite, errno, 1);
         let mut client = stage.connect();
         client.say(&job("lodge", "b", "3.0"));
         let (name, mut forward) = loop {
-            let (name, mut forward) = comers.next();
+            let (name, mut forward) = connections.next();
             if forward.hear().contains("X-Correlation-Id: b\r\n") {
                 break (name, forward);
             }
         };
         forward.say(&response("202 Accepted", ""));
         let target = if name == "t" { &first } else { &second };
-        stage.call_back(&done(target, "b"));
+        stage.call_back(&done_call_back(target, "b"));
         assert_eq!(client.answer(), "HTTP/1.1 200 OK | yes", "{errno}");
         assert_eq!(stage.counters(&["forwards", "NoConnection"]), "forwards=2 NoConnection=1", "{errno}");
     }
 }
 
-/// Voters open their listeners, accept and link through failing calls, and a lease holds in the end.
+/// Voters open their listeners, accept and connect to each other, and every scheduler obtains a lease.
 #[test]
-fn a_tier_comes_up_through_failing_calls() {
+fn a_tier_forms_despite_failing_calls() {
     let plan = FaultPlan::new().unwrap();
     plan.fail_every(Call::Accept, libc::ECONNABORTED, 3).fail_every(Call::Connect, libc::EADDRNOTAVAIL, 3);
     plan.fail_every(Call::Wait, libc::EINTR, 3);
@@ -384,28 +391,28 @@
         show_logs: std::env::var_os("RUST_LOG").is_some(),
     };
     let rig = Rig::start(options).unwrap();
-    assert!((0..3).all(|n| rig.ready(n)), "not all serve");
+    assert!((0..3).all(|index| rig.ready(index)), "not every scheduler is ready");
     assert!(rig.until(|rig| rig.all_on(&[0, 1, 2], 1)));
     for call in [Call::Accept, Call::Connect, Call::Wait, Call::Socket, Call::Bind, Call::Listen] {
         assert!(plan.hits(call) > 0, "{call:?}");
     }
 }
 
-/// A day with every trouble where a fifth of the accepts, a third of the connects and of the waits fail and half of the
-/// reads and writes are short: what was taken is answered once and in time, and nothing runs twice that must not.
+/// Guards against lost, late and duplicated jobs while every kind of fault occurs, a fifth of the accepts and a third
+/// of the connects and waits fail, and half of the reads and writes are short.
 #[test]
-fn a_day_of_failing_calls_breaks_no_rule() {
+fn an_emulated_day_with_failing_system_calls_breaks_no_rule() {
     let plan = FaultPlan::new().unwrap();
     plan.fail_every(Call::Accept, libc::ECONNABORTED, 5).fail_every(Call::Connect, libc::EADDRNOTAVAIL, 3);
     plan.fail_every(Call::Wait, libc::EINTR, 3);
     plan.limit_every(Limit::SocketRead, 100, 2).limit_every(Limit::SocketWrite, 100, 2);
     let day = Day::read(include_str!("../crates/lab/days/every.toml")).unwrap();
     let options = Options::new(plan.wrap(env!("CARGO_BIN_EXE_loomlb")));
-    let played = loomlb_emulator::run(&day, 7, options, Stop::default(), &mut |_| {}).unwrap();
-    let stories: Vec<String> = played.first.iter().map(ToString::to_string).collect();
-    assert_eq!(played.breaches, 0, "{}", stories.join("\n"));
-    assert_eq!((played.crashes, played.mangled, played.strangers), (0, 0, 0));
-    assert!(played.served * 10 > played.figures.requests * 6, "{played:?}");
+    let outcome = loomlb_emulator::run(&day, 7, options, Stop::default(), &mut |_| {}).unwrap();
+    let breach_reports: Vec<String> = outcome.first.iter().map(ToString::to_string).collect();
+    assert_eq!(outcome.breaches, 0, "{}", breach_reports.join("\n"));
+    assert_eq!((outcome.crashes, outcome.mangled, outcome.strangers), (0, 0, 0));
+    assert!(outcome.served * 10 > outcome.figures.requests * 6, "{outcome:?}");
     for call in [Call::Accept, Call::Connect, Call::Wait] {
         assert!(plan.hits(call) > 0, "{call:?}");
     }
