--- a/tests/sockets.rs
+++ b/tests/sockets.rs
@@ -1,4 +1,4 @@
-//! Stories of the built program on loopback sockets, one for each failure that it guards against.
+//! End-to-end tests of the built program on loopback sockets.
 
 mod stage;
 
@@ -6,27 +6,27 @@
 use stage::{Server, Stage, job, list, response};
 
 #[test]
-fn call_backs_early_repeated_and_strange_end_a_flow_once() {
+fn early_repeated_and_unknown_call_backs_finish_a_flow_only_once() {
     let (discovery, target) = (Server::new("d"), Server::new("s-00000001"));
     let stage = Stage::new(&[&target], &discovery);
     let mut client = stage.connect();
     client.say(&job("view", "a1", "3.000"));
     let mut forward = target.accept();
-    let head = forward.hear();
-    assert!(head.contains("X-Correlation-Id: a1\r\n") && head.ends_with("\r\n\r\nhi"), "{head}");
+    let request = forward.hear();
+    assert!(request.contains("X-Correlation-Id: a1\r\n") && request.ends_with("\r\n\r\nhi"), "{request}");
     let done =
         r#"{"id":"a1","from":"s-00000001","state":"done","result":"yes","load":{"inflight":1,"x0":3}}"#;
-    let mut said = vec![
+    let mut messages = vec![
         stage.call_back(&done.replace("a1", "zz")),
         stage.call_back(&done.replace("s-00000001", "s-00000002")),
         stage.call_back(done),
         stage.call_back(done),
     ];
-    said.push(client.answer());
+    messages.push(client.answer());
     forward.say(&response("202 Accepted", ""));
     client.say(&job("view", "a2", "3.000"));
-    said.push(forward.hear().lines().next().unwrap().to_string());
-    assert_snapshot!(said.join("\n"), @r"
+    messages.push(forward.hear().lines().next().unwrap().to_string());
+    assert_snapshot!(messages.join("\n"), @r"
     HTTP/1.1 200 OK | noted
     HTTP/1.1 200 OK | noted
     HTTP/1.1 200 OK | noted
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn giving_up_closes_before_the_202_and_deletes_after_it() {
+fn cancellation_closes_the_connection_before_the_202_and_sends_delete_after_it() {
     let (discovery, target) = (Server::new("d"), Server::new("s-00000001"));
     let stage = Stage::new(&[&target], &discovery);
     let mut early = stage.connect();
@@ -51,8 +51,8 @@
     let mut forward = target.accept();
     forward.hear();
     forward.say(&response("202 Accepted", ""));
-    let given_up = forward.hear();
-    assert_snapshot!([early.answer(), late.answer(), given_up.lines().next().unwrap().into()].join("\n"), @r"
+    let cancellation = forward.hear();
+    assert_snapshot!([early.answer(), late.answer(), cancellation.lines().next().unwrap().into()].join("\n"), @r"
     HTTP/1.1 502 Bad Gateway | failed
     HTTP/1.1 502 Bad Gateway | failed
     DELETE /jobs/a2 HTTP/1.1
@@ -61,24 +61,25 @@
 }
 
 #[test]
-fn a_break_after_the_last_byte_is_never_resent_and_a_refused_dial_is() {
-    let (discovery, target, dead) = (Server::new("d"), Server::new("s-00000001"), Server::new("s-00000002"));
+fn a_reset_after_the_request_is_not_retried_and_a_refused_connect_answers_retry_after() {
+    let (discovery, target, unreachable) =
+        (Server::new("d"), Server::new("s-00000001"), Server::new("s-00000002"));
     let stage = Stage::new(&[&target], &discovery);
     let mut client = stage.connect();
     client.say(&job("lodge", "a1", "3.000"));
     target.accept().hear();
-    let broken = client.answer();
-    let mut news = discovery.accept();
-    news.hear();
-    // No test listens at port 1; a port just given up could be another test's by now.
-    let entry = dead.entry("active").replace(&dead.at().to_string(), "127.0.0.1:1");
-    news.say(&response("200 OK", &list(2, true, &[entry])));
-    news.hear();
+    let answer_after_reset = client.answer();
+    let mut watch = discovery.accept();
+    watch.hear();
+    // Port 1 is never listened on; a port that was just released could already belong to another test.
+    let entry = unreachable.entry("active").replace(&unreachable.at().to_string(), "127.0.0.1:1");
+    watch.say(&response("200 OK", &list(2, true, &[entry])));
+    watch.hear();
     client = stage.connect();
     client.say(&job("lodge", "a2", "0.500"));
-    let refused = client.hear();
-    assert!(refused.contains("\r\nRetry-After: 0."), "{refused}");
-    assert_snapshot!([&broken, refused.lines().next().unwrap()].join("\n"), @r"
+    let rejection = client.hear();
+    assert!(rejection.contains("\r\nRetry-After: 0."), "{rejection}");
+    assert_snapshot!([&answer_after_reset, rejection.lines().next().unwrap()].join("\n"), @r"
     HTTP/1.1 502 Bad Gateway | failed
     HTTP/1.1 503 Service Unavailable
     ");
@@ -86,55 +87,55 @@
 }
 
 #[test]
-fn a_silent_discovery_keeps_the_list_and_a_whole_list_drops_who_is_absent() {
+fn the_target_list_is_kept_while_discovery_is_silent_and_replaced_by_a_complete_list() {
     let (discovery, one, two) = (Server::new("d"), Server::new("s-00000001"), Server::new("s-00000002"));
     let stage = Stage::new(&[&one], &discovery);
-    let silent = discovery.accept();
+    let unanswered = discovery.accept();
     assert_snapshot!(stage.ask("GET /healthz HTTP/1.1\r\n\r\n"), @"HTTP/1.1 200 OK | ready");
-    let mut news = discovery.accept();
-    let mut said = vec![news.hear()];
-    news.say(&response("200 OK", &list(7, true, &[two.entry("active")])));
-    said.push(news.hear());
-    let said: Vec<&str> = said.iter().filter_map(|s| s.lines().next()).collect();
-    assert_snapshot!(said.join("\n"), @r"
+    let mut watch = discovery.accept();
+    let mut requests = vec![watch.hear()];
+    watch.say(&response("200 OK", &list(7, true, &[two.entry("active")])));
+    requests.push(watch.hear());
+    let request_lines: Vec<&str> = requests.iter().filter_map(|request| request.lines().next()).collect();
+    assert_snapshot!(request_lines.join("\n"), @r"
     GET /v1/servers?from=1&hold_ms=0 HTTP/1.1
     GET /v1/servers?from=7&hold_ms=2000 HTTP/1.1
     ");
     let mut client = stage.connect();
     client.say(&job("view", "a1", "3.000"));
     assert!(two.accept().hear().contains("a1"));
-    drop(silent);
+    drop(unanswered);
 }
 
 #[test]
-fn bad_input_gets_a_plain_answer_and_is_never_forwarded() {
+fn invalid_requests_get_an_error_response_and_are_never_forwarded() {
     let (discovery, target) = (Server::new("d"), Server::new("s-00000001"));
     let stage = Stage::new(&[&target], &discovery);
-    let good = job("view", "a1", "3.000");
-    let long = format!("GET / HTTP/1.1\r\nX-Long: {}\r\n\r\n", "x".repeat(17_000));
-    let said: Vec<String> = [
+    let valid = job("view", "a1", "3.000");
+    let oversized = format!("GET / HTTP/1.1\r\nX-Long: {}\r\n\r\n", "x".repeat(17_000));
+    let answers: Vec<String> = [
         "no http at all\r\n\r\n",
-        &long,
+        &oversized,
         "POST /view/1 HTTP/1.1\r\nContent-Length: 65537\r\n\r\n",
         "POST /view/1 HTTP/1.1\r\nContent-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\nhi",
         "GET /nowhere HTTP/1.1\r\n\r\n",
         "DELETE /healthz HTTP/1.1\r\n\r\n",
-        &good.replace("POST", "GET"),
-        &good.replace("Class: view", "Class: other"),
-        &good.replace("Id: a1", "Id: a/1"),
-        &good.replace("X-Correlation-Id: a1\r\n", ""),
-        &good.replace("3.000", "soon"),
-        &good.replace("3.000", "NaN"),
-        &good.replace("3.000", "-1"),
-        &good.replace("X-Time-Left: 3.000", "X-Time-Left: 3.000\r\nX-Time-Left: 4.000"),
-        &good.replace("Length: 2", "Length: -2"),
-        &good.replace("Length: 2", "Length: 2\r\nContent-Length: 2"),
+        &valid.replace("POST", "GET"),
+        &valid.replace("Class: view", "Class: other"),
+        &valid.replace("Id: a1", "Id: a/1"),
+        &valid.replace("X-Correlation-Id: a1\r\n", ""),
+        &valid.replace("3.000", "soon"),
+        &valid.replace("3.000", "NaN"),
+        &valid.replace("3.000", "-1"),
+        &valid.replace("X-Time-Left: 3.000", "X-Time-Left: 3.000\r\nX-Time-Left: 4.000"),
+        &valid.replace("Length: 2", "Length: -2"),
+        &valid.replace("Length: 2", "Length: 2\r\nContent-Length: 2"),
         "POST /v1/job-events HTTP/1.1\r\nContent-Length: 2\r\n\r\n{}",
     ]
     .iter()
     .map(|text| stage.ask(text))
     .collect();
-    assert_snapshot!(said.join("\n"), @r"
+    assert_snapshot!(answers.join("\n"), @r"
     HTTP/1.1 400 Bad Request | malformed request
     HTTP/1.1 431 Request Header Fields Too Large | head too large
     HTTP/1.1 413 Content Too Large | body too large
@@ -157,22 +158,22 @@
 }
 
 #[test]
-fn connections_idle_or_ending_make_room_within_the_descriptors() {
+fn idle_and_closing_connections_are_closed_to_stay_within_the_descriptor_limit() {
     let discovery = Server::new("d");
     let stage = Stage::new(&[], &discovery);
     let mut open = Vec::new();
     for i in 0..100 {
-        let last = if i < 50 { "Connection: close\r\n" } else { "" };
-        let mut line = stage.connect();
-        line.say(&format!("GET /healthz HTTP/1.1\r\n{last}\r\n"));
-        assert!(line.answer().contains("ready"));
-        open.push(line);
+        let connection_header = if i < 50 { "Connection: close\r\n" } else { "" };
+        let mut connection = stage.connect();
+        connection.say(&format!("GET /healthz HTTP/1.1\r\n{connection_header}\r\n"));
+        assert!(connection.answer().contains("ready"));
+        open.push(connection);
     }
     assert!(stage.descriptors() <= 64, "{}", stage.descriptors());
 }
 
 #[test]
-fn bodies_come_in_parts_in_chunks_and_after_a_continue() {
+fn a_body_may_arrive_in_parts_in_chunks_and_after_100_continue() {
     let (discovery, target) = (Server::new("d"), Server::new("s-00000001"));
     let stage = Stage::new(&[&target], &discovery);
     let mut client = stage.connect();
@@ -181,14 +182,14 @@
     let (first, rest) = head.split_at(40);
     client.say(first);
     client.say(rest);
-    let mut said = vec![client.answer()];
+    let mut messages = vec![client.answer()];
     client.say("5;x=y\r\nhello\r\n1\r\n");
     client.say("!\r\n0\r\nTrailer: t\r\n\r\n");
     let mut forward = target.accept();
-    said.push(forward.hear().rsplit("\r\n").next().unwrap().to_string());
+    messages.push(forward.hear().rsplit("\r\n").next().unwrap().to_string());
     forward.say("HTTP/1.1 503 Busy\r\nX-Unprocessed: 1\r\nX-Backend-Load: inflight=9,x0=0\r\nContent-Length: 0\r\n\r\n");
     drop(client);
-    assert_snapshot!(said.join("\n"), @r"
+    assert_snapshot!(messages.join("\n"), @r"
     HTTP/1.1 100 Continue | 
     hello!
     ");
@@ -196,7 +197,7 @@
 }
 
 #[test]
-fn sigterm_finishes_what_was_taken_and_still_accepts() {
+fn sigterm_finishes_accepted_jobs_and_keeps_accepting_until_the_deadline() {
     let (discovery, target) = (Server::new("d"), Server::new("s-00000001"));
     let mut stage = Stage::new(&[&target], &discovery);
     let mut client = stage.connect();
@@ -214,23 +215,23 @@
         assert!(stage.call_back(&done).contains("200 OK"));
     }
     forward.say(&response("202 Accepted", ""));
-    for line in [&mut client, &mut late] {
-        let answer = line.hear();
+    for connection in [&mut client, &mut late] {
+        let answer = connection.hear();
         assert!(answer.contains("200 OK") && !answer.contains("Connection: close\r\n"), "{answer}");
     }
-    // Clients keep using the connections they have: another peer may not be up. What is taken now is answered
-    // before the platform may kill.
+    // Clients keep using their open connections, since another scheduler may not be ready yet. A job that is accepted
+    // now must be answered before the platform may kill the process.
     client.say(&job("view", "a3", "5.000"));
-    let left = forward.hear();
-    let left = left.split_once("X-Time-Left: ").unwrap().1[..5].parse::<f64>().unwrap();
-    assert!(left < 3.5, "{left}");
+    let request = forward.hear();
+    let seconds_left = request.split_once("X-Time-Left: ").unwrap().1[..5].parse::<f64>().unwrap();
+    assert!(seconds_left < 3.5, "{seconds_left}");
     forward.say(&response("202 Accepted", ""));
     assert!(client.answer().starts_with("HTTP/1.1 5"));
     assert!(late.closed() && stage.ended());
 }
 
 #[test]
-fn a_connection_that_its_target_has_closed_is_not_used_again() {
+fn a_connection_closed_by_its_target_is_not_reused() {
     let (discovery, target) = (Server::new("d"), Server::new("s-00000001"));
     let stage = Stage::new(&[&target], &discovery);
     for id in ["a1", "a2"] {
@@ -239,31 +240,31 @@
         let mut forward = target.accept();
         forward.hear();
         forward.say(&response("202 Accepted", ""));
-        // What cannot be read of a load must not cost the result.
+        // A malformed load report must not invalidate the result.
         let done = r#"{"id":"ID","from":"s-00000001","state":"done","result":"yes","load":{"x0":"?"}}"#;
         stage.call_back(&done.replace("ID", id));
         assert!(client.answer().ends_with("yes"));
         drop(forward);
-        // A turn of the program's loop, so that the end has reached it before the next job does.
+        // Waits for one pass of the program's event loop, so that it sees the close before the next job.
         stage.counters(&["served"]);
     }
     assert_snapshot!(stage.counters(&["served", "dials", "reused", "Reset"]), @"served=2 Reset=0 dials=2 reused=0");
 }
 
 #[test]
-fn datagrams_count_only_from_peers() {
+fn datagrams_are_accepted_only_from_peers() {
     let peer = std::net::UdpSocket::bind("127.0.0.1:0").unwrap();
-    let more = format!(
+    let extra_keys = format!(
         r#""peer_listen":"127.0.0.1:0","peers":["127.0.0.1:1","{0}"],"peers_all":"{0}","#,
         peer.local_addr().unwrap()
     );
-    let stage = Stage::with(&[], &Server::new("d"), &more);
+    let stage = Stage::with(&[], &Server::new("d"), &extra_keys);
     peer.set_read_timeout(Some(std::time::Duration::from_secs(3))).unwrap();
     let mut hello = [0; 9];
     let (length, from) = peer.recv_from(&mut hello).unwrap();
     assert_eq!(hello[..length], [0, 0]);
-    let stranger = std::net::UdpSocket::bind("127.0.0.1:0").unwrap();
-    stranger.send_to(&[1, 0], from).unwrap();
+    let unknown_sender = std::net::UdpSocket::bind("127.0.0.1:0").unwrap();
+    unknown_sender.send_to(&[1, 0], from).unwrap();
     peer.send_to(&[0; 300], from).unwrap();
     peer.send_to(&[1, 0], from).unwrap();
     assert!((0..200).any(|_| stage.counters(&["in"]) == "in=1"));
@@ -271,72 +272,72 @@
 }
 
 #[test]
-fn a_reload_moves_to_the_files_discovery_and_a_faulty_one_changes_nothing() {
-    let (discovery, elsewhere) = (Server::new("d"), Server::new("e"));
+fn a_reload_switches_discovery_and_an_invalid_configuration_changes_nothing() {
+    let (discovery, new_discovery) = (Server::new("d"), Server::new("e"));
     let (one, two) = (Server::new("s-00000001"), Server::new("s-00000002"));
     let mut stage = Stage::new(&[&one], &discovery);
-    let mut old = discovery.accept();
-    old.hear();
-    old.say(&response("200 OK", &list(7, true, &[one.entry("active")])));
-    old.hear();
-    let (here, there) = (discovery.at().to_string(), elsewhere.at().to_string());
-    stage.reload(&here, "here");
+    let mut old_watch = discovery.accept();
+    old_watch.hear();
+    old_watch.say(&response("200 OK", &list(7, true, &[one.entry("active")])));
+    old_watch.hear();
+    let (old_address, new_address) = (discovery.at().to_string(), new_discovery.at().to_string());
+    stage.reload(&old_address, "here");
     assert_snapshot!(stage.logged("configuration: "), @r#"discovery: "here" is not an address of the form IP:PORT; keeping the active one"#);
     stage.reload(
         r#""here","seed":"2a","limits":{"#,
-        &format!(r#""{there}","seed":"2b","limits":{{"cores":1,"#),
+        &format!(r#""{new_address}","seed":"2b","limits":{{"cores":1,"#),
     );
     assert_snapshot!(stage.logged("configuration: "), @"limits: changed, takes effect at the next start");
-    let mut new = elsewhere.accept();
-    let mut said = vec![new.hear().lines().next().unwrap().to_string()];
-    assert!(old.closed());
-    // The new address is silent so far: the list stays.
+    let mut new_watch = new_discovery.accept();
+    let mut requests = vec![new_watch.hear().lines().next().unwrap().to_string()];
+    assert!(old_watch.closed());
+    // The new discovery has not answered yet, so the list is kept.
     let mut client = stage.connect();
     client.say(&job("view", "a1", "3.000"));
-    // It stays open: were it to end here, the job would go to the new worker as well, before or after the next.
-    let mut held = one.accept();
-    said.push(held.hear().lines().next().unwrap().to_string());
-    new.say(&response("200 OK", &list(3, true, &[two.entry("active")])));
-    said.push(new.hear().lines().next().unwrap().to_string());
+    // Kept open: closing it here would let the job go to the new worker as well, before or after the next job.
+    let mut forward = one.accept();
+    requests.push(forward.hear().lines().next().unwrap().to_string());
+    new_watch.say(&response("200 OK", &list(3, true, &[two.entry("active")])));
+    requests.push(new_watch.hear().lines().next().unwrap().to_string());
     let mut other = stage.connect();
     other.say(&job("view", "a2", "3.000"));
-    said.push(two.accept().hear().lines().nth(2).unwrap().to_string());
-    assert_snapshot!(said.join("\n"), @r"
+    requests.push(two.accept().hear().lines().nth(2).unwrap().to_string());
+    assert_snapshot!(requests.join("\n"), @r"
     GET /v1/servers HTTP/1.1
     POST /view/7f HTTP/1.1
     GET /v1/servers?from=3&hold_ms=2000 HTTP/1.1
     X-Correlation-Id: a2
     ");
     assert_snapshot!(stage.counters(&["reloads", "reload_faults"]), @"reloads=1 reload_faults=1");
-    drop((client, other, held));
+    drop((client, other, forward));
     stage.signal("TERM");
     stage.signal("HUP");
     assert!(stage.ended());
 }
 
 #[test]
-fn connections_that_owe_a_request_make_room_and_end_in_time() {
+fn connections_without_a_complete_request_are_closed_on_timeout_or_for_new_ones() {
     let (discovery, target) = (Server::new("d"), Server::new("s-00000001"));
     let stage = Stage::new(&[&target], &discovery);
     let mut idle = stage.connect();
     idle.say("GET /healthz HTTP/1.1\r\n\r\n");
     idle.answer();
-    let mut half = stage.connect();
-    half.say("POST /view/7f HTTP/1.1\r\nContent-Length: 9\r\n\r\n");
-    let mut said = vec![half.answer()];
-    // Whoever is idle between requests is not cut.
+    let mut incomplete = stage.connect();
+    incomplete.say("POST /view/7f HTTP/1.1\r\nContent-Length: 9\r\n\r\n");
+    let mut answers = vec![incomplete.answer()];
+    // A connection that is idle between requests is not closed.
     idle.say("GET /healthz HTTP/1.1\r\n\r\n");
-    said.push(idle.answer());
+    answers.push(idle.answer());
     let mut silent: Vec<_> = (0..100).map(|_| stage.connect()).collect();
-    // More than there are seats: a client still gets its answer, and a target its call-back in.
+    // With more silent connections than the limit, a client still gets its answer and a target can still call back.
     let mut client = stage.connect();
     client.say(&job("view", "a1", "5.000"));
     let mut forward = target.accept();
     forward.hear();
     stage.call_back(r#"{"id":"a1","from":"s-00000001","state":"done","result":"yes"}"#);
-    said.push(client.answer());
-    assert!(silent.iter_mut().all(|line| line.closed()));
-    assert_snapshot!(said.join("\n"), @r"
+    answers.push(client.answer());
+    assert!(silent.iter_mut().all(|connection| connection.closed()));
+    assert_snapshot!(answers.join("\n"), @r"
     HTTP/1.1 408 Request Timeout | request not whole in time
     HTTP/1.1 200 OK | ready
     HTTP/1.1 200 OK | yes
@@ -345,7 +346,7 @@
 }
 
 #[test]
-fn a_client_that_writes_a_large_body_before_it_reads_gets_the_error() {
+fn a_client_that_writes_an_oversized_body_before_reading_receives_the_error() {
     let stage = Stage::new(&[], &Server::new("d"));
     let mut client = stage.connect();
     client.say("POST /view/7f HTTP/1.1\r\nContent-Length: 8000000\r\n\r\n");
@@ -354,7 +355,7 @@
 }
 
 #[test]
-fn a_request_that_a_target_finds_fault_with_is_not_tried_at_the_next() {
+fn a_request_rejected_by_a_target_is_not_retried_at_another() {
     let (discovery, one, two) = (Server::new("d"), Server::new("s-00000001"), Server::new("s-00000002"));
     let stage = Stage::new(&[&one, &two], &discovery);
     let mut client = stage.connect();
@@ -367,7 +368,7 @@
 }
 
 #[test]
-fn connections_that_break_after_a_pause_are_not_kept_for_so_long_again() {
+fn after_an_idle_connection_breaks_others_are_not_reused_after_the_same_idle_time() {
     let (discovery, target) = (Server::new("d"), Server::new("s-00000001"));
     let stage = Stage::new(&[&target], &discovery);
     let mut client = stage.connect();
@@ -378,24 +379,24 @@
     };
     client.say(&job("lodge", "a1", "3.000"));
     let mut forward = target.accept();
-    let begun = std::time::Instant::now();
+    let idle_since = std::time::Instant::now();
     serve(&mut forward, "a1");
-    let mut said = vec![client.answer()];
+    let mut answers = vec![client.answer()];
     std::thread::sleep(std::time::Duration::from_millis(100));
     client.say(&job("lodge", "a2", "3.000"));
     forward.hear();
-    let pause = begun.elapsed();
+    let idle_time = idle_since.elapsed();
     drop(forward);
-    said.push(client.answer());
+    answers.push(client.answer());
     client.say(&job("lodge", "a3", "3.000"));
     let mut forward = target.accept();
     serve(&mut forward, "a3");
-    said.push(client.answer());
-    std::thread::sleep(pause);
+    answers.push(client.answer());
+    std::thread::sleep(idle_time);
     client.say(&job("lodge", "a4", "3.000"));
     serve(&mut target.accept(), "a4");
-    said.push(client.answer());
-    assert_snapshot!(said.join("\n"), @r"
+    answers.push(client.answer());
+    assert_snapshot!(answers.join("\n"), @r"
     HTTP/1.1 200 OK | yes
     HTTP/1.1 502 Bad Gateway | failed
     HTTP/1.1 200 OK | yes
@@ -405,24 +406,24 @@
 }
 
 #[test]
-fn a_client_that_brings_jobs_keeps_its_connection_when_others_crowd_in() {
+fn a_client_that_sends_jobs_keeps_its_connection_when_many_others_connect() {
     let (discovery, target) = (Server::new("d"), Server::new("s-00000001"));
     let stage = Stage::new(&[&target], &discovery);
     let mut client = stage.connect();
     client.say(&job("view", "a1", "3.000"));
     let mut forward = target.accept();
-    let mut crowd = Vec::new();
+    let mut others = Vec::new();
     for id in ["a1", "a2"] {
         forward.hear();
         forward.say(&response("202 Accepted", ""));
         stage.call_back(&format!(r#"{{"id":"{id}","from":"s-00000001","state":"done","result":"{id}"}}"#));
         assert!(client.answer().ends_with(id));
-        // More than there are seats ask one thing and stay.
+        // More connections than the limit send one request each and stay open.
         for _ in 0..50 {
-            let mut line = stage.connect();
-            line.say("GET /healthz HTTP/1.1\r\n\r\n");
-            assert!(line.answer().ends_with("ready"));
-            crowd.push(line);
+            let mut connection = stage.connect();
+            connection.say("GET /healthz HTTP/1.1\r\n\r\n");
+            assert!(connection.answer().ends_with("ready"));
+            others.push(connection);
         }
         if id == "a1" {
             client.say(&job("view", "a2", "3.000"));
@@ -431,54 +432,57 @@
 }
 
 #[test]
-fn idle_connections_make_room_long_before_all_places_are_taken() {
+fn idle_connections_are_closed_before_the_connection_limit_is_reached() {
     let (discovery, target) = (Server::new("d"), Server::new("s-00000001"));
-    // Of 64 descriptors 22 are places at the listener, and a quarter of all is 16.
+    // Of 64 descriptors, 22 are for connections at the listener; a quarter of all descriptors is 16.
     let stage = Stage::new(&[&target], &discovery);
-    let done = |id: &str| {
+    let report_done = |id: &str| {
         stage.call_back(&format!(r#"{{"id":"{id}","from":"s-00000001","state":"done","result":"{id}"}}"#))
     };
-    let mut waits = stage.connect();
-    waits.say(&job("lodge", "a1", "4.900"));
-    let mut line = target.accept();
-    assert!(line.hear().contains("a1"));
-    line.say(&response("202 Accepted", ""));
-    let mut kept = Vec::new();
+    let mut waiting = stage.connect();
+    waiting.say(&job("lodge", "a1", "4.900"));
+    let mut forward = target.accept();
+    assert!(forward.hear().contains("a1"));
+    forward.say(&response("202 Accepted", ""));
+    let mut idle_clients = Vec::new();
     for i in 0..18 {
         let (id, mut client) = (format!("b{i}"), stage.connect());
         client.say(&job("view", &id, "3.000"));
-        assert!(line.hear().contains(&id));
-        line.say(&response("202 Accepted", ""));
-        done(&id);
+        assert!(forward.hear().contains(&id));
+        forward.say(&response("202 Accepted", ""));
+        report_done(&id);
         assert!(client.answer().ends_with(&id));
-        kept.push(client);
+        idle_clients.push(client);
     }
-    // Call-backs come on connections of their own: with each of them the client that was idle for longest leaves.
-    let begun = std::time::Instant::now();
-    assert!(kept[0].closed() && begun.elapsed() < std::time::Duration::from_secs(10), "it is kept");
-    let last = kept.last_mut().unwrap();
+    // Each call-back opens a connection of its own, for which the connection that was idle longest is closed.
+    let started_at = std::time::Instant::now();
+    assert!(
+        idle_clients[0].closed() && started_at.elapsed() < std::time::Duration::from_secs(10),
+        "the connection that was idle longest is still open"
+    );
+    let last = idle_clients.last_mut().unwrap();
     last.say("GET /healthz HTTP/1.1\r\n\r\n");
     assert!(last.answer().ends_with("ready"));
-    done("a1");
-    assert!(waits.answer().ends_with("a1"));
+    report_done("a1");
+    assert!(waiting.answer().ends_with("a1"));
 }
 
 #[test]
-fn a_zone_or_kind_that_the_settings_do_not_know_is_logged_once_and_its_target_used() {
+fn a_zone_or_kind_missing_from_the_settings_is_logged_once_and_its_target_is_used() {
     let (discovery, target) = (Server::new("d"), Server::new("s-00000001"));
     let stage = Stage::new(&[&target], &discovery);
     let mut watch = discovery.accept();
     watch.hear();
-    let strange = target
+    let unknown_entry = target
         .entry("active")
         .replace(r#""site":"z""#, r#""site":"far""#)
         .replace(r#""class":"k""#, r#""class":"odd""#);
     for seq in [2, 3] {
-        watch.say(&response("200 OK", &list(seq, true, std::slice::from_ref(&strange))));
+        watch.say(&response("200 OK", &list(seq, true, std::slice::from_ref(&unknown_entry))));
         watch.hear();
     }
-    let said = [stage.logged("discovery: discovery: "), stage.logged("discovery: discovery: ")];
-    assert_snapshot!(said.join("\n"), @r#"
+    let log_lines = [stage.logged("discovery: discovery: "), stage.logged("discovery: discovery: ")];
+    assert_snapshot!(log_lines.join("\n"), @r#"
     s-00000001: site "far" is not in the settings, target used anyway
     s-00000001: class "odd" is not in the settings, target used anyway
     "#);
