--- a/tests/tier.rs
+++ b/tests/tier.rs
@@ -1,5 +1,5 @@
-//! Stories of several processes of the program that agree as a tier, with faults between them. Each ends in the checker
-//! that reads what all of them wrote of what they did.
+//! End-to-end tests of several processes that agree on settings as a tier, with faults injected between them. Each test
+//! ends by checking the history that all processes have written.
 
 use loomlb_consensus::history_check::{CheckReport, check_history};
 use loomlb_consensus::log_store::LogFile;
@@ -8,64 +8,66 @@
 use serde_json::{Value, json};
 use std::time::Duration;
 
-/// The bound that these tiers are configured with.
-const BOUND: Duration = Duration::from_secs(3);
+/// `bound_s` of these tiers: the longest time until a committed version applies everywhere.
+const VERSION_BOUND: Duration = Duration::from_secs(3);
 
-fn rig(schedulers: usize, load: bool) -> Rig {
-    rig_with(schedulers, load, "")
+fn start_rig(schedulers: usize, load: bool) -> Rig {
+    start_rig_with(schedulers, load, "")
 }
 
-fn rig_with(schedulers: usize, load: bool, words: &str) -> Rig {
+fn start_rig_with(schedulers: usize, load: bool, tier_settings: &str) -> Rig {
     let options = Options {
         program: vec![env!("CARGO_BIN_EXE_loomlb").into()],
         schedulers,
         voters: 3,
-        tier: format!("bound_s = {}\n{words}", BOUND.as_secs()),
+        tier: format!("bound_s = {}\n{tier_settings}", VERSION_BOUND.as_secs()),
         load: load.then_some(Duration::from_millis(40)),
         show_logs: std::env::var_os("RUST_LOG").is_some(),
     };
     let rig = Rig::start(options).unwrap();
-    assert!((0..schedulers).all(|n| rig.ready(n)), "not all serve");
+    assert!((0..schedulers).all(|n| rig.ready(n)), "not every scheduler is ready");
     rig
 }
 
-/// A change that contradicts: how often a job may run.
-fn effect(settings: &mut Value, effect: &str) {
+/// Changes how often a job of the second class may run, which conflicts with the version before.
+fn set_effect(settings: &mut Value, effect: &str) {
     settings["classes"][1]["effect"] = effect.into();
 }
 
-/// Proposes at one scheduler's second address.
-fn propose(rig: &Rig, n: usize, word: &str) -> Option<(u16, Value)> {
+/// Proposes another effect of the second class at a scheduler's control listener.
+fn propose_effect(rig: &Rig, n: usize, effect: &str) -> Option<(u16, Value)> {
     let mut settings = rig.settings(n);
-    effect(&mut settings, word);
+    set_effect(&mut settings, effect);
     rig.call(n, "PUT /control/tier/settings", &settings.to_string())
 }
 
-/// Every trial ends here. Only a process that is stopped between its look at the lease and its line could seem late.
-fn verdict(rig: &Rig) -> CheckReport {
-    let lines = rig.history();
-    let verdict = check_history(&lines, Duration::from_millis(250).as_nanos() as u64, |_| true);
-    let stories: Vec<String> = verdict.violations.iter().map(ToString::to_string).collect();
-    assert!(stories.is_empty(), "{}", stories.join("\n"));
-    verdict
+/// Checks the history of all processes and fails on any violation. The tolerance covers a process that is stopped
+/// between checking its lease and writing its history record.
+fn check_rig_history(rig: &Rig) -> CheckReport {
+    let records = rig.history();
+    let report = check_history(&records, Duration::from_millis(250).as_nanos() as u64, |_| true);
+    let violations: Vec<String> = report.violations.iter().map(ToString::to_string).collect();
+    assert!(violations.is_empty(), "{}", violations.join("\n"));
+    report
 }
 
 #[test]
-fn a_file_at_one_scheduler_is_in_force_at_all_and_of_two_at_once_one_wins() {
-    let mut rig = rig(5, true);
-    let (all, up) = ([0, 1, 2, 3, 4], rig.now());
+fn settings_reloaded_at_one_scheduler_apply_at_all_and_one_of_two_concurrent_reloads_wins() {
+    let mut rig = start_rig(5, true);
+    let (all, ready_at) = ([0, 1, 2, 3, 4], rig.now());
     assert!(rig.all_on(&all, 1));
-    rig.reload(3, |s| effect(s, "at_most_once")).unwrap();
+    rig.reload(3, |s| set_effect(s, "at_most_once")).unwrap();
     assert!(rig.until(|rig| rig.all_on(&all, 2)), "{:?}", rig.tier(0));
-    let since = rig.now();
-    // A change that harms nobody is in force at once, the same again changes nothing, and what has no order is refused.
+    let changed_at = rig.now();
+    // A compatible change applies at once, proposing it again changes nothing, and a change that needs a restart is
+    // rejected.
     let mut harmless = rig.settings(3);
     harmless["classes"]
         .as_array_mut()
         .unwrap()
         .push(json!({"name": "new", "aim": 1, "give_up": 9, "worth": 1.0, "effect": "idempotent"}));
-    let said = rig.call(1, "PUT /control/tier/settings", &harmless.to_string()).unwrap();
-    assert_eq!((said.0, &said.1["version"], &said.1["in_force"]), (200, &json!(3), &json!(true)));
+    let answer = rig.call(1, "PUT /control/tier/settings", &harmless.to_string()).unwrap();
+    assert_eq!((answer.0, &answer.1["version"], &answer.1["in_force"]), (200, &json!(3), &json!(true)));
     assert!(rig.until(|rig| rig.all_on(&all, 3)));
     assert_eq!(
         rig.call(4, "PUT /control/tier/settings", &harmless.to_string()).unwrap().1["why"],
@@ -73,130 +75,138 @@
     );
     let mut zones = harmless.clone();
     zones["zones"] = json!(["z", "y"]);
-    let said = rig.call(4, "PUT /control/tier/settings", &zones.to_string()).unwrap();
-    assert_eq!((said.0, &said.1["keys"]), (422, &json!(["zones"])));
-    // A bad file is turned down whole, with its key, before anyone hears of it; so is one for an older version.
+    let answer = rig.call(4, "PUT /control/tier/settings", &zones.to_string()).unwrap();
+    assert_eq!((answer.0, &answer.1["keys"]), (422, &json!(["zones"])));
+    // Invalid settings are rejected with the faulty key before they are proposed, and so are settings for an older
+    // version.
     let mut bad = harmless.clone();
     bad["classes"][0]["give_up"] = 0.into();
-    let said = rig.call(0, "PUT /control/tier/settings", &bad.to_string()).unwrap();
+    let answer = rig.call(0, "PUT /control/tier/settings", &bad.to_string()).unwrap();
     assert!(
-        said.0 == 400 && said.1["why"].as_str().unwrap().starts_with("settings.classes[0].give_up"),
-        "{said:?}"
+        answer.0 == 400 && answer.1["why"].as_str().unwrap().starts_with("settings.classes[0].give_up"),
+        "{answer:?}"
     );
-    let said = rig.call(0, "PUT /control/tier/settings/1", &harmless.to_string()).unwrap();
-    assert_eq!((said.0, &said.1["version"]), (409, &json!(3)));
-    // Two files at two schedulers in the same moment.
-    rig.reload(0, |s| effect(s, "deduplicated")).unwrap();
+    let answer = rig.call(0, "PUT /control/tier/settings/1", &harmless.to_string()).unwrap();
+    assert_eq!((answer.0, &answer.1["version"]), (409, &json!(3)));
+    // Two schedulers reload different settings at the same time.
+    rig.reload(0, |s| set_effect(s, "deduplicated")).unwrap();
     rig.reload(4, |s| s["ceilings"]["max_attempts"] = 1.into()).unwrap();
     assert!(rig.until(|rig| rig.all_on(&all, 4)));
-    // A worker out by hand at one scheduler is out at all, and back likewise.
+    // A worker taken offline at one scheduler is offline at all, and likewise when it is put back online.
     assert!(rig.call(2, "PUT /control/workers/s-00000001/offline", "").unwrap().0 < 300);
-    let out = |rig: &Rig, n: usize| rig.tier(n).is_some_and(|t| t["workers_out"] == json!(["s-00000001"]));
-    assert!(rig.until(|rig| all.iter().all(|n| out(rig, *n))));
+    let is_offline =
+        |rig: &Rig, n: usize| rig.tier(n).is_some_and(|t| t["workers_out"] == json!(["s-00000001"]));
+    assert!(rig.until(|rig| all.iter().all(|n| is_offline(rig, *n))));
     assert!(rig.call(0, "PUT /control/workers/s-00000001/online", "").unwrap().0 < 300);
-    assert!(rig.until(|rig| all.iter().all(|n| !out(rig, *n))));
-    // Jobs that came after the class had changed ran once, whichever scheduler took them; all were answered.
+    assert!(rig.until(|rig| all.iter().all(|n| !is_offline(rig, *n))));
+    // Jobs sent after the class changed ran at most once, whichever scheduler took them, and all were answered.
     let jobs = rig.jobs();
-    let (before, after): (Vec<_>, Vec<_>) = jobs.iter().partition(|j| j.sent < since);
-    assert!(before.iter().any(|j| j.runs == 2), "nothing was repeated before");
+    let (before, after): (Vec<_>, Vec<_>) = jobs.iter().partition(|j| j.sent < changed_at);
+    assert!(before.iter().any(|j| j.runs == 2), "no job ran twice before the change");
     assert!(after.iter().filter(|j| j.runs > 0).count() > 20 && after.iter().all(|j| j.runs <= 1));
-    let sent = rig.now();
-    assert!(rig.until(|rig| rig.jobs().iter().filter(|j| j.sent < sent).all(|j| j.over)));
-    let lost: Vec<_> =
-        rig.jobs().into_iter().filter(|j| (up..sent).contains(&j.sent) && j.status.is_none()).collect();
-    assert!(lost.is_empty(), "{lost:?}");
-    assert!(verdict(&rig).acts_checked > 100);
+    let sent_until = rig.now();
+    assert!(rig.until(|rig| rig.jobs().iter().filter(|j| j.sent < sent_until).all(|j| j.over)));
+    let unanswered: Vec<_> = rig
+        .jobs()
+        .into_iter()
+        .filter(|j| (ready_at..sent_until).contains(&j.sent) && j.status.is_none())
+        .collect();
+    assert!(unanswered.is_empty(), "{unanswered:?}");
+    assert!(check_rig_history(&rig).acts_checked > 100);
 }
 
-/// A version changes settings and no worker: nobody asks for the whole list for it, which a large fleet's is too long for.
+/// Guards against requesting the complete worker list, which is long in a large fleet, for a change of settings alone.
 #[test]
-fn a_version_that_comes_into_force_has_nobody_ask_for_the_whole_list() {
-    let mut rig = rig(4, false);
+fn a_new_version_does_not_cause_requests_for_the_complete_worker_list() {
+    let mut rig = start_rig(4, false);
     let all = [0, 1, 2, 3];
     assert!(rig.all_on(&all, 1));
-    for (version, word) in [(2, "at_most_once"), (3, "deduplicated")] {
-        assert!(rig.until(|rig| propose(rig, 1, word).is_some_and(|s| s.0 < 300)));
+    for (version, effect) in [(2, "at_most_once"), (3, "deduplicated")] {
+        assert!(rig.until(|rig| propose_effect(rig, 1, effect).is_some_and(|s| s.0 < 300)));
         assert!(rig.until(|rig| rig.all_on(&all, version)));
     }
-    // A list that is newer is heard all the same, on the watch that went on.
+    // A newer list is still received, on the watch that stayed open.
     all.iter().for_each(|n| rig.list(*n, Some(1)));
     assert!(rig.until(|rig| all.iter().all(|n| rig.tier(*n).is_some_and(|t| t["lists"]["mine"] == 2))));
     assert_eq!(rig.whole_lists(), 0);
-    // A file at SIGHUP may name another discovery: there the whole list is asked for.
+    // A reload by SIGHUP may change the discovery address, so the complete list is requested then.
     rig.reload(0, |_| ()).unwrap();
     assert!(rig.until(|rig| rig.whole_lists() > 0));
-    verdict(&rig);
+    check_rig_history(&rig);
 }
 
-/// Staff on the command line: what a version is, who made it, one proposed, and one that comes too late.
+/// Covers the status, the history, an accepted proposal, and one that is based on an outdated version.
 #[test]
-fn staff_ask_propose_and_wait_on_the_command_line() {
-    let rig = rig(3, false);
+fn operators_query_propose_and_wait_on_the_command_line() {
+    let rig = start_rig(3, false);
     let loomlb = |args: &[&str]| {
         let mut command = std::process::Command::new(env!("CARGO_BIN_EXE_loomlb"));
-        let out = command.args(["tier", "--at", &rig.control(1).to_string()]).args(args).output().unwrap();
-        let said: Value = serde_json::from_slice(&out.stdout).unwrap_or(Value::Null);
-        (out.status.code(), said, String::from_utf8(out.stderr).unwrap())
+        let result = command.args(["tier", "--at", &rig.control(1).to_string()]).args(args).output().unwrap();
+        let output: Value = serde_json::from_slice(&result.stdout).unwrap_or(Value::Null);
+        (result.status.code(), output, String::from_utf8(result.stderr).unwrap())
     };
     let file = tempfile::NamedTempFile::new().unwrap();
     let path = file.path().to_str().unwrap();
     let mut settings = rig.settings(1);
-    effect(&mut settings, "at_most_once");
+    set_effect(&mut settings, "at_most_once");
     std::fs::write(path, json!({ "settings": settings }).to_string()).unwrap();
-    // A machine under load may need more than one call's time.
+    // On a busy machine one call may time out before the version applies.
     assert!(rig.until(|_| {
         loomlb(&["propose", path, "--after", "1"]);
         loomlb(&["wait", "2", "--seconds", "1"]).1 == json!(2)
     }));
-    let (code, said, _) = loomlb(&["status"]);
+    let (code, output, _) = loomlb(&["status"]);
     assert_eq!(
-        (code, &said["version"], &said["may_act"], said.get("settings")),
+        (code, &output["version"], &output["may_act"], output.get("settings")),
         (Some(0), &json!(2), &json!(true), None)
     );
-    let (_, said, _) = loomlb(&["history"]);
-    assert_eq!(said[1]["keys"], json!(["classes.lodge.effect"]));
-    effect(&mut settings, "deduplicated");
+    let (_, output, _) = loomlb(&["history"]);
+    assert_eq!(output[1]["keys"], json!(["classes.lodge.effect"]));
+    set_effect(&mut settings, "deduplicated");
     std::fs::write(path, json!({ "settings": settings }).to_string()).unwrap();
-    let (code, said, _) = loomlb(&["propose", path, "--after", "1"]);
-    assert_eq!((code, &said["version"]), (Some(1), &json!(2)));
+    let (code, output, _) = loomlb(&["propose", path, "--after", "1"]);
+    assert_eq!((code, &output["version"]), (Some(1), &json!(2)));
     assert_eq!(loomlb(&["wait", "9", "--seconds", "0.1"]).0, Some(1));
     std::fs::write(path, "{}").unwrap();
-    let (code, _, fault) = loomlb(&["propose", path]);
-    assert!(code == Some(2) && fault.ends_with("settings: missing\n"), "{fault}");
+    let (code, _, error) = loomlb(&["propose", path]);
+    assert!(code == Some(2) && error.ends_with("settings: missing\n"), "{error}");
 }
 
 #[test]
-fn whoever_is_cut_off_steps_out_and_a_version_waits_for_that_and_no_longer() {
-    let rig = rig(5, true);
-    let rest = [0, 1, 2, 3];
-    // Only the way to the voters is cut: answers could still come. Its clients and worker are within reach.
+fn an_isolated_scheduler_stops_accepting_jobs_and_delays_a_version_for_at_most_the_bound() {
+    let rig = start_rig(5, true);
+    let connected = [0, 1, 2, 3];
+    // Only the direction to the voters is cut: their messages still arrive, and so do those of clients and workers.
     (0..3).for_each(|voter| rig.way(4, voter, Way::Cut));
-    let begun = rig.now();
-    assert!(propose(&rig, 1, "at_most_once").unwrap().0 < 300);
-    assert!(rig.until(|rig| rig.all_on(&rest, 2)), "{:?}", rig.tier(0));
-    let took = rig.now() - begun;
-    assert!(took < BOUND + Duration::from_secs(1), "{took:?}");
-    let lone = rig.tier(4).unwrap();
-    assert_eq!((&lone["may_act"], &lone["acting"]), (&json!(false), &json!({"On": 1})));
+    let proposed_at = rig.now();
+    assert!(propose_effect(&rig, 1, "at_most_once").unwrap().0 < 300);
+    assert!(rig.until(|rig| rig.all_on(&connected, 2)), "{:?}", rig.tier(0));
+    let elapsed = rig.now() - proposed_at;
+    assert!(elapsed < VERSION_BOUND + Duration::from_secs(1), "{elapsed:?}");
+    let isolated = rig.tier(4).unwrap();
+    assert_eq!((&isolated["may_act"], &isolated["acting"]), (&json!(false), &json!({"On": 1})));
     let since = rig.now();
     std::thread::sleep(Duration::from_millis(400));
-    let lost: Vec<_> =
+    let rejected: Vec<_> =
         rig.jobs().into_iter().filter(|j| j.scheduler == 4 && j.sent > since && j.status.is_some()).collect();
-    assert!(lost.len() > 3 && lost.iter().all(|j| j.status == Some(503) && j.runs == 0), "{lost:?}");
+    assert!(
+        rejected.len() > 3 && rejected.iter().all(|j| j.status == Some(503) && j.runs == 0),
+        "{rejected:?}"
+    );
     (0..3).for_each(|voter| rig.way(4, voter, Way::Whole));
     assert!(rig.until(|rig| rig.all_on(&[4], 2)));
-    // Slow replies are borne, and broken connections are opened again.
+    // Slow links are tolerated, and broken connections are reopened.
     rig.around(4, Way::Slow(Duration::from_millis(150)));
     (0..3).for_each(|voter| rig.break_links(4, voter));
-    assert!(propose(&rig, 4, "deduplicated").is_some());
+    assert!(propose_effect(&rig, 4, "deduplicated").is_some());
     assert!(rig.until(|rig| rig.all_on(&[0, 1, 2, 3, 4], 3)));
-    verdict(&rig);
+    check_rig_history(&rig);
 }
 
 #[test]
-fn where_staff_prefer_it_a_scheduler_without_a_lease_goes_on_by_the_strictest_rules() {
-    let rig = rig_with(4, true, "on_lapse = \"strict\"");
-    // Here a scheduler serves before it has its first lease.
+fn with_on_lapse_strict_a_scheduler_without_a_lease_serves_by_the_strictest_rules() {
+    let rig = start_rig_with(4, true, "on_lapse = \"strict\"");
+    // With `on_lapse = "strict"` a scheduler serves before it has its first lease.
     assert!(rig.until(|rig| rig.tier(3).is_some_and(|t| t["lease_left_s"].as_f64() > Some(0.0))));
     rig.around(3, Way::Cut);
     assert!(rig.until(|rig| rig.tier(3).is_some_and(|t| t["lease_left_s"] == 0.0)));
@@ -205,39 +215,41 @@
     std::thread::sleep(Duration::from_secs(1));
     let jobs: Vec<_> = rig.jobs().into_iter().filter(|j| j.scheduler == 3 && j.sent > since).collect();
     assert!(jobs.iter().filter(|j| j.status == Some(200)).count() > 5, "{jobs:?}");
-    // A job that may have become unsafe is not repeated.
-    let twice: Vec<_> = jobs.iter().filter(|j| j.runs > 1).collect();
-    assert!(twice.is_empty(), "{} of {} since {since:?}: {twice:?}", twice.len(), jobs.len());
+    // A job is not repeated if the class may have become unsafe to repeat.
+    let repeated: Vec<_> = jobs.iter().filter(|j| j.runs > 1).collect();
+    assert!(repeated.is_empty(), "{} of {} since {since:?}: {repeated:?}", repeated.len(), jobs.len());
     rig.around(3, Way::Whole);
     assert!(rig.until(|rig| rig.tier(3).is_some_and(|t| t["lease_left_s"].as_f64() > Some(0.0))));
     let since = rig.now();
     assert!(rig.until(|rig| rig.jobs().iter().any(|j| j.scheduler == 3 && j.sent > since && j.runs == 2)));
-    verdict(&rig);
+    check_rig_history(&rig);
 }
 
 #[test]
-fn a_drain_that_one_has_heard_of_is_kept_by_all_and_who_is_behind_asks() {
-    let rig = rig(4, true);
+fn a_drain_seen_by_one_scheduler_is_followed_by_all_and_outdated_lists_are_requested_again() {
+    let rig = start_rig(4, true);
     let sent_to = |rig: &Rig, n: usize, since: Duration, worker| {
         rig.jobs()
             .iter()
             .filter(|j| j.scheduler == n && j.sent > since && j.runs > 0 && j.worker == worker)
             .count()
     };
-    // Only the first scheduler's list tells that a worker is leaving.
+    // Only the first scheduler's list reports that a worker is leaving.
     rig.list(0, Some(1));
-    let count = |rig: &Rig, what: &str| rig.tier(3).and_then(|t| t["counts"][what].as_u64()).unwrap_or(0);
-    assert!(rig.until(|rig| count(rig, "drains_by_hearsay") == 1));
+    let tier_counter =
+        |rig: &Rig, counter: &str| rig.tier(3).and_then(|t| t["counts"][counter].as_u64()).unwrap_or(0);
+    assert!(rig.until(|rig| tier_counter(rig, "drains_by_hearsay") == 1));
     assert_eq!(rig.tier(3).unwrap()["lists"], json!({"mine": 1, "newest": 2, "oldest": 1}));
     let since = rig.now() + Duration::from_millis(300);
     assert!(rig.until(|rig| sent_to(rig, 3, since, 0) + sent_to(rig, 3, since, 2) > 20));
     assert_eq!(sent_to(&rig, 3, since, 1), 0);
-    // Who is behind asks again. A second worker is more than a third of them: words alone do not take so many.
-    assert!(rig.until(|rig| count(rig, "lists_asked_anew") > 0));
+    // A scheduler with an outdated list requests it again. With a second leaving worker, more than a third of the
+    // workers would be excluded, which reports of peers alone must not cause.
+    assert!(rig.until(|rig| tier_counter(rig, "lists_asked_anew") > 0));
     rig.list(1, Some(2));
     std::thread::sleep(Duration::from_secs(1));
-    assert_eq!(count(&rig, "drains_by_hearsay"), 1);
-    // The word was false, or is over: the worker is used again, by what the own list says.
+    assert_eq!(tier_counter(&rig, "drains_by_hearsay"), 1);
+    // The drain is withdrawn: the worker is used again, according to the scheduler's own list.
     rig.list(0, None);
     rig.list(1, None);
     let since = rig.now();
@@ -247,34 +259,34 @@
 }
 
 #[test]
-fn a_process_whose_voter_file_another_has_serves_and_votes_once_it_is_free() {
-    let mut rig = rig(3, false);
+fn a_process_serves_while_its_voter_file_is_locked_and_votes_once_it_is_unlocked() {
+    let mut rig = start_rig(3, false);
     rig.kill(0);
-    let (earlier, _) = LogFile::open(&rig.store(0), "n0 of n0, n1, n2", false).unwrap();
+    let (locked_file, _) = LogFile::open(&rig.store(0), "n0 of n0, n1, n2", false).unwrap();
     rig.launch(0, false).unwrap();
-    assert!(rig.ready(0), "the other two are a majority");
+    assert!(rig.ready(0), "not ready although the other two voters are a majority");
     assert!(rig.tier(0).unwrap()["voter"].is_null());
     rig.kill(1);
     assert!(rig.until(|rig| rig.tier(2).is_some_and(|t| t["may_act"] == false)));
-    drop(earlier);
+    drop(locked_file);
     assert!(rig.until(|rig| rig.all_on(&[0, 2], 1)));
-    assert!(rig.until(|rig| propose(rig, 2, "at_most_once").is_some_and(|s| s.0 < 300)));
+    assert!(rig.until(|rig| propose_effect(rig, 2, "at_most_once").is_some_and(|s| s.0 < 300)));
     assert!(rig.until(|rig| rig.all_on(&[0, 2], 2)));
-    verdict(&rig);
+    check_rig_history(&rig);
 }
 
 #[test]
-fn a_stopped_scheduler_does_not_act_on_what_it_knew_when_it_goes_on() {
-    let mut rig = rig(4, true);
-    // A scheduler, then the leader with a proposal in flight.
+fn a_paused_scheduler_does_not_act_on_outdated_settings_when_it_resumes() {
+    let mut rig = start_rig(4, true);
+    // First a scheduler is paused, then the leader with a proposal in flight.
     rig.stop(3);
-    assert!(propose(&rig, 0, "at_most_once").unwrap().0 < 300);
+    assert!(propose_effect(&rig, 0, "at_most_once").unwrap().0 < 300);
     assert!(rig.until(|rig| rig.all_on(&[0, 1, 2], 2)), "{:?}", rig.tier(0));
     rig.go_on(3);
     assert!(rig.until(|rig| rig.all_on(&[3], 2)));
     let leader = (0..3).find(|n| rig.tier(*n).is_some_and(|t| t["voter"]["leads"] == true)).unwrap();
     let others: Vec<usize> = (0..3).filter(|n| *n != leader).collect();
-    rig.reload(leader, |s| effect(s, "deduplicated")).unwrap();
+    rig.reload(leader, |s| set_effect(s, "deduplicated")).unwrap();
     rig.stop(leader);
     assert!(
         rig.until(|rig| others.iter().any(|n| rig.tier(*n).is_some_and(|t| t["voter"]["leads"] == true)))
@@ -293,67 +305,67 @@
         let newest = version(rig, others[0]);
         newest.is_some_and(|v| rig.all_on(&[0, 1, 2, 3], v))
     }));
-    verdict(&rig);
+    check_rig_history(&rig);
 }
 
 #[test]
-fn no_majority_no_service_and_what_was_agreed_survives_the_death_of_all_voters() {
-    let mut rig = rig(4, false);
-    assert!(propose(&rig, 2, "at_most_once").unwrap().0 < 300);
+fn without_a_majority_no_job_is_served_and_agreed_settings_survive_a_crash_of_all_voters() {
+    let mut rig = start_rig(4, false);
+    assert!(propose_effect(&rig, 2, "at_most_once").unwrap().0 < 300);
     assert!(rig.until(|rig| rig.all_on(&[0, 1, 2, 3], 2)));
     (0..3).for_each(|n| rig.kill(n));
     assert!(rig.until(|rig| rig.tier(3).is_some_and(|t| t["may_act"] == false)));
-    // One has lost what it wrote: it must not vote as if it never had, and says so by not starting.
+    // A voter that has lost its store must not vote again, so it refuses to start.
     rig.lose_store(0);
     (0..3).for_each(|n| rig.launch(n, false).unwrap());
     assert!(rig.until(|rig| rig.all_on(&[1, 2, 3], 2)), "{:?}", rig.tier(1));
     assert!(!rig.runs(0));
-    // A process with an older file beside a running one of the same name takes what was agreed.
+    // A restarted process whose own configuration is older applies the agreed settings.
     rig.kill(3);
     rig.launch(3, false).unwrap();
     assert!(rig.until(|rig| rig.all_on(&[3], 2)));
     assert_eq!(rig.tier(3).unwrap()["settings"]["classes"][1]["effect"], "at_most_once");
-    assert_eq!(rig.settings(3)["classes"][1]["effect"], "idempotent", "its file is the older one");
+    assert_eq!(rig.settings(3)["classes"][1]["effect"], "idempotent", "the configuration file was changed");
     assert!(
         rig.until(|rig| [1, 2].iter().any(|n| rig.tier(*n).is_some_and(|t| t["voter"]["leads"] == true)))
     );
-    let said = propose(&rig, 3, "deduplicated").unwrap();
-    assert!(said.0 < 300, "{said:?}");
+    let answer = propose_effect(&rig, 3, "deduplicated").unwrap();
+    assert!(answer.0 < 300, "{answer:?}");
     assert!(rig.until(|rig| rig.all_on(&[1, 2, 3], 3)));
-    verdict(&rig);
+    check_rig_history(&rig);
 }
 
-/// A scheduler's count in what it says of the tier.
-fn count(rig: &Rig, n: usize, what: &str) -> u64 {
-    rig.tier(n).and_then(|tier| tier["counts"][what].as_u64()).unwrap_or(0)
+/// Returns a counter of a scheduler's tier status.
+fn tier_counter(rig: &Rig, n: usize, counter: &str) -> u64 {
+    rig.tier(n).and_then(|tier| tier["counts"][counter].as_u64()).unwrap_or(0)
 }
 
-/// Starts a scheduler anew, with its system calls under the plan.
+/// Restarts a scheduler under a fault plan.
 fn relaunch_under(rig: &mut Rig, n: usize, plan: &FaultPlan) {
     rig.kill(n);
     rig.set_program(n, plan.wrap(env!("CARGO_BIN_EXE_loomlb")));
     rig.launch(n, false).unwrap();
 }
 
-/// The calls of one operation on the disk that fail together, and how.
+/// The system calls of a disk fault, and the error with which they fail.
 type DiskFault = (&'static [Call], i32);
 
-/// No room for a new byte anywhere.
+/// The disk is full.
 const DISK_FULL: DiskFault = (&[Call::FileWrite, Call::OpenForWriting], libc::ENOSPC);
-/// Writes pass, and do not reach the disk.
+/// Writes succeed, but `fsync` fails.
 const SYNC_FAILS: DiskFault = (&[Call::Sync], libc::EIO);
 
-fn fail(plan: &FaultPlan, (calls, errno): DiskFault) {
+fn inject(plan: &FaultPlan, (calls, errno): DiskFault) {
     calls.iter().for_each(|call| _ = plan.fail(*call, errno, WITHOUT_END));
 }
 
-fn pass(plan: &FaultPlan, (calls, _): DiskFault) {
+fn clear(plan: &FaultPlan, (calls, _): DiskFault) {
     calls.iter().for_each(|call| _ = plan.pass(*call));
 }
 
 #[test]
-fn voters_whose_disks_fail_for_a_while_agree_again_without_a_restart() {
-    let mut rig = rig(4, false);
+fn voters_agree_again_without_a_restart_after_a_temporary_disk_fault() {
+    let mut rig = start_rig(4, false);
     let all = [0, 1, 2, 3];
     let plans = [FaultPlan::new().unwrap(), FaultPlan::new().unwrap()];
     for (n, plan) in plans.iter().enumerate() {
@@ -362,47 +374,47 @@
     }
     let mut version = 1;
     for fault in [DISK_FULL, SYNC_FAILS] {
-        let failures = [0, 1].map(|n| count(&rig, n, "store_failures"));
-        let recoveries = [0, 1].map(|n| count(&rig, n, "store_recoveries"));
-        // Two of three voters: no majority can write, so nothing more is agreed.
-        plans.iter().for_each(|plan| fail(plan, fault));
-        let word = if version == 1 { "at_most_once" } else { "deduplicated" };
+        let failures = [0, 1].map(|n| tier_counter(&rig, n, "store_failures"));
+        let recoveries = [0, 1].map(|n| tier_counter(&rig, n, "store_recoveries"));
+        // Two of three voters cannot write, so there is no majority and nothing is committed.
+        plans.iter().for_each(|plan| inject(plan, fault));
+        let effect = if version == 1 { "at_most_once" } else { "deduplicated" };
         assert!(rig.until(|rig| {
-            propose(rig, 3, word);
-            (0..2).all(|n| count(rig, n, "store_failures") > failures[n] + 1)
+            propose_effect(rig, 3, effect);
+            (0..2).all(|n| tier_counter(rig, n, "store_failures") > failures[n] + 1)
         }));
         assert!(rig.until(|rig| rig.tier(3).is_some_and(|tier| tier["may_act"] == false)));
-        assert!(!rig.all_on(&[2], version + 1), "agreed without a majority");
-        plans.iter().for_each(|plan| pass(plan, fault));
-        assert!(rig.until(|rig| (0..2).all(|n| count(rig, n, "store_recoveries") > recoveries[n])));
+        assert!(!rig.all_on(&[2], version + 1), "a version was committed without a majority");
+        plans.iter().for_each(|plan| clear(plan, fault));
+        assert!(rig.until(|rig| (0..2).all(|n| tier_counter(rig, n, "store_recoveries") > recoveries[n])));
         version += 1;
-        assert!(rig.until(|rig| propose(rig, 3, word).is_some_and(|answer| answer.0 < 300)));
+        assert!(rig.until(|rig| propose_effect(rig, 3, effect).is_some_and(|answer| answer.0 < 300)));
         assert!(rig.until(|rig| rig.all_on(&all, version)), "{:?}", rig.tier(3));
     }
-    // Nothing of it is lost when all voters are killed.
+    // Committed versions survive when all voters are killed.
     (0..3).for_each(|n| rig.kill(n));
     (0..3).for_each(|n| rig.launch(n, false).unwrap());
     assert!(rig.until(|rig| rig.all_on(&all, version)), "{:?}", rig.tier(3));
     assert_eq!(rig.tier(3).unwrap()["settings"]["classes"][1]["effect"], "deduplicated");
-    verdict(&rig);
+    check_rig_history(&rig);
 }
 
 #[test]
-fn a_voter_that_starts_on_a_full_disk_serves_and_votes_once_there_is_room() {
-    let mut rig = rig(4, false);
-    assert!(propose(&rig, 2, "at_most_once").unwrap().0 < 300);
+fn a_voter_that_starts_on_a_full_disk_serves_and_votes_once_there_is_space() {
+    let mut rig = start_rig(4, false);
+    assert!(propose_effect(&rig, 2, "at_most_once").unwrap().0 < 300);
     assert!(rig.until(|rig| rig.all_on(&[0, 1, 2, 3], 2)));
     let plan = FaultPlan::new().unwrap();
-    fail(&plan, DISK_FULL);
+    inject(&plan, DISK_FULL);
     relaunch_under(&mut rig, 0, &plan);
-    assert!(rig.ready(0), "the other two are a majority");
+    assert!(rig.ready(0), "not ready although the other two voters are a majority");
     assert!(rig.tier(0).unwrap()["voter"].is_null());
-    assert!(rig.until(|rig| count(rig, 0, "store_failures") > 1));
-    pass(&plan, DISK_FULL);
+    assert!(rig.until(|rig| tier_counter(rig, 0, "store_failures") > 1));
+    clear(&plan, DISK_FULL);
     assert!(rig.until(|rig| rig.tier(0).is_some_and(|tier| !tier["voter"].is_null())));
-    // Its vote is needed.
+    // Without the killed voter, its vote is needed for a majority.
     rig.kill(1);
-    assert!(rig.until(|rig| propose(rig, 3, "deduplicated").is_some_and(|answer| answer.0 < 300)));
+    assert!(rig.until(|rig| propose_effect(rig, 3, "deduplicated").is_some_and(|answer| answer.0 < 300)));
     assert!(rig.until(|rig| rig.all_on(&[0, 2, 3], 3)), "{:?}", rig.tier(0));
-    verdict(&rig);
+    check_rig_history(&rig);
 }
