--- a/tests/operation.rs
+++ b/tests/operation.rs
@@ -1,4 +1,4 @@
-//! Stories of staff who run the program day by day: its second address, workers out by hand, drains.
+//! End-to-end tests of operations: the control listener, workers taken offline by an operator, drains and reloads.
 
 mod stage;
 
@@ -7,40 +7,40 @@
 use std::net::TcpStream;
 use std::time::{Duration, Instant};
 
-/// Serves a target's next job to its end.
-fn serve(stage: &Stage, target: &Server, id: &str) -> Line {
-    let mut line = target.accept();
-    finish(stage, target, &mut line, id);
-    line
+/// Accepts a connection at the target, serves the job on it, and returns the connection.
+fn accept_and_serve(stage: &Stage, target: &Server, id: &str) -> Line {
+    let mut connection = target.accept();
+    serve(stage, target, &mut connection, id);
+    connection
 }
 
-/// The same on a connection that is there.
-fn finish(stage: &Stage, target: &Server, line: &mut Line, id: &str) {
-    assert!(line.hear().contains(id), "{id} does not come to {}", target.name);
-    line.say(&response("202 Accepted", ""));
-    done(stage, target, id);
+/// Serves the next job on an open connection to the target.
+fn serve(stage: &Stage, target: &Server, connection: &mut Line, id: &str) {
+    assert!(connection.hear().contains(id), "{} did not receive {id}", target.name);
+    connection.say(&response("202 Accepted", ""));
+    report_done(stage, target, id);
 }
 
-fn done(stage: &Stage, target: &Server, id: &str) {
+fn report_done(stage: &Stage, target: &Server, id: &str) {
     let name = &target.name;
     stage.call_back(&format!(r#"{{"id":"{id}","from":"{name}","state":"done","result":"{id}"}}"#));
 }
 
 #[test]
-fn calls_are_answered_beside_callers_that_say_nothing_and_bad_ones_get_a_plain_no() {
+fn control_calls_are_answered_beside_stalled_callers_and_invalid_ones_get_an_error() {
     let (discovery, target) = (Server::new("d"), Server::new("s-00000001"));
     let stage = Stage::operated(&[&target], &discovery);
-    // Far more than there are seats: silent, half-said, and a byte at a time.
-    let mut holders: Vec<Line> = Vec::new();
+    // Far more connections than the limit: silent ones, and ones with a partial request.
+    let mut stalled: Vec<Line> = Vec::new();
     for i in 0..60 {
-        let mut line = Line::new(TcpStream::connect(stage.control).unwrap());
-        line.say(["", "GET /control/rea", "P"][i % 3]);
-        holders.push(line);
+        let mut connection = Line::new(TcpStream::connect(stage.control).unwrap());
+        connection.say(["", "GET /control/rea", "P"][i % 3]);
+        stalled.push(connection);
     }
-    let begun = Instant::now();
-    let mut said = vec![stage.order("GET /control/ready")];
-    // The answer comes at once, not when a holder's time is over.
-    assert!(begun.elapsed() < Duration::from_secs(2), "{:?}", begun.elapsed());
+    let started_at = Instant::now();
+    let mut answers = vec![stage.order("GET /control/ready")];
+    // The answer comes at once, not when the stalled connections time out.
+    assert!(started_at.elapsed() < Duration::from_secs(2), "{:?}", started_at.elapsed());
     for call in [
         "PUT /control/ready",
         "GET /control/workers/s-00000001/offline",
@@ -51,18 +51,18 @@
         "GET /healthz",
         "no http at all",
     ] {
-        said.push(stage.order(call));
+        answers.push(stage.order(call));
     }
-    let mut pieces = Line::new(TcpStream::connect(stage.control).unwrap());
+    let mut bytewise = Line::new(TcpStream::connect(stage.control).unwrap());
     for byte in "GET /control/ready HTTP/1.1\r\nHost: h\r\n\r\n".chars() {
-        pieces.say(&byte.to_string());
+        bytewise.say(&byte.to_string());
     }
-    said.push(pieces.answer());
-    assert!(pieces.closed(), "one call a connection");
-    let mut long = Line::new(TcpStream::connect(stage.control).unwrap());
-    long.say(&format!("GET /control/ready HTTP/1.1\r\nX: {}\r\n\r\n", "x".repeat(17_000)));
-    said.push(long.answer());
-    assert_snapshot!(said.join("\n"), @r#"
+    answers.push(bytewise.answer());
+    assert!(bytewise.closed(), "the connection stays open after a call");
+    let mut oversized = Line::new(TcpStream::connect(stage.control).unwrap());
+    oversized.say(&format!("GET /control/ready HTTP/1.1\r\nX: {}\r\n\r\n", "x".repeat(17_000)));
+    answers.push(oversized.answer());
+    assert_snapshot!(answers.join("\n"), @r#"
     HTTP/1.1 200 OK | {"flows":0,"service":"in","workers_out":[],"yes":true}
     HTTP/1.1 405 Method Not Allowed | {"why":"wrong method","yes":false}
     HTTP/1.1 405 Method Not Allowed | {"why":"wrong method","yes":false}
@@ -76,63 +76,63 @@
     HTTP/1.1 431 Request Header Fields Too Large | {"why":"head too large","yes":false}
     "#);
     assert_snapshot!(stage.counters(&["calls", "calls_400", "calls_404", "calls_405", "calls_431"]), @"calls=3 calls_400=2 calls_404=3 calls_405=2 calls_431=1");
-    // Clients' places are untouched.
+    // The connection limit of clients is not affected.
     assert!(stage.ask("GET /healthz HTTP/1.1\r\n\r\n").ends_with("ready"));
 }
 
 #[test]
-fn a_worker_out_by_hand_gets_nothing_whatever_the_list_says_until_it_is_called_back() {
+fn a_worker_taken_offline_receives_no_job_whatever_the_list_says_until_it_is_put_online() {
     let (discovery, one, two) = (Server::new("d"), Server::new("s-00000001"), Server::new("s-00000002"));
     let stage = Stage::operated(&[&one, &two], &discovery);
     let mut watch = discovery.accept();
     watch.hear();
     assert!(stage.order("PUT /control/workers/s-00000001/offline").starts_with("HTTP/1.1 200"));
     assert!(stage.order("PUT /control/workers/s-00000001/offline").starts_with("HTTP/1.1 200"));
-    let mut at_two = None;
-    let mut next = |id: &str| {
+    let mut connection_to_two = None;
+    let mut serve_at_two = |id: &str| {
         let mut client = stage.connect();
         client.say(&job("view", id, "3.000"));
-        match &mut at_two {
-            None => at_two = Some(serve(&stage, &two, id)),
-            Some(line) => finish(&stage, &two, line, id),
+        match &mut connection_to_two {
+            None => connection_to_two = Some(accept_and_serve(&stage, &two, id)),
+            Some(connection) => serve(&stage, &two, connection, id),
         }
         assert!(client.answer().ends_with(id));
     };
     for id in ["a1", "a2", "a3", "a4"] {
-        next(id);
+        serve_at_two(id);
     }
-    // Left, back with a later start, and a whole list that names it: the order holds.
-    let back = one.entry("active").replace(r#""born_ms":0"#, r#""born_ms":5000"#);
-    for (seq, (whole, entries)) in [
+    // It leaves, returns with a later start, and appears in a complete list: it stays offline.
+    let restarted = one.entry("active").replace(r#""born_ms":0"#, r#""born_ms":5000"#);
+    for (seq, (complete, entries)) in [
         (false, vec![one.entry("left")]),
-        (false, vec![back.clone()]),
-        (true, vec![back, two.entry("active")]),
+        (false, vec![restarted.clone()]),
+        (true, vec![restarted, two.entry("active")]),
     ]
     .into_iter()
     .enumerate()
     {
-        watch.say(&response("200 OK", &list(seq as u32 + 2, whole, &entries)));
+        watch.say(&response("200 OK", &list(seq as u32 + 2, complete, &entries)));
         watch.hear();
-        next(&format!("b{seq}"));
-        next(&format!("c{seq}"));
+        serve_at_two(&format!("b{seq}"));
+        serve_at_two(&format!("c{seq}"));
     }
-    // All out: refused at once.
+    // With all workers offline, a job is rejected at once.
     assert!(
         stage.order("PUT /control/workers/s-00000002/offline").contains(r#"["s-00000001","s-00000002"]"#)
     );
-    let begun = Instant::now();
+    let started_at = Instant::now();
     assert!(stage.ask(&job("lodge", "d1", "0.700")).starts_with("HTTP/1.1 503"));
-    assert!(begun.elapsed() < Duration::from_secs(2));
-    // One call back is enough, though two took it out.
+    assert!(started_at.elapsed() < Duration::from_secs(2));
+    // One call puts it back online, although two took it offline.
     assert!(stage.order("PUT /control/workers/s-00000001/online").contains(r#"["s-00000002"]"#));
     let mut client = stage.connect();
     client.say(&job("lodge", "e1", "3.000"));
-    serve(&stage, &one, "e1");
+    accept_and_serve(&stage, &one, "e1");
     assert!(client.answer().ends_with("e1"));
 }
 
 #[test]
-fn a_drain_answers_what_is_open_closes_what_is_idle_and_is_over_at_a_word() {
+fn a_drain_answers_open_jobs_closes_idle_connections_and_can_be_cancelled() {
     let (discovery, target) = (Server::new("d"), Server::new("s-00000001"));
     let stage = Stage::operated(&[&target], &discovery);
     let health = || stage.ask("GET /healthz HTTP/1.1\r\n\r\n");
@@ -140,85 +140,86 @@
     idle.say("GET /healthz HTTP/1.1\r\n\r\n");
     assert!(idle.answer().ends_with("ready"));
     open.say(&job("lodge", "a1", "4.500"));
-    let mut held = target.accept();
-    held.hear();
-    held.say(&response("202 Accepted", ""));
-    let begun = Instant::now();
+    let mut forward = target.accept();
+    forward.hear();
+    forward.say(&response("202 Accepted", ""));
+    let drained_at = Instant::now();
     assert!(stage.order("PUT /control/out-of-service").contains(r#""service":"draining""#));
     assert!(health().starts_with("HTTP/1.1 503"));
-    // A client whose connection was on its way is served, and told to leave.
+    // A client that was already connecting is still served.
     let mut late = stage.connect();
     late.say(&job("view", "a2", "3.000"));
-    finish(&stage, &target, &mut held, "a2");
+    serve(&stage, &target, &mut forward, "a2");
     assert!(late.hear().starts_with("HTTP/1.1 200"));
     assert!(idle.closed() && silent.closed());
-    assert!(begun.elapsed() < Duration::from_millis(3500), "{:?}", begun.elapsed());
-    // What comes all the same hears a refusal, and what is open its answer.
+    assert!(drained_at.elapsed() < Duration::from_millis(3500), "{:?}", drained_at.elapsed());
+    // Later jobs are rejected, and the open job is answered.
     assert!(stage.ask(&job("view", "a3", "3.000")).starts_with("HTTP/1.1 503"));
-    done(&stage, &target, "a1");
-    let text = open.hear();
-    assert!(text.starts_with("HTTP/1.1 200") && text.contains("Connection: close"), "{text}");
+    report_done(&stage, &target, "a1");
+    let answer = open.hear();
+    assert!(answer.starts_with("HTTP/1.1 200") && answer.contains("Connection: close"), "{answer}");
     assert!(stage.order("PUT /control/in-service").contains(r#""service":"in""#));
     assert!(health().ends_with("ready"));
-    let mut again = stage.connect();
-    again.say(&job("view", "a4", "3.000"));
-    // The module had the idle connections closed once two jobs were over.
-    let mut held = serve(&stage, &target, "a4");
-    assert!(again.answer().ends_with("a4"));
-    // Put back in the midst of a drain, it serves on.
+    let mut client = stage.connect();
+    client.say(&job("view", "a4", "3.000"));
+    // The decision module closed the idle connections to the target after two jobs had finished.
+    let mut forward = accept_and_serve(&stage, &target, "a4");
+    assert!(client.answer().ends_with("a4"));
+    // Putting it back into service during a drain keeps its connections open.
     stage.order("PUT /control/out-of-service");
     stage.order("PUT /control/in-service");
-    again.say(&job("view", "a5", "3.000"));
-    finish(&stage, &target, &mut held, "a5");
-    assert!(again.answer().ends_with("a5"));
+    client.say(&job("view", "a5", "3.000"));
+    serve(&stage, &target, &mut forward, "a5");
+    assert!(client.answer().ends_with("a5"));
 }
 
 #[test]
-fn open_flows_keep_the_rules_they_were_taken_under_when_the_settings_change() {
+fn open_flows_keep_the_settings_of_their_admission_when_the_settings_change() {
     let (discovery, one, two) = (Server::new("d"), Server::new("s-00000001"), Server::new("s-00000002"));
     let mut stage = Stage::operated(&[&one, &two], &discovery);
-    // Each forward comes on a connection of its own, to whichever target.
-    let comers = Comers::new(&[&one, &two]);
-    let accept = |id: &str| {
-        let (name, mut line) = comers.next();
-        assert!(line.hear().contains(id));
-        line.say("HTTP/1.1 202 Accepted\r\nConnection: close\r\nContent-Length: 0\r\n\r\n");
+    // Each forward arrives on a connection of its own, at either target.
+    let connections = Comers::new(&[&one, &two]);
+    let accept_forward = |id: &str| {
+        let (name, mut connection) = connections.next();
+        assert!(connection.hear().contains(id));
+        connection.say("HTTP/1.1 202 Accepted\r\nConnection: close\r\nContent-Length: 0\r\n\r\n");
         name
     };
-    let taken = |stage: &Stage, id: &str, class: &str| {
+    let send_job = |stage: &Stage, id: &str, class: &str| {
         let mut client = stage.connect();
         client.say(&job(class, id, "4.500"));
-        (client, accept(id))
+        (client, accept_forward(id))
     };
-    let ends = |stage: &Stage, target: &str, id: &str, state: &str| {
+    let report_state = |stage: &Stage, target: &str, id: &str, state: &str| {
         stage.call_back(&format!(r#"{{"id":"{id}","from":"{target}","state":"{state}","result":"{id}"}}"#));
     };
-    let (mut safe, at) = taken(&stage, "a1", "view");
-    let (mut once, elsewhere) = taken(&stage, "a2", "lodge");
-    // Safe jobs become such as may run once, with one attempt for all; the other class goes, a new one comes.
+    let (mut idempotent, first_target) = send_job(&stage, "a1", "view");
+    let (mut dropped_class, second_target) = send_job(&stage, "a2", "lodge");
+    // Class `view` becomes at-most-once, `lodge` is replaced by `sign`, and all jobs get a single attempt.
     let view = r#"{"name":"view","aim":900000000,"give_up":5000000000,"worth":1.0,"effect":"idempotent"}"#;
-    let changed = view.replace("idempotent", "at_most_once");
-    stage.reload(view, &changed);
+    let at_most_once_view = view.replace("idempotent", "at_most_once");
+    stage.reload(view, &at_most_once_view);
     stage.logged("configuration reloaded");
     stage.reload(r#""name":"lodge""#, r#""name":"sign""#);
     stage.logged("configuration reloaded");
     stage.reload(r#""max_attempts":2"#, r#""max_attempts":1"#);
     assert!(stage.logged("configuration reloaded").contains("0 classes"));
-    // By the old rules a failed safe job goes to the other target, though attempts are fewer now.
-    ends(&stage, &at, "a1", "failed");
-    ends(&stage, &accept("a1"), "a1", "done");
-    assert!(safe.answer().ends_with("a1"));
-    // The dropped class is unknown to new requests, and its open job has its answer.
+    // By its old rules the failed idempotent job is retried at the other target, although new jobs get only one
+    // attempt.
+    report_state(&stage, &first_target, "a1", "failed");
+    report_state(&stage, &accept_forward("a1"), "a1", "done");
+    assert!(idempotent.answer().ends_with("a1"));
+    // The removed class is unknown to new requests, and its open job is answered.
     assert!(stage.ask(&job("lodge", "a3", "3.000")).ends_with("unknown class"));
-    ends(&stage, &elsewhere, "a2", "done");
-    assert!(once.answer().ends_with("a2"));
-    // By the new rules a failed job of the changed class, which may have run, is over.
-    let (mut now, there) = taken(&stage, "b1", "view");
-    ends(&stage, &there, "b1", "failed");
-    assert!(now.answer().starts_with("HTTP/1.1 502"));
-    // What cannot be worked with changes nothing, whole.
+    report_state(&stage, &second_target, "a2", "done");
+    assert!(dropped_class.answer().ends_with("a2"));
+    // By the new rules a failed job of the changed class is not retried, because it may have run.
+    let (mut at_most_once, third_target) = send_job(&stage, "b1", "view");
+    report_state(&stage, &third_target, "b1", "failed");
+    assert!(at_most_once.answer().starts_with("HTTP/1.1 502"));
+    // An invalid configuration changes nothing.
     let config = stage.config().to_string();
-    let faults = [
+    let invalid_configs = [
         String::new(),
         config[..config.len() / 2].to_string(),
         config.replacen(r#""give_up":5000000000,"#, "", 1).replacen(
@@ -229,15 +230,15 @@
         config.replacen("5000000000", "0", 1),
         config.replacen(r#""max_attempts":1"#, r#""max_attempts":0"#, 1),
     ];
-    let said: Vec<String> = faults
+    let messages: Vec<String> = invalid_configs
         .iter()
         .map(|text| {
             stage.reload_as(text);
-            let said = stage.logged("configuration: ");
-            said.split(" at line").next().unwrap().to_string()
+            let message = stage.logged("configuration: ");
+            message.split(" at line").next().unwrap().to_string()
         })
         .collect();
-    assert_snapshot!(said.join("\n"), @"
+    assert_snapshot!(messages.join("\n"), @"
     the file: EOF while parsing a value
     settings: EOF while parsing an object
     settings.classes[0].give_up: missing; keeping the active one
@@ -245,6 +246,6 @@
     settings.ceilings.max_attempts: 0 is no number above 0, and up to 1000; keeping the active one
     ");
     assert!(stage.ask(&job("other", "c1", "3.000")).starts_with("HTTP/1.1 4"));
-    taken(&stage, "c2", "sign");
+    send_job(&stage, "c2", "sign");
     assert_snapshot!(stage.counters(&["reloads", "reload_faults", "panics"]), @"reloads=3 reload_faults=5 panics=0");
 }
