--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -1,4 +1,4 @@
-//! Stories of one process that takes over from another.
+//! End-to-end tests of the hot restart, in which one process takes over from another.
 
 mod stage;
 
@@ -11,214 +11,223 @@
 use std::sync::mpsc::channel;
 use std::time::Duration;
 
-/// Hears a job at a target and takes it.
-fn take(line: &mut Line, id: &str) {
-    assert!(line.hear().contains(id));
-    line.say(&response("202 Accepted", ""));
+/// Reads a job on a connection to a target and accepts it.
+fn accept_job(connection: &mut Line, id: &str) {
+    assert!(connection.hear().contains(id));
+    connection.say(&response("202 Accepted", ""));
 }
 
-fn done(target: &Server, id: &str) -> String {
+/// Returns the call-back body with which a target reports a finished job.
+fn done_call_back(target: &Server, id: &str) -> String {
     format!(r#"{{"id":"{id}","from":"{}","state":"done","result":"{id}"}}"#, target.name)
 }
 
 #[test]
-fn a_process_takes_over_with_flows_open_and_no_client_notices() {
+fn a_successor_takes_over_open_flows_and_connections_without_any_client_noticing() {
     let (discovery, one, two) = (Server::new("d"), Server::new("s-00000001"), Server::new("s-00000002"));
     let platform = Platform::new();
-    let mut old = Stage::beside(&[&one, &two], &discovery, &platform);
-    old.ready();
-    assert!(old.order("PUT /control/workers/s-00000002/offline").starts_with("HTTP/1.1 200"));
-    // One client has had an answer and keeps its connection, one has said nothing yet, one waits for its job.
-    let (mut kept, mut silent, mut waits) = (old.connect(), old.connect(), old.connect());
-    kept.say(&job("view", "a1", "3.000"));
-    let mut target = one.accept();
-    take(&mut target, "a1");
-    old.call_back(&done(&one, "a1"));
-    assert!(kept.answer().ends_with("a1"));
-    waits.say(&job("lodge", "a2", "4.000"));
-    take(&mut target, "a2");
-    let new = Stage::beside(&[&one, &two], &discovery, &platform);
-    new.ready();
-    assert!(old.order("GET /control/ready").ends_with(r#"{"why":"handed over","yes":false}"#));
-    // An order at either address is one of the scheduler's, and what was ordered before still holds.
-    assert!(old.order("PUT /control/out-of-service").starts_with("HTTP/1.1 200"));
-    assert!(new.ask("GET /healthz HTTP/1.1\r\n\r\n").starts_with("HTTP/1.1 503"));
-    assert!(new.order("PUT /control/in-service").contains(r#""service":"in","workers_out":["s-00000002"]"#));
-    // Kept connections go on: the new process serves what comes on them, over the connection to the target.
-    for (client, id) in [(&mut kept, "b1"), (&mut silent, "b2")] {
+    let mut predecessor = Stage::beside(&[&one, &two], &discovery, &platform);
+    predecessor.ready();
+    assert!(predecessor.order("PUT /control/workers/s-00000002/offline").starts_with("HTTP/1.1 200"));
+    // One client has been answered and stays connected, one has sent nothing yet, and one waits for its job.
+    let (mut answered, mut silent, mut waiting) =
+        (predecessor.connect(), predecessor.connect(), predecessor.connect());
+    answered.say(&job("view", "a1", "3.000"));
+    let mut forward = one.accept();
+    accept_job(&mut forward, "a1");
+    predecessor.call_back(&done_call_back(&one, "a1"));
+    assert!(answered.answer().ends_with("a1"));
+    waiting.say(&job("lodge", "a2", "4.000"));
+    accept_job(&mut forward, "a2");
+    let successor = Stage::beside(&[&one, &two], &discovery, &platform);
+    successor.ready();
+    assert!(predecessor.order("GET /control/ready").ends_with(r#"{"why":"handed over","yes":false}"#));
+    // A control call to either process applies to the scheduler, and the effect of earlier calls is kept.
+    assert!(predecessor.order("PUT /control/out-of-service").starts_with("HTTP/1.1 200"));
+    assert!(successor.ask("GET /healthz HTTP/1.1\r\n\r\n").starts_with("HTTP/1.1 503"));
+    assert!(
+        successor.order("PUT /control/in-service").contains(r#""service":"in","workers_out":["s-00000002"]"#)
+    );
+    // The successor serves requests on the connections it was handed, over the existing connection to the target.
+    for (client, id) in [(&mut answered, "b1"), (&mut silent, "b2")] {
         client.say(&job("view", id, "3.000"));
-        take(&mut target, id);
-        new.call_back(&done(&one, id));
+        accept_job(&mut forward, id);
+        successor.call_back(&done_call_back(&one, id));
         assert!(client.answer().ends_with(id));
     }
-    // The call-back for the open flow comes to the process that does not have it.
-    assert!(new.call_back(&done(&one, "a2")).ends_with("noted"));
-    assert!(waits.answer().ends_with("a2"));
-    assert!(old.ended(), "the old process ends by itself");
-    waits.say(&job("view", "b3", "3.000"));
-    take(&mut target, "b3");
-    new.call_back(&done(&one, "b3"));
-    assert!(waits.answer().ends_with("b3"));
+    // The call-back for the open flow arrives at the process that does not hold the flow.
+    assert!(successor.call_back(&done_call_back(&one, "a2")).ends_with("noted"));
+    assert!(waiting.answer().ends_with("a2"));
+    assert!(predecessor.ended(), "the predecessor did not exit by itself");
+    waiting.say(&job("view", "b3", "3.000"));
+    accept_job(&mut forward, "b3");
+    successor.call_back(&done_call_back(&one, "b3"));
+    assert!(waiting.answer().ends_with("b3"));
     insta::assert_snapshot!(
-        new.counters(&["adopted", "call_backs_passed", "call_backs_unknown", "dials"]),
+        successor.counters(&["adopted", "call_backs_passed", "call_backs_unknown", "dials"]),
         @"dials=0 call_backs_unknown=0 adopted=4 call_backs_passed=1"
     );
-    // A second upgrade after the first.
+    // Another hot restart works after the first.
     let third = Stage::beside(&[&one, &two], &discovery, &platform);
     third.ready();
     assert!(third.order("GET /control/ready").contains(r#""workers_out":["s-00000002"]"#));
 }
 
 #[test]
-fn the_old_process_accepts_again_when_its_successor_dies() {
+fn the_predecessor_accepts_again_when_its_successor_dies() {
     let (discovery, target) = (Server::new("d"), Server::new("s-00000001"));
     let platform = Platform::new();
-    let old = Stage::beside(&[&target], &discovery, &platform);
-    old.ready();
-    let mut waits = old.connect();
-    waits.say(&job("lodge", "a1", "4.900"));
-    let mut line = target.accept();
-    take(&mut line, "a1");
+    let predecessor = Stage::beside(&[&target], &discovery, &platform);
+    predecessor.ready();
+    let mut waiting = predecessor.connect();
+    waiting.say(&job("lodge", "a1", "4.900"));
+    let mut forward = target.accept();
+    accept_job(&mut forward, "a1");
     for _ in 0..2 {
-        let new = Stage::beside(&[&target], &discovery, &platform);
-        new.ready();
-        drop(new);
-        old.ready();
-        assert!(old.ask("GET /healthz HTTP/1.1\r\n\r\n").ends_with("ready"));
+        let successor = Stage::beside(&[&target], &discovery, &platform);
+        successor.ready();
+        drop(successor);
+        predecessor.ready();
+        assert!(predecessor.ask("GET /healthz HTTP/1.1\r\n\r\n").ends_with("ready"));
     }
-    old.call_back(&done(&target, "a1"));
-    assert!(waits.answer().ends_with("a1"));
+    predecessor.call_back(&done_call_back(&target, "a1"));
+    assert!(waiting.answer().ends_with("a1"));
 }
 
 #[test]
-fn a_process_starts_from_its_configuration_beside_leftovers_and_strangers() {
+fn a_process_starts_from_its_configuration_despite_a_stale_socket_or_an_unusable_predecessor() {
     let (discovery, target) = (Server::new("d"), Server::new("s-00000001"));
     let platform = Platform::new();
     std::fs::write(platform.link(), "leftover").unwrap();
-    let left = Stage::beside(&[&target], &discovery, &platform);
-    left.ready();
-    drop(left);
-    assert!(platform.link().exists(), "a socket that nobody listens at stays behind");
-    let old = Stage::beside(&[&target], &discovery, &platform);
-    old.ready();
-    drop(old);
-    // Partners that refuse, that end in the midst of a word, that speak another tongue, that say nothing.
-    let refused = RestartMessage::Refused("another version".into()).encode(false).unwrap();
-    for said in [&refused[..], &refused[..4], b"\x03\0\0\0\0abc", b""] {
+    let first = Stage::beside(&[&target], &discovery, &platform);
+    first.ready();
+    drop(first);
+    assert!(platform.link().exists(), "the killed process removed its socket");
+    let second = Stage::beside(&[&target], &discovery, &platform);
+    second.ready();
+    drop(second);
+    // Other processes that refuse, close in the middle of a message, send an unknown message, or stay silent.
+    let refusal = RestartMessage::Refused("another version".into()).encode(false).unwrap();
+    for bytes in [&refusal[..], &refusal[..4], b"\x03\0\0\0\0abc", b""] {
         std::fs::remove_file(platform.link()).unwrap();
-        let stranger = UnixListener::bind(platform.link()).unwrap();
-        let (say, stays) = (said.to_vec(), said.is_empty());
-        let partner = std::thread::spawn(move || {
-            let (mut stream, _) = stranger.accept().unwrap();
-            let (mut frames, mut piece) = (FrameDecoder::default(), [0; 256]);
-            let n = stream.read(&mut piece).unwrap();
-            frames.push(&piece[..n]);
+        let listener = UnixListener::bind(platform.link()).unwrap();
+        let (reply, stays_silent) = (bytes.to_vec(), bytes.is_empty());
+        let other_process = std::thread::spawn(move || {
+            let (mut stream, _) = listener.accept().unwrap();
+            let (mut frames, mut buffer) = (FrameDecoder::default(), [0; 256]);
+            let length = stream.read(&mut buffer).unwrap();
+            frames.push(&buffer[..length]);
             assert_eq!(
                 frames.next_message(),
                 Ok(Some((RestartMessage::Hello { version: PROTOCOL_VERSION }, false)))
             );
-            stream.write_all(&say).unwrap();
-            // Silent until the other side has had enough.
-            let _ = if stays { stream.read(&mut piece) } else { Ok(0) };
+            stream.write_all(&reply).unwrap();
+            // Stays silent until the starting process closes the connection.
+            let _ = if stays_silent { stream.read(&mut buffer) } else { Ok(0) };
         });
-        let new = Stage::beside(&[&target], &discovery, &platform);
-        new.ready();
-        partner.join().unwrap();
-        assert!(new.ask("GET /healthz HTTP/1.1\r\n\r\n").ends_with("ready"));
+        let stage = Stage::beside(&[&target], &discovery, &platform);
+        stage.ready();
+        other_process.join().unwrap();
+        assert!(stage.ask("GET /healthz HTTP/1.1\r\n\r\n").ends_with("ready"));
     }
 }
 
 #[test]
-fn a_file_that_was_turned_down_does_not_end_the_process_that_takes_over() {
+fn an_invalid_configuration_file_does_not_stop_a_successor_from_starting() {
     let (discovery, target) = (Server::new("d"), Server::new("s-00000001"));
     let platform = Platform::new();
-    let mut old = Stage::beside(&[&target], &discovery, &platform);
-    old.ready();
-    old.reload(r#""name":"lodge""#, r#""name":"sign""#);
-    old.logged("configuration reloaded");
-    let faulty = old.config().replacen("5000000000", "0", 1);
-    for (text, fault) in [(&*faulty, "settings.classes[0].give_up: 0 is no number"), ("{", "the file: EOF")] {
-        let new = Stage::beside_as(&discovery, &platform, text);
-        let said = &new.first_line;
-        assert!(said.contains(fault) && said.ends_with("starting with the last accepted one"), "{said}");
-        new.ready();
-        // It runs by what the old one had taken in last.
-        let said = new.ask(&job("lodge", "a1", "3.000"));
-        assert!(said.ends_with("unknown class"), "{text}: {said:?}");
-        let mut client = new.connect();
+    let mut predecessor = Stage::beside(&[&target], &discovery, &platform);
+    predecessor.ready();
+    predecessor.reload(r#""name":"lodge""#, r#""name":"sign""#);
+    predecessor.logged("configuration reloaded");
+    let invalid = predecessor.config().replacen("5000000000", "0", 1);
+    for (text, error) in [(&*invalid, "settings.classes[0].give_up: 0 is no number"), ("{", "the file: EOF")]
+    {
+        let successor = Stage::beside_as(&discovery, &platform, text);
+        let log_line = &successor.first_line;
+        assert!(
+            log_line.contains(error) && log_line.ends_with("starting with the last accepted one"),
+            "{log_line}"
+        );
+        successor.ready();
+        // It uses the last configuration that its predecessor accepted.
+        let answer = successor.ask(&job("lodge", "a1", "3.000"));
+        assert!(answer.ends_with("unknown class"), "{text}: {answer:?}");
+        let mut client = successor.connect();
         client.say(&job("sign", "a2", "3.000"));
-        let heard = target.accept().hear();
-        assert!(heard.contains("a2"), "{text}: {heard:?}");
+        let request = target.accept().hear();
+        assert!(request.contains("a2"), "{text}: {request:?}");
     }
 }
 
-/// A process that starts at the word that a reload is in force starts from it: the file that it reads then is written. Here
-/// that is slow, as it goes through a pipe that takes no more until the test reads it.
+/// Guards against logging a reload before it is saved for a successor: a process that starts after the log line must
+/// find the new settings. The save blocks here, because it writes to a named pipe that the test has not read yet.
 #[test]
-fn a_reload_is_said_to_be_in_force_once_it_is_kept_for_the_process_that_takes_over() {
+fn a_reload_is_logged_only_after_it_is_saved_for_a_successor() {
     let (discovery, target) = (Server::new("d"), Server::new("s-00000001"));
     let platform = Platform::new();
-    let mut old = Stage::beside(&[&target], &discovery, &platform);
-    old.ready();
-    let pipe = platform.folder.path().join(format!("loomlb-127.0.0.1-0.{}", old.id()));
+    let mut predecessor = Stage::beside(&[&target], &discovery, &platform);
+    predecessor.ready();
+    let pipe = platform.folder.path().join(format!("loomlb-127.0.0.1-0.{}", predecessor.id()));
     assert!(Command::new("mkfifo").arg(&pipe).status().unwrap().success());
-    let (begun, go_on) = (channel(), channel());
+    let (write_started, resume) = (channel(), channel());
     let reader = std::thread::spawn(move || {
-        let (mut kept, mut first, mut rest) = (std::fs::File::open(&pipe).unwrap(), [0], String::new());
-        kept.read_exact(&mut first).unwrap();
-        begun.0.send(()).unwrap();
-        go_on.1.recv().unwrap();
-        kept.read_to_string(&mut rest).unwrap();
+        let (mut pipe_reader, mut first, mut rest) =
+            (std::fs::File::open(&pipe).unwrap(), [0], String::new());
+        pipe_reader.read_exact(&mut first).unwrap();
+        write_started.0.send(()).unwrap();
+        resume.1.recv().unwrap();
+        pipe_reader.read_to_string(&mut rest).unwrap();
         rest
     });
-    let long = format!(r#""name":"sign","note":"{}""#, "x".repeat(200_000));
-    old.reload(r#""name":"lodge""#, &long);
-    begun.1.recv_timeout(Duration::from_secs(20)).expect("the file is written");
-    let early = old.says("configuration reloaded", Duration::from_millis(300));
-    assert!(!early, "a process that starts now would not find what has been reloaded");
-    go_on.0.send(()).unwrap();
-    old.logged("configuration reloaded");
+    let large_class = format!(r#""name":"sign","note":"{}""#, "x".repeat(200_000));
+    predecessor.reload(r#""name":"lodge""#, &large_class);
+    write_started.1.recv_timeout(Duration::from_secs(20)).expect("the configuration was not written");
+    let logged_early = predecessor.says("configuration reloaded", Duration::from_millis(300));
+    assert!(!logged_early, "the reload was logged before it was saved");
+    resume.0.send(()).unwrap();
+    predecessor.logged("configuration reloaded");
     assert!(reader.join().unwrap().contains(r#""name":"sign""#));
 }
 
 #[test]
-fn a_reload_on_a_full_disk_is_kept_for_the_next_process_once_there_is_room() {
+fn a_reload_on_a_full_disk_is_saved_for_a_successor_once_there_is_space() {
     let (discovery, target) = (Server::new("d"), Server::new("s-00000001"));
     let (platform, plan) = (Platform::new(), FaultPlan::new().unwrap());
-    let mut old = Stage::beside_under(&plan, &[&target], &discovery, &platform);
-    old.ready();
+    let mut stage = Stage::beside_under(&plan, &[&target], &discovery, &platform);
+    stage.ready();
     let file = platform.folder.path().join("loomlb-127.0.0.1-0.json");
-    let kept = || std::fs::read_to_string(&file).unwrap();
-    let before = kept();
+    let saved = || std::fs::read_to_string(&file).unwrap();
+    let before = saved();
     assert!(before.contains(r#""name":"lodge""#));
-    // The write ends half-way.
+    // The write fails after a part of the file.
     plan.limit(Limit::FileWrite, 40);
     plan.fail_after(Call::FileWrite, libc::ENOSPC, 1, WITHOUT_END);
-    old.reload(r#""name":"lodge""#, r#""name":"sign""#);
-    old.logged("configuration reloaded");
-    assert_eq!(kept(), before, "the file of before, complete");
+    stage.reload(r#""name":"lodge""#, r#""name":"sign""#);
+    stage.logged("configuration reloaded");
+    assert_eq!(saved(), before, "the previous file was changed");
     let names = || std::fs::read_dir(platform.folder.path()).unwrap().map(|entry| entry.unwrap().file_name());
-    let fresh = format!("loomlb-127.0.0.1-0.{}", old.id());
-    assert!(!names().any(|name| name == *fresh), "a half-written file is left");
+    let temporary_file = format!("loomlb-127.0.0.1-0.{}", stage.id());
+    assert!(!names().any(|name| name == *temporary_file), "a partly written file was left behind");
     plan.pass(Call::FileWrite);
     plan.limit(Limit::FileWrite, 0);
-    until("the reload is kept", || kept().contains(r#""name":"sign""#));
+    until("the reload is saved", || saved().contains(r#""name":"sign""#));
 }
 
 #[test]
-fn a_descriptor_that_is_no_listening_socket_ends_the_start_at_once() {
+fn startup_fails_at_once_when_lb_fd_is_not_a_listening_socket() {
     let files = tempfile::tempdir().unwrap();
     let file = files.path().join("config.json");
     let config =
         r#"{"listen":"127.0.0.1:0","discovery":"127.0.0.1:1","settings":{"classes":[{"name":"view"}]}}"#;
     std::fs::write(&file, config).unwrap();
-    let start = |number: &str| {
+    let start_with_fd = |number: &str| {
         let mut command = Command::new(env!("CARGO_BIN_EXE_loomlb"));
         command.args(["serve", "-c", file.to_str().unwrap()]).env_clear().env("LB_FD", number);
-        let out = command.stdin(std::process::Stdio::null()).output().unwrap();
-        format!("{}: {}", out.status.code().unwrap(), String::from_utf8_lossy(&out.stderr).trim())
+        let output = command.stdin(std::process::Stdio::null()).output().unwrap();
+        format!("{}: {}", output.status.code().unwrap(), String::from_utf8_lossy(&output.stderr).trim())
     };
-    insta::assert_snapshot!([start("seven"), start("99"), start("0")].join("\n"), @r#"
+    insta::assert_snapshot!([start_with_fd("seven"), start_with_fd("99"), start_with_fd("0")].join("\n"), @r#"
     2: loomlb: configuration: LB_FD: "seven" is not the number of a file descriptor
     1: loomlb: LB_FD: descriptor 99: Bad file descriptor (os error 9)
     1: loomlb: LB_FD: descriptor 0: Socket operation on non-socket (os error 88)
