--- a/tests/wall_clock.rs
+++ b/tests/wall_clock.rs
@@ -1,5 +1,5 @@
-//! Stories of a wall clock that is wrong from the start or is stepped: spans of time go on as if nothing had happened. The
-//! program's wall clock is moved by a preloaded shim; its monotonic clock and the clock of the test stay true.
+//! End-to-end tests with a wall clock that is wrong at the start or is stepped, which must not affect any duration. A
+//! preloaded library shifts the wall clock of the program, but not its monotonic clock or the clock of the test.
 
 mod stage;
 
@@ -11,205 +11,206 @@
 const HOUR: i64 = 3_600 * SECOND;
 const STEPS: [i64; 4] = [HOUR, -HOUR, 5 * SECOND, -5 * SECOND];
 
-/// Clients that ask all the time.
+/// Number of clients that send jobs without pause.
 const CLIENTS: usize = 4;
-/// What a cold worker of one slot may be sent in the 4 s of the rule below, and what is put down to chance.
+/// Mean number of jobs that a cold worker of one slot may be sent in the 4 s of `overload_for`.
 const COLD_BUDGET: f64 = 2.5 * 0.3 * 4.0;
-/// More than a cold worker may be sent in the time that a story waits at most.
-const WARM_SENDS: usize = 60;
+/// More jobs than a cold worker may be sent in the time that `until` waits.
+const WARM_FORWARDS: usize = 60;
 
-/// The settings' rule: a worker is cold for this long, in nanoseconds.
-fn slow_start(cold: &str) -> String {
+/// Returns the beginning of the `obligations`, with a slow start of this many nanoseconds.
+fn slow_start_settings(cold: &str) -> String {
     format!(
         r#""obligations":{{"cold":{cold},"cold_from":0.3,"overload_factor":2.5,"overload_for":4000000000,"#
     )
 }
 
-/// An aim that tells nothing of what a job takes: a second, on a worker of one slot.
-const AIM: (&str, &str) =
+/// Configuration change to an objective much shorter than the running time of a job, and a long client timeout.
+const SHORT_OBJECTIVE: (&str, &str) =
     (r#""aim":900000000,"give_up":5000000000"#, r#""aim":20000000,"give_up":16000000000"#);
 
-/// The worker's entry, born at this moment by the true wall clock.
+/// Returns the worker's list entry, with the current time of the real wall clock as its start.
 #[expect(clippy::disallowed_methods, reason = "discovery dates its workers by the wall clock")]
-fn born_now(worker: &Server) -> String {
-    let born = SystemTime::now().duration_since(UNIX_EPOCH).unwrap().as_millis();
-    worker.entry("active").replace(r#""born_ms":0"#, &format!(r#""born_ms":{born}"#))
+fn entry_started_now(worker: &Server) -> String {
+    let start_ms = SystemTime::now().duration_since(UNIX_EPOCH).unwrap().as_millis();
+    worker.entry("active").replace(r#""born_ms":0"#, &format!(r#""born_ms":{start_ms}"#))
 }
 
-fn forwards(stage: &Stage) -> usize {
+fn forward_count(stage: &Stage) -> usize {
     stage.counters(&["forwards"])[9..].parse().unwrap()
 }
 
-/// Has clients ask for this long, each again as soon as it is answered; the worker answers nothing.
-fn ask_all_the_time(stage: &Stage, long: Duration) {
-    let begun = Instant::now();
+/// Runs clients for this long that send the next job as soon as the previous one is answered. The worker answers none.
+fn send_jobs_continuously(stage: &Stage, duration: Duration) {
+    let started_at = Instant::now();
     std::thread::scope(|scope| {
         for client in 0..CLIENTS {
-            let mut line = stage.connect();
+            let mut connection = stage.connect();
             scope.spawn(move || {
-                for n in 0.. {
-                    if begun.elapsed() > long {
+                for number in 0.. {
+                    if started_at.elapsed() > duration {
                         break;
                     }
-                    line.say(&job("view", &format!("c{client}-{n}"), "0.300"));
-                    line.answer();
+                    connection.say(&job("view", &format!("c{client}-{number}"), "0.300"));
+                    connection.answer();
                 }
             });
         }
     });
 }
 
-/// Two seconds are half a window of the rule.
-fn stays_within_the_cold_budget(stage: &Stage, step: i64) {
-    let before = forwards(stage);
-    ask_all_the_time(stage, Duration::from_secs(2));
-    let sent = forwards(stage) - before;
-    let most = COLD_BUDGET + 2.0 * COLD_BUDGET.sqrt() + 2.0;
-    assert!(sent as f64 <= most, "{step} ns: {sent} calls, {COLD_BUDGET} allowed");
+/// Sends jobs for two seconds, half of `overload_for`, and checks the number of forwards.
+fn assert_within_cold_budget(stage: &Stage, step: i64) {
+    let forwards_before = forward_count(stage);
+    send_jobs_continuously(stage, Duration::from_secs(2));
+    let sent = forward_count(stage) - forwards_before;
+    let limit = COLD_BUDGET + 2.0 * COLD_BUDGET.sqrt() + 2.0;
+    assert!(sent as f64 <= limit, "{step} ns: {sent} forwards, at most {limit} allowed");
 }
 
-/// A worker that has just started is cold, whatever the scheduler's wall clock says and however it is stepped.
+/// Guards against taking a worker that has just started for a warm one because of the scheduler's wall clock.
 #[test]
-fn a_worker_that_appears_is_cold_whatever_the_wall_clock_says() {
+fn a_new_worker_is_cold_whatever_the_wall_clock_shows() {
     for step in STEPS {
         let plan = FaultPlan::new().unwrap();
         plan.step_wall_clock(step);
         let (worker, discovery) = (Server::new("s-00000001"), Agent::new(Mode::Answers, &[]));
-        let rule = slow_start("600000000000");
-        let changes = [(r#""obligations":{"#, &*rule), AIM];
+        let obligations = slow_start_settings("600000000000");
+        let changes = [(r#""obligations":{"#, &*obligations), SHORT_OBJECTIVE];
         let stage = Stage::changed_under(&plan, &discovery.server, &changes);
         discovery.called("from=2", 1);
-        discovery.lists(&[born_now(&worker)]);
+        discovery.lists(&[entry_started_now(&worker)]);
         discovery.called("from=3", 1);
         plan.step_wall_clock(-step);
-        stays_within_the_cold_budget(&stage, step);
+        assert_within_cold_budget(&stage, step);
     }
 }
 
-/// It is warm after the time that the settings give, and not an hour later.
+/// Guards against a slow start that is prolonged by the error of the wall clock.
 #[test]
-fn a_worker_that_appears_warms_up_in_time_whatever_the_wall_clock_says() {
+fn a_new_worker_warms_up_in_time_whatever_the_wall_clock_shows() {
     for step in [-HOUR, HOUR] {
         let plan = FaultPlan::new().unwrap();
         plan.step_wall_clock(step);
         let (worker, discovery) = (Server::new("s-00000001"), Agent::new(Mode::Answers, &[]));
-        let rule = slow_start("2000000000");
-        let changes = [(r#""obligations":{"#, &*rule), AIM];
+        let obligations = slow_start_settings("2000000000");
+        let changes = [(r#""obligations":{"#, &*obligations), SHORT_OBJECTIVE];
         let stage = Stage::changed_under(&plan, &discovery.server, &changes);
         discovery.called("from=2", 1);
-        discovery.lists(&[born_now(&worker)]);
+        discovery.lists(&[entry_started_now(&worker)]);
         discovery.called("from=3", 1);
-        until(&format!("{step} ns: {WARM_SENDS} calls"), || {
-            ask_all_the_time(&stage, Duration::from_millis(500));
-            forwards(&stage) >= WARM_SENDS
+        until(&format!("{step} ns: {WARM_FORWARDS} forwards"), || {
+            send_jobs_continuously(&stage, Duration::from_millis(500));
+            forward_count(&stage) >= WARM_FORWARDS
         });
     }
 }
 
-/// The wall clock is stepped between the starts of two processes: a worker is no older for the second one.
+/// Guards against a successor that considers a worker older because the wall clock was stepped before it started.
 #[test]
-fn a_cold_worker_stays_cold_through_a_hot_restart_across_a_step() {
+fn a_cold_worker_stays_cold_after_a_clock_step_and_a_hot_restart() {
     for step in STEPS {
         let plan = FaultPlan::new().unwrap();
         let (worker, discovery) = (Server::new("s-00000001"), Agent::new(Mode::Answers, &[]));
-        let (platform, rule) = (Platform::new(), slow_start("600000000000"));
-        let changes = [(r#""obligations":{"#, &*rule), AIM];
-        let old = Stage::changed_beside_under(&plan, &discovery.server, &platform, &changes);
-        old.ready();
+        let (platform, obligations) = (Platform::new(), slow_start_settings("600000000000"));
+        let changes = [(r#""obligations":{"#, &*obligations), SHORT_OBJECTIVE];
+        let predecessor = Stage::changed_beside_under(&plan, &discovery.server, &platform, &changes);
+        predecessor.ready();
         discovery.called("from=2", 1);
-        discovery.lists(&[born_now(&worker)]);
+        discovery.lists(&[entry_started_now(&worker)]);
         discovery.called("from=3", 1);
         plan.step_wall_clock(step);
-        let new = Stage::changed_beside_under(&plan, &discovery.server, &platform, &changes);
-        new.ready();
-        stays_within_the_cold_budget(&new, step);
+        let successor = Stage::changed_beside_under(&plan, &discovery.server, &platform, &changes);
+        successor.ready();
+        assert_within_cold_budget(&successor, step);
     }
 }
 
-/// The wall clock is stepped in the midst of a drain, before a successor starts: idle connections close in time, and the
-/// successor takes no job after that.
+/// The wall clock is stepped during a drain, before a successor starts: idle connections are closed in time, and the
+/// successor accepts no more jobs.
 #[test]
-fn a_drain_ends_in_time_across_a_step_and_a_hot_restart() {
+fn a_drain_ends_in_time_despite_a_clock_step_and_a_hot_restart() {
     for step in STEPS {
         let (discovery, target) = (Server::new("d"), Server::new("s-00000001"));
         let (platform, plan) = (Platform::new(), FaultPlan::new().unwrap());
-        let old = Stage::beside_under(&plan, &[&target], &discovery, &platform);
-        old.ready();
-        let mut kept = old.connect();
-        assert!(old.order("PUT /control/out-of-service").starts_with("HTTP/1.1 200"));
+        let predecessor = Stage::beside_under(&plan, &[&target], &discovery, &platform);
+        predecessor.ready();
+        let mut idle = predecessor.connect();
+        assert!(predecessor.order("PUT /control/out-of-service").starts_with("HTTP/1.1 200"));
         plan.step_wall_clock(step);
-        assert!(kept.closed(), "{step} ns");
-        let new = Stage::beside_under(&plan, &[&target], &discovery, &platform);
-        new.ready();
-        assert!(new.order("GET /control/ready").contains(r#""service":"draining""#));
-        // The time for jobs is over, as the first process has shown: none is taken any more.
-        let mut late = new.connect();
+        assert!(idle.closed(), "{step} ns");
+        let successor = Stage::beside_under(&plan, &[&target], &discovery, &platform);
+        successor.ready();
+        assert!(successor.order("GET /control/ready").contains(r#""service":"draining""#));
+        // The predecessor has closed its idle connection, so the drain period is over and no job is accepted.
+        let mut late = successor.connect();
         let _ = late.try_say(&job("view", "a1", "0.500"));
         late.hear();
-        assert_eq!(new.counters(&["forwards"]), "forwards=0", "{step} ns: a job is taken");
+        assert_eq!(successor.counters(&["forwards"]), "forwards=0", "{step} ns: a job was accepted");
     }
 }
 
-/// Clients that wait for long, so that nothing here ends for its time.
-const PATIENT: (&str, &str) =
+/// Configuration change to a long objective and client timeout, so that no job ends by a timeout.
+const LONG_CLIENT_TIMEOUT: (&str, &str) =
     (r#""aim":900000000,"give_up":5000000000"#, r#""aim":20000000000,"give_up":20000000000"#);
-/// Dials may take long.
-const SLOW_DIALS: (&str, &str) = (r#""dial_timeout":1000000000"#, r#""dial_timeout":15000000000"#);
+/// Configuration change to a long dial timeout.
+const LONG_DIAL_TIMEOUT: (&str, &str) = (r#""dial_timeout":1000000000"#, r#""dial_timeout":15000000000"#);
 
-/// A job with an idempotency key whose first attempt breaks; its repeat hangs in a dial while the wall clock is stepped,
-/// and the dial comes up after `wait`. The client's answer, and what became of the attempts.
-fn repeat_across_a_step(window: &str, step: i64, wait: Duration) -> (Stage, Server, String) {
+/// Sends a job with an idempotency key and breaks its first attempt. The dial of the retry hangs while the wall clock
+/// is stepped, and completes after `wait`. Returns the client's answer, or the retry's request if `wait` is zero.
+fn retry_across_a_clock_step(window: &str, step: i64, wait: Duration) -> (Stage, Server, String) {
     let (one, mut narrow) = (Server::new("s-00000001"), Narrow::new("s-00000002"));
     let (discovery, plan) = (Agent::new(Mode::Answers, &[one.entry("active")]), FaultPlan::new().unwrap());
-    let keyed = format!(r#""effect":"deduplicated","group":"cell","repeat_window":{window}"#);
-    let changes = [PATIENT, SLOW_DIALS, (r#""effect":"idempotent""#, &*keyed)];
+    let deduplicated = format!(r#""effect":"deduplicated","group":"cell","repeat_window":{window}"#);
+    let changes = [LONG_CLIENT_TIMEOUT, LONG_DIAL_TIMEOUT, (r#""effect":"idempotent""#, &*deduplicated)];
     let stage = Stage::changed_under(&plan, &discovery.server, &changes);
     stage.until("lists=1");
     let mut client = stage.connect();
     client.say(&job("view", "a1", "19.000").replace("X-Service", "Idempotency-Key: k\r\nX-Service"));
-    let mut first = one.accept();
-    assert!(first.hear().contains("Idempotency-Key: k\r\n"));
+    let mut first_attempt = one.accept();
+    assert!(first_attempt.hear().contains("Idempotency-Key: k\r\n"));
     discovery.lists(&[one.entry("leaving"), narrow.server.entry("active")]);
     stage.until("forwards=1 lists=2");
-    drop(first);
+    drop(first_attempt);
     stage.until("forwards=2 Reset=1 dials=2");
     plan.step_wall_clock(step);
     std::thread::sleep(wait);
     narrow.widen();
     if wait.is_zero() {
-        let heard = narrow.server.accept().hear();
-        return (stage, narrow.server, heard);
+        let request = narrow.server.accept().hear();
+        return (stage, narrow.server, request);
     }
     let answer = client.answer();
     (stage, narrow.server, answer)
 }
 
-/// The window of a key is a span of real time: once it has passed the repeat is not written, and until then it is.
+/// Guards against measuring the deduplication window of a key by the wall clock: the retry must be sent within the
+/// window and must not be sent after it.
 #[test]
-fn a_repeat_is_held_to_its_keys_window_across_a_step() {
+fn a_retry_respects_the_deduplication_window_despite_a_clock_step() {
     for step in [-HOUR, -5 * SECOND] {
-        let late = Duration::from_millis(2100);
-        let (stage, _, answer) = repeat_across_a_step("2000000000", step, late);
+        let after_the_window = Duration::from_millis(2100);
+        let (stage, _, answer) = retry_across_a_clock_step("2000000000", step, after_the_window);
         assert_eq!(answer, "HTTP/1.1 502 Bad Gateway | failed", "{step} ns");
         assert_eq!(stage.counters(&["forwards", "NotSent"]), "forwards=2 NotSent=1", "{step} ns");
     }
     for step in [HOUR, 5 * SECOND] {
-        let (_, _, heard) = repeat_across_a_step("60000000000", step, Duration::ZERO);
-        assert!(heard.contains("Idempotency-Key: k\r\n"), "{step} ns: {heard:?}");
+        let (_, _, request) = retry_across_a_clock_step("60000000000", step, Duration::ZERO);
+        assert!(request.contains("Idempotency-Key: k\r\n"), "{step} ns: {request:?}");
     }
 }
 
-/// The wall clock is stepped while discovery is silent: it is asked again as soon as without.
+/// Guards against a step of the wall clock that delays the retries of requests to a silent discovery.
 #[test]
-fn a_silent_discovery_is_asked_again_across_a_step() {
+fn requests_to_a_silent_discovery_are_retried_despite_a_clock_step() {
     for step in STEPS {
         let (discovery, plan) = (Agent::new(Mode::Answers, &[]), FaultPlan::new().unwrap());
         let stage = Stage::under(&plan, &[], &discovery.server, "");
         discovery.called("from=2", 1);
         discovery.mode(Mode::Silent);
         plan.step_wall_clock(step);
-        let before = discovery.calls("from=2").len();
-        discovery.called("from=2", before + 2);
+        let calls_before = discovery.calls("from=2").len();
+        discovery.called("from=2", calls_before + 2);
         discovery.mode(Mode::Answers);
         let worker = Server::new("s-00000001");
         discovery.lists(&[worker.entry("active")]);
