--- a/tests/pins.rs
+++ b/tests/pins.rs
@@ -1,9 +1,10 @@
-//! Pins of the program: every byte that leaves it, and what it reads of files. Nothing here may change unless an operator,
-//! a platform or a build beside this one is meant to see it. `tests/golden/mod.rs` says how to record all anew; that starts
-//! real processes, so it wants a machine that is not busy with other suites of sockets.
+//! Golden-file tests of the external formats of the program: every byte that it sends, and how it reads files. A
+//! recorded file may change only if an operator, a platform or another version beside this one is meant to see the
+//! change. `tests/golden/mod.rs` describes how to record the files again. Recording starts real processes, so it needs
+//! a machine that runs no other socket tests.
 //!
-//! What differs from run to run is masked by its name, never by leaving a line out: addresses (`<target>`, `<discovery>`,
-//! ...), numbers after a named key (`mask_number_after`), and the keys that each test names.
+//! Values that differ from run to run are masked; no line is left out. Masked are addresses (`<target>`, `<discovery>`,
+//! ...), numbers after a key (`mask_number_after`), and the keys that each test names.
 
 mod golden;
 mod stage;
--- a/tests/pins/answers.rs
+++ b/tests/pins/answers.rs
@@ -1,34 +1,34 @@
-//! Answers of the program at its listening address and at the address for staff.
+//! Golden files of the answers at the clients' listener and at the control listener.
 
 use crate::golden;
 use crate::stage::{Agent, Line, Mode, Server, Stage, job, response};
 use std::net::TcpStream;
 
-/// Adds a message under a heading.
-fn add(text: &mut String, heading: &str, message: &str) {
+/// Appends a message under a heading.
+fn append_section(text: &mut String, heading: &str, message: &str) {
     *text += &format!("== {heading}\n{}\n", golden::visible(message.as_bytes()));
 }
 
-/// A worker's word on a job.
-fn call_back(id: &str, state: &str) -> String {
+/// Returns a worker's call-back for a job.
+fn call_back_request(id: &str, state: &str) -> String {
     let body = format!(r#"{{"id":"{id}","from":"s-00000001","state":"{state}","result":"re\"sult é"}}"#);
     let length = body.len();
     format!("POST /v1/job-events HTTP/1.1\r\nContent-Length: {length}\r\n\r\n{body}")
 }
 
-/// A job of a class.
-fn good_job(class: &str, id: &str) -> String {
+/// Returns a valid job of a class.
+fn valid_job(class: &str, id: &str) -> String {
     job(class, id, "3.000")
 }
 
-/// Every answer to a request that is not a job, or not a good one.
+/// Covers requests other than jobs, and invalid jobs.
 #[test]
-fn answers_to_requests_that_are_no_jobs_stay() {
+fn answers_to_invalid_and_other_requests_match_the_golden_file() {
     let target = Server::new("s-00000001");
     let discovery = Agent::new(Mode::Answers, &[target.entry("active")]);
     let stage = Stage::new(&[&target], &discovery.server);
-    let good = good_job("view", "a1");
-    let long = format!("GET /healthz HTTP/1.1\r\nX: {}\r\n\r\n", "x".repeat(17_000));
+    let valid = valid_job("view", "a1");
+    let oversized = format!("GET /healthz HTTP/1.1\r\nX: {}\r\n\r\n", "x".repeat(17_000));
     let requests = [
         ("health", "GET /healthz HTTP/1.1\r\n\r\n".to_string()),
         ("health, to be closed", "GET /healthz HTTP/1.1\r\nConnection: close\r\n\r\n".into()),
@@ -36,105 +36,105 @@
         ("health, HTTP/1.0 kept", "GET /healthz HTTP/1.0\r\nConnection: keep-alive\r\n\r\n".into()),
         ("health, another method", "POST /healthz HTTP/1.1\r\nContent-Length: 0\r\n\r\n".into()),
         ("no HTTP", "no http at all\r\n\r\n".into()),
-        ("two lengths", good.replace("Length: 2", "Length: 2\r\nContent-Length: 2")),
-        ("a long head", long),
+        ("two lengths", valid.replace("Length: 2", "Length: 2\r\nContent-Length: 2")),
+        ("a long head", oversized),
         ("a long body", "POST /view/1 HTTP/1.1\r\nContent-Length: 65537\r\n\r\n".into()),
         ("an unknown path", "GET /nowhere HTTP/1.1\r\n\r\n".into()),
-        ("another method", good.replace("POST", "GET")),
-        ("an unknown class", good.replace("Class: view", "Class: other")),
-        ("another class than the path's", good.replace("Class: view", "Class: lodge")),
-        ("no id", good.replace("X-Correlation-Id: a1\r\n", "")),
-        ("a bad id", good.replace("Id: a1", "Id: a/1")),
-        ("a bad time", good.replace("3.000", "soon")),
-        ("a header twice", good.replace("X-Time-Left: 3.000", "X-Time-Left: 3.000\r\nX-Time-Left: 4.000")),
+        ("another method", valid.replace("POST", "GET")),
+        ("an unknown class", valid.replace("Class: view", "Class: other")),
+        ("another class than the path's", valid.replace("Class: view", "Class: lodge")),
+        ("no id", valid.replace("X-Correlation-Id: a1\r\n", "")),
+        ("a bad id", valid.replace("Id: a1", "Id: a/1")),
+        ("a bad time", valid.replace("3.000", "soon")),
+        ("a header twice", valid.replace("X-Time-Left: 3.000", "X-Time-Left: 3.000\r\nX-Time-Left: 4.000")),
         ("a call-back by another method", "GET /v1/job-events HTTP/1.1\r\n\r\n".into()),
         ("a bad call-back", "POST /v1/job-events HTTP/1.1\r\nContent-Length: 2\r\n\r\n{}".into()),
-        ("a call-back for a job that is not known", call_back("zz", "started")),
+        ("a call-back for a job that is not known", call_back_request("zz", "started")),
     ];
     let mut text = String::new();
     for (heading, request) in requests {
-        let mut line = stage.connect();
-        line.say(&request);
-        add(&mut text, heading, &line.hear());
+        let mut connection = stage.connect();
+        connection.say(&request);
+        append_section(&mut text, heading, &connection.hear());
     }
-    let mut expects = stage.connect();
-    expects.say("POST /view/1 HTTP/1.1\r\nExpect: 100-continue\r\nContent-Length: 2\r\n\r\n");
-    add(&mut text, "a body that is asked for", &expects.hear());
-    // It says no more: it is answered when the time for a request is over.
-    let mut half = stage.connect();
-    half.say("POST /view/1 HT");
-    add(&mut text, "a request that does not end", &half.hear());
-    assert!(half.closed());
+    let mut awaiting_continue = stage.connect();
+    awaiting_continue.say("POST /view/1 HTTP/1.1\r\nExpect: 100-continue\r\nContent-Length: 2\r\n\r\n");
+    append_section(&mut text, "a body that is asked for", &awaiting_continue.hear());
+    // The rest never arrives, so the request is answered when it times out.
+    let mut incomplete = stage.connect();
+    incomplete.say("POST /view/1 HT");
+    append_section(&mut text, "a request that does not end", &incomplete.hear());
+    assert!(incomplete.closed());
     golden::check("answers-no-jobs.txt", text.as_bytes());
 }
 
-/// Every answer to a job: served, failed, refused for room, refused for want of workers.
+/// Covers served, failed and rejected jobs, and a call-back.
 #[test]
-fn answers_to_jobs_stay() {
+fn answers_to_jobs_match_the_golden_file() {
     let target = Server::new("s-00000001");
     let discovery = Agent::new(Mode::Answers, &[target.entry("active")]);
     let changes = [("\"max_attempts\":2", "\"max_open\":1,\"max_attempts\":2")];
     let stage = Stage::changed(&[&target], &discovery.server, &changes);
     let mut text = String::new();
     let (mut client, mut other) = (stage.connect(), stage.connect());
-    client.say(&good_job("view", "a1"));
+    client.say(&valid_job("view", "a1"));
     let mut worker = target.accept();
     worker.hear();
-    other.say(&good_job("view", "a1"));
-    add(&mut text, "an id that is in use", &other.hear());
-    other.say(&good_job("view", "a2"));
-    add(&mut text, "no room", &other.hear());
+    other.say(&valid_job("view", "a1"));
+    append_section(&mut text, "an id that is in use", &other.hear());
+    other.say(&valid_job("view", "a2"));
+    append_section(&mut text, "no room", &other.hear());
     worker.say(&response("202 Accepted", ""));
-    let mut calls_back = stage.connect();
-    calls_back.say(&call_back("a1", "done"));
-    add(&mut text, "a call-back", &calls_back.hear());
-    add(&mut text, "served, kept", &client.hear());
-    client.say(&good_job("view", "a3").replace("Host: h", "Host: h\r\nConnection: close"));
+    let mut call_back_connection = stage.connect();
+    call_back_connection.say(&call_back_request("a1", "done"));
+    append_section(&mut text, "a call-back", &call_back_connection.hear());
+    append_section(&mut text, "served, kept", &client.hear());
+    client.say(&valid_job("view", "a3").replace("Host: h", "Host: h\r\nConnection: close"));
     worker.hear();
     worker.say(&response("404 Not Found", "no"));
-    add(&mut text, "failed, closed", &client.hear());
+    append_section(&mut text, "failed, closed", &client.hear());
     assert!(client.closed());
     golden::check("answers-jobs.txt", text.as_bytes());
 }
 
-/// Out of service: health says so, and jobs are refused with a time to come back once they are taken no more.
+/// Covers a job without an available worker, the health check during a drain, and a job after the drain period.
 #[test]
-fn answers_of_a_drained_program_stay() {
+fn answers_of_a_drained_program_match_the_golden_file() {
     let target = Server::new("s-00000001");
     let discovery = Agent::new(Mode::Answers, &[target.entry("active")]);
     let stage = Stage::operated(&[&target], &discovery.server);
     let mut text = String::new();
     stage.order("PUT /control/workers/s-00000001/offline");
     let mut client = stage.connect();
-    client.say(&good_job("lodge", "a1"));
-    let refused = golden::mask_number_after(&client.hear(), "Retry-After: ");
-    add(&mut text, "refused: no worker", &refused);
+    client.say(&valid_job("lodge", "a1"));
+    let rejection = golden::mask_number_after(&client.hear(), "Retry-After: ");
+    append_section(&mut text, "refused: no worker", &rejection);
     stage.order("PUT /control/out-of-service");
-    let mut line = stage.connect();
-    line.say("GET /healthz HTTP/1.1\r\nConnection: close\r\n\r\n");
-    add(&mut text, "health", &line.hear());
-    let mut last = String::new();
-    crate::stage::until("jobs are taken no more", || {
-        let mut line = stage.connect();
-        line.say(&good_job("lodge", "b1"));
-        last = line.hear();
-        last.contains("no room")
+    let mut connection = stage.connect();
+    connection.say("GET /healthz HTTP/1.1\r\nConnection: close\r\n\r\n");
+    append_section(&mut text, "health", &connection.hear());
+    let mut last_answer = String::new();
+    crate::stage::until("jobs are rejected", || {
+        let mut connection = stage.connect();
+        connection.say(&valid_job("lodge", "b1"));
+        last_answer = connection.hear();
+        last_answer.contains("no room")
     });
-    add(&mut text, "a job", &last);
+    append_section(&mut text, "a job", &last_answer);
     golden::check("answers-drained.txt", text.as_bytes());
 }
 
-/// Every answer at the address for staff.
+/// Covers every kind of call at the control listener.
 #[test]
-fn answers_to_staff_stay() {
+fn answers_of_the_control_listener_match_the_golden_file() {
     let target = Server::new("s-00000001");
     let discovery = Agent::new(Mode::Answers, &[target.entry("active")]);
     let mut stage = Stage::operated(&[&target], &discovery.server);
-    let ask = |stage: &Stage, request: &str| {
-        let mut line = Line::new(TcpStream::connect(stage.control).unwrap());
-        line.say(request);
-        let answer = line.hear();
-        assert!(line.closed(), "one call a connection");
+    let send_call = |stage: &Stage, request: &str| {
+        let mut connection = Line::new(TcpStream::connect(stage.control).unwrap());
+        connection.say(request);
+        let answer = connection.hear();
+        assert!(connection.closed(), "the connection stays open after a call");
         answer
     };
     let mut text = String::new();
@@ -153,24 +153,28 @@
         "PUT /control/in-service",
         "GET /healthz",
     ] {
-        add(&mut text, call, &ask(&stage, &format!("{call} HTTP/1.1\r\nHost: h\r\n\r\n")));
+        append_section(&mut text, call, &send_call(&stage, &format!("{call} HTTP/1.1\r\nHost: h\r\n\r\n")));
     }
-    add(&mut text, "no HTTP", &ask(&stage, "no http at all\r\n\r\n"));
-    let long = format!("GET /control/ready HTTP/1.1\r\nX: {}\r\n\r\n", "x".repeat(17_000));
-    add(&mut text, "a long head", &ask(&stage, &long));
-    add(
+    append_section(&mut text, "no HTTP", &send_call(&stage, "no http at all\r\n\r\n"));
+    let oversized = format!("GET /control/ready HTTP/1.1\r\nX: {}\r\n\r\n", "x".repeat(17_000));
+    append_section(&mut text, "a long head", &send_call(&stage, &oversized));
+    append_section(
         &mut text,
         "a long body",
-        &ask(&stage, "PUT /control/in-service HTTP/1.1\r\nContent-Length: 65537\r\n\r\n"),
+        &send_call(&stage, "PUT /control/in-service HTTP/1.1\r\nContent-Length: 65537\r\n\r\n"),
     );
-    add(&mut text, "a call that does not end", &ask(&stage, "GET /control/rea"));
-    // A job that is not answered keeps the program there while it ends.
+    append_section(&mut text, "a call that does not end", &send_call(&stage, "GET /control/rea"));
+    // An unanswered job keeps the program running during the shutdown.
     let mut client = stage.connect();
-    client.say(&good_job("lodge", "a1"));
+    client.say(&valid_job("lodge", "a1"));
     let _worker = target.accept();
     stage.signal("TERM");
     stage.logged("asked to end");
-    add(&mut text, "ready, while it ends", &ask(&stage, "GET /control/ready HTTP/1.1\r\n\r\n"));
+    append_section(
+        &mut text,
+        "ready, while it ends",
+        &send_call(&stage, "GET /control/ready HTTP/1.1\r\n\r\n"),
+    );
     drop(client);
     assert!(stage.ended());
     golden::check("answers-staff.txt", text.as_bytes());
--- a/tests/pins/command_line.rs
+++ b/tests/pins/command_line.rs
@@ -1,30 +1,30 @@
-//! The command line: what each call writes, and its exit code.
+//! Golden files of the command line: the output and the exit code of each invocation.
 
 use crate::golden;
 use std::path::Path;
 use std::process::Command;
 
-/// Runs the program; its exit code and what it wrote, with the folder of the test masked.
+/// Runs the program and returns its exit code and output, with the test's folder masked.
 pub fn run(args: &[&str], folder: &Path) -> String {
-    let out = Command::new(env!("CARGO_BIN_EXE_loomlb")).args(args).env_clear().output().unwrap();
-    let part = |name: &str, bytes: &[u8]| {
+    let output = Command::new(env!("CARGO_BIN_EXE_loomlb")).args(args).env_clear().output().unwrap();
+    let stream_section = |name: &str, bytes: &[u8]| {
         let text = String::from_utf8_lossy(bytes).replace(folder.to_str().unwrap(), "<folder>");
-        let end = if text.is_empty() || text.ends_with('\n') { "" } else { "<no line feed>\n" };
-        format!("{name}:\n{text}{end}")
+        let missing_newline = if text.is_empty() || text.ends_with('\n') { "" } else { "<no line feed>\n" };
+        format!("{name}:\n{text}{missing_newline}")
     };
-    let shown = args.join(" ").replace(folder.to_str().unwrap(), "<folder>");
-    let code = out.status.code().unwrap();
+    let masked_args = args.join(" ").replace(folder.to_str().unwrap(), "<folder>");
+    let code = output.status.code().unwrap();
     format!(
-        "==== loomlb {shown}\nexit code {code}\n{}{}\n",
-        part("standard output", &out.stdout),
-        part("standard error", &out.stderr)
+        "==== loomlb {masked_args}\nexit code {code}\n{}{}\n",
+        stream_section("standard output", &output.stdout),
+        stream_section("standard error", &output.stderr)
     )
 }
 
 #[test]
-fn help_version_and_faults_stay() {
+fn help_version_and_usage_errors_match_the_golden_file() {
     let folder = tempfile::tempdir().unwrap();
-    let calls: [&[&str]; 19] = [
+    let invocations: [&[&str]; 19] = [
         &[],
         &["--help"],
         &["-h"],
@@ -45,6 +45,6 @@
         &["check-config", "-o", "/nowhere/loomlb.toml"],
         &["tier", "--at", "here", "status"],
     ];
-    let text: String = calls.iter().map(|args| run(args, folder.path())).collect();
+    let text: String = invocations.iter().map(|args| run(args, folder.path())).collect();
     golden::check("command-line.txt", text.as_bytes());
 }
--- a/tests/pins/configuration.rs
+++ b/tests/pins/configuration.rs
@@ -1,4 +1,4 @@
-//! Keys and defaults of the configuration and of the operator file, and what is said of a faulty one.
+//! Golden files of the keys, defaults and validation errors of the configuration and of the operator file.
 
 use super::command_line::run;
 use crate::golden;
@@ -7,12 +7,12 @@
 use std::fmt::Write;
 use std::path::Path;
 
-/// The least that a configuration has.
-fn least() -> Value {
+/// Returns a configuration with only the required keys.
+fn minimal_config() -> Value {
     json!({"listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "settings": {"classes": [{"name": "view"}]}})
 }
 
-/// Every key of the configuration, by its path.
+/// The paths of the keys of the configuration.
 const KEYS: &str = "name listen discovery control seed limits limits.memory_mb limits.sockets peer_listen peers \
     peers_all known settings settings.balancers settings.rank settings.my_zone settings.zones settings.kinds \
     settings.classes settings.classes.0.name settings.classes.0.aim settings.classes.0.aim_stretch \
@@ -30,130 +30,133 @@
     settings.extra settings.extra.class_kind settings.extra.class_stretch settings.extra.progress \
     settings.extra.tells_start settings.extra.queue_order settings.extra.report_x0";
 
-/// Puts a value at a path; what is missing on the way is made.
-fn put(config: &mut Value, path: &str, value: Value) {
-    let mut at = config;
-    for part in path.split('.') {
-        at = match part.parse::<usize>() {
-            Ok(place) => {
-                if at.is_null() {
-                    *at = json!([]);
+/// Sets the value at a path and creates the containers that are missing.
+fn set_value(config: &mut Value, path: &str, value: Value) {
+    let mut current = config;
+    for segment in path.split('.') {
+        current = match segment.parse::<usize>() {
+            Ok(index) => {
+                if current.is_null() {
+                    *current = json!([]);
                 }
-                let list = at.as_array_mut().unwrap();
-                if list.len() <= place {
+                let list = current.as_array_mut().unwrap();
+                if list.len() <= index {
                     list.push(json!({}));
                 }
-                &mut list[place]
+                &mut list[index]
             }
-            Err(_) => &mut at[part],
+            Err(_) => &mut current[segment],
         };
     }
-    *at = value;
+    *current = value;
 }
 
-fn read(config: &Value, file: &Path) -> Result<Config, String> {
+fn load_config(config: &Value, file: &Path) -> Result<Config, String> {
     std::fs::write(file, config.to_string()).unwrap();
     Config::load(Some(file))
 }
 
-/// A value of a wrong type at each key: the fault names the key and what it takes, so the key is known and typed. A key
-/// that is not known is passed over.
+/// Sets a value of a wrong type at each key: the error names the key and the expected type, which proves that the key
+/// is read. Unknown keys are ignored.
 #[test]
-fn keys_of_the_configuration_keep_their_names_and_types() {
+fn names_and_types_of_configuration_keys_match_the_golden_file() {
     let folder = tempfile::tempdir().unwrap();
     let file = folder.path().join("config.json");
     let mut text = String::new();
     for key in KEYS.split_whitespace().chain(["novel", "settings.novel", "limits.novel"]) {
-        // An object may be written as the list of its values, so a list is not wrong everywhere.
-        let wrong = [json!([true]), json!("x"), json!(true)];
-        let faults = wrong.iter().filter_map(|wrong| {
-            let mut config = least();
-            put(&mut config, key, wrong.clone());
-            read(&config, &file).err()
+        // An object may be given as a list of its values, so a list is not an error at every key.
+        let wrong_values = [json!([true]), json!("x"), json!(true)];
+        let errors = wrong_values.iter().filter_map(|wrong| {
+            let mut config = minimal_config();
+            set_value(&mut config, key, wrong.clone());
+            load_config(&config, &file).err()
         });
-        let mut faults: Vec<String> = faults.collect();
-        faults.dedup();
+        let mut errors: Vec<String> = errors.collect();
+        errors.dedup();
         writeln!(text, "{key}:").unwrap();
-        if faults.is_empty() {
-            faults.push("taken".into());
+        if errors.is_empty() {
+            errors.push("taken".into());
         }
-        faults.iter().for_each(|fault| writeln!(text, "    {fault}").unwrap());
+        errors.iter().for_each(|error| writeln!(text, "    {error}").unwrap());
     }
     golden::check("configuration-keys.txt", text.as_bytes());
 }
 
-/// What the least configuration comes to: each default of the settings and of the limits.
+/// Covers the defaults of the settings and of the limits.
 #[test]
-fn defaults_of_the_configuration_stay() {
+fn defaults_of_the_configuration_match_the_golden_file() {
     let folder = tempfile::tempdir().unwrap();
-    let config = read(&least(), &folder.path().join("config.json")).unwrap();
-    let (settings, terms) = (&config.settings.policy, &config.settings.network);
+    let config = load_config(&minimal_config(), &folder.path().join("config.json")).unwrap();
+    let (settings, network) = (&config.settings.policy, &config.settings.network);
     let (class, limits) = (&settings.classes[0], &settings.limits);
     let (obligations, costs) = (&settings.obligations, &settings.costs);
     let mut text = String::new();
-    let mut row = |key: &str, value: String| writeln!(text, "{key}: {value}").unwrap();
-    row("name", config.name.clone());
-    row("control", format!("{:?}", config.control));
-    row("seed", config.seed.to_string());
-    row("limits: connections in, idle ones from, out", {
+    let mut add_row = |key: &str, value: String| writeln!(text, "{key}: {value}").unwrap();
+    add_row("name", config.name.clone());
+    add_row("control", format!("{:?}", config.control));
+    add_row("seed", config.seed.to_string());
+    add_row("limits: connections in, idle ones from, out", {
         format!("{} {} {}", config.max_inbound, config.idle_close_threshold, config.max_outbound)
     });
-    row("limits: bytes of bodies, of a list", format!("{} {}", config.max_body_bytes, config.max_list_bytes));
-    row("peer_listen", format!("{:?}", config.peer_listen));
-    row("peers", config.peers.len().to_string());
-    row("peers_all", format!("{:?}", config.peers_all));
-    row("known", config.initial_list.to_string());
-    row("settings.balancers", settings.dispatcher_count.to_string());
-    row("settings.rank", settings.own_id.0.to_string());
-    row("settings.my_zone", settings.own_zone.0.to_string());
-    row("settings.zones", settings.zone_count.to_string());
-    row("settings.kinds", settings.kind_count.to_string());
-    row("settings.classes[0].aim", class.latency_objective.to_string());
-    row("settings.classes[0].aim_stretch", class.objective_stretch.to_string());
-    row("settings.classes[0].give_up", class.client_timeout.to_string());
-    row("settings.classes[0].worth", class.worth.to_string());
-    row("settings.classes[0].late_worth", class.late_worth.to_string());
-    row("settings.classes[0].repeat_window", class.dedup_window.to_string());
-    row("settings.tenants", settings.tenants.len().to_string());
-    row("settings.over_share_worth", settings.over_share_worth.to_string());
-    row("settings.worth_by is work", settings.worth_by_work.to_string());
-    row("settings.registry_mode is subscribe", settings.list_needs_watch.to_string());
-    row("settings.tick", settings.tick.to_string());
-    row("settings.load_report.fields", terms.report_fields.len().to_string());
-    row("settings.ceilings.cancel", limits.cancel.to_string());
-    row("settings.ceilings.dial_timeout", terms.dial_timeout.to_string());
-    row("settings.ceilings.keepalive", terms.keepalive.to_string());
-    row("settings.ceilings.max_attempts", limits.max_attempts.to_string());
-    row("settings.ceilings.max_open", terms.max_open.to_string());
-    row("settings.ceilings.max_retry_after", limits.max_retry_after.to_string());
-    row("settings.ceilings.may_tell", limits.peer_messages.to_string());
-    row("settings.ceilings.probing", limits.probing.to_string());
-    row("settings.ceilings.second_copies", limits.hedging.to_string());
-    row("settings.obligations.cold", obligations.warm_up_time.to_string());
-    row("settings.obligations.cold_from", obligations.initial_capacity_share.to_string());
-    row("settings.obligations.drain_grace", terms.drain_grace.to_string());
-    row("settings.obligations.must_ask_in", obligations.list_request_interval.to_string());
-    row("settings.obligations.overload_factor", obligations.overload_factor.to_string());
-    row("settings.obligations.overload_for", obligations.overload_window.to_string());
-    row("settings.penalties.cross_zone", costs.cross_zone.to_string());
-    row("settings.penalties.waste", costs.waste.to_string());
-    row("settings.penalties.late_fail", costs.late_failure.to_string());
-    row("settings.penalties.peer", costs.peer_message.to_string());
-    row("settings.penalties.probe", costs.probe.to_string());
-    row("settings.penalties.handshake", costs.handshake.to_string());
-    row("settings.extra.progress", settings.progress_interval.to_string());
-    row("settings.extra.tells_start", settings.job_starts_reported.to_string());
-    row("settings.extra.report_x0 is free slots", settings.free_slots_reported.to_string());
+    add_row(
+        "limits: bytes of bodies, of a list",
+        format!("{} {}", config.max_body_bytes, config.max_list_bytes),
+    );
+    add_row("peer_listen", format!("{:?}", config.peer_listen));
+    add_row("peers", config.peers.len().to_string());
+    add_row("peers_all", format!("{:?}", config.peers_all));
+    add_row("known", config.initial_list.to_string());
+    add_row("settings.balancers", settings.dispatcher_count.to_string());
+    add_row("settings.rank", settings.own_id.0.to_string());
+    add_row("settings.my_zone", settings.own_zone.0.to_string());
+    add_row("settings.zones", settings.zone_count.to_string());
+    add_row("settings.kinds", settings.kind_count.to_string());
+    add_row("settings.classes[0].aim", class.latency_objective.to_string());
+    add_row("settings.classes[0].aim_stretch", class.objective_stretch.to_string());
+    add_row("settings.classes[0].give_up", class.client_timeout.to_string());
+    add_row("settings.classes[0].worth", class.worth.to_string());
+    add_row("settings.classes[0].late_worth", class.late_worth.to_string());
+    add_row("settings.classes[0].repeat_window", class.dedup_window.to_string());
+    add_row("settings.tenants", settings.tenants.len().to_string());
+    add_row("settings.over_share_worth", settings.over_share_worth.to_string());
+    add_row("settings.worth_by is work", settings.worth_by_work.to_string());
+    add_row("settings.registry_mode is subscribe", settings.list_needs_watch.to_string());
+    add_row("settings.tick", settings.tick.to_string());
+    add_row("settings.load_report.fields", network.report_fields.len().to_string());
+    add_row("settings.ceilings.cancel", limits.cancel.to_string());
+    add_row("settings.ceilings.dial_timeout", network.dial_timeout.to_string());
+    add_row("settings.ceilings.keepalive", network.keepalive.to_string());
+    add_row("settings.ceilings.max_attempts", limits.max_attempts.to_string());
+    add_row("settings.ceilings.max_open", network.max_open.to_string());
+    add_row("settings.ceilings.max_retry_after", limits.max_retry_after.to_string());
+    add_row("settings.ceilings.may_tell", limits.peer_messages.to_string());
+    add_row("settings.ceilings.probing", limits.probing.to_string());
+    add_row("settings.ceilings.second_copies", limits.hedging.to_string());
+    add_row("settings.obligations.cold", obligations.warm_up_time.to_string());
+    add_row("settings.obligations.cold_from", obligations.initial_capacity_share.to_string());
+    add_row("settings.obligations.drain_grace", network.drain_grace.to_string());
+    add_row("settings.obligations.must_ask_in", obligations.list_request_interval.to_string());
+    add_row("settings.obligations.overload_factor", obligations.overload_factor.to_string());
+    add_row("settings.obligations.overload_for", obligations.overload_window.to_string());
+    add_row("settings.penalties.cross_zone", costs.cross_zone.to_string());
+    add_row("settings.penalties.waste", costs.waste.to_string());
+    add_row("settings.penalties.late_fail", costs.late_failure.to_string());
+    add_row("settings.penalties.peer", costs.peer_message.to_string());
+    add_row("settings.penalties.probe", costs.probe.to_string());
+    add_row("settings.penalties.handshake", costs.handshake.to_string());
+    add_row("settings.extra.progress", settings.progress_interval.to_string());
+    add_row("settings.extra.tells_start", settings.job_starts_reported.to_string());
+    add_row("settings.extra.report_x0 is free slots", settings.free_slots_reported.to_string());
     golden::check("configuration-defaults.txt", text.as_bytes());
 }
 
-/// `check-config` on files that are good and files that are not.
+/// Covers valid and invalid configuration files.
 #[test]
-fn what_check_config_says_stays() {
+fn output_of_check_config_matches_the_golden_file() {
     let folder = tempfile::tempdir().unwrap();
     let file = folder.path().join("config.json");
     let path = file.to_str().unwrap();
-    let mut full = least();
+    let mut full = minimal_config();
     for (key, value) in [
         ("name", json!("n1")),
         ("control", json!("127.0.0.1:2")),
@@ -164,10 +167,16 @@
         ("settings.tenants", json!([{"name": "acme", "quota_rps": 5}, {"name": "bolt"}])),
         ("settings.classes.0.give_up", json!(5)),
     ] {
-        put(&mut full, key, value);
+        set_value(&mut full, key, value);
     }
-    let mut texts =
-        vec![least().to_string(), full.to_string(), "{".into(), "[]".into(), "7".into(), String::new()];
+    let mut texts = vec![
+        minimal_config().to_string(),
+        full.to_string(),
+        "{".into(),
+        "[]".into(),
+        "7".into(),
+        String::new(),
+    ];
     for (key, value) in [
         ("listen", Value::Null),
         ("discovery", json!("here")),
@@ -183,8 +192,8 @@
         ("settings.classes.0.give_up", json!(0)),
         ("settings.ceilings.max_attempts", json!(0)),
     ] {
-        let mut config = least();
-        put(&mut config, key, value);
+        let mut config = minimal_config();
+        set_value(&mut config, key, value);
         texts.push(config.to_string());
     }
     let mut text = String::new();
@@ -196,21 +205,21 @@
     golden::check("check-config.txt", text.as_bytes());
 }
 
-/// Operator files: good ones, and a wrong one for each key. The fault for a key that is unknown names all that are known.
+/// Covers valid operator files and an error at each key. The error for an unknown key lists all known keys.
 #[test]
-fn keys_and_defaults_of_the_operator_file_stay() {
+fn keys_and_defaults_of_the_operator_file_match_the_golden_file() {
     let folder = tempfile::tempdir().unwrap();
     let (config, operator) = (folder.path().join("config.json"), folder.path().join("loomlb.toml"));
-    std::fs::write(&config, least().to_string()).unwrap();
+    std::fs::write(&config, minimal_config().to_string()).unwrap();
     let tier = "[tier]\nkey = \"sixteen letters.\"\n";
     let voters = "[[tier.voter]]\nname = \"a\"\nat = \"127.0.0.1:1\"\n";
-    let whole = format!("{tier}{voters}");
-    let in_tier = |line: &str| format!("{tier}{line}\n{voters}");
+    let complete = format!("{tier}{voters}");
+    let tier_with_line = |line: &str| format!("{tier}{line}\n{voters}");
     let mut files = vec![
         String::new(),
         "[log]\nformat = \"json\"\nlevel = \"info,loomlb_scheduler=debug\"".into(),
-        whole.clone(),
-        in_tier("on_lapse = \"strict\"\nbound_s = 9\ndrift = 0.02\ndelay_s = 0.5\nrenew_s = 0.5"),
+        complete.clone(),
+        tier_with_line("on_lapse = \"strict\"\nbound_s = 9\ndrift = 0.02\ndelay_s = 0.5\nrenew_s = 0.5"),
         "[quota]\n[[quota.node]]\nname = \"all\"\n".into(),
         std::fs::read_to_string(Path::new(env!("CARGO_MANIFEST_DIR")).join("deploy/loomlb.toml")).unwrap(),
         "novel = 1".into(),
@@ -234,7 +243,7 @@
         "[tier]".into(),
         "[tier]\nkey = \"short\"\nvoter = []".into(),
         "[tier]\nkey = \"sixteen letters.\"\nvoter = []".into(),
-        format!("{whole}{voters}{voters}"),
+        format!("{complete}{voters}{voters}"),
         format!("{tier}[[tier.voter]]\nname = \"a\"\nat = \"127.0.0.1:1\"\nnovel = 1"),
         "[quota]\nnovel = 1".into(),
         "[[quota.node]]\nname = \"all\"\nnovel = 1".into(),
@@ -260,7 +269,7 @@
         "history = 1",
         "trial_clock = 9.0",
     ] {
-        files.push(in_tier(line));
+        files.push(tier_with_line(line));
     }
     let mut text = String::new();
     for file in files {
--- a/tests/pins/forwards.rs
+++ b/tests/pins/forwards.rs
@@ -1,15 +1,15 @@
-//! What the program sends to workers and to discovery.
+//! Golden files of the requests to workers and to discovery.
 
 use crate::golden;
 use crate::stage::{Agent, Line, Mode, Server, Stage, job, list, response};
 
-/// A message with the address of its receiver and the time left masked.
-fn masked(message: &str, server: &Server) -> String {
+/// Masks the receiver's address and the time left in a message.
+fn mask_message(message: &str, server: &Server) -> String {
     let message = message.replace(&server.at().to_string(), &format!("<{}>", server.name));
     golden::visible(golden::mask_number_after(&message, "X-Time-Left: ").as_bytes())
 }
 
-/// A job with all headers that are passed on, and one that are not.
+/// Returns a job with every header that is forwarded, and one that is not.
 fn full_job() -> String {
     job("view", "a1", "3.000").replace(
         "Content-Length: 2",
@@ -19,33 +19,33 @@
 }
 
 #[test]
-fn what_a_worker_is_sent_stays() {
+fn requests_to_a_worker_match_the_golden_file() {
     let target = Server::new("s-00000001");
     let discovery = Agent::new(Mode::Answers, &[target.entry("active")]);
     let stage = Stage::new(&[&target], &discovery.server);
     let mut text = String::new();
-    let mut add =
-        |heading: &str, message: &str| text += &format!("== {heading}\n{}\n", masked(message, &target));
+    let mut append_section =
+        |heading: &str, message: &str| text += &format!("== {heading}\n{}\n", mask_message(message, &target));
     let mut client = stage.connect();
     client.say(&full_job());
     let mut worker = target.accept();
-    add("a job with all that is passed on", &worker.hear());
+    append_section("a job with all that is passed on", &worker.hear());
     worker.say(&response("202 Accepted", ""));
     stage.call_back(r#"{"id":"a1","from":"s-00000001","state":"done","result":"r"}"#);
     client.hear();
     client.say(&job("lodge", "a2", "3.000").replace("/lodge/7f", "/lodge/7f?x=1"));
-    add("a plain job, over the same connection", &worker.hear());
+    append_section("a plain job, over the same connection", &worker.hear());
     worker.say(&response("202 Accepted", ""));
     stage.until("undone=0 call_backs=1");
-    // The client goes: the job is given up by a call.
+    // The client disconnects, so the job is cancelled by a request.
     client.say_and_go("");
-    add("a job that is given up", &worker.hear());
+    append_section("a job that is given up", &worker.hear());
     golden::check("worker-requests.txt", text.as_bytes());
 }
 
-/// The look at a worker's load, where the settings permit it and workers report when they are asked.
+/// Covers a probe, with settings that permit probes and report loads only with them.
 #[test]
-fn what_a_worker_is_probed_with_stays() {
+fn probes_of_a_worker_match_the_golden_file() {
     let target = Server::new("s-00000001");
     let discovery = Agent::new(Mode::Answers, &[target.entry("active")]);
     let changes =
@@ -53,43 +53,46 @@
     let stage = Stage::changed(&[&target], &discovery.server, &changes);
     let mut client = stage.connect();
     client.say(&job("view", "a1", "3.000"));
-    let comers = crate::stage::Comers::new(&[&target]);
+    let connections = crate::stage::Comers::new(&[&target]);
     let probe = loop {
-        let (_, mut line) = comers.next();
-        let heard = line.hear();
-        if heard.starts_with("GET ") {
-            break heard;
+        let (_, mut connection) = connections.next();
+        let request = connection.hear();
+        if request.starts_with("GET ") {
+            break request;
         }
     };
-    let text = format!("== a probe\n{}\n", masked(&probe, &target));
+    let text = format!("== a probe\n{}\n", mask_message(&probe, &target));
     golden::check("worker-probes.txt", text.as_bytes());
 }
 
 #[test]
-fn what_discovery_is_asked_stays() {
+fn requests_to_discovery_match_the_golden_file() {
     let (first, second) = (Server::new("d1"), Server::new("d2"));
     let target = Server::new("s-00000001");
     let mut stage = Stage::new(&[], &first);
     let mut text = String::new();
-    let mut line = first.accept();
-    text += &format!("== the first call\n{}\n", masked(&line.hear(), &first));
-    line.say(&response("200 OK", &list(2, true, &[target.entry("active")])));
-    text += &format!("== the watch\n{}\n", masked(&line.hear(), &first));
-    line.say(&response("200 OK", &list(3, false, &[target.entry("leaving")])));
-    text += &format!("== the next watch\n{}\n", masked(&line.hear(), &first));
-    // The same file again: the whole list is asked for.
+    let mut connection = first.accept();
+    text += &format!("== the first call\n{}\n", mask_message(&connection.hear(), &first));
+    connection.say(&response("200 OK", &list(2, true, &[target.entry("active")])));
+    text += &format!("== the watch\n{}\n", mask_message(&connection.hear(), &first));
+    connection.say(&response("200 OK", &list(3, false, &[target.entry("leaving")])));
+    text += &format!("== the next watch\n{}\n", mask_message(&connection.hear(), &first));
+    // Reloading the same file requests the complete list.
     stage.reload("", "");
-    let mut again: Line = first.accept();
-    text += &format!("== after a reload\n{}\n", masked(&again.hear(), &first));
-    again.say(&response("200 OK", &list(3, true, &[target.entry("active")])));
-    again.hear();
-    let (old, new) = (first.at().to_string(), second.at().to_string());
-    stage.reload(&old, &new);
-    text += &format!("== after a reload that names another\n{}\n", masked(&second.accept().hear(), &second));
-    // A program that knows no list yet.
+    let mut connection_after_reload: Line = first.accept();
+    text += &format!("== after a reload\n{}\n", mask_message(&connection_after_reload.hear(), &first));
+    connection_after_reload.say(&response("200 OK", &list(3, true, &[target.entry("active")])));
+    connection_after_reload.hear();
+    let (first_address, second_address) = (first.at().to_string(), second.at().to_string());
+    stage.reload(&first_address, &second_address);
+    text += &format!(
+        "== after a reload that names another\n{}\n",
+        mask_message(&second.accept().hear(), &second)
+    );
+    // Starts without an initial list.
     let third = Server::new("d3");
     let stage = Stage::changed(&[], &third, &[(r#""known":{"seq":1,"whole":true,"hosts":[]},"#, "")]);
-    text += &format!("== the first call without a list\n{}\n", masked(&third.accept().hear(), &third));
+    text += &format!("== the first call without a list\n{}\n", mask_message(&third.accept().hear(), &third));
     drop(stage);
     golden::check("discovery-requests.txt", text.as_bytes());
 }
--- a/tests/pins/log.rs
+++ b/tests/pins/log.rs
@@ -1,4 +1,4 @@
-//! The log: lines for people and for machines, and the counters in them.
+//! Golden files of the log: text lines, JSON lines, and the counters.
 
 use crate::golden;
 use crate::stage::{Agent, Mode, Server, Stage, job, response};
@@ -6,10 +6,10 @@
 use std::io::{BufRead, BufReader};
 use std::process::{Command, Stdio};
 
-/// The names of the counters in their order, with the words between them; their values are another test's matter. Counters
-/// that are new stand at the end of their group.
+/// Covers the names and the order of the counters and the words between them, but not their values. New counters are
+/// added at the end of their group.
 #[test]
-fn the_counters_keep_their_names_and_their_order() {
+fn names_and_order_of_counters_match_the_golden_file() {
     let target = Server::new("s-00000001");
     let discovery = Agent::new(Mode::Answers, &[target.entry("active")]);
     let stage = Stage::operated(&[&target], &discovery.server);
@@ -24,43 +24,43 @@
     golden::check("counters.txt", (words.join(" ") + "\n").as_bytes());
 }
 
-/// What the log says of calls of staff, in lines for people.
+/// Covers the text log lines of control calls.
 #[test]
-fn lines_on_calls_of_staff_stay() {
+fn log_lines_of_control_calls_match_the_golden_file() {
     let target = Server::new("s-00000001");
     let discovery = Agent::new(Mode::Answers, &[target.entry("active")]);
     let stage = Stage::operated(&[&target], &discovery.server);
-    let (_, first) = stage.first_line.split_once(' ').unwrap();
-    let mut text = format!("<time> {}\n", first.replace(&stage.at.to_string(), "<listen>"));
+    let (_, startup_message) = stage.first_line.split_once(' ').unwrap();
+    let mut text = format!("<time> {}\n", startup_message.replace(&stage.at.to_string(), "<listen>"));
     for call in ["workers/s-00000001/offline", "workers/s-00000001/online", "out-of-service", "in-service"] {
         for _ in 0..2 {
             stage.order(&format!("PUT /control/{call}"));
-            // The name of the module stands before the message, and may be the same word.
-            let said = stage.logged("control: ");
-            text += &format!("control: {}\n", said.trim_start_matches("control: "));
+            // The log target precedes the message, and may be the same word.
+            let message = stage.logged("control: ");
+            text += &format!("control: {}\n", message.trim_start_matches("control: "));
         }
     }
     golden::check("log-staff.txt", text.as_bytes());
 }
 
-/// A line with its time, its measured figures and the address masked; all else stays byte for byte.
-fn masked(line: &str, at: &str) -> String {
+/// Masks the timestamp, the latency and the listening address in a JSON log line.
+fn mask_line(line: &str, address: &str) -> String {
     let (start, rest) = line.split_once("\"timestamp\":\"").unwrap();
     let (_, rest) = rest.split_once('"').unwrap();
-    let line = format!("{start}\"timestamp\":\"<time>\"{rest}").replace(at, "<listen>");
+    let line = format!("{start}\"timestamp\":\"<time>\"{rest}").replace(address, "<listen>");
     golden::mask_number_after(&line, "\"latency_us\":")
 }
 
-/// A job's life in the log at level `debug`, one JSON object a line.
+/// Covers the log lines of one job at level `debug`, each a JSON object.
 #[test]
-fn json_lines_keep_their_shape() {
+fn json_log_lines_match_the_golden_file() {
     let target = Server::new("s-00000001");
     let discovery = Agent::new(Mode::Answers, &[target.entry("active")]);
-    // A stage of its own has the configuration written; another process runs by it with the operator file.
-    let known = Stage::new(&[&target], &discovery.server);
+    // This stage only provides a configuration; the process under test uses it with an operator file.
+    let config_source = Stage::new(&[&target], &discovery.server);
     let files = tempfile::tempdir().unwrap();
     let (config, operator) = (files.path().join("config.json"), files.path().join("loomlb.toml"));
-    std::fs::write(&config, known.config()).unwrap();
+    std::fs::write(&config, config_source.config()).unwrap();
     std::fs::write(&operator, "[log]\nformat = \"json\"\nlevel = \"off,loomlb_scheduler=debug\"\n").unwrap();
     let mut child = Command::new(env!("CARGO_BIN_EXE_loomlb"))
         .args(["serve", "-c", config.to_str().unwrap(), "-o", operator.to_str().unwrap()])
@@ -69,32 +69,34 @@
         .spawn()
         .unwrap();
     let mut lines = BufReader::new(child.stderr.take().unwrap()).lines().map_while(Result::ok);
-    let mut all = Vec::new();
-    let mut next = |words: &str| loop {
+    let mut log_lines = Vec::new();
+    let mut read_until = |words: &str| loop {
         let line = lines.next().unwrap();
-        all.push(line.clone());
+        log_lines.push(line.clone());
         if line.contains(words) {
             return line;
         }
     };
-    let first: Value = serde_json::from_str(&next("serves at ")).unwrap();
-    let at = first["message"].as_str().unwrap().split_once("serves at ").unwrap().1.to_string();
-    let mut client = crate::stage::Line::new(std::net::TcpStream::connect(&at).unwrap());
+    let startup: Value = serde_json::from_str(&read_until("serves at ")).unwrap();
+    let address = startup["message"].as_str().unwrap().split_once("serves at ").unwrap().1.to_string();
+    let mut client = crate::stage::Line::new(std::net::TcpStream::connect(&address).unwrap());
     client.say(&job("view", "a1", "3.000").replace("Host: h", "Host: h\r\nX-Account: acme"));
     let mut worker = target.accept();
     worker.hear();
     worker.say(&response("202 Accepted", ""));
-    next("\"forwarded\"");
+    read_until("\"forwarded\"");
     let body = r#"{"id":"a1","from":"s-00000001","state":"done","result":"r"}"#;
-    let mut calls_back = crate::stage::Line::new(std::net::TcpStream::connect(&at).unwrap());
+    let mut call_back_connection = crate::stage::Line::new(std::net::TcpStream::connect(&address).unwrap());
     let length = body.len();
-    calls_back.say(&format!("POST /v1/job-events HTTP/1.1\r\nContent-Length: {length}\r\n\r\n{body}"));
+    call_back_connection
+        .say(&format!("POST /v1/job-events HTTP/1.1\r\nContent-Length: {length}\r\n\r\n{body}"));
     client.hear();
-    next("\"ended\"");
+    read_until("\"ended\"");
     let _ = child.kill();
     let _ = child.wait();
-    // Lines that tell of the list may come between any two of the job's.
-    let job = |line: &&String| line.contains("\"flow\":") || line.contains("serves at");
-    let text: String = all.iter().filter(job).map(|line| masked(line, &at) + "\n").collect();
+    // Log lines about the worker list may appear between those of the job.
+    let belongs_to_job = |line: &&String| line.contains("\"flow\":") || line.contains("serves at");
+    let text: String =
+        log_lines.iter().filter(belongs_to_job).map(|line| mask_line(line, &address) + "\n").collect();
     golden::check("log-lines.txt", text.as_bytes());
 }
--- a/tests/pins/restart.rs
+++ b/tests/pins/restart.rs
@@ -1,5 +1,5 @@
-//! The hot restart as the other process sees it: the snapshot that a successor gets, and one of an earlier build that a
-//! successor starts from. Frames and messages are pinned in their own package.
+//! Golden files of the hot restart: the snapshot that a successor receives, and a snapshot of an earlier build from
+//! which a successor starts. The golden files of frames and messages are in the package `loomlb-hot-restart`.
 
 use crate::golden;
 use crate::stage::{Agent, Mode, Platform, Server, Stage, job, response, until};
@@ -9,16 +9,16 @@
 use std::os::unix::net::{UnixListener, UnixStream};
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// The end of a link to another process.
-struct Partner {
+/// A connection to another process of the scheduler.
+struct RestartConnection {
     stream: UnixStream,
     frames: FrameDecoder,
 }
 
-impl Partner {
-    fn new(stream: UnixStream) -> Partner {
+impl RestartConnection {
+    fn new(stream: UnixStream) -> RestartConnection {
         stream.set_read_timeout(Some(std::time::Duration::from_secs(20))).unwrap();
-        Partner { stream, frames: FrameDecoder::default() }
+        RestartConnection { stream, frames: FrameDecoder::default() }
     }
     fn send(&mut self, message: &RestartMessage) {
         self.stream.write_all(&message.encode(false).unwrap()).unwrap();
@@ -28,29 +28,29 @@
             if let Some((message, _)) = self.frames.next_message().unwrap() {
                 return message;
             }
-            let mut piece = [0; 4096];
-            let length = self.stream.read(&mut piece).unwrap();
-            assert!(length > 0, "the link has ended");
-            self.frames.push(&piece[..length]);
+            let mut buffer = [0; 4096];
+            let length = self.stream.read(&mut buffer).unwrap();
+            assert!(length > 0, "the other process closed the connection");
+            self.frames.push(&buffer[..length]);
         }
     }
 }
 
-/// What the process that serves tells one that starts.
-fn snapshot(platform: &Platform) -> Value {
-    let mut partner = Partner::new(UnixStream::connect(platform.link()).unwrap());
-    partner.send(&RestartMessage::Hello { version: PROTOCOL_VERSION });
-    match partner.receive() {
+/// Requests the snapshot of the running process.
+fn request_snapshot(platform: &Platform) -> Value {
+    let mut connection = RestartConnection::new(UnixStream::connect(platform.link()).unwrap());
+    connection.send(&RestartMessage::Hello { version: PROTOCOL_VERSION });
+    match connection.receive() {
         RestartMessage::Snapshot(value) => value,
         other => panic!("{other:?}"),
     }
 }
 
-/// Masks what differs from run to run: times, what was measured in them, and random weights.
-fn mask(value: &mut Value, key: &str) {
+/// Masks numbers that differ from run to run: times, measurements and random weights.
+fn mask_numbers(value: &mut Value, key: &str) {
     match value {
-        Value::Object(keys) => keys.iter_mut().for_each(|(key, value)| mask(value, key)),
-        Value::Array(entries) => entries.iter_mut().for_each(|value| mask(value, key)),
+        Value::Object(keys) => keys.iter_mut().for_each(|(key, value)| mask_numbers(value, key)),
+        Value::Array(entries) => entries.iter_mut().for_each(|value| mask_numbers(value, key)),
         Value::Number(number)
             if !["seq", "born_ms", "block", "share", "id", "turn", "count"].contains(&key) =>
         {
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn the_snapshot_for_a_successor_keeps_its_keys_and_types() {
+fn the_snapshot_for_a_successor_matches_the_golden_file() {
     let (discovery, one, two) = (Server::new("d"), Server::new("s-00000001"), Server::new("s-00000002"));
     let platform = Platform::new();
     let stage = Stage::beside(&[&one, &two], &discovery, &platform);
@@ -77,77 +77,77 @@
     stage.call_back(r#"{"id":"a1","from":"s-00000001","state":"done","result":"r"}"#);
     client.hear();
     stage.order("PUT /control/out-of-service");
-    let mut value = snapshot(&platform);
-    // The order of the list is none.
+    let mut value = request_snapshot(&platform);
+    // The order of the entries is not defined.
     for list in ["/list/hosts", "/carried/workers"] {
         let entries = value.pointer_mut(list).and_then(Value::as_array_mut).unwrap();
         entries.sort_by_key(|entry| format!("{}{}", entry["host"], entry["id"]));
     }
-    mask(&mut value, "");
+    mask_numbers(&mut value, "");
     let text = serde_json::to_string_pretty(&value).unwrap() + "\n";
     let text = text.replace(&one.at().to_string(), "<one>").replace(&two.at().to_string(), "<two>");
     golden::check("snapshot.txt", text.as_bytes());
 }
 
-/// The configuration that is kept for a process that takes over: where it lies, and what stands in it.
+/// Covers the path and the content of the configuration that is saved for a successor.
 #[test]
-fn the_configuration_kept_for_a_successor_is_the_file_that_is_in_force() {
+fn the_configuration_saved_for_a_successor_is_the_active_one() {
     let (discovery, target) = (Server::new("d"), Server::new("s-00000001"));
     let platform = Platform::new();
     let mut stage = Stage::beside(&[&target], &discovery, &platform);
     stage.ready();
     stage.reload(r#""name":"lodge""#, r#""name":"sign""#);
     stage.logged("configuration reloaded");
-    let kept = std::fs::read_to_string(platform.folder.path().join("loomlb-127.0.0.1-0.json")).unwrap();
-    let in_force: Value = serde_json::from_str(stage.config()).unwrap();
-    assert_eq!(kept, in_force.to_string());
+    let saved = std::fs::read_to_string(platform.folder.path().join("loomlb-127.0.0.1-0.json")).unwrap();
+    let active: Value = serde_json::from_str(stage.config()).unwrap();
+    assert_eq!(saved, active.to_string());
 }
 
-/// About when the fixture was recorded, as Unix time in nanoseconds.
-const RECORDED: i64 = 1_796_207_381_262_118_251;
+/// The approximate time at which the fixture was recorded, as Unix time in nanoseconds.
+const RECORDED_AT: i64 = 1_796_207_381_262_118_251;
 
-/// Shifts all times, so that nothing is forgotten for its age: a predecessor's snapshot is never old.
-fn make_recent(value: &mut Value, by: i64) {
+/// Shifts all times by an offset, so that no entry of the fixture is discarded because of its age.
+fn shift_times(value: &mut Value, offset: i64) {
     match value {
-        Value::Object(keys) => keys.values_mut().for_each(|value| make_recent(value, by)),
-        Value::Array(entries) => entries.iter_mut().for_each(|value| make_recent(value, by)),
+        Value::Object(keys) => keys.values_mut().for_each(|value| shift_times(value, offset)),
+        Value::Array(entries) => entries.iter_mut().for_each(|value| shift_times(value, offset)),
         Value::Number(number) => {
-            if let Some(time) = number.as_i64().filter(|number| *number > RECORDED / 2) {
-                *value = (time + by).into();
+            if let Some(time) = number.as_i64().filter(|number| *number > RECORDED_AT / 2) {
+                *value = (time + offset).into();
             }
         }
         _ => {}
     }
 }
 
-/// A predecessor of an earlier build, played by the test: it offers the snapshot that lies as a fixture.
+/// The test acts as a predecessor of an earlier build and sends the snapshot of the fixture.
 #[test]
-#[expect(clippy::disallowed_methods, reason = "a build before dates its snapshot by the wall clock")]
+#[expect(clippy::disallowed_methods, reason = "an earlier build dates its snapshot by the wall clock")]
 fn a_successor_starts_from_the_snapshot_of_an_earlier_build() {
     let (discovery, one, two) =
         (Agent::new(Mode::Silent, &[]), Server::new("s-00000001"), Server::new("s-00000002"));
     let platform = Platform::new();
     let text = String::from_utf8(golden::fixture("snapshot.json")).unwrap();
     let text = text.replace("<one>", &one.at().to_string()).replace("<two>", &two.at().to_string());
-    let mut offered: Value = serde_json::from_str(&text).unwrap();
+    let mut received: Value = serde_json::from_str(&text).unwrap();
     let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap().as_nanos() as i64;
-    make_recent(&mut offered, now - RECORDED);
-    let predecessor = UnixListener::bind(platform.link()).unwrap();
-    let told = offered.clone();
-    let link = std::thread::spawn(move || {
-        let (stream, _) = predecessor.accept().unwrap();
-        let mut partner = Partner::new(stream);
-        assert_eq!(partner.receive(), RestartMessage::Hello { version: PROTOCOL_VERSION });
-        partner.send(&RestartMessage::Snapshot(told));
-        while partner.receive() != RestartMessage::Ready {}
-        partner.send(&RestartMessage::Committed);
-        partner.send(&RestartMessage::Bye);
-        partner
+    shift_times(&mut received, now - RECORDED_AT);
+    let listener = UnixListener::bind(platform.link()).unwrap();
+    let sent_snapshot = received.clone();
+    let predecessor = std::thread::spawn(move || {
+        let (stream, _) = listener.accept().unwrap();
+        let mut connection = RestartConnection::new(stream);
+        assert_eq!(connection.receive(), RestartMessage::Hello { version: PROTOCOL_VERSION });
+        connection.send(&RestartMessage::Snapshot(sent_snapshot));
+        while connection.receive() != RestartMessage::Ready {}
+        connection.send(&RestartMessage::Committed);
+        connection.send(&RestartMessage::Bye);
+        connection
     });
     let stage = Stage::beside(&[], &discovery.server, &platform);
-    let _partner = link.join().unwrap();
+    let _connection = predecessor.join().unwrap();
     stage.ready();
-    // Orders, the state of the service and the list are the predecessor's.
+    // The offline workers, the service state and the worker list are those of the predecessor.
     let state = stage.order("GET /control/ready");
     assert!(state.contains(r#""service":"draining","workers_out":["s-00000002"]"#), "{state}");
     stage.order("PUT /control/in-service");
@@ -156,24 +156,28 @@
     let mut worker = one.accept();
     assert!(worker.hear().contains("b1"));
     worker.say(&response("202 Accepted", ""));
-    // What it passes on itself is what it was told, but for what the job and the orders have changed.
-    let mut passed_on = Value::Null;
-    until("its own socket", || {
+    // Its own snapshot equals the received one, except for what the job and the control calls have changed.
+    let mut own_snapshot = Value::Null;
+    until("the successor opens its own hot-restart socket", || {
         if platform.link().exists() && UnixStream::connect(platform.link()).is_ok() {
-            passed_on = snapshot(&platform);
+            own_snapshot = request_snapshot(&platform);
         }
-        !passed_on.is_null()
+        !own_snapshot.is_null()
     });
     for key in ["classes", "tenants", "kinds", "zones", "orders", "discovery"] {
-        assert_eq!(passed_on[key], offered[key], "{key}");
+        assert_eq!(own_snapshot[key], received[key], "{key}");
     }
-    let hosts = |value: &Value| {
+    let sorted_hosts = |value: &Value| {
         let mut hosts: Vec<String> =
             value["list"]["hosts"].as_array().unwrap().iter().map(ToString::to_string).collect();
         hosts.sort();
         hosts
     };
-    assert_eq!(hosts(&passed_on), hosts(&offered));
-    let learned = |value: &Value| value["carried"]["classes"][1].clone();
-    assert_eq!(learned(&passed_on), learned(&offered), "a class that has had no job since");
+    assert_eq!(sorted_hosts(&own_snapshot), sorted_hosts(&received));
+    let learned_state = |value: &Value| value["carried"]["classes"][1].clone();
+    assert_eq!(
+        learned_state(&own_snapshot),
+        learned_state(&received),
+        "the learned state of a class without a job has changed"
+    );
 }
--- a/tests/pins/tier.rs
+++ b/tests/pins/tier.rs
@@ -1,4 +1,4 @@
-//! The tier as staff see it: status, proposals and their answers, and the command line's view of them.
+//! Golden files of the tier as operators see it: the status, the answers to proposals, and the command line.
 
 use crate::golden;
 use loomlb_emulator::rig::{Options, Rig};
@@ -8,8 +8,8 @@
 use std::net::TcpStream;
 use std::process::Command;
 
-/// A call of staff as bytes: the head and the body.
-fn call(rig: &Rig, n: usize, call: &str, body: &str) -> String {
+/// Makes a call at a scheduler's control listener and returns the complete response.
+fn control_call(rig: &Rig, n: usize, call: &str, body: &str) -> String {
     let mut stream = TcpStream::connect(rig.control(n)).unwrap();
     let length = body.len();
     write!(stream, "{call} HTTP/1.1\r\nHost: h\r\nContent-Length: {length}\r\n\r\n{body}").unwrap();
@@ -18,29 +18,29 @@
     answer
 }
 
-/// The same, again while no majority has agreed in time: on a busy machine that is an answer to any proposal.
-fn agreed(rig: &Rig, n: usize, what: &str, body: &str) -> String {
+/// Repeats a call while the answer is that no majority agreed in time, which any proposal can get on a busy machine.
+fn control_call_with_majority(rig: &Rig, n: usize, call: &str, body: &str) -> String {
     let mut answer = String::new();
-    crate::stage::until(what, || {
-        answer = call(rig, n, what, body);
+    crate::stage::until(call, || {
+        answer = control_call(rig, n, call, body);
         !answer.contains("no majority")
     });
     answer
 }
 
-/// Whether a status is that of a scheduler at rest: it holds a lease on this version, and so do all whom its voter knows.
-fn at_rest(status: &Value, version: u64) -> bool {
-    let on = json!({ "On": version });
+/// Whether a scheduler acts on this version with a lease, as does every scheduler to which its voter has granted one.
+fn is_stable(status: &Value, version: u64) -> bool {
+    let acting = json!({ "On": version });
     let grants = status["voter"]["promises_to"].as_array().cloned().unwrap_or_default();
     status["may_act"] == true
-        && status["acting"] == on
+        && status["acting"] == acting
         && status["lists"] == json!({"mine": 1, "newest": 1, "oldest": 1})
         && !grants.is_empty()
-        && grants.iter().all(|grant| grant["acting"] == on)
+        && grants.iter().all(|grant| grant["acting"] == acting)
 }
 
-/// Masks what differs from run to run in a status: who leads, what is left of a lease, numbers of processes, and counts.
-fn masked(mut status: Value) -> Value {
+/// Masks the values of a status that differ from run to run, such as the leader, the remaining lease and the counters.
+fn mask_status(mut status: Value) -> Value {
     for path in ["/lease_left_s", "/voter/leads", "/voter/leader"] {
         if let Some(value) = status.pointer_mut(path) {
             *value = "<masked>".into();
@@ -49,7 +49,7 @@
     if let Some(counts) = status["counts"].as_object_mut() {
         counts.values_mut().for_each(|count| *count = "<count>".into());
     }
-    // Which schedulers a voter has granted a lease at this moment, in whose name.
+    // The schedulers to which the voter has currently granted a lease vary.
     if let Some(grants) = status.pointer_mut("/voter/promises_to").and_then(Value::as_array_mut) {
         grants.iter_mut().for_each(|grant| {
             grant["name"] = "<name>".into();
@@ -58,7 +58,7 @@
         grants.truncate(1);
     }
     for pointer in ["/by", "/history/0/by"] {
-        // Whose file became the first version is a race.
+        // Which scheduler proposed the first version is a race.
         if let Some(by) = status.pointer_mut(pointer) {
             *by = "<name>".into();
         }
@@ -66,16 +66,16 @@
     status
 }
 
-fn command_line(rig: &Rig, args: &[&str], masks: &[(&str, &str)]) -> String {
+fn run_tier_command(rig: &Rig, args: &[&str], masks: &[(&str, &str)]) -> String {
     let mut command = Command::new(env!("CARGO_BIN_EXE_loomlb"));
     command.args(["tier", "--at", &rig.control(0).to_string()]).args(args).env_clear();
-    let out = command.output().unwrap();
+    let output = command.output().unwrap();
     let mut text = format!(
         "==== loomlb tier {}\nexit code {}\nstandard output:\n{}standard error:\n{}\n",
         args.join(" "),
-        out.status.code().unwrap(),
-        String::from_utf8_lossy(&out.stdout),
-        String::from_utf8_lossy(&out.stderr)
+        output.status.code().unwrap(),
+        String::from_utf8_lossy(&output.stdout),
+        String::from_utf8_lossy(&output.stderr)
     );
     for (value, mask) in masks {
         text = text.replace(value, mask);
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn what_staff_see_of_a_tier_stays() {
+fn tier_status_and_proposals_match_the_golden_file() {
     let options = Options {
         program: vec![env!("CARGO_BIN_EXE_loomlb").into()],
         schedulers: 3,
@@ -100,102 +100,126 @@
     let file = tempfile::NamedTempFile::new().unwrap();
     let path = file.path().to_str().unwrap();
     let mut text = String::new();
-    let mut add = |heading: &str, answer: &str| {
+    let mut append_section = |heading: &str, answer: &str| {
         writeln!(text, "== {heading}\n{}", golden::visible(answer.as_bytes())).unwrap();
     };
-    // A change that harms nobody is in force within one call; on a busy machine it is asked for until it is.
+    // A compatible change usually applies within one call; on a busy machine the call is repeated until it does.
     let mut settings = rig.settings(1);
     settings["classes"][0]["worth"] = 2.0.into();
     assert!(rig.until(|rig| {
-        call(rig, 1, "PUT /control/tier/settings/1", &settings.to_string());
+        control_call(rig, 1, "PUT /control/tier/settings/1", &settings.to_string());
         rig.all_on(&all, 2)
     }));
-    add("the same again", &agreed(&rig, 1, "PUT /control/tier/settings", &settings.to_string()));
-    add("after another version", &agreed(&rig, 1, "PUT /control/tier/settings/1", &settings.to_string()));
+    append_section(
+        "the same again",
+        &control_call_with_majority(&rig, 1, "PUT /control/tier/settings", &settings.to_string()),
+    );
+    append_section(
+        "after another version",
+        &control_call_with_majority(&rig, 1, "PUT /control/tier/settings/1", &settings.to_string()),
+    );
     let mut zones = settings.clone();
     zones["zones"] = json!(["z", "y"]);
-    add("what needs a restart", &agreed(&rig, 1, "PUT /control/tier/settings", &zones.to_string()));
+    append_section(
+        "what needs a restart",
+        &control_call_with_majority(&rig, 1, "PUT /control/tier/settings", &zones.to_string()),
+    );
     let mut bad = settings.clone();
     bad["classes"][0]["give_up"] = 0.into();
-    add("a bad figure", &agreed(&rig, 1, "PUT /control/tier/settings", &bad.to_string()));
-    add("no JSON", &agreed(&rig, 1, "PUT /control/tier/settings", "{"));
-    add("no number", &call(&rig, 1, "PUT /control/tier/settings/x", "{}"));
-    add("another method", &call(&rig, 1, "GET /control/tier/settings", ""));
-    add("an unknown worker", &call(&rig, 1, "PUT /control/workers/nobody/offline", ""));
-    // A contradicting change takes as long as leases do: the call may end before it is in force.
+    append_section(
+        "a bad figure",
+        &control_call_with_majority(&rig, 1, "PUT /control/tier/settings", &bad.to_string()),
+    );
+    append_section("no JSON", &control_call_with_majority(&rig, 1, "PUT /control/tier/settings", "{"));
+    append_section("no number", &control_call(&rig, 1, "PUT /control/tier/settings/x", "{}"));
+    append_section("another method", &control_call(&rig, 1, "GET /control/tier/settings", ""));
+    append_section("an unknown worker", &control_call(&rig, 1, "PUT /control/workers/nobody/offline", ""));
+    // A conflicting change waits for leases to expire, so the call may end before the change applies.
     settings["classes"][1]["effect"] = "at_most_once".into();
     assert!(rig.until(|rig| {
-        call(rig, 1, "PUT /control/tier/settings/2", &settings.to_string());
+        control_call(rig, 1, "PUT /control/tier/settings/2", &settings.to_string());
         rig.all_on(&all, 3)
     }));
     assert!(rig.until(|rig| {
-        call(rig, 1, "PUT /control/workers/s-00000001/offline", "").contains("\"in_force\":true")
+        control_call(rig, 1, "PUT /control/workers/s-00000001/offline", "").contains("\"in_force\":true")
     }));
     assert!(rig.until(|rig| rig.all_on(&all, 4)));
-    add("a worker that is out already", &call(&rig, 1, "PUT /control/workers/s-00000001/offline", ""));
+    append_section(
+        "a worker that is out already",
+        &control_call(&rig, 1, "PUT /control/workers/s-00000001/offline", ""),
+    );
     let (mut head, mut status) = (String::new(), Value::Null);
-    crate::stage::until("a status at rest", || {
-        let answer = call(&rig, 0, "GET /control/tier", "");
+    crate::stage::until("a stable status", || {
+        let answer = control_call(&rig, 0, "GET /control/tier", "");
         let (first, body) = answer.split_once("\r\n\r\n").unwrap();
         head = first.into();
         status = serde_json::from_str(body).unwrap();
-        at_rest(&status, 4)
+        is_stable(&status, 4)
     });
-    let status = masked(status);
-    let length = golden::mask_number_after(&head, "Content-Length: ");
-    add("the status", &format!("{length}\r\n\r\n{}", serde_json::to_string_pretty(&status).unwrap()));
-    let text_of = |value: &Value| serde_json::to_string_pretty(value).unwrap();
-    // The command line: its own status is the same value, printed for people.
-    let printed = |args: &[&str]| {
+    let status = mask_status(status);
+    let masked_head = golden::mask_number_after(&head, "Content-Length: ");
+    append_section(
+        "the status",
+        &format!("{masked_head}\r\n\r\n{}", serde_json::to_string_pretty(&status).unwrap()),
+    );
+    let to_text = |value: &Value| serde_json::to_string_pretty(value).unwrap();
+    // The command line prints the same status, indented.
+    let run_json_command = |args: &[&str]| {
         let mut command = Command::new(env!("CARGO_BIN_EXE_loomlb"));
         command.args(["tier", "--at", &rig.control(0).to_string()]).args(args).env_clear();
-        let out = command.output().unwrap();
-        (out.status.code(), serde_json::from_slice::<Value>(&out.stdout).unwrap(), out.stdout)
+        let output = command.output().unwrap();
+        (output.status.code(), serde_json::from_slice::<Value>(&output.stdout).unwrap(), output.stdout)
     };
-    let (mut code, mut value, mut bytes) = printed(&["status"]);
-    crate::stage::until("a status at rest", || {
-        (code, value, bytes) = printed(&["status"]);
-        at_rest(&value, 4)
+    let (mut code, mut value, mut printed) = run_json_command(&["status"]);
+    crate::stage::until("a stable status", || {
+        (code, value, printed) = run_json_command(&["status"]);
+        is_stable(&value, 4)
     });
-    assert_eq!(String::from_utf8(bytes).unwrap(), text_of(&value) + "\n", "it is printed with indents");
-    add(&format!("loomlb tier status, exit code {code:?}"), &text_of(&masked(value)));
-    let (code, mut value, _) = printed(&["history"]);
+    assert_eq!(
+        String::from_utf8(printed).unwrap(),
+        to_text(&value) + "\n",
+        "the status is not printed as indented JSON"
+    );
+    append_section(&format!("loomlb tier status, exit code {code:?}"), &to_text(&mask_status(value)));
+    let (code, mut value, _) = run_json_command(&["history"]);
     value[0]["by"] = "<name>".into();
-    add(&format!("loomlb tier history, exit code {code:?}"), &text_of(&value));
+    append_section(&format!("loomlb tier history, exit code {code:?}"), &to_text(&value));
     std::fs::write(path, json!({ "settings": settings }).to_string()).unwrap();
     let masks = [(path, "<file>"), (&*rig.control(0).to_string(), "<control>")];
     for args in [&["propose", path][..], &["propose", path, "--after", "1"], &["wait", "4"]] {
-        let mut said = String::new();
+        let mut output = String::new();
         crate::stage::until("an outcome", || {
-            said = command_line(&rig, args, &masks);
-            !said.contains("no majority")
+            output = run_tier_command(&rig, args, &masks);
+            !output.contains("no majority")
         });
-        text += &said;
+        text += &output;
     }
-    text += &command_line(&rig, &["wait", "9", "--seconds", "0.1"], &masks);
+    text += &run_tier_command(&rig, &["wait", "9", "--seconds", "0.1"], &masks);
     std::fs::write(path, "{}").unwrap();
-    text += &command_line(&rig, &["propose", path], &masks);
+    text += &run_tier_command(&rig, &["propose", path], &masks);
     std::fs::write(path, "{").unwrap();
-    text += &command_line(&rig, &["propose", path], &masks);
+    text += &run_tier_command(&rig, &["propose", path], &masks);
     golden::check("tier.txt", text.as_bytes());
 }
 
-/// One program without a tier, and nobody at the address.
+/// Covers a program without a tier, and an address at which no program listens.
 #[test]
-fn what_the_command_line_says_without_a_tier_stays() {
+fn command_line_output_without_a_tier_matches_the_golden_file() {
     use crate::stage::{Agent, Mode, Stage};
     let discovery = Agent::new(Mode::Answers, &[]);
     let stage = Stage::operated(&[], &discovery.server);
-    let call = |at: String, order: &str| {
+    let run_command = |address: String, subcommand: &str| {
         let mut command = Command::new(env!("CARGO_BIN_EXE_loomlb"));
-        let out = command.args(["tier", "--at", &at, order]).env_clear().output().unwrap();
-        let (said, fault) = (String::from_utf8_lossy(&out.stdout), String::from_utf8_lossy(&out.stderr));
-        format!("== {order}: exit code {}\n{said}{fault}", out.status.code().unwrap())
-            .replace(&at, "<control>")
+        let output = command.args(["tier", "--at", &address, subcommand]).env_clear().output().unwrap();
+        let (stdout, stderr) =
+            (String::from_utf8_lossy(&output.stdout), String::from_utf8_lossy(&output.stderr));
+        format!("== {subcommand}: exit code {}\n{stdout}{stderr}", output.status.code().unwrap())
+            .replace(&address, "<control>")
     };
-    let mut text = call(stage.control.to_string(), "status") + &call(stage.control.to_string(), "history");
-    // A port that was free a moment ago.
-    let nobody = std::net::TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
-    text += &call(nobody.to_string(), "status");
+    let mut text =
+        run_command(stage.control.to_string(), "status") + &run_command(stage.control.to_string(), "history");
+    // A port that was just released.
+    let unused_address = std::net::TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
+    text += &run_command(unused_address.to_string(), "status");
     golden::check("tier-none.txt", text.as_bytes());
 }
