--- a/tests/cli.rs
+++ b/tests/cli.rs
@@ -1,21 +1,22 @@
-//! The command line and the configuration, as a new user meets them.
+//! Error messages of the command line, the configuration and the operator file.
 
 use std::process::Command;
 
 fn run(args: &[&str]) -> String {
-    let out = Command::new(env!("CARGO_BIN_EXE_loomlb")).args(args).env_clear().output().unwrap();
-    let text = String::from_utf8([out.stdout, out.stderr].concat()).unwrap();
-    format!("{}: {}", out.status.code().unwrap(), text.trim())
+    let output = Command::new(env!("CARGO_BIN_EXE_loomlb")).args(args).env_clear().output().unwrap();
+    let text = String::from_utf8([output.stdout, output.stderr].concat()).unwrap();
+    format!("{}: {}", output.status.code().unwrap(), text.trim())
 }
 
 #[test]
-fn faults_on_the_command_line_and_in_the_configuration_are_named() {
+fn errors_on_the_command_line_and_in_the_configuration_are_explained() {
     let files = tempfile::tempdir().unwrap();
     let file = files.path().join("config.json");
-    let good =
+    let valid =
         r#"{"listen":"127.0.0.1:0","discovery":"127.0.0.1:1","settings":{"classes":[{"name":"view"}]}}"#;
-    let first = |text: String| text.lines().next().unwrap().to_string();
-    let mut said = vec![first(run(&["dance"])), first(run(&["serve", "--loud"])), run(&["serve"])];
+    let first_line = |text: String| text.lines().next().unwrap().to_string();
+    let mut outputs =
+        vec![first_line(run(&["dance"])), first_line(run(&["serve", "--loud"])), run(&["serve"])];
     assert!(run(&[]).starts_with("2: A job scheduler"));
     for (old, new) in [
         ("", ""),
@@ -27,11 +28,11 @@
         (r#"{"listen""#, r#"{"seed":"xyz","listen""#),
         (r#"{"listen""#, r#"{"peers":["127.0.0.1:1","x"],"listen""#),
     ] {
-        std::fs::write(&file, if old.is_empty() { good.to_string() } else { good.replace(old, new) })
+        std::fs::write(&file, if old.is_empty() { valid.to_string() } else { valid.replace(old, new) })
             .unwrap();
-        said.push(run(&["check-config", "-c", file.to_str().unwrap()]));
+        outputs.push(run(&["check-config", "-c", file.to_str().unwrap()]));
     }
-    std::fs::write(&file, good).unwrap();
+    std::fs::write(&file, valid).unwrap();
     let operator = files.path().join("loomlb.toml");
     for text in [
         "[log]\nformat = \"json\"",
@@ -44,10 +45,10 @@
         "[tier]\nkey = \"sixteen letters.\"\nvoter = []",
     ] {
         std::fs::write(&operator, text).unwrap();
-        let answer = run(&["check-config", "-c", file.to_str().unwrap(), "-o", operator.to_str().unwrap()]);
-        said.push(answer.lines().last().unwrap().replace(operator.to_str().unwrap(), "FILE"));
+        let output = run(&["check-config", "-c", file.to_str().unwrap(), "-o", operator.to_str().unwrap()]);
+        outputs.push(output.lines().last().unwrap().replace(operator.to_str().unwrap(), "FILE"));
     }
-    insta::assert_snapshot!(said.join("\n"), @r#"
+    insta::assert_snapshot!(outputs.join("\n"), @r#"
     2: error: unrecognized subcommand 'dance'
     2: error: unexpected argument '--loud' found
     2: loomlb: configuration: LB_CONFIG: not set, and no --config given
