--- a/tests/emulated.rs
+++ b/tests/emulated.rs
@@ -1,35 +1,38 @@
-//! The real program on the emulated platform, through every kind of trouble.
+//! Runs the built program on the emulated platform.
 
 use loomlb_emulator::{Options, Stop};
 use loomlb_simulation::{Day, TroubleKind};
 
-/// A quarter of a minute with all eighteen troubles: what was taken is answered once and in time, nothing runs twice
-/// that must not, no drained, cold or gone worker gets what it should not, and no scheduler ends by itself.
+/// Guards against lost, late and duplicated jobs, jobs sent to unsuitable workers, and crashes, while every kind of
+/// fault occurs.
 #[test]
-fn a_day_with_every_trouble_breaks_no_rule() {
+fn an_emulated_day_with_every_kind_of_fault_breaks_no_rule() {
     let day = Day::read(include_str!("../crates/lab/days/every.toml")).unwrap();
     let options = Options::new(vec![env!("CARGO_BIN_EXE_loomlb").into()]);
-    let played = loomlb_emulator::run(&day, 7, options, Stop::default(), &mut |_| {}).unwrap();
-    let stories: Vec<String> = played.first.iter().map(ToString::to_string).collect();
-    assert_eq!(played.breaches, 0, "{}", stories.join("\n"));
-    assert_eq!((played.crashes, played.mangled, played.strangers, played.datagrams_too_long), (0, 0, 0, 0));
+    let outcome = loomlb_emulator::run(&day, 7, options, Stop::default(), &mut |_| {}).unwrap();
+    let breach_reports: Vec<String> = outcome.first.iter().map(ToString::to_string).collect();
+    assert_eq!(outcome.breaches, 0, "{}", breach_reports.join("\n"));
+    assert_eq!(
+        (outcome.crashes, outcome.mangled, outcome.strangers, outcome.datagrams_too_long),
+        (0, 0, 0, 0)
+    );
     for kind in TroubleKind::ALL {
-        assert!(played.counters.of(kind) > 0, "{} did nothing", kind.name());
+        assert!(outcome.counters.of(kind) > 0, "{} had no effect", kind.name());
     }
-    assert!(played.overtaken > 0 && played.call_backs_to_successor > 0 && played.datagrams > 0);
-    assert!(played.served * 10 > played.figures.requests * 6, "{played:?}");
+    assert!(outcome.overtaken > 0 && outcome.call_backs_to_successor > 0 && outcome.datagrams > 0);
+    assert!(outcome.served * 10 > outcome.figures.requests * 6, "{outcome:?}");
 }
 
-/// The same surge as in virtual time, on sockets: the operator file's quotas hold a member's share while another surges
-/// to six times its usual traffic.
+/// Guards against a tenant that takes another tenant's share of a quota while its traffic is six times the usual.
 #[test]
-fn quotas_hold_shares_through_a_surge_on_sockets() {
+fn quotas_preserve_the_share_of_a_tenant_during_a_surge_of_another() {
     let day = Day::read(include_str!("../crates/lab/days/surge.toml")).unwrap();
     let options = Options::new(vec![env!("CARGO_BIN_EXE_loomlb").into()]);
-    let played = loomlb_emulator::run(&day, 2, options, Stop::default(), &mut |_| {}).unwrap();
-    assert_eq!((played.breaches, played.crashes, played.mangled), (0, 0, 0));
-    let served = |tenant: usize| played.figures.tenant_work[tenant][10..19].iter().map(|s| s[1]).sum::<f64>();
-    let part = served(0) / (served(0) + served(1));
-    // One run of ten seconds holds some 600 jobs: chance alone moves the part by a few percent.
-    assert!((part - 0.73).abs() <= 0.1 * 0.73, "{part}");
+    let outcome = loomlb_emulator::run(&day, 2, options, Stop::default(), &mut |_| {}).unwrap();
+    assert_eq!((outcome.breaches, outcome.crashes, outcome.mangled), (0, 0, 0));
+    let served =
+        |tenant: usize| outcome.figures.tenant_work[tenant][10..19].iter().map(|s| s[1]).sum::<f64>();
+    let share = served(0) / (served(0) + served(1));
+    // Ten seconds contain some 600 jobs, so the share varies by a few percent at random.
+    assert!((share - 0.73).abs() <= 0.1 * 0.73, "{share}");
 }
