--- a/tests/endings.rs
+++ b/tests/endings.rs
@@ -2,10 +2,10 @@
 //! which something is still owed. The crossing is forced: a peer holds back or sends at a point that the program has
 //! provably reached, and nothing is slept for but time that must pass. docs/design/0008-endings.md names the terms.
 
-mod stage;
+mod harness;
 
+use harness::{Agent, Line, Mode, Narrow, SchedulerProcess, Server, job, list, response};
 use insta::assert_snapshot;
-use stage::{Agent, Line, Mode, Narrow, Server, Stage, job, list, response};
 use std::time::{Duration, Instant};
 
 /// Clients that wait for long, so that nothing here ends for its time.
@@ -24,18 +24,18 @@
 }
 
 /// Serves the next job on a connection as its target would.
-fn serve(stage: &Stage, line: &mut Line, from: &Server, id: &str) {
+fn serve(scheduler: &SchedulerProcess, line: &mut Line, from: &Server, id: &str) {
     let head = line.hear();
     assert!(head.contains(&format!("X-Correlation-Id: {id}\r\n")), "another job than {id}: {head}");
     line.say(&response("202 Accepted", ""));
-    stage.call_back(&done(id, from));
+    scheduler.call_back(&done(id, from));
 }
 
 /// A job of a new client goes to this server and is served there.
-fn goes_to(stage: &Stage, to: &Server, id: &str, seconds: &str) {
-    let mut client = stage.connect();
+fn goes_to(scheduler: &SchedulerProcess, to: &Server, id: &str, seconds: &str) {
+    let mut client = scheduler.connect();
     client.say(&job("view", id, seconds));
-    serve(stage, &mut to.accept(), to, id);
+    serve(scheduler, &mut to.accept(), to, id);
     assert!(client.answer().ends_with(id), "{id}");
 }
 
@@ -45,7 +45,7 @@
 #[test]
 fn a_client_that_leaves_while_its_job_waits_is_noticed_whatever_it_says_as_it_goes() {
     let (discovery, target) = (Agent::new(Mode::Silent, &[]), Server::new("s-00000001"));
-    let stage = Stage::changed(&[], &discovery.server, &[PATIENT, ROOMY]);
+    let scheduler = SchedulerProcess::start_with_changes(&[], &discovery.server, &[PATIENT, ROOMY]);
     type Way = (&'static str, fn(Line));
     let ways: [Way; 5] = [
         ("closes", drop),
@@ -56,19 +56,19 @@
     ];
     let waiting: Vec<_> = (0..20)
         .map(|n| {
-            let mut line = stage.connect();
+            let mut line = scheduler.connect();
             line.say(&job("view", &format!("a{n}"), "19.000"));
             (line, ways[n % ways.len()])
         })
         .collect();
-    stage.until("flows=20 forwards=0");
+    scheduler.until("flows=20 forwards=0");
     waiting.into_iter().for_each(|(line, (_, go))| go(line));
-    stage.until("flows=20 gone=20 forwards=0");
+    scheduler.until("flows=20 gone=20 forwards=0");
     // There is a worker now, and one job that is still wanted.
     discovery.lists(&[target.entry("active")]);
     discovery.mode(Mode::Answers);
-    goes_to(&stage, &target, "b1", "19.000");
-    stage.until("flows=21 gone=20 forwards=1");
+    goes_to(&scheduler, &target, "b1", "19.000");
+    scheduler.until("flows=21 gone=20 forwards=1");
 }
 
 /// A process that stands still, as one without its core does, finds requests whose clients have gone long ago.
@@ -76,38 +76,42 @@
 fn a_request_whose_client_left_before_it_was_read_is_never_taken() {
     let (discovery, target) = (Agent::new(Mode::Answers, &[]), Server::new("s-00000001"));
     discovery.lists(&[target.entry("active")]);
-    let stage = Stage::new(&[&target], &discovery.server);
-    let mut kept = stage.connect();
+    let scheduler = SchedulerProcess::start(&[&target], &discovery.server);
+    let mut kept = scheduler.connect();
     kept.say("GET /healthz HTTP/1.1\r\n\r\n");
     assert!(kept.answer().ends_with("ready"));
-    stage.freeze();
+    scheduler.freeze();
     for i in 0..3 {
-        stage.connect().say_and_go(&job("view", &format!("a{i}"), "3.000"));
-        stage.connect().say_and_go(&job("view", &format!("b{i}"), "3.000").repeat(3));
+        scheduler.connect().say_and_go(&job("view", &format!("a{i}"), "3.000"));
+        scheduler.connect().say_and_go(&job("view", &format!("b{i}"), "3.000").repeat(3));
     }
     kept.say_and_go(&job("view", "c", "3.000"));
-    let mut stays = stage.connect();
+    let mut stays = scheduler.connect();
     stays.say(&job("view", "d", "3.000"));
-    stage.signal("CONT");
-    serve(&stage, &mut target.accept(), &target, "d");
+    scheduler.signal("CONT");
+    serve(&scheduler, &mut target.accept(), &target, "d");
     assert!(stays.answer().ends_with("d"));
-    assert_snapshot!(stage.counters(&["flows", "forwards"]), @"flows=1 forwards=1");
+    assert_snapshot!(scheduler.counters(&["flows", "forwards"]), @"flows=1 forwards=1");
 }
 
 /// The first byte of a forward is what counts: its dial may have begun long before the client left.
 #[test]
 fn a_forward_whose_dial_comes_up_after_its_client_left_is_not_written() {
     let (discovery, mut narrow) = (Agent::new(Mode::Silent, &[]), Narrow::new("s-00000001"));
-    let stage = Stage::changed(&[&narrow.server], &discovery.server, &[PATIENT, SLOW_DIALS, NO_CANCEL]);
-    let mut client = stage.connect();
+    let scheduler = SchedulerProcess::start_with_changes(
+        &[&narrow.server],
+        &discovery.server,
+        &[PATIENT, SLOW_DIALS, NO_CANCEL],
+    );
+    let mut client = scheduler.connect();
     client.say(&job("view", "a1", "19.000"));
-    stage.until("forwards=1 NotSent=0 dials=1");
+    scheduler.until("forwards=1 NotSent=0 dials=1");
     drop(client);
-    stage.until("gone=1 forwards=1 NotSent=0");
+    scheduler.until("gone=1 forwards=1 NotSent=0");
     narrow.widen();
-    stage.until("gone=1 forwards=1 NotSent=1 dials=1");
+    scheduler.until("gone=1 forwards=1 NotSent=1 dials=1");
     // The connection that came up is kept, and the next job is the first that is ever said on it.
-    goes_to(&stage, &narrow.server, "b1", "19.000");
+    goes_to(&scheduler, &narrow.server, "b1", "19.000");
 }
 
 /// An attempt that comes back unstarted once its client has gone is the last one, also where attempts are not cancelled.
@@ -115,21 +119,21 @@
 fn a_first_attempt_that_comes_back_after_its_client_left_is_followed_by_none() {
     let (one, two) = (Server::new("s-00000001"), Server::new("s-00000002"));
     let discovery = Agent::new(Mode::Answers, &[one.entry("active")]);
-    let stage = Stage::changed(&[&one], &discovery.server, &[PATIENT, NO_CANCEL]);
-    stage.until("lists=1");
-    let mut client = stage.connect();
+    let scheduler = SchedulerProcess::start_with_changes(&[&one], &discovery.server, &[PATIENT, NO_CANCEL]);
+    scheduler.until("lists=1");
+    let mut client = scheduler.connect();
     client.say(&job("view", "a1", "19.000"));
     let mut first = one.accept();
     assert!(first.hear().contains("a1"));
     discovery.lists(&[one.entry("leaving"), two.entry("active")]);
-    stage.until("lists=2");
+    scheduler.until("lists=2");
     drop(client);
-    stage.until("gone=1 forwards=1");
+    scheduler.until("gone=1 forwards=1");
     first.say(TURNED_AWAY);
-    stage.until("gone=1 forwards=1 Full=1");
+    scheduler.until("gone=1 forwards=1 Full=1");
     // The first that the other worker hears is the next client's job.
-    goes_to(&stage, &two, "b1", "19.000");
-    stage.until("gone=1 forwards=2 Full=1");
+    goes_to(&scheduler, &two, "b1", "19.000");
+    scheduler.until("gone=1 forwards=2 Full=1");
 }
 
 // ---- the time that an attempt tells its worker
@@ -140,13 +144,13 @@
 fn a_further_attempt_tells_its_worker_no_more_than_what_is_left_to_the_client() {
     let (one, mut narrow) = (Server::new("s-00000001"), Narrow::new("s-00000002"));
     let discovery = Agent::new(Mode::Answers, &[one.entry("active")]);
-    let stage = Stage::changed(&[&one], &discovery.server, &[PATIENT, SLOW_DIALS]);
-    stage.until("lists=1");
+    let scheduler = SchedulerProcess::start_with_changes(&[&one], &discovery.server, &[PATIENT, SLOW_DIALS]);
+    scheduler.until("lists=1");
     let told = |head: &str| -> f64 {
         let line = head.lines().find_map(|l| l.strip_prefix("X-Time-Left: "));
         line.expect("it tells its time").parse().unwrap()
     };
-    let mut client = stage.connect();
+    let mut client = scheduler.connect();
     client.say(&job("view", "a1", "15.000"));
     let mut first = one.accept();
     let at_first = told(&first.hear());
@@ -154,10 +158,10 @@
     let heard = Instant::now();
     assert!(at_first <= 15.0, "{at_first}");
     discovery.lists(&[one.entry("leaving"), narrow.server.entry("active")]);
-    stage.until("lists=2");
+    scheduler.until("lists=2");
     std::thread::sleep(Duration::from_millis(700));
     first.say(TURNED_AWAY);
-    stage.until("forwards=2 Full=1 dials=2");
+    scheduler.until("forwards=2 Full=1 dials=2");
     std::thread::sleep(Duration::from_millis(700));
     let left = 15.0 - heard.elapsed().as_secs_f64();
     narrow.widen();
@@ -165,21 +169,21 @@
     let at_second = told(&second.hear());
     assert!(at_second <= left + 0.001 && at_second > 0.0, "{at_second} told, {left} left");
     second.say(&response("202 Accepted", ""));
-    stage.call_back(&done("a1", &narrow.server));
+    scheduler.call_back(&done("a1", &narrow.server));
     assert!(client.answer().ends_with("a1"));
 }
 
 // ---- messages in pieces, in all forms, slowly, and many at once
 
 /// What is said of one message in pieces, each read before the next is said: a turn of the program's loop lies between them.
-fn in_pieces(stage: &Stage, line: &mut Line, text: &str) {
+fn in_pieces(scheduler: &SchedulerProcess, line: &mut Line, text: &str) {
     let body = text.find("\r\n\r\n").map_or(text.len(), |at| at + 4);
     let mut cuts = [3, body / 3, body - 3, body - 1, body + 1, text.len()];
     cuts.sort_unstable();
     let mut from = 0;
     for to in cuts.into_iter().filter(|to| *to <= text.len()) {
         line.say(&text[from..to]);
-        stage.counters(&["flows"]);
+        scheduler.counters(&["flows"]);
         from = to;
     }
 }
@@ -188,7 +192,7 @@
 #[test]
 fn messages_in_pieces_and_in_all_allowed_forms_are_read_like_any_other() {
     let (discovery, one, two) = (Server::new("d"), Server::new("s-00000001"), Server::new("s-00000002"));
-    let stage = Stage::new(&[&one], &discovery);
+    let scheduler = SchedulerProcess::start(&[&one], &discovery);
     // An indented list in chunks takes the place of the one that was known.
     let mut line = discovery.accept();
     line.hear();
@@ -198,11 +202,11 @@
     let (a, b) = text.split_at(text.len() / 2);
     let chunked = format!("{:x}\r\n{a}\r\n{:X};part=2\r\n{b}\r\n0\r\n\r\n", a.len(), b.len());
     in_pieces(
-        &stage,
+        &scheduler,
         &mut line,
         &format!("HTTP/1.1 200 Fine\r\ntransfer-encoding: Chunked\r\n\r\n{chunked}"),
     );
-    stage.until("lists=1");
+    scheduler.until("lists=1");
     // What a client may send: names in any case, blanks or none, decimals or whole seconds, a query, a body of any bytes
     // and in chunks, more headers than anybody knows.
     let head =
@@ -232,24 +236,24 @@
             // The last of the call-backs has the first letter of the number escaped.
             let id = format!("i{n}{m}");
             let call = calls[(n + m) % 3].replace(r"\u0069D", &format!(r"\u0069{n}{m}")).replace("ID", &id);
-            let mut client = stage.connect();
-            in_pieces(&stage, &mut client, &request.replace("ID", &id));
+            let mut client = scheduler.connect();
+            in_pieces(&scheduler, &mut client, &request.replace("ID", &id));
             let mut forward = two.accept();
             let heard = forward.hear();
             assert!(heard.starts_with("POST /view/7f?a=b&c=%20 HTTP/1.1\r\n"), "{heard}");
             assert!(heard.contains(&format!("\r\nX-Correlation-Id: {id}\r\n")), "{heard}");
             assert!(heard.contains(&format!("\r\nIdempotency-Key: k-{id}\r\n")), "{heard}");
             assert!(heard.ends_with("\r\n\r\nh\r\ni"), "{heard}");
-            let mut caller = stage.connect();
+            let mut caller = scheduler.connect();
             let call =
                 format!("POST /v1/job-events HTTP/1.1\r\ncontent-length: {}\r\n\r\n{call}", call.len());
             let early = m == 0;
             if early {
-                in_pieces(&stage, &mut caller, &call);
+                in_pieces(&scheduler, &mut caller, &call);
             }
-            in_pieces(&stage, &mut forward, taken);
+            in_pieces(&scheduler, &mut forward, taken);
             if !early {
-                in_pieces(&stage, &mut caller, &call);
+                in_pieces(&scheduler, &mut caller, &call);
             }
             assert_eq!(caller.answer(), "HTTP/1.1 200 OK | noted");
             assert_eq!(client.answer(), format!("HTTP/1.1 200 OK | made {id}"));
@@ -263,20 +267,20 @@
 #[test]
 fn a_slow_writers_time_counts_from_its_last_byte_and_others_are_served_meanwhile() {
     let (discovery, target) = (Agent::new(Mode::Silent, &[]), Server::new("s-00000001"));
-    let stage = Stage::new(&[&target], &discovery.server);
-    let mut slow = stage.connect();
+    let scheduler = SchedulerProcess::start(&[&target], &discovery.server);
+    let mut slow = scheduler.connect();
     let text = job("view", "a1", "0.900");
     let (body, begun) = (text.len() - 1, Instant::now());
     slow.say(&text[..body - 60]);
-    goes_to(&stage, &target, "b1", "3.000");
+    goes_to(&scheduler, &target, "b1", "3.000");
     while begun.elapsed() < Duration::from_millis(1100) {
         std::thread::sleep(Duration::from_millis(50));
     }
     slow.say(&text[body - 60..body]);
-    assert_snapshot!(stage.counters(&["flows", "forwards"]), @"flows=1 forwards=1");
+    assert_snapshot!(scheduler.counters(&["flows", "forwards"]), @"flows=1 forwards=1");
     slow.say(&text[body..]);
     let mut forward = target.accept();
-    serve(&stage, &mut forward, &target, "a1");
+    serve(&scheduler, &mut forward, &target, "a1");
     assert!(slow.answer().ends_with("a1"));
 }
 
@@ -285,18 +289,18 @@
 fn many_commands_in_one_piece_are_answered_one_by_one_in_their_order() {
     const MANY: usize = 30;
     let (discovery, target) = (Agent::new(Mode::Silent, &[]), Server::new("s-00000001"));
-    let stage = Stage::changed(&[&target], &discovery.server, &[PATIENT]);
-    let mut client = stage.connect();
+    let scheduler = SchedulerProcess::start_with_changes(&[&target], &discovery.server, &[PATIENT]);
+    let mut client = scheduler.connect();
     let health = "GET /healthz HTTP/1.1\r\n\r\n";
     let all: String = (0..MANY).map(|n| job("view", &format!("a{n}"), "19.000") + health).collect();
     client.say(&all);
     let mut forward = target.accept();
     for n in 0..MANY {
-        serve(&stage, &mut forward, &target, &format!("a{n}"));
+        serve(&scheduler, &mut forward, &target, &format!("a{n}"));
         assert_eq!(client.answer(), format!("HTTP/1.1 200 OK | a{n}"));
         assert_eq!(client.answer(), "HTTP/1.1 200 OK | ready");
     }
-    assert_snapshot!(stage.counters(&["flows", "forwards", "served"]), @"flows=30 served=30 forwards=30");
+    assert_snapshot!(scheduler.counters(&["flows", "forwards", "served"]), @"flows=30 served=30 forwards=30");
 }
 
 // ---- what changes while a dial is on its way
@@ -308,17 +312,21 @@
     let discovery = Agent::new(Mode::Answers, &[narrow.server.entry("active")]);
     // A grace of a minute: not even the grace is ours to use up.
     let grace = (r#""drain_grace":1000000000"#, r#""drain_grace":60000000000"#);
-    let stage = Stage::changed(&[&narrow.server], &discovery.server, &[PATIENT, SLOW_DIALS, grace]);
-    stage.until("lists=1");
-    let mut client = stage.connect();
+    let scheduler = SchedulerProcess::start_with_changes(
+        &[&narrow.server],
+        &discovery.server,
+        &[PATIENT, SLOW_DIALS, grace],
+    );
+    scheduler.until("lists=1");
+    let mut client = scheduler.connect();
     client.say(&job("lodge", "a1", "19.000"));
-    stage.until("forwards=1 dials=1");
+    scheduler.until("forwards=1 dials=1");
     discovery.lists(&[news(&narrow.server), two.entry("active")]);
-    stage.until("lists=2");
+    scheduler.until("lists=2");
     narrow.widen();
-    serve(&stage, &mut two.accept(), &two, "a1");
+    serve(&scheduler, &mut two.accept(), &two, "a1");
     assert!(client.answer().ends_with("a1"));
-    assert_eq!(stage.counters(&["forwards", "NotSent", "served"]), "served=1 forwards=2 NotSent=1");
+    assert_eq!(scheduler.counters(&["forwards", "NotSent", "served"]), "served=1 forwards=2 NotSent=1");
 }
 
 #[test]
@@ -340,20 +348,21 @@
     let discovery = Agent::new(Mode::Answers, &[one.entry("active")]);
     let keyed = r#""effect":"deduplicated","group":"cell","repeat_window":2000000000"#;
     let keyed = (r#""effect":"idempotent""#, keyed);
-    let stage = Stage::changed(&[&one], &discovery.server, &[PATIENT, SLOW_DIALS, keyed]);
-    stage.until("lists=1");
-    let mut client = stage.connect();
+    let scheduler =
+        SchedulerProcess::start_with_changes(&[&one], &discovery.server, &[PATIENT, SLOW_DIALS, keyed]);
+    scheduler.until("lists=1");
+    let mut client = scheduler.connect();
     client.say(&job("view", "a1", "19.000").replace("X-Service", "Idempotency-Key: k\r\nX-Service"));
     let mut first = one.accept();
     assert!(first.hear().contains("Idempotency-Key: k\r\n"));
     discovery.lists(&[one.entry("leaving"), narrow.server.entry("active")]);
-    stage.until("forwards=1 lists=2");
+    scheduler.until("forwards=1 lists=2");
     drop(first);
-    stage.until("forwards=2 Reset=1 dials=2");
+    scheduler.until("forwards=2 Reset=1 dials=2");
     std::thread::sleep(Duration::from_millis(2100));
     narrow.widen();
     assert_snapshot!(client.answer(), @"HTTP/1.1 502 Bad Gateway | failed");
-    assert_snapshot!(stage.counters(&["forwards", "NotSent"]), @"forwards=2 NotSent=1");
+    assert_snapshot!(scheduler.counters(&["forwards", "NotSent"]), @"forwards=2 NotSent=1");
 }
 
 // ---- watches and calls that die
@@ -368,8 +377,8 @@
         let asks = (r#""registry_mode":"automatic""#, &*format!(r#""registry_mode":"{mode}""#));
         let bound = (r#""obligations":{"#, r#""obligations":{"must_ask_in":10000000000,"#);
         let discovery = Agent::new(Mode::Answers, &[one.entry("active")]);
-        let start = || Stage::changed(&[&one], &discovery.server, &[asks, bound]);
-        let stages: Vec<Stage> = (0..FLEET).map(|_| start()).collect();
+        let start = || SchedulerProcess::start_with_changes(&[&one], &discovery.server, &[asks, bound]);
+        let schedulers: Vec<SchedulerProcess> = (0..FLEET).map(|_| start()).collect();
         discovery.called("from=2&hold_ms=", FLEET);
         discovery.mode(Mode::Silent);
         discovery.lists(&[one.entry("leaving"), two.entry("active")]);
@@ -378,8 +387,8 @@
         discovery.mode(Mode::Answers);
         discovery.called("from=3", FLEET);
         assert!(silent.elapsed() < Duration::from_secs(6), "{mode}: {:?}", silent.elapsed());
-        for stage in &stages {
-            goes_to(stage, &two, "a1", "3.000");
+        for scheduler in &schedulers {
+            goes_to(scheduler, &two, "a1", "3.000");
         }
     }
 }
@@ -390,24 +399,24 @@
 fn a_watch_that_falls_silent_late_at_a_process_that_is_to_end_is_opened_anew_in_time() {
     let (one, two) = (Server::new("s-00000001"), Server::new("s-00000002"));
     let discovery = Agent::new(Mode::Answers, &[one.entry("leaving")]);
-    let mut stage = Stage::changed(&[&one], &discovery.server, &[PATIENT]);
-    stage.until("lists=1");
+    let mut scheduler = SchedulerProcess::start_with_changes(&[&one], &discovery.server, &[PATIENT]);
+    scheduler.until("lists=1");
     discovery.called("from=2", 4);
-    let mut client = stage.connect();
+    let mut client = scheduler.connect();
     client.say(&job("view", "a1", "19.000"));
-    stage.until("flows=1 forwards=0");
+    scheduler.until("flows=1 forwards=0");
     let before = discovery.calls("from=2").len();
     discovery.mode(Mode::Silent);
     discovery.lists(&[two.entry("active")]);
     let silent = Instant::now();
-    stage.signal("TERM");
-    stage.logged("asked to end");
+    scheduler.signal("TERM");
+    scheduler.logged("asked to end");
     discovery.called("from=2", before + 1);
     discovery.mode(Mode::Answers);
-    serve(&stage, &mut two.accept(), &two, "a1");
+    serve(&scheduler, &mut two.accept(), &two, "a1");
     assert!(silent.elapsed() < Duration::from_secs(6), "{:?}", silent.elapsed());
     assert!(client.answer().ends_with("a1"));
-    assert!(stage.ended());
+    assert!(scheduler.ended());
 }
 
 /// Where the list is asked for, calls that are turned away are made again so soon that discovery's first answer after an
@@ -418,14 +427,14 @@
     let asks = (r#""registry_mode":"automatic""#, r#""registry_mode":"subscribe""#);
     let bound = (r#""obligations":{"#, r#""obligations":{"must_ask_in":10000000000,"#);
     let discovery = Agent::new(Mode::Refuses, &[one.entry("leaving"), two.entry("active")]);
-    let stage = Stage::changed(&[&one], &discovery.server, &[asks, bound]);
+    let scheduler = SchedulerProcess::start_with_changes(&[&one], &discovery.server, &[asks, bound]);
     discovery.called("GET", 7);
     let calls = discovery.calls("GET");
     let longest = calls.windows(2).map(|pair| pair[1] - pair[0]).max().unwrap();
     assert!(longest < Duration::from_secs(2), "{longest:?}");
     discovery.mode(Mode::Answers);
     discovery.called("from=2", 1);
-    goes_to(&stage, &two, "a1", "3.000");
+    goes_to(&scheduler, &two, "a1", "3.000");
 }
 
 /// What the agent has counts from the first moment, and at once when an outage ends: a call that it left unanswered is not
@@ -433,14 +442,14 @@
 #[test]
 fn a_call_that_hangs_does_not_keep_the_next_one_back_where_lists_are_pushed() {
     let (discovery, one, two) = (Server::new("d"), Server::new("s-00000001"), Server::new("s-00000002"));
-    let stage = Stage::new(&[&one], &discovery);
+    let scheduler = SchedulerProcess::start(&[&one], &discovery);
     let hung = [discovery.accept(), discovery.accept()];
     let mut news = discovery.accept();
     assert!(news.hear().starts_with("GET /v1/servers?from=1&"));
     news.say(&response("200 OK", &list(7, true, &[two.entry("active")])));
     assert!(news.hear().starts_with("GET /v1/servers?from=7&"));
     // None of them had failed: they were open beside each other.
-    assert_snapshot!(stage.counters(&["lists", "list_faults"]), @"lists=1 list_faults=0");
+    assert_snapshot!(scheduler.counters(&["lists", "list_faults"]), @"lists=1 list_faults=0");
     assert!(hung.into_iter().all(|mut line| line.hear().starts_with("GET") && line.closed()));
 }
 
@@ -450,11 +459,11 @@
 fn idle_clients_that_fill_the_descriptors_keep_neither_health_nor_the_list_out() {
     let (one, two) = (Server::new("s-00000001"), Server::new("s-00000002"));
     let discovery = Agent::new(Mode::Silent, &[two.entry("active")]);
-    let stage = Stage::new(&[&one], &discovery.server);
+    let scheduler = SchedulerProcess::start(&[&one], &discovery.server);
     let begun = Instant::now();
     let mut idle = Vec::new();
     for i in 0..150 {
-        let mut line = stage.connect();
+        let mut line = scheduler.connect();
         if i % 2 == 0 {
             line.say("GET /healthz HTTP/1.1\r\n\r\n");
             assert!(line.answer().ends_with("ready"));
@@ -462,10 +471,10 @@
         idle.push(line);
     }
     assert!(begun.elapsed() < Duration::from_secs(10), "ready in time: {:?}", begun.elapsed());
-    assert!(stage.descriptors() <= 64);
+    assert!(scheduler.descriptors() <= 64);
     discovery.mode(Mode::Answers);
-    stage.until("lists=1");
-    goes_to(&stage, &two, "a1", "3.000");
+    scheduler.until("lists=1");
+    goes_to(&scheduler, &two, "a1", "3.000");
 }
 
 // ---- connections that end
@@ -475,11 +484,11 @@
 #[test]
 fn bytes_that_cross_the_close_of_an_idle_connection_neither_reset_it_nor_are_sent_on() {
     let (discovery, target) = (Agent::new(Mode::Silent, &[]), Server::new("s-00000001"));
-    let stage = Stage::new(&[&target], &discovery.server);
+    let scheduler = SchedulerProcess::start(&[&target], &discovery.server);
     let (tell, ended) = std::sync::mpsc::channel();
     // More than a quarter of the descriptors: the oldest make room.
     for _ in 0..40 {
-        let mut line = stage.connect();
+        let mut line = scheduler.connect();
         line.say("GET /healthz HTTP/1.1\r\n\r\n");
         assert!(line.answer().ends_with("ready"));
         let tell = tell.clone();
@@ -492,21 +501,22 @@
     }
     let mut seen = (0..20).map(|_| ended.recv().unwrap());
     assert!(seen.any(|whole| whole), "every one was reset");
-    assert_snapshot!(stage.counters(&["flows", "forwards"]), @"flows=0 forwards=0");
+    assert_snapshot!(scheduler.counters(&["flows", "forwards"]), @"flows=0 forwards=0");
 }
 
 /// A client that is still writing has its answer on the way: the process waits for it, within its time.
 #[test]
 fn a_process_that_ends_does_not_reset_a_connection_on_which_something_still_comes() {
     let others = (r#""balancers":1"#, r#""balancers":2"#);
-    let mut stage = Stage::changed(&[], &Agent::new(Mode::Silent, &[]).server, &[others]);
-    stage.signal("TERM");
-    stage.logged("asked to end");
+    let mut scheduler =
+        SchedulerProcess::start_with_changes(&[], &Agent::new(Mode::Silent, &[]).server, &[others]);
+    scheduler.signal("TERM");
+    scheduler.logged("asked to end");
     let asked = Instant::now();
     let mut client = None;
     while asked.elapsed() < Duration::from_millis(2900) {
         if client.is_none() && asked.elapsed() > Duration::from_millis(1500) {
-            let mut line = stage.connect();
+            let mut line = scheduler.connect();
             line.say("POST /view/7f HTTP/1.1\r\nContent-Length: 8000000\r\n\r\n");
             client = Some(line);
         }
@@ -517,31 +527,32 @@
     let mut client = client.unwrap();
     assert_snapshot!(client.answer(), @"HTTP/1.1 413 Content Too Large | body too large");
     drop(client);
-    assert!(stage.ended());
+    assert!(scheduler.ended());
 }
 
 /// What a worker was not told to drop would run for nobody.
 #[test]
 fn a_process_that_ends_tells_a_worker_to_drop_a_job_though_the_connection_comes_up_late() {
     let (discovery, mut narrow) = (Agent::new(Mode::Silent, &[]), Narrow::new("s-00000001"));
-    let mut stage = Stage::changed(&[&narrow.server], &discovery.server, &[SLOW_DIALS]);
-    let mut client = stage.connect();
+    let mut scheduler =
+        SchedulerProcess::start_with_changes(&[&narrow.server], &discovery.server, &[SLOW_DIALS]);
+    let mut client = scheduler.connect();
     client.say(&job("lodge", "a1", "4.500"));
-    stage.until("forwards=1 dials=1");
+    scheduler.until("forwards=1 dials=1");
     narrow.widen();
     let mut forward = narrow.server.accept();
     forward.hear();
     forward.say(&response("202 Accepted", "").replace("Content", "Connection: close\r\nContent"));
-    stage.until("forwards=1 dials=1");
+    scheduler.until("forwards=1 dials=1");
     // The worker's machine is full again: the call that gives the job up hangs in its dial.
     let crowd = std::net::TcpStream::connect(narrow.server.at()).unwrap();
-    stage.signal("TERM");
+    scheduler.signal("TERM");
     assert_snapshot!(client.answer(), @"HTTP/1.1 502 Bad Gateway | failed");
     std::thread::sleep(Duration::from_millis(100));
-    assert!(stage.lives(), "it ended with a word to a worker unsaid");
+    assert!(scheduler.lives(), "it ended with a word to a worker unsaid");
     narrow.server.accept();
     assert_eq!(narrow.server.accept().hear().lines().next(), Some("DELETE /jobs/a1 HTTP/1.1"));
-    assert!(stage.ended());
+    assert!(scheduler.ended());
     drop((crowd, forward));
 }
 
@@ -550,8 +561,8 @@
 #[test]
 fn a_job_whose_202_has_no_end_is_given_up_by_a_word_of_its_own() {
     let (discovery, target) = (Agent::new(Mode::Silent, &[]), Server::new("s-00000001"));
-    let stage = Stage::new(&[&target], &discovery.server);
-    let mut client = stage.connect();
+    let scheduler = SchedulerProcess::start(&[&target], &discovery.server);
+    let mut client = scheduler.connect();
     client.say(&job("lodge", "a1", "0.500"));
     let mut endless = target.accept();
     endless.hear();
@@ -564,61 +575,61 @@
 #[test]
 fn a_job_whose_202_was_cut_after_its_head_is_served_by_its_call_back() {
     let (discovery, target) = (Agent::new(Mode::Silent, &[]), Server::new("s-00000001"));
-    let stage = Stage::new(&[&target], &discovery.server);
+    let scheduler = SchedulerProcess::start(&[&target], &discovery.server);
     for (id, cut) in [("a1", "Content-Length: 9\r\n\r\nabc"), ("a2", "Transfer-Encoding: chunked\r\n\r\nzz")]
     {
-        let mut client = stage.connect();
+        let mut client = scheduler.connect();
         client.say(&job("lodge", id, "3.000"));
         let mut forward = target.accept();
         forward.hear();
         forward.say(&format!("HTTP/1.1 202 Accepted\r\n{cut}"));
         drop(forward);
         // A turn of the program's loop, so that the end has reached it before the call-back does.
-        stage.counters(&["served"]);
-        stage.call_back(&done(id, &target));
+        scheduler.counters(&["served"]);
+        scheduler.call_back(&done(id, &target));
         assert!(client.answer().ends_with(id));
     }
-    assert_snapshot!(stage.counters(&["served", "Reset"]), @"served=2 Reset=0");
+    assert_snapshot!(scheduler.counters(&["served", "Reset"]), @"served=2 Reset=0");
 }
 
 /// A reset of the connection long after the 202 says nothing of the job.
 #[test]
 fn a_reset_long_after_the_202_leaves_the_job_to_its_call_back() {
     let (discovery, target) = (Agent::new(Mode::Silent, &[]), Server::new("s-00000001"));
-    let stage = Stage::new(&[&target], &discovery.server);
-    let mut client = stage.connect();
+    let scheduler = SchedulerProcess::start(&[&target], &discovery.server);
+    let mut client = scheduler.connect();
     client.say(&job("lodge", "a1", "4.500"));
     let mut forward = target.accept();
     forward.hear();
     forward.say(&response("202 Accepted", ""));
-    stage.call_back(r#"{"id":"a1","from":"s-00000001","state":"started"}"#);
+    scheduler.call_back(r#"{"id":"a1","from":"s-00000001","state":"started"}"#);
     forward.reset();
-    stage.counters(&["served"]);
-    stage.call_back(&done("a1", &target));
+    scheduler.counters(&["served"]);
+    scheduler.call_back(&done("a1", &target));
     assert!(client.answer().ends_with("a1"));
-    assert_snapshot!(stage.counters(&["served", "Reset"]), @"served=1 Reset=0");
+    assert_snapshot!(scheduler.counters(&["served", "Reset"]), @"served=1 Reset=0");
 }
 
 /// A second answer that comes while its connection rests is not taken for the answer to the next job.
 #[test]
 fn a_second_answer_on_a_resting_connection_is_never_taken_for_the_next_jobs() {
     let (discovery, target) = (Agent::new(Mode::Silent, &[]), Server::new("s-00000001"));
-    let stage = Stage::new(&[&target], &discovery.server);
+    let scheduler = SchedulerProcess::start(&[&target], &discovery.server);
     let mut twice = None;
     for id in ["a1", "a2"] {
-        let mut client = stage.connect();
+        let mut client = scheduler.connect();
         client.say(&job("lodge", id, "3.000"));
         let mut forward = target.accept();
-        serve(&stage, &mut forward, &target, id);
+        serve(&scheduler, &mut forward, &target, id);
         assert!(client.answer().ends_with(id));
         if id == "a1" {
             forward.say("HTTP/1.1 503 Busy\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n");
             // A turn of the program's loop, so that it has come before the next job does.
-            stage.counters(&["served"]);
+            scheduler.counters(&["served"]);
             twice = Some(forward);
         }
     }
-    assert_snapshot!(stage.counters(&["forwards", "Full", "dials", "reused"]), @"forwards=2 Full=0 dials=2 reused=0");
+    assert_snapshot!(scheduler.counters(&["forwards", "Full", "dials", "reused"]), @"forwards=2 Full=0 dials=2 reused=0");
     assert!(twice.unwrap().closed());
 }
 
@@ -642,13 +653,13 @@
     // An aim that tells nothing of what a job takes: a second, on a worker of one slot.
     let aim = (r#""aim":900000000,"give_up":5000000000"#, r#""aim":20000000,"give_up":16000000000"#);
     let alone = (r#""may_tell":true"#, r#""may_tell":false"#);
-    let start = |_| Stage::changed(&[], &discovery.server, &[rule, fleet, aim, alone]);
-    let mut stages: Vec<Stage> = (0..FLEET).map(start).collect();
+    let start = |_| SchedulerProcess::start_with_changes(&[], &discovery.server, &[rule, fleet, aim, alone]);
+    let mut schedulers: Vec<SchedulerProcess> = (0..FLEET).map(start).collect();
     discovery.called("from=2", FLEET);
     // Each is asked again as soon as it has answered, for two seconds: half a window of the rule.
     std::thread::scope(|scope| {
-        for (n, stage) in stages.iter().enumerate() {
-            let mut line = stage.connect();
+        for (n, scheduler) in schedulers.iter().enumerate() {
+            let mut line = scheduler.connect();
             scope.spawn(move || {
                 let begun = Instant::now();
                 for i in 0.. {
@@ -661,11 +672,12 @@
             });
         }
     });
-    let forwards = |stage: &Stage| -> usize { stage.counters(&["forwards"])[9..].parse().unwrap() };
-    let sent: usize = stages.iter().map(forwards).sum();
+    let forwards =
+        |scheduler: &SchedulerProcess| -> usize { scheduler.counters(&["forwards"])[9..].parse().unwrap() };
+    let sent: usize = schedulers.iter().map(forwards).sum();
     let n: f64 = 2.5 * 0.3 * 4.0;
     assert!((sent as f64) <= n + 2.0 * n.sqrt() + 2.0, "{sent} calls, {n} allowed");
-    assert!(stages.iter_mut().all(Stage::lives));
+    assert!(schedulers.iter_mut().all(SchedulerProcess::lives));
 }
 
 // ---- lists of large fleets
@@ -675,7 +687,7 @@
 #[test]
 fn a_list_is_taken_in_up_to_a_sixteenth_of_the_memory() {
     let (discovery, one) = (Server::new("d"), Server::new("s-00000001"));
-    let stage = Stage::new(&[&one], &discovery);
+    let scheduler = SchedulerProcess::start(&[&one], &discovery);
     let mut line = discovery.accept();
     line.hear();
     let entry = one.entry("active");
@@ -683,9 +695,9 @@
     let text = list(3, true, &many);
     assert!(text.len() > 200_000, "{}", text.len());
     line.say(&response("200 OK", &text));
-    stage.until("lists=1 list_faults=0");
+    scheduler.until("lists=1 list_faults=0");
     assert!(line.hear().contains("from=3"), "it goes on from this list");
     line.say(&format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", 64 << 20));
-    stage.until("lists=1 list_faults=1");
+    scheduler.until("lists=1 list_faults=1");
     assert!(discovery.accept().hear().contains("from=3"), "the last list stays");
 }
--- a/tests/stage/mod.rs
+++ b/tests/harness/mod.rs
@@ -1,4 +1,4 @@
-//! A stage for stories: the built program between scripted clients, targets and discovery on loopback.
+//! A scheduler for stories: the built program between scripted clients, targets and discovery on loopback.
 #![allow(dead_code, reason = "each file of stories uses a part of it")]
 
 use loomlb_fault_plan::FaultPlan;
@@ -315,7 +315,7 @@
 }
 
 /// The program, running.
-pub struct Stage {
+pub struct SchedulerProcess {
     child: Child,
     pub at: SocketAddr,
     /// The second address, where it was asked for.
@@ -327,74 +327,98 @@
     files: tempfile::TempDir,
 }
 
-impl Stage {
+impl SchedulerProcess {
     /// Starts it knowing these targets.
-    pub fn new(known: &[&Server], discovery: &Server) -> Stage {
-        Stage::with(known, discovery, "")
+    pub fn start(known: &[&Server], discovery: &Server) -> SchedulerProcess {
+        SchedulerProcess::start_with_keys(known, discovery, "")
     }
     /// The same with further keys of the configuration.
-    pub fn with(known: &[&Server], discovery: &Server, more: &str) -> Stage {
-        Stage::launch(known, discovery, more, |_| {})
+    pub fn start_with_keys(known: &[&Server], discovery: &Server, more: &str) -> SchedulerProcess {
+        SchedulerProcess::spawn_with_keys(known, discovery, more, |_| {})
     }
     /// The same with words of its configuration changed, wherever they stand.
-    pub fn changed(known: &[&Server], discovery: &Server, changes: &[(&str, &str)]) -> Stage {
-        Stage::start(known, discovery, "", changes, |_| {})
+    pub fn start_with_changes(
+        known: &[&Server],
+        discovery: &Server,
+        changes: &[(&str, &str)],
+    ) -> SchedulerProcess {
+        SchedulerProcess::spawn(known, discovery, "", changes, |_| {})
     }
     /// The same on a listening socket that the platform holds, beside whatever process has it already.
-    pub fn beside(known: &[&Server], discovery: &Server, platform: &Platform) -> Stage {
-        Stage::launch(known, discovery, r#""control":"127.0.0.1:0","#, |command| platform.lend(command))
+    pub fn start_on_platform(known: &[&Server], discovery: &Server, platform: &Platform) -> SchedulerProcess {
+        SchedulerProcess::spawn_with_keys(known, discovery, r#""control":"127.0.0.1:0","#, |command| {
+            platform.lend(command)
+        })
     }
     /// The same with a text in place of its configuration.
-    pub fn beside_as(discovery: &Server, platform: &Platform, text: &str) -> Stage {
+    pub fn start_on_platform_with_config(
+        discovery: &Server,
+        platform: &Platform,
+        text: &str,
+    ) -> SchedulerProcess {
         let text = text.to_string();
-        Stage::launch(&[], discovery, r#""control":"127.0.0.1:0","#, move |command| {
+        SchedulerProcess::spawn_with_keys(&[], discovery, r#""control":"127.0.0.1:0","#, move |command| {
             platform.lend(command);
             let file = command.get_args().last().unwrap().to_owned();
             std::fs::write(file, text).unwrap();
         })
     }
     /// The same with further keys of the configuration and system calls that fail as planned.
-    pub fn under(plan: &FaultPlan, known: &[&Server], discovery: &Server, more: &str) -> Stage {
-        Stage::launch(known, discovery, more, |command| plan.apply(command))
+    pub fn start_with_faults(
+        plan: &FaultPlan,
+        known: &[&Server],
+        discovery: &Server,
+        more: &str,
+    ) -> SchedulerProcess {
+        SchedulerProcess::spawn_with_keys(known, discovery, more, |command| plan.apply(command))
     }
     /// Under a plan, with words of its configuration changed.
-    pub fn changed_under(plan: &FaultPlan, discovery: &Server, changes: &[(&str, &str)]) -> Stage {
-        Stage::start(&[], discovery, "", changes, |command| plan.apply(command))
+    pub fn start_with_changes_and_faults(
+        plan: &FaultPlan,
+        discovery: &Server,
+        changes: &[(&str, &str)],
+    ) -> SchedulerProcess {
+        SchedulerProcess::spawn(&[], discovery, "", changes, |command| plan.apply(command))
     }
     /// The same beside the process that has the platform's socket already.
-    pub fn changed_beside_under(
+    pub fn start_on_platform_with_changes_and_faults(
         plan: &FaultPlan,
         discovery: &Server,
         platform: &Platform,
         changes: &[(&str, &str)],
-    ) -> Stage {
-        Stage::start(&[], discovery, r#""control":"127.0.0.1:0","#, changes, |command| {
+    ) -> SchedulerProcess {
+        SchedulerProcess::spawn(&[], discovery, r#""control":"127.0.0.1:0","#, changes, |command| {
             platform.lend(command);
             plan.apply(command);
         })
     }
     /// Beside the process that has the platform's socket already, with system calls that fail as planned.
-    pub fn beside_under(
+    pub fn start_on_platform_with_faults(
         plan: &FaultPlan,
         known: &[&Server],
         discovery: &Server,
         platform: &Platform,
-    ) -> Stage {
-        Stage::launch(known, discovery, r#""control":"127.0.0.1:0","#, |command| {
+    ) -> SchedulerProcess {
+        SchedulerProcess::spawn_with_keys(known, discovery, r#""control":"127.0.0.1:0","#, |command| {
             platform.lend(command);
             plan.apply(command);
         })
     }
-    fn launch(known: &[&Server], discovery: &Server, more: &str, with: impl FnOnce(&mut Command)) -> Stage {
-        Stage::start(known, discovery, more, &[], with)
+    fn spawn_with_keys(
+        known: &[&Server],
+        discovery: &Server,
+        more: &str,
+        with: impl FnOnce(&mut Command),
+    ) -> SchedulerProcess {
+        SchedulerProcess::spawn(known, discovery, more, &[], with)
     }
-    fn start(
+    fn spawn(
         known: &[&Server],
         discovery: &Server,
         more: &str,
         changes: &[(&str, &str)],
         with: impl FnOnce(&mut Command),
-    ) -> Stage {
+    ) -> SchedulerProcess {
         let entries: Vec<String> = known.iter().map(|t| t.entry("active")).collect();
         let mut config = format!(
             r#"{{"name":"n","listen":"127.0.0.1:0","discovery":"{}","seed":"2a","limits":{{"sockets":64}},{more}"known":{},"settings":{SETTINGS}}}"#,
@@ -418,18 +442,19 @@
         std::thread::spawn(move || lines.map_while(Result::ok).all(|line| tell.send(line).is_ok()));
         let nowhere = ([127, 0, 0, 1], 0).into();
         let first_line: String = log.recv_timeout(LONG).unwrap();
-        let mut stage = Stage { child, at: nowhere, control: nowhere, first_line, log, config, files };
-        assert!(!stage.first_line.starts_with("loomlb: "), "it does not start: {}", stage.first_line);
-        let at = stage.first_line.split_once("serves at ").map(|(_, at)| at.to_string());
-        stage.at = at.unwrap_or_else(|| stage.logged("serves at ")).parse().unwrap();
-        if stage.config.contains("\"control\"") {
-            stage.control = stage.logged("control at ").parse().unwrap();
+        let mut scheduler =
+            SchedulerProcess { child, at: nowhere, control: nowhere, first_line, log, config, files };
+        assert!(!scheduler.first_line.starts_with("loomlb: "), "it does not start: {}", scheduler.first_line);
+        let at = scheduler.first_line.split_once("serves at ").map(|(_, at)| at.to_string());
+        scheduler.at = at.unwrap_or_else(|| scheduler.logged("serves at ")).parse().unwrap();
+        if scheduler.config.contains("\"control\"") {
+            scheduler.control = scheduler.logged("control at ").parse().unwrap();
         }
-        stage
+        scheduler
     }
     /// The same with a second address.
-    pub fn operated(known: &[&Server], discovery: &Server) -> Stage {
-        Stage::with(known, discovery, r#""control":"127.0.0.1:0","#)
+    pub fn start_with_control(known: &[&Server], discovery: &Server) -> SchedulerProcess {
+        SchedulerProcess::start_with_keys(known, discovery, r#""control":"127.0.0.1:0","#)
     }
     /// Changes words of its configuration and has it read again.
     pub fn reload(&mut self, old: &str, new: &str) {
@@ -540,7 +565,7 @@
     }
 }
 
-impl Drop for Stage {
+impl Drop for SchedulerProcess {
     fn drop(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
--- a/tests/operation.rs
+++ b/tests/operation.rs
@@ -1,27 +1,27 @@
 //! Stories of staff who run the program day by day: its second address, workers out by hand, drains.
 
-mod stage;
+mod harness;
 
+use harness::{Comers, Line, SchedulerProcess, Server, job, list, response};
 use insta::assert_snapshot;
-use stage::{Comers, Line, Server, Stage, job, list, response};
 use std::net::TcpStream;
 use std::time::{Duration, Instant};
 
 /// Serves a target's next job to its end.
-fn serve(stage: &Stage, target: &Server, id: &str) -> Line {
+fn serve(stage: &SchedulerProcess, target: &Server, id: &str) -> Line {
     let mut line = target.accept();
     finish(stage, target, &mut line, id);
     line
 }
 
 /// The same on a connection that is there.
-fn finish(stage: &Stage, target: &Server, line: &mut Line, id: &str) {
+fn finish(stage: &SchedulerProcess, target: &Server, line: &mut Line, id: &str) {
     assert!(line.hear().contains(id), "{id} does not come to {}", target.name);
     line.say(&response("202 Accepted", ""));
     done(stage, target, id);
 }
 
-fn done(stage: &Stage, target: &Server, id: &str) {
+fn done(stage: &SchedulerProcess, target: &Server, id: &str) {
     let name = &target.name;
     stage.call_back(&format!(r#"{{"id":"{id}","from":"{name}","state":"done","result":"{id}"}}"#));
 }
@@ -29,7 +29,7 @@
 #[test]
 fn calls_are_answered_beside_callers_that_say_nothing_and_bad_ones_get_a_plain_no() {
     let (discovery, target) = (Server::new("d"), Server::new("s-00000001"));
-    let stage = Stage::operated(&[&target], &discovery);
+    let stage = SchedulerProcess::start_with_control(&[&target], &discovery);
     // Far more than there are seats: silent, half-said, and a byte at a time.
     let mut holders: Vec<Line> = Vec::new();
     for i in 0..60 {
@@ -83,7 +83,7 @@
 #[test]
 fn a_worker_out_by_hand_gets_nothing_whatever_the_list_says_until_it_is_called_back() {
     let (discovery, one, two) = (Server::new("d"), Server::new("s-00000001"), Server::new("s-00000002"));
-    let stage = Stage::operated(&[&one, &two], &discovery);
+    let stage = SchedulerProcess::start_with_control(&[&one, &two], &discovery);
     let mut watch = discovery.accept();
     watch.hear();
     assert!(stage.order("PUT /control/workers/s-00000001/offline").starts_with("HTTP/1.1 200"));
@@ -134,7 +134,7 @@
 #[test]
 fn a_drain_answers_what_is_open_closes_what_is_idle_and_is_over_at_a_word() {
     let (discovery, target) = (Server::new("d"), Server::new("s-00000001"));
-    let stage = Stage::operated(&[&target], &discovery);
+    let stage = SchedulerProcess::start_with_control(&[&target], &discovery);
     let health = || stage.ask("GET /healthz HTTP/1.1\r\n\r\n");
     let (mut idle, mut silent, mut open) = (stage.connect(), stage.connect(), stage.connect());
     idle.say("GET /healthz HTTP/1.1\r\n\r\n");
@@ -176,7 +176,7 @@
 #[test]
 fn open_flows_keep_the_rules_they_were_taken_under_when_the_settings_change() {
     let (discovery, one, two) = (Server::new("d"), Server::new("s-00000001"), Server::new("s-00000002"));
-    let mut stage = Stage::operated(&[&one, &two], &discovery);
+    let mut stage = SchedulerProcess::start_with_control(&[&one, &two], &discovery);
     // Each forward comes on a connection of its own, to whichever target.
     let comers = Comers::new(&[&one, &two]);
     let accept = |id: &str| {
@@ -185,12 +185,12 @@
         line.say("HTTP/1.1 202 Accepted\r\nConnection: close\r\nContent-Length: 0\r\n\r\n");
         name
     };
-    let taken = |stage: &Stage, id: &str, class: &str| {
+    let taken = |stage: &SchedulerProcess, id: &str, class: &str| {
         let mut client = stage.connect();
         client.say(&job(class, id, "4.500"));
         (client, accept(id))
     };
-    let ends = |stage: &Stage, target: &str, id: &str, state: &str| {
+    let ends = |stage: &SchedulerProcess, target: &str, id: &str, state: &str| {
         stage.call_back(&format!(r#"{{"id":"{id}","from":"{target}","state":"{state}","result":"{id}"}}"#));
     };
     let (mut safe, at) = taken(&stage, "a1", "view");
--- a/tests/pins.rs
+++ b/tests/pins.rs
@@ -6,7 +6,7 @@
 //! ...), numbers after a named key (`mask_number_after`), and the keys that each test names.
 
 mod golden;
-mod stage;
+mod harness;
 
 #[path = "pins/answers.rs"]
 mod answers;
--- a/tests/pins/answers.rs
+++ b/tests/pins/answers.rs
@@ -1,7 +1,7 @@
 //! Answers of the program at its listening address and at the address for staff.
 
 use crate::golden;
-use crate::stage::{Agent, Line, Mode, Server, Stage, job, response};
+use crate::harness::{Agent, Line, Mode, SchedulerProcess, Server, job, response};
 use std::net::TcpStream;
 
 /// Adds a message under a heading.
@@ -26,7 +26,7 @@
 fn answers_to_requests_that_are_no_jobs_stay() {
     let target = Server::new("s-00000001");
     let discovery = Agent::new(Mode::Answers, &[target.entry("active")]);
-    let stage = Stage::new(&[&target], &discovery.server);
+    let stage = SchedulerProcess::start(&[&target], &discovery.server);
     let good = good_job("view", "a1");
     let long = format!("GET /healthz HTTP/1.1\r\nX: {}\r\n\r\n", "x".repeat(17_000));
     let requests = [
@@ -74,7 +74,7 @@
     let target = Server::new("s-00000001");
     let discovery = Agent::new(Mode::Answers, &[target.entry("active")]);
     let changes = [("\"max_attempts\":2", "\"max_open\":1,\"max_attempts\":2")];
-    let stage = Stage::changed(&[&target], &discovery.server, &changes);
+    let stage = SchedulerProcess::start_with_changes(&[&target], &discovery.server, &changes);
     let mut text = String::new();
     let (mut client, mut other) = (stage.connect(), stage.connect());
     client.say(&good_job("view", "a1"));
@@ -102,7 +102,7 @@
 fn answers_of_a_drained_program_stay() {
     let target = Server::new("s-00000001");
     let discovery = Agent::new(Mode::Answers, &[target.entry("active")]);
-    let stage = Stage::operated(&[&target], &discovery.server);
+    let stage = SchedulerProcess::start_with_control(&[&target], &discovery.server);
     let mut text = String::new();
     stage.order("PUT /control/workers/s-00000001/offline");
     let mut client = stage.connect();
@@ -114,7 +114,7 @@
     line.say("GET /healthz HTTP/1.1\r\nConnection: close\r\n\r\n");
     add(&mut text, "health", &line.hear());
     let mut last = String::new();
-    crate::stage::until("jobs are taken no more", || {
+    crate::harness::until("jobs are taken no more", || {
         let mut line = stage.connect();
         line.say(&good_job("lodge", "b1"));
         last = line.hear();
@@ -129,8 +129,8 @@
 fn answers_to_staff_stay() {
     let target = Server::new("s-00000001");
     let discovery = Agent::new(Mode::Answers, &[target.entry("active")]);
-    let mut stage = Stage::operated(&[&target], &discovery.server);
-    let ask = |stage: &Stage, request: &str| {
+    let mut stage = SchedulerProcess::start_with_control(&[&target], &discovery.server);
+    let ask = |stage: &SchedulerProcess, request: &str| {
         let mut line = Line::new(TcpStream::connect(stage.control).unwrap());
         line.say(request);
         let answer = line.hear();
--- a/tests/pins/forwards.rs
+++ b/tests/pins/forwards.rs
@@ -1,7 +1,7 @@
 //! What the program sends to workers and to discovery.
 
 use crate::golden;
-use crate::stage::{Agent, Line, Mode, Server, Stage, job, list, response};
+use crate::harness::{Agent, Line, Mode, SchedulerProcess, Server, job, list, response};
 
 /// A message with the address of its receiver and the time left masked.
 fn masked(message: &str, server: &Server) -> String {
@@ -22,7 +22,7 @@
 fn what_a_worker_is_sent_stays() {
     let target = Server::new("s-00000001");
     let discovery = Agent::new(Mode::Answers, &[target.entry("active")]);
-    let stage = Stage::new(&[&target], &discovery.server);
+    let stage = SchedulerProcess::start(&[&target], &discovery.server);
     let mut text = String::new();
     let mut add =
         |heading: &str, message: &str| text += &format!("== {heading}\n{}\n", masked(message, &target));
@@ -50,10 +50,10 @@
     let discovery = Agent::new(Mode::Answers, &[target.entry("active")]);
     let changes =
         [("\"may_tell\":true", "\"may_tell\":true,\"probing\":true"), ("\"inline\"", "\"on_probe\"")];
-    let stage = Stage::changed(&[&target], &discovery.server, &changes);
+    let stage = SchedulerProcess::start_with_changes(&[&target], &discovery.server, &changes);
     let mut client = stage.connect();
     client.say(&job("view", "a1", "3.000"));
-    let comers = crate::stage::Comers::new(&[&target]);
+    let comers = crate::harness::Comers::new(&[&target]);
     let probe = loop {
         let (_, mut line) = comers.next();
         let heard = line.hear();
@@ -69,7 +69,7 @@
 fn what_discovery_is_asked_stays() {
     let (first, second) = (Server::new("d1"), Server::new("d2"));
     let target = Server::new("s-00000001");
-    let mut stage = Stage::new(&[], &first);
+    let mut stage = SchedulerProcess::start(&[], &first);
     let mut text = String::new();
     let mut line = first.accept();
     text += &format!("== the first call\n{}\n", masked(&line.hear(), &first));
@@ -88,7 +88,11 @@
     text += &format!("== after a reload that names another\n{}\n", masked(&second.accept().hear(), &second));
     // A program that knows no list yet.
     let third = Server::new("d3");
-    let stage = Stage::changed(&[], &third, &[(r#""known":{"seq":1,"whole":true,"hosts":[]},"#, "")]);
+    let stage = SchedulerProcess::start_with_changes(
+        &[],
+        &third,
+        &[(r#""known":{"seq":1,"whole":true,"hosts":[]},"#, "")],
+    );
     text += &format!("== the first call without a list\n{}\n", masked(&third.accept().hear(), &third));
     drop(stage);
     golden::check("discovery-requests.txt", text.as_bytes());
--- a/tests/pins/log.rs
+++ b/tests/pins/log.rs
@@ -1,7 +1,7 @@
 //! The log: lines for people and for machines, and the counters in them.
 
 use crate::golden;
-use crate::stage::{Agent, Mode, Server, Stage, job, response};
+use crate::harness::{Agent, Mode, SchedulerProcess, Server, job, response};
 use serde_json::Value;
 use std::io::{BufRead, BufReader};
 use std::process::{Command, Stdio};
@@ -12,7 +12,7 @@
 fn the_counters_keep_their_names_and_their_order() {
     let target = Server::new("s-00000001");
     let discovery = Agent::new(Mode::Answers, &[target.entry("active")]);
-    let stage = Stage::operated(&[&target], &discovery.server);
+    let stage = SchedulerProcess::start_with_control(&[&target], &discovery.server);
     stage.order("PUT /control/ready");
     stage.signal("USR1");
     let line = stage.logged("counters: ");
@@ -29,7 +29,7 @@
 fn lines_on_calls_of_staff_stay() {
     let target = Server::new("s-00000001");
     let discovery = Agent::new(Mode::Answers, &[target.entry("active")]);
-    let stage = Stage::operated(&[&target], &discovery.server);
+    let stage = SchedulerProcess::start_with_control(&[&target], &discovery.server);
     let (_, first) = stage.first_line.split_once(' ').unwrap();
     let mut text = format!("<time> {}\n", first.replace(&stage.at.to_string(), "<listen>"));
     for call in ["workers/s-00000001/offline", "workers/s-00000001/online", "out-of-service", "in-service"] {
@@ -56,8 +56,8 @@
 fn json_lines_keep_their_shape() {
     let target = Server::new("s-00000001");
     let discovery = Agent::new(Mode::Answers, &[target.entry("active")]);
-    // A stage of its own has the configuration written; another process runs by it with the operator file.
-    let known = Stage::new(&[&target], &discovery.server);
+    // A scheduler process of its own has the configuration written; another process runs by it with the operator file.
+    let known = SchedulerProcess::start(&[&target], &discovery.server);
     let files = tempfile::tempdir().unwrap();
     let (config, operator) = (files.path().join("config.json"), files.path().join("loomlb.toml"));
     std::fs::write(&config, known.config()).unwrap();
@@ -79,14 +79,14 @@
     };
     let first: Value = serde_json::from_str(&next("serves at ")).unwrap();
     let at = first["message"].as_str().unwrap().split_once("serves at ").unwrap().1.to_string();
-    let mut client = crate::stage::Line::new(std::net::TcpStream::connect(&at).unwrap());
+    let mut client = crate::harness::Line::new(std::net::TcpStream::connect(&at).unwrap());
     client.say(&job("view", "a1", "3.000").replace("Host: h", "Host: h\r\nX-Account: acme"));
     let mut worker = target.accept();
     worker.hear();
     worker.say(&response("202 Accepted", ""));
     next("\"forwarded\"");
     let body = r#"{"id":"a1","from":"s-00000001","state":"done","result":"r"}"#;
-    let mut calls_back = crate::stage::Line::new(std::net::TcpStream::connect(&at).unwrap());
+    let mut calls_back = crate::harness::Line::new(std::net::TcpStream::connect(&at).unwrap());
     let length = body.len();
     calls_back.say(&format!("POST /v1/job-events HTTP/1.1\r\nContent-Length: {length}\r\n\r\n{body}"));
     client.hear();
--- a/tests/pins/restart.rs
+++ b/tests/pins/restart.rs
@@ -2,7 +2,7 @@
 //! successor starts from. Frames and messages are pinned in their own package.
 
 use crate::golden;
-use crate::stage::{Agent, Mode, Platform, Server, Stage, job, response, until};
+use crate::harness::{Agent, Mode, Platform, SchedulerProcess, Server, job, response, until};
 use loomlb_hot_restart::message::{FrameDecoder, PROTOCOL_VERSION, RestartMessage};
 use serde_json::Value;
 use std::io::{Read, Write};
@@ -64,7 +64,7 @@
 fn the_snapshot_for_a_successor_keeps_its_keys_and_types() {
     let (discovery, one, two) = (Server::new("d"), Server::new("s-00000001"), Server::new("s-00000002"));
     let platform = Platform::new();
-    let stage = Stage::beside(&[&one, &two], &discovery, &platform);
+    let stage = SchedulerProcess::start_on_platform(&[&one, &two], &discovery, &platform);
     stage.ready();
     stage.order("PUT /control/workers/s-00000002/offline");
     stage.order("PUT /control/workers/s-00000001/offline");
@@ -94,7 +94,7 @@
 fn the_configuration_kept_for_a_successor_is_the_file_that_is_in_force() {
     let (discovery, target) = (Server::new("d"), Server::new("s-00000001"));
     let platform = Platform::new();
-    let mut stage = Stage::beside(&[&target], &discovery, &platform);
+    let mut stage = SchedulerProcess::start_on_platform(&[&target], &discovery, &platform);
     stage.ready();
     stage.reload(r#""name":"lodge""#, r#""name":"sign""#);
     stage.logged("configuration reloaded");
@@ -144,7 +144,7 @@
         partner.send(&RestartMessage::Bye);
         partner
     });
-    let stage = Stage::beside(&[], &discovery.server, &platform);
+    let stage = SchedulerProcess::start_on_platform(&[], &discovery.server, &platform);
     let _partner = link.join().unwrap();
     stage.ready();
     // Orders, the state of the service and the list are the predecessor's.
--- a/tests/sockets.rs
+++ b/tests/sockets.rs
@@ -1,14 +1,14 @@
 //! Stories of the built program on loopback sockets, one for each failure that it guards against.
 
-mod stage;
+mod harness;
 
+use harness::{SchedulerProcess, Server, job, list, response};
 use insta::assert_snapshot;
-use stage::{Server, Stage, job, list, response};
 
 #[test]
 fn call_backs_early_repeated_and_strange_end_a_flow_once() {
     let (discovery, target) = (Server::new("d"), Server::new("s-00000001"));
-    let stage = Stage::new(&[&target], &discovery);
+    let stage = SchedulerProcess::start(&[&target], &discovery);
     let mut client = stage.connect();
     client.say(&job("view", "a1", "3.000"));
     let mut forward = target.accept();
@@ -40,7 +40,7 @@
 #[test]
 fn giving_up_closes_before_the_202_and_deletes_after_it() {
     let (discovery, target) = (Server::new("d"), Server::new("s-00000001"));
-    let stage = Stage::new(&[&target], &discovery);
+    let stage = SchedulerProcess::start(&[&target], &discovery);
     let mut early = stage.connect();
     early.say(&job("lodge", "a1", "0.300"));
     let mut forward = target.accept();
@@ -63,7 +63,7 @@
 #[test]
 fn a_break_after_the_last_byte_is_never_resent_and_a_refused_dial_is() {
     let (discovery, target, dead) = (Server::new("d"), Server::new("s-00000001"), Server::new("s-00000002"));
-    let stage = Stage::new(&[&target], &discovery);
+    let stage = SchedulerProcess::start(&[&target], &discovery);
     let mut client = stage.connect();
     client.say(&job("lodge", "a1", "3.000"));
     target.accept().hear();
@@ -88,7 +88,7 @@
 #[test]
 fn a_silent_discovery_keeps_the_list_and_a_whole_list_drops_who_is_absent() {
     let (discovery, one, two) = (Server::new("d"), Server::new("s-00000001"), Server::new("s-00000002"));
-    let stage = Stage::new(&[&one], &discovery);
+    let stage = SchedulerProcess::start(&[&one], &discovery);
     let silent = discovery.accept();
     assert_snapshot!(stage.ask("GET /healthz HTTP/1.1\r\n\r\n"), @"HTTP/1.1 200 OK | ready");
     let mut news = discovery.accept();
@@ -109,7 +109,7 @@
 #[test]
 fn bad_input_gets_a_plain_answer_and_is_never_forwarded() {
     let (discovery, target) = (Server::new("d"), Server::new("s-00000001"));
-    let stage = Stage::new(&[&target], &discovery);
+    let stage = SchedulerProcess::start(&[&target], &discovery);
     let good = job("view", "a1", "3.000");
     let long = format!("GET / HTTP/1.1\r\nX-Long: {}\r\n\r\n", "x".repeat(17_000));
     let said: Vec<String> = [
@@ -159,7 +159,7 @@
 #[test]
 fn connections_idle_or_ending_make_room_within_the_descriptors() {
     let discovery = Server::new("d");
-    let stage = Stage::new(&[], &discovery);
+    let stage = SchedulerProcess::start(&[], &discovery);
     let mut open = Vec::new();
     for i in 0..100 {
         let last = if i < 50 { "Connection: close\r\n" } else { "" };
@@ -174,7 +174,7 @@
 #[test]
 fn bodies_come_in_parts_in_chunks_and_after_a_continue() {
     let (discovery, target) = (Server::new("d"), Server::new("s-00000001"));
-    let stage = Stage::new(&[&target], &discovery);
+    let stage = SchedulerProcess::start(&[&target], &discovery);
     let mut client = stage.connect();
     let head = job("view", "a1", "3.000").replace("Content-Length: 2", "Transfer-Encoding: chunked");
     let head = head.replace("\r\n\r\nhi", "\r\nExpect: 100-continue\r\n\r\n");
@@ -198,7 +198,7 @@
 #[test]
 fn sigterm_finishes_what_was_taken_and_still_accepts() {
     let (discovery, target) = (Server::new("d"), Server::new("s-00000001"));
-    let mut stage = Stage::new(&[&target], &discovery);
+    let mut stage = SchedulerProcess::start(&[&target], &discovery);
     let mut client = stage.connect();
     client.say(&job("view", "a1", "5.000"));
     let mut forward = target.accept();
@@ -232,7 +232,7 @@
 #[test]
 fn a_connection_that_its_target_has_closed_is_not_used_again() {
     let (discovery, target) = (Server::new("d"), Server::new("s-00000001"));
-    let stage = Stage::new(&[&target], &discovery);
+    let stage = SchedulerProcess::start(&[&target], &discovery);
     for id in ["a1", "a2"] {
         let mut client = stage.connect();
         client.say(&job("lodge", id, "3.000"));
@@ -257,7 +257,7 @@
         r#""peer_listen":"127.0.0.1:0","peers":["127.0.0.1:1","{0}"],"peers_all":"{0}","#,
         peer.local_addr().unwrap()
     );
-    let stage = Stage::with(&[], &Server::new("d"), &more);
+    let stage = SchedulerProcess::start_with_keys(&[], &Server::new("d"), &more);
     peer.set_read_timeout(Some(std::time::Duration::from_secs(3))).unwrap();
     let mut hello = [0; 9];
     let (length, from) = peer.recv_from(&mut hello).unwrap();
@@ -274,7 +274,7 @@
 fn a_reload_moves_to_the_files_discovery_and_a_faulty_one_changes_nothing() {
     let (discovery, elsewhere) = (Server::new("d"), Server::new("e"));
     let (one, two) = (Server::new("s-00000001"), Server::new("s-00000002"));
-    let mut stage = Stage::new(&[&one], &discovery);
+    let mut stage = SchedulerProcess::start(&[&one], &discovery);
     let mut old = discovery.accept();
     old.hear();
     old.say(&response("200 OK", &list(7, true, &[one.entry("active")])));
@@ -317,7 +317,7 @@
 #[test]
 fn connections_that_owe_a_request_make_room_and_end_in_time() {
     let (discovery, target) = (Server::new("d"), Server::new("s-00000001"));
-    let stage = Stage::new(&[&target], &discovery);
+    let stage = SchedulerProcess::start(&[&target], &discovery);
     let mut idle = stage.connect();
     idle.say("GET /healthz HTTP/1.1\r\n\r\n");
     idle.answer();
@@ -346,7 +346,7 @@
 
 #[test]
 fn a_client_that_writes_a_large_body_before_it_reads_gets_the_error() {
-    let stage = Stage::new(&[], &Server::new("d"));
+    let stage = SchedulerProcess::start(&[], &Server::new("d"));
     let mut client = stage.connect();
     client.say("POST /view/7f HTTP/1.1\r\nContent-Length: 8000000\r\n\r\n");
     client.say(&"x".repeat(8_000_000));
@@ -356,10 +356,10 @@
 #[test]
 fn a_request_that_a_target_finds_fault_with_is_not_tried_at_the_next() {
     let (discovery, one, two) = (Server::new("d"), Server::new("s-00000001"), Server::new("s-00000002"));
-    let stage = Stage::new(&[&one, &two], &discovery);
+    let stage = SchedulerProcess::start(&[&one, &two], &discovery);
     let mut client = stage.connect();
     client.say(&job("view", "a1", "3.000"));
-    let mut forward = stage::first(&[&one, &two]);
+    let mut forward = harness::first(&[&one, &two]);
     forward.hear();
     forward.say(&response("400 Bad Request", "known id"));
     assert_snapshot!(client.answer(), @"HTTP/1.1 502 Bad Gateway | failed");
@@ -369,9 +369,9 @@
 #[test]
 fn connections_that_break_after_a_pause_are_not_kept_for_so_long_again() {
     let (discovery, target) = (Server::new("d"), Server::new("s-00000001"));
-    let stage = Stage::new(&[&target], &discovery);
+    let stage = SchedulerProcess::start(&[&target], &discovery);
     let mut client = stage.connect();
-    let serve = |forward: &mut stage::Line, id: &str| {
+    let serve = |forward: &mut harness::Line, id: &str| {
         forward.hear();
         forward.say(&response("202 Accepted", ""));
         stage.call_back(&format!(r#"{{"id":"{id}","from":"s-00000001","state":"done","result":"yes"}}"#));
@@ -407,7 +407,7 @@
 #[test]
 fn a_client_that_brings_jobs_keeps_its_connection_when_others_crowd_in() {
     let (discovery, target) = (Server::new("d"), Server::new("s-00000001"));
-    let stage = Stage::new(&[&target], &discovery);
+    let stage = SchedulerProcess::start(&[&target], &discovery);
     let mut client = stage.connect();
     client.say(&job("view", "a1", "3.000"));
     let mut forward = target.accept();
@@ -434,7 +434,7 @@
 fn idle_connections_make_room_long_before_all_places_are_taken() {
     let (discovery, target) = (Server::new("d"), Server::new("s-00000001"));
     // Of 64 descriptors 22 are places at the listener, and a quarter of all is 16.
-    let stage = Stage::new(&[&target], &discovery);
+    let stage = SchedulerProcess::start(&[&target], &discovery);
     let done = |id: &str| {
         stage.call_back(&format!(r#"{{"id":"{id}","from":"s-00000001","state":"done","result":"{id}"}}"#))
     };
@@ -466,7 +466,7 @@
 #[test]
 fn a_zone_or_kind_that_the_settings_do_not_know_is_logged_once_and_its_target_used() {
     let (discovery, target) = (Server::new("d"), Server::new("s-00000001"));
-    let stage = Stage::new(&[&target], &discovery);
+    let stage = SchedulerProcess::start(&[&target], &discovery);
     let mut watch = discovery.accept();
     watch.hear();
     let strange = target
--- a/tests/standing_terms.rs
+++ b/tests/standing_terms.rs
@@ -1,9 +1,9 @@
 //! The operators' stricter terms on real sockets: the built program between scripted clients, workers and discovery, each
 //! test at the instant at which a term could be broken. docs/design/0008-endings.md names the terms.
 
-mod stage;
+mod harness;
 
-use stage::{Agent, Comers, Line, Mode, Narrow, Server, Stage, job, list, response, until};
+use harness::{Agent, Comers, Line, Mode, Narrow, SchedulerProcess, Server, job, list, response, until};
 use std::collections::HashMap;
 use std::net::{SocketAddr, TcpStream};
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -64,16 +64,16 @@
 }
 
 /// Serves the next job on a connection.
-fn serve(stage: &Stage, line: &mut Line, worker: &Server, id: &str) {
+fn serve(scheduler: &SchedulerProcess, line: &mut Line, worker: &Server, id: &str) {
     let head = line.hear();
     assert_eq!(job_id(&head).as_deref(), Some(id), "{head}");
     line.say(&response("202 Accepted", ""));
-    stage.call_back(&done(id, &worker.name));
+    scheduler.call_back(&done(id, &worker.name));
 }
 
 /// Serves every job that comes to these workers from now on, for as long as the test runs.
-fn serve_all(stage: &Stage, workers: &[&Server]) {
-    let (comers, at) = (Comers::new(workers), stage.at);
+fn serve_all(scheduler: &SchedulerProcess, workers: &[&Server]) {
+    let (comers, at) = (Comers::new(workers), scheduler.at);
     std::thread::spawn(move || {
         while let Some((worker, line)) = comers.wait() {
             std::thread::spawn(move || serve_connection(line, &worker, at));
@@ -98,9 +98,9 @@
 }
 
 /// Whether a job of a new client is served by this worker.
-fn is_served_by(stage: &Stage, worker: &Server, id: &str) -> bool {
+fn is_served_by(scheduler: &SchedulerProcess, worker: &Server, id: &str) -> bool {
     // A subject of its own, so that no worker is preferred for it.
-    stage.ask(&job("view", id, "3.000").replace("/7f", &format!("/{id}")))
+    scheduler.ask(&job("view", id, "3.000").replace("/7f", &format!("/{id}")))
         == format!("HTTP/1.1 200 OK | {}", worker.name)
 }
 
@@ -190,22 +190,22 @@
     ]);
     let known: Vec<&Server> = workers.iter().collect();
     let discovery = Agent::new(Mode::Silent, &[]);
-    let stage = Stage::changed(&known, &discovery.server, &[MANY_SOCKETS]);
+    let scheduler = SchedulerProcess::start_with_changes(&known, &discovery.server, &[MANY_SOCKETS]);
     // Clients in trouble beside them: most stay as they are until the end of the test.
     let mut bad_clients = Vec::new();
     for n in 0..6 {
-        let mut half = stage.connect();
+        let mut half = scheduler.connect();
         half.say("POST /view/7f HTTP/1.1\r\nContent-Length: 9\r\n\r\nhi");
-        let mut malformed = stage.connect();
+        let mut malformed = scheduler.connect();
         malformed.say("GARBAGE\r\n\r\n");
-        let mut endless = stage.connect();
+        let mut endless = scheduler.connect();
         let _ = endless.try_say(&"x".repeat(200_000));
         bad_clients.extend([half, malformed, endless]);
-        stage.connect().say_and_go(&job("view", &format!("gone{n}"), "3.000"));
+        scheduler.connect().say_and_go(&job("view", &format!("gone{n}"), "3.000"));
     }
     std::thread::scope(|scope| {
         for n in 0..REQUESTS {
-            let (at, class) = (stage.at, ["view", "lodge"][n % 2]);
+            let (at, class) = (scheduler.at, ["view", "lodge"][n % 2]);
             scope.spawn(move || {
                 let mut client = connect(at);
                 client.say(&last_job(class, &format!("a{n}"), "1.000"));
@@ -219,7 +219,7 @@
             });
         }
     });
-    let forwards = stage.counters(&["forwards"]);
+    let forwards = scheduler.counters(&["forwards"]);
     assert!(forwards["forwards=".len()..].parse::<usize>().unwrap() >= REQUESTS / 2, "{forwards}");
     drop(bad_clients);
 }
@@ -239,10 +239,10 @@
     let mut entries: Vec<String> = (2..=6).map(refusing).collect();
     entries.push(worker.entry("active"));
     let discovery = Agent::new(Mode::Answers, &entries);
-    let stage = Stage::new(&[], &discovery.server);
+    let scheduler = SchedulerProcess::start(&[], &discovery.server);
     discovery.called("from=2", 1);
     for n in 0..12 {
-        let mut client = stage.connect();
+        let mut client = scheduler.connect();
         client.say(&last_job(["view", "lodge"][n % 2], &format!("a{n}"), "3.000"));
         let sent = Instant::now();
         let answer = client.answer();
@@ -250,7 +250,7 @@
         assert!(sent.elapsed() <= Duration::from_secs(3) + ANSWER_SLACK, "a{n}: {:?}", sent.elapsed());
         assert_eq!(client.hear(), "", "a{n}: a second answer");
     }
-    let counters = stage.counters(&["flows", "forwards"]);
+    let counters = scheduler.counters(&["flows", "forwards"]);
     let forwards: usize = counters.split_once("forwards=").unwrap().1.parse().unwrap();
     // Two attempts a request are permitted, and some are made.
     assert!((12..=24).contains(&forwards), "{counters}");
@@ -261,7 +261,7 @@
 fn a_client_that_stops_in_the_middle_of_a_request_and_stays_gets_its_error_or_close_in_time() {
     const OWED: Duration = Duration::from_secs(3);
     let (discovery, worker) = (Agent::new(Mode::Silent, &[]), Server::new("s-00000001"));
-    let stage = Stage::changed(&[&worker], &discovery.server, &[MANY_SOCKETS]);
+    let scheduler = SchedulerProcess::start_with_changes(&[&worker], &discovery.server, &[MANY_SOCKETS]);
     let whole = job("view", "a1", "3.000");
     let chunked = whole.replace("Content-Length: 2\r\n\r\nhi", "Transfer-Encoding: chunked\r\n\r\n");
     let stops = [
@@ -281,7 +281,7 @@
                 if used_before && stop.is_empty() {
                     continue;
                 }
-                let at = stage.at;
+                let at = scheduler.at;
                 scope.spawn(move || {
                     let begun = Instant::now();
                     let mut client = connect(at);
@@ -298,7 +298,7 @@
             }
         }
         // One that goes on byte by byte, and never comes to an end, is no better.
-        let at = stage.at;
+        let at = scheduler.at;
         scope.spawn(move || {
             let (begun, mut client) = (Instant::now(), connect(at));
             client.say(&whole[..40]);
@@ -310,7 +310,7 @@
             assert!(begun.elapsed() < OWED, "{:?}", begun.elapsed());
         });
     });
-    assert_eq!(stage.counters(&["flows", "forwards"]), "flows=0 forwards=0");
+    assert_eq!(scheduler.counters(&["flows", "forwards"]), "flows=0 forwards=0");
 }
 
 /// More clients than there are descriptors send at once, while workers hang: each request that is read has its answer.
@@ -320,10 +320,10 @@
     let workers = workers_in_trouble(&[Trouble::Ignores, Trouble::Forgets]);
     let known: Vec<&Server> = workers.iter().collect();
     let discovery = Agent::new(Mode::Silent, &[]);
-    let stage = Stage::new(&known, &discovery.server);
+    let scheduler = SchedulerProcess::start(&known, &discovery.server);
     let answers: Vec<String> = std::thread::scope(|scope| {
         let one = |n: usize| {
-            let at = stage.at;
+            let at = scheduler.at;
             move || {
                 let mut client = connect(at);
                 let _ = client.try_say(&last_job("lodge", &format!("a{n}"), "0.600"));
@@ -334,7 +334,7 @@
         all.into_iter().map(|client| client.join().unwrap()).collect()
     });
     let answered = answers.iter().filter(|answer| answer.starts_with("HTTP/1.1 50")).count();
-    let counters = stage.counters(&["flows", "turned_back", "gone", "gone_early"]);
+    let counters = scheduler.counters(&["flows", "turned_back", "gone", "gone_early"]);
     let numbers: HashMap<&str, usize> =
         counters.split(' ').filter_map(|c| c.split_once('=')).map(|(k, v)| (k, v.parse().unwrap())).collect();
     assert_eq!(numbers["flows"] + numbers["turned_back"], answered, "{counters}: {answers:?}");
@@ -402,11 +402,11 @@
     let known: Vec<&Server> = workers.iter().collect();
     let told = reject_then_drop(&known);
     let discovery = Agent::new(Mode::Silent, &[]);
-    let stage = Stage::changed(&known, &discovery.server, &[MANY_SOCKETS]);
+    let scheduler = SchedulerProcess::start_with_changes(&known, &discovery.server, &[MANY_SOCKETS]);
     std::thread::scope(|scope| {
         for n in 0..30 {
             let (millis, class) = ([5, 50, 200][n % 3], ["view", "lodge"][n % 2]);
-            let at = stage.at;
+            let at = scheduler.at;
             scope.spawn(move || {
                 let id = format!("a{n}-{millis}");
                 let mut client = connect(at);
@@ -439,21 +439,21 @@
 fn a_process_held_up_before_its_first_byte_tells_what_is_left_after_it() {
     let discovery = Agent::new(Mode::Silent, &[]);
     let mut narrow = Narrow::new("s-00000001");
-    let stage = Stage::changed(&[&narrow.server], &discovery.server, &[SLOW_DIALS]);
-    let mut client = stage.connect();
+    let scheduler = SchedulerProcess::start_with_changes(&[&narrow.server], &discovery.server, &[SLOW_DIALS]);
+    let mut client = scheduler.connect();
     client.say(&last_job("view", "a1", "5.000"));
     let sent = Instant::now();
-    stage.until("forwards=1 dials=1");
-    stage.freeze();
+    scheduler.until("forwards=1 dials=1");
+    scheduler.freeze();
     narrow.widen();
     let mut forward = narrow.server.accept();
     std::thread::sleep(HOLD_UP);
     let left = 5.0 - sent.elapsed().as_secs_f64();
-    stage.signal("CONT");
+    scheduler.signal("CONT");
     let told = number(&forward.hear(), "X-Time-Left");
     assert!(told <= left + 0.001 && told > 0.0, "{told} told, {left} left");
     forward.say(&response("202 Accepted", ""));
-    stage.call_back(&done("a1", "s-00000001"));
+    scheduler.call_back(&done("a1", "s-00000001"));
     assert!(client.answer().ends_with("s-00000001"));
 }
 
@@ -469,11 +469,11 @@
     Trouble::Forgets.at(&workers[1]);
     Trouble::Resets.at(&workers[2]);
     let discovery = Agent::new(Mode::Silent, &[]);
-    let stage = Stage::changed(&known, &discovery.server, &[MANY_SOCKETS]);
+    let scheduler = SchedulerProcess::start_with_changes(&known, &discovery.server, &[MANY_SOCKETS]);
     std::thread::scope(|scope| {
         let clients: Vec<_> = (0..24)
             .map(|n| {
-                let (at, seconds) = (stage.at, ["0.050", "0.200", "0.700"][n % 3]);
+                let (at, seconds) = (scheduler.at, ["0.050", "0.200", "0.700"][n % 3]);
                 scope.spawn(move || {
                     for turn in 0..4 {
                         let whole = Duration::from_secs_f64(seconds.parse().unwrap());
@@ -491,9 +491,9 @@
             .collect();
         let mut moments = fastrand::Rng::with_seed(7);
         while !clients.iter().all(|client| client.is_finished()) {
-            stage.freeze();
+            scheduler.freeze();
             std::thread::sleep(HOLD_UP);
-            stage.signal("CONT");
+            scheduler.signal("CONT");
             std::thread::sleep(Duration::from_millis(moments.u64(100..400)));
         }
     });
@@ -507,27 +507,27 @@
     let (mut narrow, two) = (Narrow::new("s-00000001"), Server::new("s-00000002"));
     let discovery = Agent::new(Mode::Answers, &[narrow.server.entry("active")]);
     let changes = [LONG_DEADLINES, SLOW_DIALS];
-    let stage = Stage::changed(&[&narrow.server], &discovery.server, &changes);
+    let scheduler = SchedulerProcess::start_with_changes(&[&narrow.server], &discovery.server, &changes);
     discovery.called("from=2", 1);
-    let mut client = stage.connect();
+    let mut client = scheduler.connect();
     client.say(&job("view", "a1", "19.000"));
-    stage.until("forwards=1 dials=1");
-    stage.freeze();
+    scheduler.until("forwards=1 dials=1");
+    scheduler.freeze();
     narrow.widen();
     let line = narrow.server.accept();
     discovery.lists(&[narrow.server.entry("leaving"), two.entry("active")]);
     let told = Instant::now();
-    let (at, draining) = (stage.at, narrow.server.name.clone());
+    let (at, draining) = (scheduler.at, narrow.server.name.clone());
     std::thread::spawn(move || serve_connection(line, &draining, at));
-    serve_all(&stage, &[&two]);
+    serve_all(&scheduler, &[&two]);
     std::thread::sleep(HOLD_UP);
-    stage.signal("CONT");
+    scheduler.signal("CONT");
     let answer = client.answer();
     assert!(answer.ends_with(&two.name) || told.elapsed() < GRACE, "{answer} after {:?}", told.elapsed());
     discovery.called("from=3", 1);
     // So many that the odd one would try the other worker.
     for n in 0..80 {
-        assert!(is_served_by(&stage, &two, &format!("b{n}")), "b{n}");
+        assert!(is_served_by(&scheduler, &two, &format!("b{n}")), "b{n}");
     }
 }
 
@@ -536,11 +536,12 @@
 fn no_attempt_begins_for_a_client_that_closed_while_the_process_was_held_up() {
     let (one, two) = (Server::new("s-00000001"), Server::new("s-00000002"));
     let discovery = Agent::new(Mode::Answers, &[one.entry("active")]);
-    let stage = Stage::changed(&[&one], &discovery.server, &[LONG_DEADLINES, MANY_SOCKETS]);
+    let scheduler =
+        SchedulerProcess::start_with_changes(&[&one], &discovery.server, &[LONG_DEADLINES, MANY_SOCKETS]);
     discovery.called("from=2", 1);
     let pairs: Vec<(Line, Line)> = (0..8)
         .map(|n| {
-            let mut client = stage.connect();
+            let mut client = scheduler.connect();
             client.say(&job("view", &format!("a{n}"), "19.000"));
             let mut first = one.accept();
             assert_eq!(job_id(&first.hear()), Some(format!("a{n}")));
@@ -549,7 +550,7 @@
         .collect();
     discovery.lists(&[one.entry("leaving"), two.entry("active")]);
     discovery.called("from=3", 1);
-    stage.freeze();
+    scheduler.freeze();
     let mut firsts = Vec::new();
     for (n, (client, mut first)) in pairs.into_iter().enumerate() {
         // The order in which the kernel tells of both differs.
@@ -563,12 +564,12 @@
         firsts.push(first);
     }
     std::thread::sleep(HOLD_UP);
-    stage.signal("CONT");
-    stage.until("flows=8 gone=8");
+    scheduler.signal("CONT");
+    scheduler.until("flows=8 gone=8");
     // The first job that the other worker hears is that of a client that waits.
-    let mut client = stage.connect();
+    let mut client = scheduler.connect();
     client.say(&job("view", "b1", "19.000"));
-    serve(&stage, &mut two.accept(), &two, "b1");
+    serve(&scheduler, &mut two.accept(), &two, "b1");
     assert!(client.answer().ends_with(&two.name));
 }
 
@@ -593,8 +594,8 @@
     let discovery = Agent::new(Mode::Silent, &[]);
     let short = (r#""aim":900000000,"give_up":5000000000"#, r#""aim":200000000,"give_up":500000000"#);
     let changes = [short, TWO_SCHEDULERS, MANY_SOCKETS];
-    let mut stage = Stage::changed(&known, &discovery.server, &changes);
-    let at = stage.at;
+    let mut scheduler = SchedulerProcess::start_with_changes(&known, &discovery.server, &changes);
+    let at = scheduler.at;
     let requests: Mutex<Vec<Sent>> = Mutex::default();
     let over = AtomicBool::new(false);
     let (asked, kill) = std::thread::scope(|scope| {
@@ -639,13 +640,13 @@
             });
         }
         std::thread::sleep(Duration::from_millis(600));
-        stage.signal("TERM");
+        scheduler.signal("TERM");
         let asked = Instant::now();
         std::thread::sleep(KILL_AFTER.saturating_sub(asked.elapsed()));
-        let kill = stage.lives().then(Instant::now);
+        let kill = scheduler.lives().then(Instant::now);
         drop(ends_clients);
         if kill.is_some() {
-            stage.signal("KILL");
+            scheduler.signal("KILL");
         }
         (asked, kill)
     });
@@ -663,7 +664,7 @@
             found_open.map(|request| kill.saturating_duration_since(request.sent)).collect();
         assert!(waited.iter().all(|waited| *waited < HOLD_UP), "{waited:?}");
     } else {
-        let counters = stage.logged("counters: ");
+        let counters = scheduler.logged("counters: ");
         let number = |name: &str| -> usize {
             let mut words = counters.split([' ', ';']).filter_map(|word| word.split_once('='));
             words.find(|word| word.0 == name).unwrap().1.parse().unwrap()
@@ -681,12 +682,13 @@
     let workers = workers_in_trouble(&[Trouble::Ignores]);
     let discovery = Agent::new(Mode::Silent, &[]);
     let short = (r#""aim":900000000,"give_up":5000000000"#, r#""aim":900000000,"give_up":3000000000"#);
-    let mut stage = Stage::changed(&[&workers[0]], &discovery.server, &[short, TWO_SCHEDULERS]);
-    let mut client = stage.connect();
+    let mut scheduler =
+        SchedulerProcess::start_with_changes(&[&workers[0]], &discovery.server, &[short, TWO_SCHEDULERS]);
+    let mut client = scheduler.connect();
     client.say("GET /healthz HTTP/1.1\r\n\r\n");
     assert!(client.answer().ends_with("ready"));
-    stage.signal("TERM");
-    stage.logged("asked to end");
+    scheduler.signal("TERM");
+    scheduler.logged("asked to end");
     std::thread::sleep(Duration::from_millis(800));
     let all: String = (0..4).map(|n| job("lodge", &format!("a{n}"), "3.000")).collect();
     client.say(&all);
@@ -701,7 +703,7 @@
         ]
     );
     assert!(client.closed());
-    assert!(stage.ended());
+    assert!(scheduler.ended());
 }
 
 // ---- connections of workers that end
@@ -710,25 +712,25 @@
 #[test]
 fn an_idle_connection_that_its_worker_ends_as_a_request_comes_is_not_used() {
     let (discovery, worker) = (Agent::new(Mode::Silent, &[]), Server::new("s-00000001"));
-    let stage = Stage::new(&[&worker], &discovery.server);
+    let scheduler = SchedulerProcess::start(&[&worker], &discovery.server);
     let ways: [fn(Line); 2] = [|line| line.say_and_go(""), Line::reset];
     for (n, end) in ways.into_iter().enumerate() {
         let (before, after) = (format!("a{n}"), format!("b{n}"));
-        let mut client = stage.connect();
+        let mut client = scheduler.connect();
         client.say(&job("lodge", &before, "3.000"));
         let mut idle = worker.accept();
-        serve(&stage, &mut idle, &worker, &before);
+        serve(&scheduler, &mut idle, &worker, &before);
         assert!(client.answer().ends_with(&worker.name));
-        stage.freeze();
+        scheduler.freeze();
         client.say(&job("lodge", &after, "3.000"));
         end(idle);
-        stage.signal("CONT");
+        scheduler.signal("CONT");
         let mut fresh = worker.accept();
-        serve(&stage, &mut fresh, &worker, &after);
+        serve(&scheduler, &mut fresh, &worker, &after);
         assert!(client.answer().ends_with(&worker.name), "{after}");
         fresh.reset();
     }
-    assert_eq!(stage.counters(&["dials", "reused", "Reset"]), "Reset=0 dials=4 reused=0");
+    assert_eq!(scheduler.counters(&["dials", "reused", "Reset"]), "Reset=0 dials=4 reused=0");
 }
 
 /// A worker forgets a connection that was idle for as long as the settings say, and says nothing of it: a request written
@@ -737,18 +739,18 @@
 fn an_idle_connection_is_not_used_beyond_the_time_for_which_workers_keep_it() {
     let (discovery, worker) = (Agent::new(Mode::Silent, &[]), Server::new("s-00000001"));
     let keepalive = (r#""keepalive":60000000000"#, r#""keepalive":800000000"#);
-    let stage = Stage::changed(&[&worker], &discovery.server, &[keepalive]);
-    let mut client = stage.connect();
+    let scheduler = SchedulerProcess::start_with_changes(&[&worker], &discovery.server, &[keepalive]);
+    let mut client = scheduler.connect();
     let mut forgotten = Vec::new();
     for id in ["a1", "a2", "a3"] {
         client.say(&job("lodge", id, "3.000"));
         let mut line = worker.accept();
-        serve(&stage, &mut line, &worker, id);
+        serve(&scheduler, &mut line, &worker, id);
         assert!(client.answer().ends_with(&worker.name), "{id}");
         forgotten.push(line);
         std::thread::sleep(Duration::from_millis(800));
     }
-    assert_eq!(stage.counters(&["dials", "reused"]), "dials=3 reused=0");
+    assert_eq!(scheduler.counters(&["dials", "reused"]), "dials=3 reused=0");
     assert!(forgotten.iter_mut().all(Line::closed));
 }
 
@@ -786,14 +788,14 @@
         answer_slowly(&discovery, list(7, true, &[worker.entry("active")]), Duration::from_millis(1500));
     let asks = (r#""registry_mode":"automatic""#, r#""registry_mode":"subscribe""#);
     let bound = (r#""obligations":{"#, r#""obligations":{"must_ask_in":10000000000,"#);
-    let stage = Stage::changed(&[], &discovery, &[asks, bound]);
+    let scheduler = SchedulerProcess::start_with_changes(&[], &discovery, &[asks, bound]);
     calls.recv_timeout(Duration::from_secs(10)).unwrap();
     let first_call = Instant::now();
-    until("a list", || stage.counters(&["lists"]) != "lists=0");
+    until("a list", || scheduler.counters(&["lists"]) != "lists=0");
     assert!(first_call.elapsed() < Duration::from_secs(6), "{:?}", first_call.elapsed());
-    let mut client = stage.connect();
+    let mut client = scheduler.connect();
     client.say(&job("view", "a1", "3.000"));
-    serve(&stage, &mut worker.accept(), &worker, "a1");
+    serve(&scheduler, &mut worker.accept(), &worker, "a1");
     assert!(client.answer().ends_with(&worker.name));
 }
 
@@ -809,16 +811,16 @@
     let start = |agent: &Agent, mode: &str| {
         let mode = format!(r#""registry_mode":"{mode}""#);
         let changes = [(r#""registry_mode":"automatic""#, &*mode), bound, LONG_DEADLINES];
-        Stage::changed(&[&one], &agent.server, &changes)
+        SchedulerProcess::start_with_changes(&[&one], &agent.server, &changes)
     };
     let (pushed, asked) = (start(&agents[0], "automatic"), start(&agents[1], "subscribe"));
     let mut ending = start(&agents[2], "automatic");
     agents.iter().for_each(|agent| agent.called("from=2", 1));
-    // Each stage's call-backs go to itself, so each job is served by hand.
-    let serve_at = |stage: &Stage, worker: &Server, id: &str| {
-        let mut client = stage.connect();
+    // Each scheduler's call-backs go to itself, so each job is served by hand.
+    let serve_at = |scheduler: &SchedulerProcess, worker: &Server, id: &str| {
+        let mut client = scheduler.connect();
         client.say(&job("view", id, "19.000"));
-        serve(stage, &mut worker.accept(), worker, id);
+        serve(scheduler, &mut worker.accept(), worker, id);
         assert!(client.answer().ends_with(&worker.name), "{id}");
     };
     let begun = Instant::now();
@@ -826,8 +828,8 @@
     while begun.elapsed() < OUTAGE {
         let mode = if turn % 2 == 0 { Mode::Silent } else { Mode::Refuses };
         agents.iter().for_each(|agent| agent.mode(mode));
-        for stage in [&pushed, &asked, &ending] {
-            serve_at(stage, &one, &format!("a{turn}"));
+        for scheduler in [&pushed, &asked, &ending] {
+            serve_at(scheduler, &one, &format!("a{turn}"));
         }
         turn += 1;
         std::thread::sleep(Duration::from_secs(3));
@@ -857,10 +859,11 @@
         workers.iter().map(|w| Agent::new(Mode::Answers, &[w.entry("active")])).collect();
     // One of those on the way says nothing: a call hangs there when the next configuration comes.
     agents[2].mode(Mode::Silent);
-    let mut stage = Stage::changed(&[&workers[0]], &agents[0].server, &[MANY_SOCKETS]);
-    serve_all(&stage, &workers.iter().collect::<Vec<_>>());
+    let mut scheduler =
+        SchedulerProcess::start_with_changes(&[&workers[0]], &agents[0].server, &[MANY_SOCKETS]);
+    serve_all(&scheduler, &workers.iter().collect::<Vec<_>>());
     agents[0].called("from=2", 1);
-    let (at, over, served) = (stage.at, AtomicBool::new(false), Mutex::new(0));
+    let (at, over, served) = (scheduler.at, AtomicBool::new(false), Mutex::new(0));
     std::thread::scope(|scope| {
         let ends_clients = EndsClients(&over);
         for n in 0..4 {
@@ -881,21 +884,21 @@
         }
         for pair in agents.windows(2) {
             let [old, new] = pair else { unreachable!() };
-            stage.reload(&old.server.at().to_string(), &new.server.at().to_string());
+            scheduler.reload(&old.server.at().to_string(), &new.server.at().to_string());
             // Less than a call of discovery may take; sometimes no time at all.
             std::thread::sleep(Duration::from_millis(if std::ptr::eq(old, &agents[1]) { 0 } else { 120 }));
         }
         let last = &agents[CONFIGURATIONS - 1];
         last.called("GET /v1/servers HTTP", 1);
         let asked = Instant::now();
-        until("the last list", || is_served_by(&stage, &workers[CONFIGURATIONS - 1], "b0"));
+        until("the last list", || is_served_by(&scheduler, &workers[CONFIGURATIONS - 1], "b0"));
         // After SIGHUP what discovery has counts 4 s later.
         assert!(asked.elapsed() < Duration::from_secs(4), "{:?}", asked.elapsed());
         for n in 0..10 {
-            assert!(is_served_by(&stage, &workers[CONFIGURATIONS - 1], &format!("c{n}")));
+            assert!(is_served_by(&scheduler, &workers[CONFIGURATIONS - 1], &format!("c{n}")));
         }
         drop(ends_clients);
     });
     assert!(*served.lock().unwrap() > 20, "{served:?}");
-    assert!(stage.lives());
+    assert!(scheduler.lives());
 }
--- a/tests/system_calls.rs
+++ b/tests/system_calls.rs
@@ -1,12 +1,12 @@
 //! System calls of the real program that fail as Linux documents it, by turn at each place where the program makes them.
 
-mod stage;
+mod harness;
 
+use harness::{Agent, Comers, Mode, Narrow, Platform, SchedulerProcess, Server, job, response, until};
 use loomlb_emulator::rig::{self, Rig};
 use loomlb_emulator::{Options, Stop};
 use loomlb_fault_plan::{Call, FaultPlan, Limit, WITHOUT_END};
 use loomlb_simulation::Day;
-use stage::{Agent, Comers, Mode, Narrow, Platform, Server, Stage, job, response, until};
 use std::process::{Command, Stdio};
 use std::time::{Duration, Instant};
 
@@ -31,7 +31,7 @@
 }
 
 /// Has the target take the next forward and call back, and says how often it has heard the job by then.
-fn serve(stage: &Stage, target: &Server, id: &str) {
+fn serve(stage: &SchedulerProcess, target: &Server, id: &str) {
     let mut forward = target.accept();
     let heard = forward.hear();
     assert!(heard.contains(&format!("X-Correlation-Id: {id}\r\n")), "{heard}");
@@ -40,10 +40,10 @@
 }
 
 /// The program with these targets and its plan, once its discovery has told all and nothing is under way for a while.
-fn settled(targets: &[&Server]) -> (FaultPlan, Stage, Agent) {
+fn settled(targets: &[&Server]) -> (FaultPlan, SchedulerProcess, Agent) {
     let entries: Vec<String> = targets.iter().map(|target| target.entry("active")).collect();
     let (plan, discovery) = (FaultPlan::new().unwrap(), Agent::new(Mode::Answers, &entries));
-    let stage = Stage::under(&plan, targets, &discovery.server, "");
+    let stage = SchedulerProcess::start_with_faults(&plan, targets, &discovery.server, "");
     discovery.called("from=2", 1);
     (plan, stage, discovery)
 }
@@ -56,7 +56,7 @@
             for errno in AT_A_START {
                 let plan = FaultPlan::new().unwrap();
                 plan.fail_after(call, errno, place as u64, 3);
-                let stage = Stage::under(&plan, &[&target], &discovery, ALL_ADDRESSES);
+                let stage = SchedulerProcess::start_with_faults(&plan, &[&target], &discovery, ALL_ADDRESSES);
                 assert_eq!(stage.ask(HEALTH), "HTTP/1.1 200 OK | ready", "{call:?} of {key}: {errno}");
                 assert!(plan.hits(call) == 3, "{call:?} of {key}: {errno}: {}", plan.hits(call));
             }
@@ -75,7 +75,7 @@
             std::thread::sleep(Duration::from_secs(1));
             plan.pass(Call::Socket);
         });
-        Stage::under(&plan, &[&target], &discovery, ALL_ADDRESSES)
+        SchedulerProcess::start_with_faults(&plan, &[&target], &discovery, ALL_ADDRESSES)
     });
     assert_eq!(stage.ask(HEALTH), "HTTP/1.1 200 OK | ready");
     assert!(plan.hits(Call::Socket) > 3);
@@ -113,7 +113,8 @@
 fn an_aborted_accept_closes_no_other_connection_and_the_next_one_is_accepted() {
     let (target, discovery) = (Server::new("t"), Server::new("d"));
     let plan = FaultPlan::new().unwrap();
-    let stage = Stage::under(&plan, &[&target], &discovery, r#""control":"127.0.0.1:0","#);
+    let stage =
+        SchedulerProcess::start_with_faults(&plan, &[&target], &discovery, r#""control":"127.0.0.1:0","#);
     // Idle and never of use: the first to make room.
     let mut idle = stage.connect();
     idle.say(HEALTH);
@@ -141,7 +142,7 @@
     let (target, discovery) = (Server::new("t"), Server::new("d"));
     for errno in [libc::EMFILE, libc::ENFILE, libc::ENOBUFS, libc::ENOMEM] {
         let plan = FaultPlan::new().unwrap();
-        let stage = Stage::under(&plan, &[&target], &discovery, "");
+        let stage = SchedulerProcess::start_with_faults(&plan, &[&target], &discovery, "");
         let mut idle = stage.connect();
         idle.say(HEALTH);
         assert_eq!(idle.answer(), "HTTP/1.1 200 OK | ready");
@@ -158,7 +159,8 @@
 fn the_second_address_answers_after_accepts_that_failed() {
     let (target, discovery) = (Server::new("t"), Server::new("d"));
     let plan = FaultPlan::new().unwrap();
-    let stage = Stage::under(&plan, &[&target], &discovery, r#""control":"127.0.0.1:0","#);
+    let stage =
+        SchedulerProcess::start_with_faults(&plan, &[&target], &discovery, r#""control":"127.0.0.1:0","#);
     for errno in GONE.into_iter().chain([libc::EMFILE, libc::ENFILE, libc::ENOBUFS, libc::ENOMEM]) {
         plan.fail(Call::Accept, errno, 3);
         assert!(stage.order("GET /control/ready").starts_with("HTTP/1.1 200"), "{errno}");
@@ -171,13 +173,13 @@
     let plan = FaultPlan::new().unwrap();
     // Of the process before: its second address is bound first, then the socket by which it is found.
     plan.fail_after(Call::Bind, libc::ENOBUFS, 1, 2);
-    let before = Stage::beside_under(&plan, &[&target], &discovery, &platform);
+    let before = SchedulerProcess::start_on_platform_with_faults(&plan, &[&target], &discovery, &platform);
     until("it can be found", || platform.link().exists());
     plan.fail(Call::Accept, libc::ECONNABORTED, 3);
     let its = FaultPlan::new().unwrap();
     // The process after binds its second address, then connects to the one before.
     its.fail(Call::Connect, libc::EAGAIN, 2);
-    let after = Stage::beside_under(&its, &[], &discovery, &platform);
+    let after = SchedulerProcess::start_on_platform_with_faults(&its, &[], &discovery, &platform);
     after.logged("taken over from the predecessor");
     assert_eq!((plan.hits(Call::Accept), its.hits(Call::Connect)), (3, 2));
     drop(before);
@@ -190,7 +192,7 @@
         LOCAL.map(|errno| (Call::Connect, errno)).into_iter().chain([(Call::Socket, libc::EMFILE)])
     {
         let plan = FaultPlan::new().unwrap();
-        let stage = Stage::under(&plan, &[&target], &discovery, "");
+        let stage = SchedulerProcess::start_with_faults(&plan, &[&target], &discovery, "");
         plan.fail(call, errno, WITHOUT_END);
         let mut client = stage.connect();
         client.say(&job("lodge", "a", "3.0"));
@@ -210,7 +212,7 @@
     let (target, discovery) = (Server::new("t"), Server::new("d"));
     for errno in LOCAL {
         let plan = FaultPlan::new().unwrap();
-        let stage = Stage::under(&plan, &[&target], &discovery, "");
+        let stage = SchedulerProcess::start_with_faults(&plan, &[&target], &discovery, "");
         plan.fail(Call::Connect, errno, WITHOUT_END);
         // One ends with the time to connect, the other with its own.
         for (id, seconds) in [("a", "3.0"), ("b", "0.3")] {
@@ -224,7 +226,7 @@
 #[test]
 fn dials_that_are_given_up_take_no_place_of_later_ones() {
     let (mut narrow, discovery) = (Narrow::new("t"), Server::new("d"));
-    let stage = Stage::new(&[&narrow.server], &discovery);
+    let stage = SchedulerProcess::start(&[&narrow.server], &discovery);
     let ids: Vec<String> = (0..64).map(|number| format!("a{number}")).collect();
     for some in ids.chunks(8) {
         let mut clients: Vec<_> = some.iter().map(|_| stage.connect()).collect();
@@ -272,7 +274,7 @@
         let discovery = Agent::new(Mode::Answers, &[target.entry("active")]);
         let plan = FaultPlan::new().unwrap();
         plan.fail(Call::Connect, errno, 3);
-        let stage = Stage::under(&plan, &[], &discovery.server, "");
+        let stage = SchedulerProcess::start_with_faults(&plan, &[], &discovery.server, "");
         discovery.called("servers", 2);
         assert_eq!(plan.hits(Call::Connect), 3, "{errno}");
         assert_eq!(stage.counters(&["list_faults"]), "list_faults=0", "{errno}");
@@ -288,7 +290,8 @@
         plan.short_reads(bytes).short_writes(bytes);
         plan.fail_every(Call::SocketRead, libc::EINTR, 3).fail_every(Call::SocketWrite, libc::EINTR, 3);
         plan.fail_every(Call::Wait, libc::EINTR, 3);
-        let stage = Stage::under(&plan, &[], &discovery.server, r#""control":"127.0.0.1:0","#);
+        let stage =
+            SchedulerProcess::start_with_faults(&plan, &[], &discovery.server, r#""control":"127.0.0.1:0","#);
         discovery.called("from=2", 1);
         let mut client = stage.connect();
         client.say(&job("lodge", "a", "3.0"));
@@ -318,7 +321,7 @@
     let (target, discovery) = (Server::new("t"), Server::new("d"));
     let plan = FaultPlan::new().unwrap();
     plan.short_reads(HEALTH.len() as u64);
-    let stage = Stage::under(&plan, &[&target], &discovery, "");
+    let stage = SchedulerProcess::start_with_faults(&plan, &[&target], &discovery, "");
     let mut client = stage.connect();
     client.say(&HEALTH.repeat(3));
     for _ in 0..3 {
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -1,10 +1,10 @@
 //! Stories of one process that takes over from another.
 
-mod stage;
+mod harness;
 
+use harness::{Line, Platform, SchedulerProcess, Server, job, response, until};
 use loomlb_fault_plan::{Call, FaultPlan, Limit, WITHOUT_END};
 use loomlb_hot_restart::message::{FrameDecoder, PROTOCOL_VERSION, RestartMessage};
-use stage::{Line, Platform, Server, Stage, job, response, until};
 use std::io::{Read, Write};
 use std::os::unix::net::UnixListener;
 use std::process::Command;
@@ -25,7 +25,7 @@
 fn a_process_takes_over_with_flows_open_and_no_client_notices() {
     let (discovery, one, two) = (Server::new("d"), Server::new("s-00000001"), Server::new("s-00000002"));
     let platform = Platform::new();
-    let mut old = Stage::beside(&[&one, &two], &discovery, &platform);
+    let mut old = SchedulerProcess::start_on_platform(&[&one, &two], &discovery, &platform);
     old.ready();
     assert!(old.order("PUT /control/workers/s-00000002/offline").starts_with("HTTP/1.1 200"));
     // One client has had an answer and keeps its connection, one has said nothing yet, one waits for its job.
@@ -37,7 +37,7 @@
     assert!(kept.answer().ends_with("a1"));
     waits.say(&job("lodge", "a2", "4.000"));
     take(&mut target, "a2");
-    let new = Stage::beside(&[&one, &two], &discovery, &platform);
+    let new = SchedulerProcess::start_on_platform(&[&one, &two], &discovery, &platform);
     new.ready();
     assert!(old.order("GET /control/ready").ends_with(r#"{"why":"handed over","yes":false}"#));
     // An order at either address is one of the scheduler's, and what was ordered before still holds.
@@ -64,7 +64,7 @@
         @"dials=0 call_backs_unknown=0 adopted=4 call_backs_passed=1"
     );
     // A second upgrade after the first.
-    let third = Stage::beside(&[&one, &two], &discovery, &platform);
+    let third = SchedulerProcess::start_on_platform(&[&one, &two], &discovery, &platform);
     third.ready();
     assert!(third.order("GET /control/ready").contains(r#""workers_out":["s-00000002"]"#));
 }
@@ -73,14 +73,14 @@
 fn the_old_process_accepts_again_when_its_successor_dies() {
     let (discovery, target) = (Server::new("d"), Server::new("s-00000001"));
     let platform = Platform::new();
-    let old = Stage::beside(&[&target], &discovery, &platform);
+    let old = SchedulerProcess::start_on_platform(&[&target], &discovery, &platform);
     old.ready();
     let mut waits = old.connect();
     waits.say(&job("lodge", "a1", "4.900"));
     let mut line = target.accept();
     take(&mut line, "a1");
     for _ in 0..2 {
-        let new = Stage::beside(&[&target], &discovery, &platform);
+        let new = SchedulerProcess::start_on_platform(&[&target], &discovery, &platform);
         new.ready();
         drop(new);
         old.ready();
@@ -95,11 +95,11 @@
     let (discovery, target) = (Server::new("d"), Server::new("s-00000001"));
     let platform = Platform::new();
     std::fs::write(platform.link(), "leftover").unwrap();
-    let left = Stage::beside(&[&target], &discovery, &platform);
+    let left = SchedulerProcess::start_on_platform(&[&target], &discovery, &platform);
     left.ready();
     drop(left);
     assert!(platform.link().exists(), "a socket that nobody listens at stays behind");
-    let old = Stage::beside(&[&target], &discovery, &platform);
+    let old = SchedulerProcess::start_on_platform(&[&target], &discovery, &platform);
     old.ready();
     drop(old);
     // Partners that refuse, that end in the midst of a word, that speak another tongue, that say nothing.
@@ -121,7 +121,7 @@
             // Silent until the other side has had enough.
             let _ = if stays { stream.read(&mut piece) } else { Ok(0) };
         });
-        let new = Stage::beside(&[&target], &discovery, &platform);
+        let new = SchedulerProcess::start_on_platform(&[&target], &discovery, &platform);
         new.ready();
         partner.join().unwrap();
         assert!(new.ask("GET /healthz HTTP/1.1\r\n\r\n").ends_with("ready"));
@@ -132,13 +132,13 @@
 fn a_file_that_was_turned_down_does_not_end_the_process_that_takes_over() {
     let (discovery, target) = (Server::new("d"), Server::new("s-00000001"));
     let platform = Platform::new();
-    let mut old = Stage::beside(&[&target], &discovery, &platform);
+    let mut old = SchedulerProcess::start_on_platform(&[&target], &discovery, &platform);
     old.ready();
     old.reload(r#""name":"lodge""#, r#""name":"sign""#);
     old.logged("configuration reloaded");
     let faulty = old.config().replacen("5000000000", "0", 1);
     for (text, fault) in [(&*faulty, "settings.classes[0].give_up: 0 is no number"), ("{", "the file: EOF")] {
-        let new = Stage::beside_as(&discovery, &platform, text);
+        let new = SchedulerProcess::start_on_platform_with_config(&discovery, &platform, text);
         let said = &new.first_line;
         assert!(said.contains(fault) && said.ends_with("starting with the last accepted one"), "{said}");
         new.ready();
@@ -158,7 +158,7 @@
 fn a_reload_is_said_to_be_in_force_once_it_is_kept_for_the_process_that_takes_over() {
     let (discovery, target) = (Server::new("d"), Server::new("s-00000001"));
     let platform = Platform::new();
-    let mut old = Stage::beside(&[&target], &discovery, &platform);
+    let mut old = SchedulerProcess::start_on_platform(&[&target], &discovery, &platform);
     old.ready();
     let pipe = platform.folder.path().join(format!("loomlb-127.0.0.1-0.{}", old.id()));
     assert!(Command::new("mkfifo").arg(&pipe).status().unwrap().success());
@@ -185,7 +185,7 @@
 fn a_reload_on_a_full_disk_is_kept_for_the_next_process_once_there_is_room() {
     let (discovery, target) = (Server::new("d"), Server::new("s-00000001"));
     let (platform, plan) = (Platform::new(), FaultPlan::new().unwrap());
-    let mut old = Stage::beside_under(&plan, &[&target], &discovery, &platform);
+    let mut old = SchedulerProcess::start_on_platform_with_faults(&plan, &[&target], &discovery, &platform);
     old.ready();
     let file = platform.folder.path().join("loomlb-127.0.0.1-0.json");
     let kept = || std::fs::read_to_string(&file).unwrap();
--- a/tests/wall_clock.rs
+++ b/tests/wall_clock.rs
@@ -1,10 +1,10 @@
 //! Stories of a wall clock that is wrong from the start or is stepped: spans of time go on as if nothing had happened. The
 //! program's wall clock is moved by a preloaded shim; its monotonic clock and the clock of the test stay true.
 
-mod stage;
+mod harness;
 
+use harness::{Agent, Mode, Narrow, Platform, SchedulerProcess, Server, job, until};
 use loomlb_fault_plan::FaultPlan;
-use stage::{Agent, Mode, Narrow, Platform, Server, Stage, job, until};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 const SECOND: i64 = 1_000_000_000;
@@ -36,12 +36,12 @@
     worker.entry("active").replace(r#""born_ms":0"#, &format!(r#""born_ms":{born}"#))
 }
 
-fn forwards(stage: &Stage) -> usize {
+fn forwards(stage: &SchedulerProcess) -> usize {
     stage.counters(&["forwards"])[9..].parse().unwrap()
 }
 
 /// Has clients ask for this long, each again as soon as it is answered; the worker answers nothing.
-fn ask_all_the_time(stage: &Stage, long: Duration) {
+fn ask_all_the_time(stage: &SchedulerProcess, long: Duration) {
     let begun = Instant::now();
     std::thread::scope(|scope| {
         for client in 0..CLIENTS {
@@ -60,7 +60,7 @@
 }
 
 /// Two seconds are half a window of the rule.
-fn stays_within_the_cold_budget(stage: &Stage, step: i64) {
+fn stays_within_the_cold_budget(stage: &SchedulerProcess, step: i64) {
     let before = forwards(stage);
     ask_all_the_time(stage, Duration::from_secs(2));
     let sent = forwards(stage) - before;
@@ -77,7 +77,7 @@
         let (worker, discovery) = (Server::new("s-00000001"), Agent::new(Mode::Answers, &[]));
         let rule = slow_start("600000000000");
         let changes = [(r#""obligations":{"#, &*rule), AIM];
-        let stage = Stage::changed_under(&plan, &discovery.server, &changes);
+        let stage = SchedulerProcess::start_with_changes_and_faults(&plan, &discovery.server, &changes);
         discovery.called("from=2", 1);
         discovery.lists(&[born_now(&worker)]);
         discovery.called("from=3", 1);
@@ -95,7 +95,7 @@
         let (worker, discovery) = (Server::new("s-00000001"), Agent::new(Mode::Answers, &[]));
         let rule = slow_start("2000000000");
         let changes = [(r#""obligations":{"#, &*rule), AIM];
-        let stage = Stage::changed_under(&plan, &discovery.server, &changes);
+        let stage = SchedulerProcess::start_with_changes_and_faults(&plan, &discovery.server, &changes);
         discovery.called("from=2", 1);
         discovery.lists(&[born_now(&worker)]);
         discovery.called("from=3", 1);
@@ -114,13 +114,23 @@
         let (worker, discovery) = (Server::new("s-00000001"), Agent::new(Mode::Answers, &[]));
         let (platform, rule) = (Platform::new(), slow_start("600000000000"));
         let changes = [(r#""obligations":{"#, &*rule), AIM];
-        let old = Stage::changed_beside_under(&plan, &discovery.server, &platform, &changes);
+        let old = SchedulerProcess::start_on_platform_with_changes_and_faults(
+            &plan,
+            &discovery.server,
+            &platform,
+            &changes,
+        );
         old.ready();
         discovery.called("from=2", 1);
         discovery.lists(&[born_now(&worker)]);
         discovery.called("from=3", 1);
         plan.step_wall_clock(step);
-        let new = Stage::changed_beside_under(&plan, &discovery.server, &platform, &changes);
+        let new = SchedulerProcess::start_on_platform_with_changes_and_faults(
+            &plan,
+            &discovery.server,
+            &platform,
+            &changes,
+        );
         new.ready();
         stays_within_the_cold_budget(&new, step);
     }
@@ -133,13 +143,13 @@
     for step in STEPS {
         let (discovery, target) = (Server::new("d"), Server::new("s-00000001"));
         let (platform, plan) = (Platform::new(), FaultPlan::new().unwrap());
-        let old = Stage::beside_under(&plan, &[&target], &discovery, &platform);
+        let old = SchedulerProcess::start_on_platform_with_faults(&plan, &[&target], &discovery, &platform);
         old.ready();
         let mut kept = old.connect();
         assert!(old.order("PUT /control/out-of-service").starts_with("HTTP/1.1 200"));
         plan.step_wall_clock(step);
         assert!(kept.closed(), "{step} ns");
-        let new = Stage::beside_under(&plan, &[&target], &discovery, &platform);
+        let new = SchedulerProcess::start_on_platform_with_faults(&plan, &[&target], &discovery, &platform);
         new.ready();
         assert!(new.order("GET /control/ready").contains(r#""service":"draining""#));
         // The time for jobs is over, as the first process has shown: none is taken any more.
@@ -158,12 +168,12 @@
 
 /// A job with an idempotency key whose first attempt breaks; its repeat hangs in a dial while the wall clock is stepped,
 /// and the dial comes up after `wait`. The client's answer, and what became of the attempts.
-fn repeat_across_a_step(window: &str, step: i64, wait: Duration) -> (Stage, Server, String) {
+fn repeat_across_a_step(window: &str, step: i64, wait: Duration) -> (SchedulerProcess, Server, String) {
     let (one, mut narrow) = (Server::new("s-00000001"), Narrow::new("s-00000002"));
     let (discovery, plan) = (Agent::new(Mode::Answers, &[one.entry("active")]), FaultPlan::new().unwrap());
     let keyed = format!(r#""effect":"deduplicated","group":"cell","repeat_window":{window}"#);
     let changes = [PATIENT, SLOW_DIALS, (r#""effect":"idempotent""#, &*keyed)];
-    let stage = Stage::changed_under(&plan, &discovery.server, &changes);
+    let stage = SchedulerProcess::start_with_changes_and_faults(&plan, &discovery.server, &changes);
     stage.until("lists=1");
     let mut client = stage.connect();
     client.say(&job("view", "a1", "19.000").replace("X-Service", "Idempotency-Key: k\r\nX-Service"));
@@ -204,7 +214,7 @@
 fn a_silent_discovery_is_asked_again_across_a_step() {
     for step in STEPS {
         let (discovery, plan) = (Agent::new(Mode::Answers, &[]), FaultPlan::new().unwrap());
-        let stage = Stage::under(&plan, &[], &discovery.server, "");
+        let stage = SchedulerProcess::start_with_faults(&plan, &[], &discovery.server, "");
         discovery.called("from=2", 1);
         discovery.mode(Mode::Silent);
         plan.step_wall_clock(step);
