--- a/tests/endings.rs
+++ b/tests/endings.rs
@@ -4,7 +4,7 @@
 
 mod harness;
 
-use harness::{Agent, Line, Mode, Narrow, SchedulerProcess, Server, job, list, response};
+use harness::{Agent, HttpConnection, Mode, Narrow, SchedulerProcess, Server, job, list, response};
 use insta::assert_snapshot;
 use std::time::{Duration, Instant};
 
@@ -24,19 +24,19 @@
 }
 
 /// Serves the next job on a connection as its target would.
-fn serve(scheduler: &SchedulerProcess, line: &mut Line, from: &Server, id: &str) {
-    let head = line.hear();
+fn serve(scheduler: &SchedulerProcess, line: &mut HttpConnection, from: &Server, id: &str) {
+    let head = line.receive();
     assert!(head.contains(&format!("X-Correlation-Id: {id}\r\n")), "another job than {id}: {head}");
-    line.say(&response("202 Accepted", ""));
+    line.send(&response("202 Accepted", ""));
     scheduler.call_back(&done(id, from));
 }
 
 /// A job of a new client goes to this server and is served there.
 fn goes_to(scheduler: &SchedulerProcess, to: &Server, id: &str, seconds: &str) {
     let mut client = scheduler.connect();
-    client.say(&job("view", id, seconds));
+    client.send(&job("view", id, seconds));
     serve(scheduler, &mut to.accept(), to, id);
-    assert!(client.answer().ends_with(id), "{id}");
+    assert!(client.receive_response().ends_with(id), "{id}");
 }
 
 // ---- clients that go
@@ -46,18 +46,18 @@
 fn a_client_that_leaves_while_its_job_waits_is_noticed_whatever_it_says_as_it_goes() {
     let (discovery, target) = (Agent::new(Mode::Silent, &[]), Server::new("s-00000001"));
     let scheduler = SchedulerProcess::start_with_changes(&[], &discovery.server, &[PATIENT, ROOMY]);
-    type Way = (&'static str, fn(Line));
+    type Way = (&'static str, fn(HttpConnection));
     let ways: [Way; 5] = [
         ("closes", drop),
-        ("resets", Line::reset),
-        ("has begun its next request", |line| line.say_and_go("POST /view/7f HTTP/1.1\r\n")),
-        ("has sent several", |line| line.say_and_go(&job("view", "x", "9.000").repeat(80))),
-        ("floods", |line| line.say_and_go(&"x".repeat(400_000))),
+        ("resets", HttpConnection::reset),
+        ("has begun its next request", |line| line.send_and_close("POST /view/7f HTTP/1.1\r\n")),
+        ("has sent several", |line| line.send_and_close(&job("view", "x", "9.000").repeat(80))),
+        ("floods", |line| line.send_and_close(&"x".repeat(400_000))),
     ];
     let waiting: Vec<_> = (0..20)
         .map(|n| {
             let mut line = scheduler.connect();
-            line.say(&job("view", &format!("a{n}"), "19.000"));
+            line.send(&job("view", &format!("a{n}"), "19.000"));
             (line, ways[n % ways.len()])
         })
         .collect();
@@ -78,19 +78,19 @@
     discovery.lists(&[target.entry("active")]);
     let scheduler = SchedulerProcess::start(&[&target], &discovery.server);
     let mut kept = scheduler.connect();
-    kept.say("GET /healthz HTTP/1.1\r\n\r\n");
-    assert!(kept.answer().ends_with("ready"));
+    kept.send("GET /healthz HTTP/1.1\r\n\r\n");
+    assert!(kept.receive_response().ends_with("ready"));
     scheduler.freeze();
     for i in 0..3 {
-        scheduler.connect().say_and_go(&job("view", &format!("a{i}"), "3.000"));
-        scheduler.connect().say_and_go(&job("view", &format!("b{i}"), "3.000").repeat(3));
+        scheduler.connect().send_and_close(&job("view", &format!("a{i}"), "3.000"));
+        scheduler.connect().send_and_close(&job("view", &format!("b{i}"), "3.000").repeat(3));
     }
-    kept.say_and_go(&job("view", "c", "3.000"));
+    kept.send_and_close(&job("view", "c", "3.000"));
     let mut stays = scheduler.connect();
-    stays.say(&job("view", "d", "3.000"));
+    stays.send(&job("view", "d", "3.000"));
     scheduler.signal("CONT");
     serve(&scheduler, &mut target.accept(), &target, "d");
-    assert!(stays.answer().ends_with("d"));
+    assert!(stays.receive_response().ends_with("d"));
     assert_snapshot!(scheduler.counters(&["flows", "forwards"]), @"flows=1 forwards=1");
 }
 
@@ -104,7 +104,7 @@
         &[PATIENT, SLOW_DIALS, NO_CANCEL],
     );
     let mut client = scheduler.connect();
-    client.say(&job("view", "a1", "19.000"));
+    client.send(&job("view", "a1", "19.000"));
     scheduler.until("forwards=1 NotSent=0 dials=1");
     drop(client);
     scheduler.until("gone=1 forwards=1 NotSent=0");
@@ -122,14 +122,14 @@
     let scheduler = SchedulerProcess::start_with_changes(&[&one], &discovery.server, &[PATIENT, NO_CANCEL]);
     scheduler.until("lists=1");
     let mut client = scheduler.connect();
-    client.say(&job("view", "a1", "19.000"));
+    client.send(&job("view", "a1", "19.000"));
     let mut first = one.accept();
-    assert!(first.hear().contains("a1"));
+    assert!(first.receive().contains("a1"));
     discovery.lists(&[one.entry("leaving"), two.entry("active")]);
     scheduler.until("lists=2");
     drop(client);
     scheduler.until("gone=1 forwards=1");
-    first.say(TURNED_AWAY);
+    first.send(TURNED_AWAY);
     scheduler.until("gone=1 forwards=1 Full=1");
     // The first that the other worker hears is the next client's job.
     goes_to(&scheduler, &two, "b1", "19.000");
@@ -151,38 +151,38 @@
         line.expect("it tells its time").parse().unwrap()
     };
     let mut client = scheduler.connect();
-    client.say(&job("view", "a1", "15.000"));
+    client.send(&job("view", "a1", "15.000"));
     let mut first = one.accept();
-    let at_first = told(&first.hear());
+    let at_first = told(&first.receive());
     // Its client has waited since before this moment.
     let heard = Instant::now();
     assert!(at_first <= 15.0, "{at_first}");
     discovery.lists(&[one.entry("leaving"), narrow.server.entry("active")]);
     scheduler.until("lists=2");
     std::thread::sleep(Duration::from_millis(700));
-    first.say(TURNED_AWAY);
+    first.send(TURNED_AWAY);
     scheduler.until("forwards=2 Full=1 dials=2");
     std::thread::sleep(Duration::from_millis(700));
     let left = 15.0 - heard.elapsed().as_secs_f64();
     narrow.widen();
     let mut second = narrow.server.accept();
-    let at_second = told(&second.hear());
+    let at_second = told(&second.receive());
     assert!(at_second <= left + 0.001 && at_second > 0.0, "{at_second} told, {left} left");
-    second.say(&response("202 Accepted", ""));
+    second.send(&response("202 Accepted", ""));
     scheduler.call_back(&done("a1", &narrow.server));
-    assert!(client.answer().ends_with("a1"));
+    assert!(client.receive_response().ends_with("a1"));
 }
 
 // ---- messages in pieces, in all forms, slowly, and many at once
 
 /// What is said of one message in pieces, each read before the next is said: a turn of the program's loop lies between them.
-fn in_pieces(scheduler: &SchedulerProcess, line: &mut Line, text: &str) {
+fn in_pieces(scheduler: &SchedulerProcess, line: &mut HttpConnection, text: &str) {
     let body = text.find("\r\n\r\n").map_or(text.len(), |at| at + 4);
     let mut cuts = [3, body / 3, body - 3, body - 1, body + 1, text.len()];
     cuts.sort_unstable();
     let mut from = 0;
     for to in cuts.into_iter().filter(|to| *to <= text.len()) {
-        line.say(&text[from..to]);
+        line.send(&text[from..to]);
         scheduler.counters(&["flows"]);
         from = to;
     }
@@ -195,7 +195,7 @@
     let scheduler = SchedulerProcess::start(&[&one], &discovery);
     // An indented list in chunks takes the place of the one that was known.
     let mut line = discovery.accept();
-    line.hear();
+    line.receive();
     let text =
         list(3, true, &[two.entry("active")]).replace(':', " :\t").replace("127.0.0.1 :\t", "127.0.0.1:");
     let text = text.replace(',', ",\n  ").replace('{', "{\n  ");
@@ -239,7 +239,7 @@
             let mut client = scheduler.connect();
             in_pieces(&scheduler, &mut client, &request.replace("ID", &id));
             let mut forward = two.accept();
-            let heard = forward.hear();
+            let heard = forward.receive();
             assert!(heard.starts_with("POST /view/7f?a=b&c=%20 HTTP/1.1\r\n"), "{heard}");
             assert!(heard.contains(&format!("\r\nX-Correlation-Id: {id}\r\n")), "{heard}");
             assert!(heard.contains(&format!("\r\nIdempotency-Key: k-{id}\r\n")), "{heard}");
@@ -255,8 +255,8 @@
             if !early {
                 in_pieces(&scheduler, &mut caller, &call);
             }
-            assert_eq!(caller.answer(), "HTTP/1.1 200 OK | noted");
-            assert_eq!(client.answer(), format!("HTTP/1.1 200 OK | made {id}"));
+            assert_eq!(caller.receive_response(), "HTTP/1.1 200 OK | noted");
+            assert_eq!(client.receive_response(), format!("HTTP/1.1 200 OK | made {id}"));
             // The next job has a connection of its own to come by.
             forward.reset();
         }
@@ -271,17 +271,17 @@
     let mut slow = scheduler.connect();
     let text = job("view", "a1", "0.900");
     let (body, begun) = (text.len() - 1, Instant::now());
-    slow.say(&text[..body - 60]);
+    slow.send(&text[..body - 60]);
     goes_to(&scheduler, &target, "b1", "3.000");
     while begun.elapsed() < Duration::from_millis(1100) {
         std::thread::sleep(Duration::from_millis(50));
     }
-    slow.say(&text[body - 60..body]);
+    slow.send(&text[body - 60..body]);
     assert_snapshot!(scheduler.counters(&["flows", "forwards"]), @"flows=1 forwards=1");
-    slow.say(&text[body..]);
+    slow.send(&text[body..]);
     let mut forward = target.accept();
     serve(&scheduler, &mut forward, &target, "a1");
-    assert!(slow.answer().ends_with("a1"));
+    assert!(slow.receive_response().ends_with("a1"));
 }
 
 /// Many commands come in one piece on one connection. Each is sent on once, in its turn, and answered in its turn.
@@ -293,12 +293,12 @@
     let mut client = scheduler.connect();
     let health = "GET /healthz HTTP/1.1\r\n\r\n";
     let all: String = (0..MANY).map(|n| job("view", &format!("a{n}"), "19.000") + health).collect();
-    client.say(&all);
+    client.send(&all);
     let mut forward = target.accept();
     for n in 0..MANY {
         serve(&scheduler, &mut forward, &target, &format!("a{n}"));
-        assert_eq!(client.answer(), format!("HTTP/1.1 200 OK | a{n}"));
-        assert_eq!(client.answer(), "HTTP/1.1 200 OK | ready");
+        assert_eq!(client.receive_response(), format!("HTTP/1.1 200 OK | a{n}"));
+        assert_eq!(client.receive_response(), "HTTP/1.1 200 OK | ready");
     }
     assert_snapshot!(scheduler.counters(&["flows", "forwards", "served"]), @"flows=30 served=30 forwards=30");
 }
@@ -319,13 +319,13 @@
     );
     scheduler.until("lists=1");
     let mut client = scheduler.connect();
-    client.say(&job("lodge", "a1", "19.000"));
+    client.send(&job("lodge", "a1", "19.000"));
     scheduler.until("forwards=1 dials=1");
     discovery.lists(&[news(&narrow.server), two.entry("active")]);
     scheduler.until("lists=2");
     narrow.widen();
     serve(&scheduler, &mut two.accept(), &two, "a1");
-    assert!(client.answer().ends_with("a1"));
+    assert!(client.receive_response().ends_with("a1"));
     assert_eq!(scheduler.counters(&["forwards", "NotSent", "served"]), "served=1 forwards=2 NotSent=1");
 }
 
@@ -352,16 +352,16 @@
         SchedulerProcess::start_with_changes(&[&one], &discovery.server, &[PATIENT, SLOW_DIALS, keyed]);
     scheduler.until("lists=1");
     let mut client = scheduler.connect();
-    client.say(&job("view", "a1", "19.000").replace("X-Service", "Idempotency-Key: k\r\nX-Service"));
+    client.send(&job("view", "a1", "19.000").replace("X-Service", "Idempotency-Key: k\r\nX-Service"));
     let mut first = one.accept();
-    assert!(first.hear().contains("Idempotency-Key: k\r\n"));
+    assert!(first.receive().contains("Idempotency-Key: k\r\n"));
     discovery.lists(&[one.entry("leaving"), narrow.server.entry("active")]);
     scheduler.until("forwards=1 lists=2");
     drop(first);
     scheduler.until("forwards=2 Reset=1 dials=2");
     std::thread::sleep(Duration::from_millis(2100));
     narrow.widen();
-    assert_snapshot!(client.answer(), @"HTTP/1.1 502 Bad Gateway | failed");
+    assert_snapshot!(client.receive_response(), @"HTTP/1.1 502 Bad Gateway | failed");
     assert_snapshot!(scheduler.counters(&["forwards", "NotSent"]), @"forwards=2 NotSent=1");
 }
 
@@ -403,7 +403,7 @@
     scheduler.until("lists=1");
     discovery.called("from=2", 4);
     let mut client = scheduler.connect();
-    client.say(&job("view", "a1", "19.000"));
+    client.send(&job("view", "a1", "19.000"));
     scheduler.until("flows=1 forwards=0");
     let before = discovery.calls("from=2").len();
     discovery.mode(Mode::Silent);
@@ -415,7 +415,7 @@
     discovery.mode(Mode::Answers);
     serve(&scheduler, &mut two.accept(), &two, "a1");
     assert!(silent.elapsed() < Duration::from_secs(6), "{:?}", silent.elapsed());
-    assert!(client.answer().ends_with("a1"));
+    assert!(client.receive_response().ends_with("a1"));
     assert!(scheduler.ended());
 }
 
@@ -445,12 +445,12 @@
     let scheduler = SchedulerProcess::start(&[&one], &discovery);
     let hung = [discovery.accept(), discovery.accept()];
     let mut news = discovery.accept();
-    assert!(news.hear().starts_with("GET /v1/servers?from=1&"));
-    news.say(&response("200 OK", &list(7, true, &[two.entry("active")])));
-    assert!(news.hear().starts_with("GET /v1/servers?from=7&"));
+    assert!(news.receive().starts_with("GET /v1/servers?from=1&"));
+    news.send(&response("200 OK", &list(7, true, &[two.entry("active")])));
+    assert!(news.receive().starts_with("GET /v1/servers?from=7&"));
     // None of them had failed: they were open beside each other.
     assert_snapshot!(scheduler.counters(&["lists", "list_faults"]), @"lists=1 list_faults=0");
-    assert!(hung.into_iter().all(|mut line| line.hear().starts_with("GET") && line.closed()));
+    assert!(hung.into_iter().all(|mut line| line.receive().starts_with("GET") && line.wait_until_closed()));
 }
 
 /// Clients that rest fill the places while discovery is down, and more of them come all the time. Health is answered, and
@@ -465,8 +465,8 @@
     for i in 0..150 {
         let mut line = scheduler.connect();
         if i % 2 == 0 {
-            line.say("GET /healthz HTTP/1.1\r\n\r\n");
-            assert!(line.answer().ends_with("ready"));
+            line.send("GET /healthz HTTP/1.1\r\n\r\n");
+            assert!(line.receive_response().ends_with("ready"));
         }
         idle.push(line);
     }
@@ -489,14 +489,14 @@
     // More than a quarter of the descriptors: the oldest make room.
     for _ in 0..40 {
         let mut line = scheduler.connect();
-        line.say("GET /healthz HTTP/1.1\r\n\r\n");
-        assert!(line.answer().ends_with("ready"));
+        line.send("GET /healthz HTTP/1.1\r\n\r\n");
+        assert!(line.receive_response().ends_with("ready"));
         let tell = tell.clone();
         std::thread::spawn(move || {
-            line.closed();
+            line.wait_until_closed();
             // The first of two writes to a socket that is closed has it reset, and the second fails.
             let text = job("view", "a1", "3.000");
-            let _ = tell.send(line.try_say(&text[..20]).is_ok() && line.try_say(&text[20..]).is_ok());
+            let _ = tell.send(line.try_send(&text[..20]).is_ok() && line.try_send(&text[20..]).is_ok());
         });
     }
     let mut seen = (0..20).map(|_| ended.recv().unwrap());
@@ -517,15 +517,15 @@
     while asked.elapsed() < Duration::from_millis(2900) {
         if client.is_none() && asked.elapsed() > Duration::from_millis(1500) {
             let mut line = scheduler.connect();
-            line.say("POST /view/7f HTTP/1.1\r\nContent-Length: 8000000\r\n\r\n");
+            line.send("POST /view/7f HTTP/1.1\r\nContent-Length: 8000000\r\n\r\n");
             client = Some(line);
         }
-        let said = client.as_mut().map_or(Ok(()), |line| line.try_say("x"));
+        let said = client.as_mut().map_or(Ok(()), |line| line.try_send("x"));
         assert!(said.is_ok(), "{said:?} after {:?}", asked.elapsed());
         std::thread::sleep(Duration::from_millis(20));
     }
     let mut client = client.unwrap();
-    assert_snapshot!(client.answer(), @"HTTP/1.1 413 Content Too Large | body too large");
+    assert_snapshot!(client.receive_response(), @"HTTP/1.1 413 Content Too Large | body too large");
     drop(client);
     assert!(scheduler.ended());
 }
@@ -537,21 +537,21 @@
     let mut scheduler =
         SchedulerProcess::start_with_changes(&[&narrow.server], &discovery.server, &[SLOW_DIALS]);
     let mut client = scheduler.connect();
-    client.say(&job("lodge", "a1", "4.500"));
+    client.send(&job("lodge", "a1", "4.500"));
     scheduler.until("forwards=1 dials=1");
     narrow.widen();
     let mut forward = narrow.server.accept();
-    forward.hear();
-    forward.say(&response("202 Accepted", "").replace("Content", "Connection: close\r\nContent"));
+    forward.receive();
+    forward.send(&response("202 Accepted", "").replace("Content", "Connection: close\r\nContent"));
     scheduler.until("forwards=1 dials=1");
     // The worker's machine is full again: the call that gives the job up hangs in its dial.
     let crowd = std::net::TcpStream::connect(narrow.server.at()).unwrap();
     scheduler.signal("TERM");
-    assert_snapshot!(client.answer(), @"HTTP/1.1 502 Bad Gateway | failed");
+    assert_snapshot!(client.receive_response(), @"HTTP/1.1 502 Bad Gateway | failed");
     std::thread::sleep(Duration::from_millis(100));
     assert!(scheduler.lives(), "it ended with a word to a worker unsaid");
     narrow.server.accept();
-    assert_eq!(narrow.server.accept().hear().lines().next(), Some("DELETE /jobs/a1 HTTP/1.1"));
+    assert_eq!(narrow.server.accept().receive().lines().next(), Some("DELETE /jobs/a1 HTTP/1.1"));
     assert!(scheduler.ended());
     drop((crowd, forward));
 }
@@ -563,13 +563,13 @@
     let (discovery, target) = (Agent::new(Mode::Silent, &[]), Server::new("s-00000001"));
     let scheduler = SchedulerProcess::start(&[&target], &discovery.server);
     let mut client = scheduler.connect();
-    client.say(&job("lodge", "a1", "0.500"));
+    client.send(&job("lodge", "a1", "0.500"));
     let mut endless = target.accept();
-    endless.hear();
-    endless.say("HTTP/1.1 202 Accepted\r\nContent-Length: 60000\r\n\r\nand so on");
-    assert_snapshot!(client.answer(), @"HTTP/1.1 502 Bad Gateway | failed");
-    assert_eq!(target.accept().hear().lines().next(), Some("DELETE /jobs/a1 HTTP/1.1"));
-    assert!(endless.closed(), "it would hold memory and a descriptor");
+    endless.receive();
+    endless.send("HTTP/1.1 202 Accepted\r\nContent-Length: 60000\r\n\r\nand so on");
+    assert_snapshot!(client.receive_response(), @"HTTP/1.1 502 Bad Gateway | failed");
+    assert_eq!(target.accept().receive().lines().next(), Some("DELETE /jobs/a1 HTTP/1.1"));
+    assert!(endless.wait_until_closed(), "it would hold memory and a descriptor");
 }
 
 #[test]
@@ -579,15 +579,15 @@
     for (id, cut) in [("a1", "Content-Length: 9\r\n\r\nabc"), ("a2", "Transfer-Encoding: chunked\r\n\r\nzz")]
     {
         let mut client = scheduler.connect();
-        client.say(&job("lodge", id, "3.000"));
+        client.send(&job("lodge", id, "3.000"));
         let mut forward = target.accept();
-        forward.hear();
-        forward.say(&format!("HTTP/1.1 202 Accepted\r\n{cut}"));
+        forward.receive();
+        forward.send(&format!("HTTP/1.1 202 Accepted\r\n{cut}"));
         drop(forward);
         // A turn of the program's loop, so that the end has reached it before the call-back does.
         scheduler.counters(&["served"]);
         scheduler.call_back(&done(id, &target));
-        assert!(client.answer().ends_with(id));
+        assert!(client.receive_response().ends_with(id));
     }
     assert_snapshot!(scheduler.counters(&["served", "Reset"]), @"served=2 Reset=0");
 }
@@ -598,15 +598,15 @@
     let (discovery, target) = (Agent::new(Mode::Silent, &[]), Server::new("s-00000001"));
     let scheduler = SchedulerProcess::start(&[&target], &discovery.server);
     let mut client = scheduler.connect();
-    client.say(&job("lodge", "a1", "4.500"));
+    client.send(&job("lodge", "a1", "4.500"));
     let mut forward = target.accept();
-    forward.hear();
-    forward.say(&response("202 Accepted", ""));
+    forward.receive();
+    forward.send(&response("202 Accepted", ""));
     scheduler.call_back(r#"{"id":"a1","from":"s-00000001","state":"started"}"#);
     forward.reset();
     scheduler.counters(&["served"]);
     scheduler.call_back(&done("a1", &target));
-    assert!(client.answer().ends_with("a1"));
+    assert!(client.receive_response().ends_with("a1"));
     assert_snapshot!(scheduler.counters(&["served", "Reset"]), @"served=1 Reset=0");
 }
 
@@ -618,19 +618,19 @@
     let mut twice = None;
     for id in ["a1", "a2"] {
         let mut client = scheduler.connect();
-        client.say(&job("lodge", id, "3.000"));
+        client.send(&job("lodge", id, "3.000"));
         let mut forward = target.accept();
         serve(&scheduler, &mut forward, &target, id);
-        assert!(client.answer().ends_with(id));
+        assert!(client.receive_response().ends_with(id));
         if id == "a1" {
-            forward.say("HTTP/1.1 503 Busy\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n");
+            forward.send("HTTP/1.1 503 Busy\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n");
             // A turn of the program's loop, so that it has come before the next job does.
             scheduler.counters(&["served"]);
             twice = Some(forward);
         }
     }
     assert_snapshot!(scheduler.counters(&["forwards", "Full", "dials", "reused"]), @"forwards=2 Full=0 dials=2 reused=0");
-    assert!(twice.unwrap().closed());
+    assert!(twice.unwrap().wait_until_closed());
 }
 
 // ---- starts by the dozen
@@ -666,8 +666,8 @@
                     if begun.elapsed() > Duration::from_secs(2) {
                         break;
                     }
-                    line.say(&job("view", &format!("n{n}-{i}"), "0.300"));
-                    assert!(line.answer().starts_with("HTTP/1.1 5"));
+                    line.send(&job("view", &format!("n{n}-{i}"), "0.300"));
+                    assert!(line.receive_response().starts_with("HTTP/1.1 5"));
                 }
             });
         }
@@ -689,15 +689,15 @@
     let (discovery, one) = (Server::new("d"), Server::new("s-00000001"));
     let scheduler = SchedulerProcess::start(&[&one], &discovery);
     let mut line = discovery.accept();
-    line.hear();
+    line.receive();
     let entry = one.entry("active");
     let many: Vec<String> = (1..=2_000).map(|n| entry.replace("s-00000001", &format!("s-{n:08x}"))).collect();
     let text = list(3, true, &many);
     assert!(text.len() > 200_000, "{}", text.len());
-    line.say(&response("200 OK", &text));
+    line.send(&response("200 OK", &text));
     scheduler.until("lists=1 list_faults=0");
-    assert!(line.hear().contains("from=3"), "it goes on from this list");
-    line.say(&format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", 64 << 20));
+    assert!(line.receive().contains("from=3"), "it goes on from this list");
+    line.send(&format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", 64 << 20));
     scheduler.until("lists=1 list_faults=1");
-    assert!(discovery.accept().hear().contains("from=3"), "the last list stays");
+    assert!(discovery.accept().receive().contains("from=3"), "the last list stays");
 }
--- a/tests/harness/mod.rs
+++ b/tests/harness/mod.rs
@@ -22,18 +22,18 @@
 "dial_timeout":1000000000,"keepalive":60000000000},"obligations":{"drain_grace":1000000000}}"#;
 
 /// One side of a connection that speaks HTTP by hand.
-pub struct Line(BufReader<TcpStream>);
+pub struct HttpConnection(BufReader<TcpStream>);
 
-impl Line {
-    pub fn new(stream: TcpStream) -> Line {
+impl HttpConnection {
+    pub fn new(stream: TcpStream) -> HttpConnection {
         stream.set_read_timeout(Some(LONG)).unwrap();
-        Line(BufReader::new(stream))
+        HttpConnection(BufReader::new(stream))
     }
-    pub fn say(&mut self, text: &str) {
+    pub fn send(&mut self, text: &str) {
         self.0.get_mut().write_all(text.as_bytes()).unwrap();
     }
     /// The next message, or what came of it before the other side closed.
-    pub fn hear(&mut self) -> String {
+    pub fn receive(&mut self) -> String {
         let (mut text, mut length) = (String::new(), 0);
         loop {
             let start = text.len();
@@ -52,18 +52,18 @@
         }
     }
     /// The status line and the body of the next message.
-    pub fn answer(&mut self) -> String {
-        let text = self.hear();
+    pub fn receive_response(&mut self) -> String {
+        let text = self.receive();
         let (head, body) = text.split_once("\r\n\r\n").unwrap_or((&text, ""));
         format!("{} | {}", head.lines().next().unwrap_or("closed"), body.trim())
     }
     /// The same, or none if the connection is closed already.
-    pub fn try_say(&mut self, text: &str) -> std::io::Result<()> {
+    pub fn try_send(&mut self, text: &str) -> std::io::Result<()> {
         self.0.get_mut().write_all(text.as_bytes())
     }
     /// Says something, or a part of it, and goes: the connection ends behind all of it. The end is said by a shutdown: a
     /// process that another story starts in this moment may hold a copy of the descriptor until it runs.
-    pub fn say_and_go(mut self, text: &str) {
+    pub fn send_and_close(mut self, text: &str) {
         let _ = self.0.get_mut().write_all(text.as_bytes());
         let _ = self.0.get_ref().shutdown(std::net::Shutdown::Both);
     }
@@ -72,7 +72,7 @@
         SockRef::from(self.0.get_ref()).set_linger(Some(Duration::ZERO)).unwrap();
     }
     /// Waits until the other side closes.
-    pub fn closed(&mut self) -> bool {
+    pub fn wait_until_closed(&mut self) -> bool {
         matches!(self.0.read(&mut [0]), Ok(0) | Err(_))
     }
 }
@@ -91,7 +91,7 @@
         self.listener.local_addr().unwrap()
     }
     /// The next connection; a story in which none comes has failed.
-    pub fn accept(&self) -> Line {
+    pub fn accept(&self) -> HttpConnection {
         self.listener.set_nonblocking(true).unwrap();
         let mut came = None;
         until("a connection", || {
@@ -100,7 +100,7 @@
         });
         let (stream, _) = came.unwrap();
         stream.set_nonblocking(false).unwrap();
-        Line::new(stream)
+        HttpConnection::new(stream)
     }
     /// Its entry in discovery's list.
     pub fn entry(&self, health: &str) -> String {
@@ -170,7 +170,7 @@
         std::thread::spawn(move || {
             for stream in listener.incoming().map_while(Result::ok) {
                 let told = Arc::clone(&all);
-                std::thread::spawn(move || Agent::serve(Line::new(stream), &told));
+                std::thread::spawn(move || Agent::serve(HttpConnection::new(stream), &told));
             }
         });
         Agent { server, told }
@@ -178,9 +178,9 @@
     fn told(told: &Mutex<Told>) -> MutexGuard<'_, Told> {
         told.lock().unwrap_or_else(std::sync::PoisonError::into_inner)
     }
-    fn serve(mut line: Line, told: &Mutex<Told>) {
+    fn serve(mut line: HttpConnection, told: &Mutex<Told>) {
         loop {
-            let call = line.hear();
+            let call = line.receive();
             let Some(first) = call.lines().next().map(str::to_string) else { return };
             let number = |name: &str| {
                 let rest = first.split_once(name)?.1;
@@ -194,7 +194,7 @@
                 match told.mode {
                     Mode::Silent => {
                         drop(told);
-                        line.closed();
+                        line.wait_until_closed();
                         return;
                     }
                     Mode::Refuses => break response("503 Service Unavailable", ""),
@@ -209,7 +209,7 @@
                 drop(told);
                 std::thread::sleep(Duration::from_millis(2));
             };
-            if line.try_say(&text).is_err() {
+            if line.try_send(&text).is_err() {
                 return;
             }
         }
@@ -258,19 +258,19 @@
         }
         Comers(came)
     }
-    pub fn next(&self) -> (String, Line) {
+    pub fn next(&self) -> (String, HttpConnection) {
         let (name, stream) = self.0.recv_timeout(LONG).unwrap();
-        (name, Line::new(stream))
+        (name, HttpConnection::new(stream))
     }
     /// The next connection, however late it comes; none once the servers are gone.
-    pub fn wait(&self) -> Option<(String, Line)> {
+    pub fn wait(&self) -> Option<(String, HttpConnection)> {
         let (name, stream) = self.0.recv().ok()?;
-        Some((name, Line::new(stream)))
+        Some((name, HttpConnection::new(stream)))
     }
 }
 
 /// The first connection that comes to any of these servers.
-pub fn first(servers: &[&Server]) -> Line {
+pub fn first(servers: &[&Server]) -> HttpConnection {
     Comers::new(servers).next().1
 }
 
@@ -492,23 +492,23 @@
     pub fn id(&self) -> u32 {
         self.child.id()
     }
-    pub fn connect(&self) -> Line {
-        Line::new(TcpStream::connect(self.at).unwrap())
+    pub fn connect(&self) -> HttpConnection {
+        HttpConnection::new(TcpStream::connect(self.at).unwrap())
     }
     /// The answer to one request on a connection of its own. The end of that is said by a shutdown: a process that another
     /// story starts in this moment may hold a copy of the descriptor until it runs, and the connection would rest meanwhile.
     pub fn ask(&self, text: &str) -> String {
         let mut line = self.connect();
-        line.say(text);
-        let answer = line.answer();
+        line.send(text);
+        let answer = line.receive_response();
         let _ = line.0.get_ref().shutdown(std::net::Shutdown::Both);
         answer
     }
     /// The answer to a call at the second address.
     pub fn order(&self, call: &str) -> String {
-        let mut line = Line::new(TcpStream::connect(self.control).unwrap());
-        line.say(&format!("{call} HTTP/1.1\r\nHost: h\r\n\r\n"));
-        line.answer()
+        let mut line = HttpConnection::new(TcpStream::connect(self.control).unwrap());
+        line.send(&format!("{call} HTTP/1.1\r\nHost: h\r\n\r\n"));
+        line.receive_response()
     }
     /// Waits until it says yes to `ready`.
     pub fn ready(&self) {
--- a/tests/operation.rs
+++ b/tests/operation.rs
@@ -2,22 +2,22 @@
 
 mod harness;
 
-use harness::{Comers, Line, SchedulerProcess, Server, job, list, response};
+use harness::{Comers, HttpConnection, SchedulerProcess, Server, job, list, response};
 use insta::assert_snapshot;
 use std::net::TcpStream;
 use std::time::{Duration, Instant};
 
 /// Serves a target's next job to its end.
-fn serve(stage: &SchedulerProcess, target: &Server, id: &str) -> Line {
+fn serve(stage: &SchedulerProcess, target: &Server, id: &str) -> HttpConnection {
     let mut line = target.accept();
     finish(stage, target, &mut line, id);
     line
 }
 
 /// The same on a connection that is there.
-fn finish(stage: &SchedulerProcess, target: &Server, line: &mut Line, id: &str) {
-    assert!(line.hear().contains(id), "{id} does not come to {}", target.name);
-    line.say(&response("202 Accepted", ""));
+fn finish(stage: &SchedulerProcess, target: &Server, line: &mut HttpConnection, id: &str) {
+    assert!(line.receive().contains(id), "{id} does not come to {}", target.name);
+    line.send(&response("202 Accepted", ""));
     done(stage, target, id);
 }
 
@@ -31,10 +31,10 @@
     let (discovery, target) = (Server::new("d"), Server::new("s-00000001"));
     let stage = SchedulerProcess::start_with_control(&[&target], &discovery);
     // Far more than there are seats: silent, half-said, and a byte at a time.
-    let mut holders: Vec<Line> = Vec::new();
+    let mut holders: Vec<HttpConnection> = Vec::new();
     for i in 0..60 {
-        let mut line = Line::new(TcpStream::connect(stage.control).unwrap());
-        line.say(["", "GET /control/rea", "P"][i % 3]);
+        let mut line = HttpConnection::new(TcpStream::connect(stage.control).unwrap());
+        line.send(["", "GET /control/rea", "P"][i % 3]);
         holders.push(line);
     }
     let begun = Instant::now();
@@ -53,15 +53,15 @@
     ] {
         said.push(stage.order(call));
     }
-    let mut pieces = Line::new(TcpStream::connect(stage.control).unwrap());
+    let mut pieces = HttpConnection::new(TcpStream::connect(stage.control).unwrap());
     for byte in "GET /control/ready HTTP/1.1\r\nHost: h\r\n\r\n".chars() {
-        pieces.say(&byte.to_string());
+        pieces.send(&byte.to_string());
     }
-    said.push(pieces.answer());
-    assert!(pieces.closed(), "one call a connection");
-    let mut long = Line::new(TcpStream::connect(stage.control).unwrap());
-    long.say(&format!("GET /control/ready HTTP/1.1\r\nX: {}\r\n\r\n", "x".repeat(17_000)));
-    said.push(long.answer());
+    said.push(pieces.receive_response());
+    assert!(pieces.wait_until_closed(), "one call a connection");
+    let mut long = HttpConnection::new(TcpStream::connect(stage.control).unwrap());
+    long.send(&format!("GET /control/ready HTTP/1.1\r\nX: {}\r\n\r\n", "x".repeat(17_000)));
+    said.push(long.receive_response());
     assert_snapshot!(said.join("\n"), @r#"
     HTTP/1.1 200 OK | {"flows":0,"service":"in","workers_out":[],"yes":true}
     HTTP/1.1 405 Method Not Allowed | {"why":"wrong method","yes":false}
@@ -85,18 +85,18 @@
     let (discovery, one, two) = (Server::new("d"), Server::new("s-00000001"), Server::new("s-00000002"));
     let stage = SchedulerProcess::start_with_control(&[&one, &two], &discovery);
     let mut watch = discovery.accept();
-    watch.hear();
+    watch.receive();
     assert!(stage.order("PUT /control/workers/s-00000001/offline").starts_with("HTTP/1.1 200"));
     assert!(stage.order("PUT /control/workers/s-00000001/offline").starts_with("HTTP/1.1 200"));
     let mut at_two = None;
     let mut next = |id: &str| {
         let mut client = stage.connect();
-        client.say(&job("view", id, "3.000"));
+        client.send(&job("view", id, "3.000"));
         match &mut at_two {
             None => at_two = Some(serve(&stage, &two, id)),
             Some(line) => finish(&stage, &two, line, id),
         }
-        assert!(client.answer().ends_with(id));
+        assert!(client.receive_response().ends_with(id));
     };
     for id in ["a1", "a2", "a3", "a4"] {
         next(id);
@@ -111,8 +111,8 @@
     .into_iter()
     .enumerate()
     {
-        watch.say(&response("200 OK", &list(seq as u32 + 2, whole, &entries)));
-        watch.hear();
+        watch.send(&response("200 OK", &list(seq as u32 + 2, whole, &entries)));
+        watch.receive();
         next(&format!("b{seq}"));
         next(&format!("c{seq}"));
     }
@@ -126,9 +126,9 @@
     // One call back is enough, though two took it out.
     assert!(stage.order("PUT /control/workers/s-00000001/online").contains(r#"["s-00000002"]"#));
     let mut client = stage.connect();
-    client.say(&job("lodge", "e1", "3.000"));
+    client.send(&job("lodge", "e1", "3.000"));
     serve(&stage, &one, "e1");
-    assert!(client.answer().ends_with("e1"));
+    assert!(client.receive_response().ends_with("e1"));
 }
 
 #[test]
@@ -137,40 +137,40 @@
     let stage = SchedulerProcess::start_with_control(&[&target], &discovery);
     let health = || stage.ask("GET /healthz HTTP/1.1\r\n\r\n");
     let (mut idle, mut silent, mut open) = (stage.connect(), stage.connect(), stage.connect());
-    idle.say("GET /healthz HTTP/1.1\r\n\r\n");
-    assert!(idle.answer().ends_with("ready"));
-    open.say(&job("lodge", "a1", "4.500"));
+    idle.send("GET /healthz HTTP/1.1\r\n\r\n");
+    assert!(idle.receive_response().ends_with("ready"));
+    open.send(&job("lodge", "a1", "4.500"));
     let mut held = target.accept();
-    held.hear();
-    held.say(&response("202 Accepted", ""));
+    held.receive();
+    held.send(&response("202 Accepted", ""));
     let begun = Instant::now();
     assert!(stage.order("PUT /control/out-of-service").contains(r#""service":"draining""#));
     assert!(health().starts_with("HTTP/1.1 503"));
     // A client whose connection was on its way is served, and told to leave.
     let mut late = stage.connect();
-    late.say(&job("view", "a2", "3.000"));
+    late.send(&job("view", "a2", "3.000"));
     finish(&stage, &target, &mut held, "a2");
-    assert!(late.hear().starts_with("HTTP/1.1 200"));
-    assert!(idle.closed() && silent.closed());
+    assert!(late.receive().starts_with("HTTP/1.1 200"));
+    assert!(idle.wait_until_closed() && silent.wait_until_closed());
     assert!(begun.elapsed() < Duration::from_millis(3500), "{:?}", begun.elapsed());
     // What comes all the same hears a refusal, and what is open its answer.
     assert!(stage.ask(&job("view", "a3", "3.000")).starts_with("HTTP/1.1 503"));
     done(&stage, &target, "a1");
-    let text = open.hear();
+    let text = open.receive();
     assert!(text.starts_with("HTTP/1.1 200") && text.contains("Connection: close"), "{text}");
     assert!(stage.order("PUT /control/in-service").contains(r#""service":"in""#));
     assert!(health().ends_with("ready"));
     let mut again = stage.connect();
-    again.say(&job("view", "a4", "3.000"));
+    again.send(&job("view", "a4", "3.000"));
     // The module had the idle connections closed once two jobs were over.
     let mut held = serve(&stage, &target, "a4");
-    assert!(again.answer().ends_with("a4"));
+    assert!(again.receive_response().ends_with("a4"));
     // Put back in the midst of a drain, it serves on.
     stage.order("PUT /control/out-of-service");
     stage.order("PUT /control/in-service");
-    again.say(&job("view", "a5", "3.000"));
+    again.send(&job("view", "a5", "3.000"));
     finish(&stage, &target, &mut held, "a5");
-    assert!(again.answer().ends_with("a5"));
+    assert!(again.receive_response().ends_with("a5"));
 }
 
 #[test]
@@ -181,13 +181,13 @@
     let comers = Comers::new(&[&one, &two]);
     let accept = |id: &str| {
         let (name, mut line) = comers.next();
-        assert!(line.hear().contains(id));
-        line.say("HTTP/1.1 202 Accepted\r\nConnection: close\r\nContent-Length: 0\r\n\r\n");
+        assert!(line.receive().contains(id));
+        line.send("HTTP/1.1 202 Accepted\r\nConnection: close\r\nContent-Length: 0\r\n\r\n");
         name
     };
     let taken = |stage: &SchedulerProcess, id: &str, class: &str| {
         let mut client = stage.connect();
-        client.say(&job(class, id, "4.500"));
+        client.send(&job(class, id, "4.500"));
         (client, accept(id))
     };
     let ends = |stage: &SchedulerProcess, target: &str, id: &str, state: &str| {
@@ -207,15 +207,15 @@
     // By the old rules a failed safe job goes to the other target, though attempts are fewer now.
     ends(&stage, &at, "a1", "failed");
     ends(&stage, &accept("a1"), "a1", "done");
-    assert!(safe.answer().ends_with("a1"));
+    assert!(safe.receive_response().ends_with("a1"));
     // The dropped class is unknown to new requests, and its open job has its answer.
     assert!(stage.ask(&job("lodge", "a3", "3.000")).ends_with("unknown class"));
     ends(&stage, &elsewhere, "a2", "done");
-    assert!(once.answer().ends_with("a2"));
+    assert!(once.receive_response().ends_with("a2"));
     // By the new rules a failed job of the changed class, which may have run, is over.
     let (mut now, there) = taken(&stage, "b1", "view");
     ends(&stage, &there, "b1", "failed");
-    assert!(now.answer().starts_with("HTTP/1.1 502"));
+    assert!(now.receive_response().starts_with("HTTP/1.1 502"));
     // What cannot be worked with changes nothing, whole.
     let config = stage.config().to_string();
     let faults = [
--- a/tests/pins/answers.rs
+++ b/tests/pins/answers.rs
@@ -1,7 +1,7 @@
 //! Answers of the program at its listening address and at the address for staff.
 
 use crate::golden;
-use crate::harness::{Agent, Line, Mode, SchedulerProcess, Server, job, response};
+use crate::harness::{Agent, HttpConnection, Mode, SchedulerProcess, Server, job, response};
 use std::net::TcpStream;
 
 /// Adds a message under a heading.
@@ -54,17 +54,17 @@
     let mut text = String::new();
     for (heading, request) in requests {
         let mut line = stage.connect();
-        line.say(&request);
-        add(&mut text, heading, &line.hear());
+        line.send(&request);
+        add(&mut text, heading, &line.receive());
     }
     let mut expects = stage.connect();
-    expects.say("POST /view/1 HTTP/1.1\r\nExpect: 100-continue\r\nContent-Length: 2\r\n\r\n");
-    add(&mut text, "a body that is asked for", &expects.hear());
+    expects.send("POST /view/1 HTTP/1.1\r\nExpect: 100-continue\r\nContent-Length: 2\r\n\r\n");
+    add(&mut text, "a body that is asked for", &expects.receive());
     // It says no more: it is answered when the time for a request is over.
     let mut half = stage.connect();
-    half.say("POST /view/1 HT");
-    add(&mut text, "a request that does not end", &half.hear());
-    assert!(half.closed());
+    half.send("POST /view/1 HT");
+    add(&mut text, "a request that does not end", &half.receive());
+    assert!(half.wait_until_closed());
     golden::check("answers-no-jobs.txt", text.as_bytes());
 }
 
@@ -77,23 +77,23 @@
     let stage = SchedulerProcess::start_with_changes(&[&target], &discovery.server, &changes);
     let mut text = String::new();
     let (mut client, mut other) = (stage.connect(), stage.connect());
-    client.say(&good_job("view", "a1"));
+    client.send(&good_job("view", "a1"));
     let mut worker = target.accept();
-    worker.hear();
-    other.say(&good_job("view", "a1"));
-    add(&mut text, "an id that is in use", &other.hear());
-    other.say(&good_job("view", "a2"));
-    add(&mut text, "no room", &other.hear());
-    worker.say(&response("202 Accepted", ""));
+    worker.receive();
+    other.send(&good_job("view", "a1"));
+    add(&mut text, "an id that is in use", &other.receive());
+    other.send(&good_job("view", "a2"));
+    add(&mut text, "no room", &other.receive());
+    worker.send(&response("202 Accepted", ""));
     let mut calls_back = stage.connect();
-    calls_back.say(&call_back("a1", "done"));
-    add(&mut text, "a call-back", &calls_back.hear());
-    add(&mut text, "served, kept", &client.hear());
-    client.say(&good_job("view", "a3").replace("Host: h", "Host: h\r\nConnection: close"));
-    worker.hear();
-    worker.say(&response("404 Not Found", "no"));
-    add(&mut text, "failed, closed", &client.hear());
-    assert!(client.closed());
+    calls_back.send(&call_back("a1", "done"));
+    add(&mut text, "a call-back", &calls_back.receive());
+    add(&mut text, "served, kept", &client.receive());
+    client.send(&good_job("view", "a3").replace("Host: h", "Host: h\r\nConnection: close"));
+    worker.receive();
+    worker.send(&response("404 Not Found", "no"));
+    add(&mut text, "failed, closed", &client.receive());
+    assert!(client.wait_until_closed());
     golden::check("answers-jobs.txt", text.as_bytes());
 }
 
@@ -106,18 +106,18 @@
     let mut text = String::new();
     stage.order("PUT /control/workers/s-00000001/offline");
     let mut client = stage.connect();
-    client.say(&good_job("lodge", "a1"));
-    let refused = golden::mask_number_after(&client.hear(), "Retry-After: ");
+    client.send(&good_job("lodge", "a1"));
+    let refused = golden::mask_number_after(&client.receive(), "Retry-After: ");
     add(&mut text, "refused: no worker", &refused);
     stage.order("PUT /control/out-of-service");
     let mut line = stage.connect();
-    line.say("GET /healthz HTTP/1.1\r\nConnection: close\r\n\r\n");
-    add(&mut text, "health", &line.hear());
+    line.send("GET /healthz HTTP/1.1\r\nConnection: close\r\n\r\n");
+    add(&mut text, "health", &line.receive());
     let mut last = String::new();
     crate::harness::until("jobs are taken no more", || {
         let mut line = stage.connect();
-        line.say(&good_job("lodge", "b1"));
-        last = line.hear();
+        line.send(&good_job("lodge", "b1"));
+        last = line.receive();
         last.contains("no room")
     });
     add(&mut text, "a job", &last);
@@ -131,10 +131,10 @@
     let discovery = Agent::new(Mode::Answers, &[target.entry("active")]);
     let mut stage = SchedulerProcess::start_with_control(&[&target], &discovery.server);
     let ask = |stage: &SchedulerProcess, request: &str| {
-        let mut line = Line::new(TcpStream::connect(stage.control).unwrap());
-        line.say(request);
-        let answer = line.hear();
-        assert!(line.closed(), "one call a connection");
+        let mut line = HttpConnection::new(TcpStream::connect(stage.control).unwrap());
+        line.send(request);
+        let answer = line.receive();
+        assert!(line.wait_until_closed(), "one call a connection");
         answer
     };
     let mut text = String::new();
@@ -166,7 +166,7 @@
     add(&mut text, "a call that does not end", &ask(&stage, "GET /control/rea"));
     // A job that is not answered keeps the program there while it ends.
     let mut client = stage.connect();
-    client.say(&good_job("lodge", "a1"));
+    client.send(&good_job("lodge", "a1"));
     let _worker = target.accept();
     stage.signal("TERM");
     stage.logged("asked to end");
--- a/tests/pins/forwards.rs
+++ b/tests/pins/forwards.rs
@@ -1,7 +1,7 @@
 //! What the program sends to workers and to discovery.
 
 use crate::golden;
-use crate::harness::{Agent, Line, Mode, SchedulerProcess, Server, job, list, response};
+use crate::harness::{Agent, HttpConnection, Mode, SchedulerProcess, Server, job, list, response};
 
 /// A message with the address of its receiver and the time left masked.
 fn masked(message: &str, server: &Server) -> String {
@@ -27,19 +27,19 @@
     let mut add =
         |heading: &str, message: &str| text += &format!("== {heading}\n{}\n", masked(message, &target));
     let mut client = stage.connect();
-    client.say(&full_job());
+    client.send(&full_job());
     let mut worker = target.accept();
-    add("a job with all that is passed on", &worker.hear());
-    worker.say(&response("202 Accepted", ""));
+    add("a job with all that is passed on", &worker.receive());
+    worker.send(&response("202 Accepted", ""));
     stage.call_back(r#"{"id":"a1","from":"s-00000001","state":"done","result":"r"}"#);
-    client.hear();
-    client.say(&job("lodge", "a2", "3.000").replace("/lodge/7f", "/lodge/7f?x=1"));
-    add("a plain job, over the same connection", &worker.hear());
-    worker.say(&response("202 Accepted", ""));
+    client.receive();
+    client.send(&job("lodge", "a2", "3.000").replace("/lodge/7f", "/lodge/7f?x=1"));
+    add("a plain job, over the same connection", &worker.receive());
+    worker.send(&response("202 Accepted", ""));
     stage.until("undone=0 call_backs=1");
     // The client goes: the job is given up by a call.
-    client.say_and_go("");
-    add("a job that is given up", &worker.hear());
+    client.send_and_close("");
+    add("a job that is given up", &worker.receive());
     golden::check("worker-requests.txt", text.as_bytes());
 }
 
@@ -52,11 +52,11 @@
         [("\"may_tell\":true", "\"may_tell\":true,\"probing\":true"), ("\"inline\"", "\"on_probe\"")];
     let stage = SchedulerProcess::start_with_changes(&[&target], &discovery.server, &changes);
     let mut client = stage.connect();
-    client.say(&job("view", "a1", "3.000"));
+    client.send(&job("view", "a1", "3.000"));
     let comers = crate::harness::Comers::new(&[&target]);
     let probe = loop {
         let (_, mut line) = comers.next();
-        let heard = line.hear();
+        let heard = line.receive();
         if heard.starts_with("GET ") {
             break heard;
         }
@@ -72,20 +72,21 @@
     let mut stage = SchedulerProcess::start(&[], &first);
     let mut text = String::new();
     let mut line = first.accept();
-    text += &format!("== the first call\n{}\n", masked(&line.hear(), &first));
-    line.say(&response("200 OK", &list(2, true, &[target.entry("active")])));
-    text += &format!("== the watch\n{}\n", masked(&line.hear(), &first));
-    line.say(&response("200 OK", &list(3, false, &[target.entry("leaving")])));
-    text += &format!("== the next watch\n{}\n", masked(&line.hear(), &first));
+    text += &format!("== the first call\n{}\n", masked(&line.receive(), &first));
+    line.send(&response("200 OK", &list(2, true, &[target.entry("active")])));
+    text += &format!("== the watch\n{}\n", masked(&line.receive(), &first));
+    line.send(&response("200 OK", &list(3, false, &[target.entry("leaving")])));
+    text += &format!("== the next watch\n{}\n", masked(&line.receive(), &first));
     // The same file again: the whole list is asked for.
     stage.reload("", "");
-    let mut again: Line = first.accept();
-    text += &format!("== after a reload\n{}\n", masked(&again.hear(), &first));
-    again.say(&response("200 OK", &list(3, true, &[target.entry("active")])));
-    again.hear();
+    let mut again: HttpConnection = first.accept();
+    text += &format!("== after a reload\n{}\n", masked(&again.receive(), &first));
+    again.send(&response("200 OK", &list(3, true, &[target.entry("active")])));
+    again.receive();
     let (old, new) = (first.at().to_string(), second.at().to_string());
     stage.reload(&old, &new);
-    text += &format!("== after a reload that names another\n{}\n", masked(&second.accept().hear(), &second));
+    text +=
+        &format!("== after a reload that names another\n{}\n", masked(&second.accept().receive(), &second));
     // A program that knows no list yet.
     let third = Server::new("d3");
     let stage = SchedulerProcess::start_with_changes(
@@ -93,7 +94,7 @@
         &third,
         &[(r#""known":{"seq":1,"whole":true,"hosts":[]},"#, "")],
     );
-    text += &format!("== the first call without a list\n{}\n", masked(&third.accept().hear(), &third));
+    text += &format!("== the first call without a list\n{}\n", masked(&third.accept().receive(), &third));
     drop(stage);
     golden::check("discovery-requests.txt", text.as_bytes());
 }
--- a/tests/pins/restart.rs
+++ b/tests/pins/restart.rs
@@ -70,12 +70,12 @@
     stage.order("PUT /control/workers/s-00000001/offline");
     stage.order("PUT /control/workers/s-00000001/online");
     let mut client = stage.connect();
-    client.say(&job("view", "a1", "3.000"));
+    client.send(&job("view", "a1", "3.000"));
     let mut worker = one.accept();
-    worker.hear();
-    worker.say("HTTP/1.1 202 Accepted\r\nX-Backend-Load: inflight=1,x0=3\r\nContent-Length: 0\r\n\r\n");
+    worker.receive();
+    worker.send("HTTP/1.1 202 Accepted\r\nX-Backend-Load: inflight=1,x0=3\r\nContent-Length: 0\r\n\r\n");
     stage.call_back(r#"{"id":"a1","from":"s-00000001","state":"done","result":"r"}"#);
-    client.hear();
+    client.receive();
     stage.order("PUT /control/out-of-service");
     let mut value = snapshot(&platform);
     // The order of the list is none.
@@ -152,10 +152,10 @@
     assert!(state.contains(r#""service":"draining","workers_out":["s-00000002"]"#), "{state}");
     stage.order("PUT /control/in-service");
     let mut client = stage.connect();
-    client.say(&job("view", "b1", "3.000"));
+    client.send(&job("view", "b1", "3.000"));
     let mut worker = one.accept();
-    assert!(worker.hear().contains("b1"));
-    worker.say(&response("202 Accepted", ""));
+    assert!(worker.receive().contains("b1"));
+    worker.send(&response("202 Accepted", ""));
     // What it passes on itself is what it was told, but for what the job and the orders have changed.
     let mut passed_on = Value::Null;
     until("its own socket", || {
--- a/tests/sockets.rs
+++ b/tests/sockets.rs
@@ -10,9 +10,9 @@
     let (discovery, target) = (Server::new("d"), Server::new("s-00000001"));
     let stage = SchedulerProcess::start(&[&target], &discovery);
     let mut client = stage.connect();
-    client.say(&job("view", "a1", "3.000"));
+    client.send(&job("view", "a1", "3.000"));
     let mut forward = target.accept();
-    let head = forward.hear();
+    let head = forward.receive();
     assert!(head.contains("X-Correlation-Id: a1\r\n") && head.ends_with("\r\n\r\nhi"), "{head}");
     let done =
         r#"{"id":"a1","from":"s-00000001","state":"done","result":"yes","load":{"inflight":1,"x0":3}}"#;
@@ -22,10 +22,10 @@
         stage.call_back(done),
         stage.call_back(done),
     ];
-    said.push(client.answer());
-    forward.say(&response("202 Accepted", ""));
-    client.say(&job("view", "a2", "3.000"));
-    said.push(forward.hear().lines().next().unwrap().to_string());
+    said.push(client.receive_response());
+    forward.send(&response("202 Accepted", ""));
+    client.send(&job("view", "a2", "3.000"));
+    said.push(forward.receive().lines().next().unwrap().to_string());
     assert_snapshot!(said.join("\n"), @r"
     HTTP/1.1 200 OK | noted
     HTTP/1.1 200 OK | noted
@@ -42,17 +42,17 @@
     let (discovery, target) = (Server::new("d"), Server::new("s-00000001"));
     let stage = SchedulerProcess::start(&[&target], &discovery);
     let mut early = stage.connect();
-    early.say(&job("lodge", "a1", "0.300"));
+    early.send(&job("lodge", "a1", "0.300"));
     let mut forward = target.accept();
-    forward.hear();
-    assert!(forward.closed());
+    forward.receive();
+    assert!(forward.wait_until_closed());
     let mut late = stage.connect();
-    late.say(&job("lodge", "a2", "0.300"));
+    late.send(&job("lodge", "a2", "0.300"));
     let mut forward = target.accept();
-    forward.hear();
-    forward.say(&response("202 Accepted", ""));
-    let given_up = forward.hear();
-    assert_snapshot!([early.answer(), late.answer(), given_up.lines().next().unwrap().into()].join("\n"), @r"
+    forward.receive();
+    forward.send(&response("202 Accepted", ""));
+    let given_up = forward.receive();
+    assert_snapshot!([early.receive_response(), late.receive_response(), given_up.lines().next().unwrap().into()].join("\n"), @r"
     HTTP/1.1 502 Bad Gateway | failed
     HTTP/1.1 502 Bad Gateway | failed
     DELETE /jobs/a2 HTTP/1.1
@@ -65,18 +65,18 @@
     let (discovery, target, dead) = (Server::new("d"), Server::new("s-00000001"), Server::new("s-00000002"));
     let stage = SchedulerProcess::start(&[&target], &discovery);
     let mut client = stage.connect();
-    client.say(&job("lodge", "a1", "3.000"));
-    target.accept().hear();
-    let broken = client.answer();
+    client.send(&job("lodge", "a1", "3.000"));
+    target.accept().receive();
+    let broken = client.receive_response();
     let mut news = discovery.accept();
-    news.hear();
+    news.receive();
     // No test listens at port 1; a port just given up could be another test's by now.
     let entry = dead.entry("active").replace(&dead.at().to_string(), "127.0.0.1:1");
-    news.say(&response("200 OK", &list(2, true, &[entry])));
-    news.hear();
+    news.send(&response("200 OK", &list(2, true, &[entry])));
+    news.receive();
     client = stage.connect();
-    client.say(&job("lodge", "a2", "0.500"));
-    let refused = client.hear();
+    client.send(&job("lodge", "a2", "0.500"));
+    let refused = client.receive();
     assert!(refused.contains("\r\nRetry-After: 0."), "{refused}");
     assert_snapshot!([&broken, refused.lines().next().unwrap()].join("\n"), @r"
     HTTP/1.1 502 Bad Gateway | failed
@@ -92,17 +92,17 @@
     let silent = discovery.accept();
     assert_snapshot!(stage.ask("GET /healthz HTTP/1.1\r\n\r\n"), @"HTTP/1.1 200 OK | ready");
     let mut news = discovery.accept();
-    let mut said = vec![news.hear()];
-    news.say(&response("200 OK", &list(7, true, &[two.entry("active")])));
-    said.push(news.hear());
+    let mut said = vec![news.receive()];
+    news.send(&response("200 OK", &list(7, true, &[two.entry("active")])));
+    said.push(news.receive());
     let said: Vec<&str> = said.iter().filter_map(|s| s.lines().next()).collect();
     assert_snapshot!(said.join("\n"), @r"
     GET /v1/servers?from=1&hold_ms=0 HTTP/1.1
     GET /v1/servers?from=7&hold_ms=2000 HTTP/1.1
     ");
     let mut client = stage.connect();
-    client.say(&job("view", "a1", "3.000"));
-    assert!(two.accept().hear().contains("a1"));
+    client.send(&job("view", "a1", "3.000"));
+    assert!(two.accept().receive().contains("a1"));
     drop(silent);
 }
 
@@ -164,8 +164,8 @@
     for i in 0..100 {
         let last = if i < 50 { "Connection: close\r\n" } else { "" };
         let mut line = stage.connect();
-        line.say(&format!("GET /healthz HTTP/1.1\r\n{last}\r\n"));
-        assert!(line.answer().contains("ready"));
+        line.send(&format!("GET /healthz HTTP/1.1\r\n{last}\r\n"));
+        assert!(line.receive_response().contains("ready"));
         open.push(line);
     }
     assert!(stage.descriptors() <= 64, "{}", stage.descriptors());
@@ -179,14 +179,14 @@
     let head = job("view", "a1", "3.000").replace("Content-Length: 2", "Transfer-Encoding: chunked");
     let head = head.replace("\r\n\r\nhi", "\r\nExpect: 100-continue\r\n\r\n");
     let (first, rest) = head.split_at(40);
-    client.say(first);
-    client.say(rest);
-    let mut said = vec![client.answer()];
-    client.say("5;x=y\r\nhello\r\n1\r\n");
-    client.say("!\r\n0\r\nTrailer: t\r\n\r\n");
+    client.send(first);
+    client.send(rest);
+    let mut said = vec![client.receive_response()];
+    client.send("5;x=y\r\nhello\r\n1\r\n");
+    client.send("!\r\n0\r\nTrailer: t\r\n\r\n");
     let mut forward = target.accept();
-    said.push(forward.hear().rsplit("\r\n").next().unwrap().to_string());
-    forward.say("HTTP/1.1 503 Busy\r\nX-Unprocessed: 1\r\nX-Backend-Load: inflight=9,x0=0\r\nContent-Length: 0\r\n\r\n");
+    said.push(forward.receive().rsplit("\r\n").next().unwrap().to_string());
+    forward.send("HTTP/1.1 503 Busy\r\nX-Unprocessed: 1\r\nX-Backend-Load: inflight=9,x0=0\r\nContent-Length: 0\r\n\r\n");
     drop(client);
     assert_snapshot!(said.join("\n"), @r"
     HTTP/1.1 100 Continue | 
@@ -200,33 +200,33 @@
     let (discovery, target) = (Server::new("d"), Server::new("s-00000001"));
     let mut stage = SchedulerProcess::start(&[&target], &discovery);
     let mut client = stage.connect();
-    client.say(&job("view", "a1", "5.000"));
+    client.send(&job("view", "a1", "5.000"));
     let mut forward = target.accept();
-    forward.hear();
-    forward.say(&response("202 Accepted", ""));
+    forward.receive();
+    forward.send(&response("202 Accepted", ""));
     stage.signal("TERM");
     stage.logged("asked to end");
     let mut late = stage.connect();
-    late.say(&job("view", "a2", "5.000"));
-    forward.hear();
+    late.send(&job("view", "a2", "5.000"));
+    forward.receive();
     for id in ["a1", "a2"] {
         let done = r#"{"id":"ID","from":"s-00000001","state":"done","result":"yes"}"#.replace("ID", id);
         assert!(stage.call_back(&done).contains("200 OK"));
     }
-    forward.say(&response("202 Accepted", ""));
+    forward.send(&response("202 Accepted", ""));
     for line in [&mut client, &mut late] {
-        let answer = line.hear();
+        let answer = line.receive();
         assert!(answer.contains("200 OK") && !answer.contains("Connection: close\r\n"), "{answer}");
     }
     // Clients keep using the connections they have: another peer may not be up. What is taken now is answered
     // before the platform may kill.
-    client.say(&job("view", "a3", "5.000"));
-    let left = forward.hear();
+    client.send(&job("view", "a3", "5.000"));
+    let left = forward.receive();
     let left = left.split_once("X-Time-Left: ").unwrap().1[..5].parse::<f64>().unwrap();
     assert!(left < 3.5, "{left}");
-    forward.say(&response("202 Accepted", ""));
-    assert!(client.answer().starts_with("HTTP/1.1 5"));
-    assert!(late.closed() && stage.ended());
+    forward.send(&response("202 Accepted", ""));
+    assert!(client.receive_response().starts_with("HTTP/1.1 5"));
+    assert!(late.wait_until_closed() && stage.ended());
 }
 
 #[test]
@@ -235,14 +235,14 @@
     let stage = SchedulerProcess::start(&[&target], &discovery);
     for id in ["a1", "a2"] {
         let mut client = stage.connect();
-        client.say(&job("lodge", id, "3.000"));
+        client.send(&job("lodge", id, "3.000"));
         let mut forward = target.accept();
-        forward.hear();
-        forward.say(&response("202 Accepted", ""));
+        forward.receive();
+        forward.send(&response("202 Accepted", ""));
         // What cannot be read of a load must not cost the result.
         let done = r#"{"id":"ID","from":"s-00000001","state":"done","result":"yes","load":{"x0":"?"}}"#;
         stage.call_back(&done.replace("ID", id));
-        assert!(client.answer().ends_with("yes"));
+        assert!(client.receive_response().ends_with("yes"));
         drop(forward);
         // A turn of the program's loop, so that the end has reached it before the next job does.
         stage.counters(&["served"]);
@@ -276,9 +276,9 @@
     let (one, two) = (Server::new("s-00000001"), Server::new("s-00000002"));
     let mut stage = SchedulerProcess::start(&[&one], &discovery);
     let mut old = discovery.accept();
-    old.hear();
-    old.say(&response("200 OK", &list(7, true, &[one.entry("active")])));
-    old.hear();
+    old.receive();
+    old.send(&response("200 OK", &list(7, true, &[one.entry("active")])));
+    old.receive();
     let (here, there) = (discovery.at().to_string(), elsewhere.at().to_string());
     stage.reload(&here, "here");
     assert_snapshot!(stage.logged("configuration: "), @r#"discovery: "here" is not an address of the form IP:PORT; keeping the active one"#);
@@ -288,19 +288,19 @@
     );
     assert_snapshot!(stage.logged("configuration: "), @"limits: changed, takes effect at the next start");
     let mut new = elsewhere.accept();
-    let mut said = vec![new.hear().lines().next().unwrap().to_string()];
-    assert!(old.closed());
+    let mut said = vec![new.receive().lines().next().unwrap().to_string()];
+    assert!(old.wait_until_closed());
     // The new address is silent so far: the list stays.
     let mut client = stage.connect();
-    client.say(&job("view", "a1", "3.000"));
+    client.send(&job("view", "a1", "3.000"));
     // It stays open: were it to end here, the job would go to the new worker as well, before or after the next.
     let mut held = one.accept();
-    said.push(held.hear().lines().next().unwrap().to_string());
-    new.say(&response("200 OK", &list(3, true, &[two.entry("active")])));
-    said.push(new.hear().lines().next().unwrap().to_string());
+    said.push(held.receive().lines().next().unwrap().to_string());
+    new.send(&response("200 OK", &list(3, true, &[two.entry("active")])));
+    said.push(new.receive().lines().next().unwrap().to_string());
     let mut other = stage.connect();
-    other.say(&job("view", "a2", "3.000"));
-    said.push(two.accept().hear().lines().nth(2).unwrap().to_string());
+    other.send(&job("view", "a2", "3.000"));
+    said.push(two.accept().receive().lines().nth(2).unwrap().to_string());
     assert_snapshot!(said.join("\n"), @r"
     GET /v1/servers HTTP/1.1
     POST /view/7f HTTP/1.1
@@ -319,23 +319,23 @@
     let (discovery, target) = (Server::new("d"), Server::new("s-00000001"));
     let stage = SchedulerProcess::start(&[&target], &discovery);
     let mut idle = stage.connect();
-    idle.say("GET /healthz HTTP/1.1\r\n\r\n");
-    idle.answer();
+    idle.send("GET /healthz HTTP/1.1\r\n\r\n");
+    idle.receive_response();
     let mut half = stage.connect();
-    half.say("POST /view/7f HTTP/1.1\r\nContent-Length: 9\r\n\r\n");
-    let mut said = vec![half.answer()];
+    half.send("POST /view/7f HTTP/1.1\r\nContent-Length: 9\r\n\r\n");
+    let mut said = vec![half.receive_response()];
     // Whoever is idle between requests is not cut.
-    idle.say("GET /healthz HTTP/1.1\r\n\r\n");
-    said.push(idle.answer());
+    idle.send("GET /healthz HTTP/1.1\r\n\r\n");
+    said.push(idle.receive_response());
     let mut silent: Vec<_> = (0..100).map(|_| stage.connect()).collect();
     // More than there are seats: a client still gets its answer, and a target its call-back in.
     let mut client = stage.connect();
-    client.say(&job("view", "a1", "5.000"));
+    client.send(&job("view", "a1", "5.000"));
     let mut forward = target.accept();
-    forward.hear();
+    forward.receive();
     stage.call_back(r#"{"id":"a1","from":"s-00000001","state":"done","result":"yes"}"#);
-    said.push(client.answer());
-    assert!(silent.iter_mut().all(|line| line.closed()));
+    said.push(client.receive_response());
+    assert!(silent.iter_mut().all(|line| line.wait_until_closed()));
     assert_snapshot!(said.join("\n"), @r"
     HTTP/1.1 408 Request Timeout | request not whole in time
     HTTP/1.1 200 OK | ready
@@ -348,9 +348,9 @@
 fn a_client_that_writes_a_large_body_before_it_reads_gets_the_error() {
     let stage = SchedulerProcess::start(&[], &Server::new("d"));
     let mut client = stage.connect();
-    client.say("POST /view/7f HTTP/1.1\r\nContent-Length: 8000000\r\n\r\n");
-    client.say(&"x".repeat(8_000_000));
-    assert_snapshot!(client.answer(), @"HTTP/1.1 413 Content Too Large | body too large");
+    client.send("POST /view/7f HTTP/1.1\r\nContent-Length: 8000000\r\n\r\n");
+    client.send(&"x".repeat(8_000_000));
+    assert_snapshot!(client.receive_response(), @"HTTP/1.1 413 Content Too Large | body too large");
 }
 
 #[test]
@@ -358,11 +358,11 @@
     let (discovery, one, two) = (Server::new("d"), Server::new("s-00000001"), Server::new("s-00000002"));
     let stage = SchedulerProcess::start(&[&one, &two], &discovery);
     let mut client = stage.connect();
-    client.say(&job("view", "a1", "3.000"));
+    client.send(&job("view", "a1", "3.000"));
     let mut forward = harness::first(&[&one, &two]);
-    forward.hear();
-    forward.say(&response("400 Bad Request", "known id"));
-    assert_snapshot!(client.answer(), @"HTTP/1.1 502 Bad Gateway | failed");
+    forward.receive();
+    forward.send(&response("400 Bad Request", "known id"));
+    assert_snapshot!(client.receive_response(), @"HTTP/1.1 502 Bad Gateway | failed");
     assert_snapshot!(stage.counters(&["forwards", "Error", "Rejected"]), @"forwards=1 Error=0 Rejected=1");
 }
 
@@ -371,30 +371,30 @@
     let (discovery, target) = (Server::new("d"), Server::new("s-00000001"));
     let stage = SchedulerProcess::start(&[&target], &discovery);
     let mut client = stage.connect();
-    let serve = |forward: &mut harness::Line, id: &str| {
-        forward.hear();
-        forward.say(&response("202 Accepted", ""));
+    let serve = |forward: &mut harness::HttpConnection, id: &str| {
+        forward.receive();
+        forward.send(&response("202 Accepted", ""));
         stage.call_back(&format!(r#"{{"id":"{id}","from":"s-00000001","state":"done","result":"yes"}}"#));
     };
-    client.say(&job("lodge", "a1", "3.000"));
+    client.send(&job("lodge", "a1", "3.000"));
     let mut forward = target.accept();
     let begun = std::time::Instant::now();
     serve(&mut forward, "a1");
-    let mut said = vec![client.answer()];
+    let mut said = vec![client.receive_response()];
     std::thread::sleep(std::time::Duration::from_millis(100));
-    client.say(&job("lodge", "a2", "3.000"));
-    forward.hear();
+    client.send(&job("lodge", "a2", "3.000"));
+    forward.receive();
     let pause = begun.elapsed();
     drop(forward);
-    said.push(client.answer());
-    client.say(&job("lodge", "a3", "3.000"));
+    said.push(client.receive_response());
+    client.send(&job("lodge", "a3", "3.000"));
     let mut forward = target.accept();
     serve(&mut forward, "a3");
-    said.push(client.answer());
+    said.push(client.receive_response());
     std::thread::sleep(pause);
-    client.say(&job("lodge", "a4", "3.000"));
+    client.send(&job("lodge", "a4", "3.000"));
     serve(&mut target.accept(), "a4");
-    said.push(client.answer());
+    said.push(client.receive_response());
     assert_snapshot!(said.join("\n"), @r"
     HTTP/1.1 200 OK | yes
     HTTP/1.1 502 Bad Gateway | failed
@@ -409,23 +409,23 @@
     let (discovery, target) = (Server::new("d"), Server::new("s-00000001"));
     let stage = SchedulerProcess::start(&[&target], &discovery);
     let mut client = stage.connect();
-    client.say(&job("view", "a1", "3.000"));
+    client.send(&job("view", "a1", "3.000"));
     let mut forward = target.accept();
     let mut crowd = Vec::new();
     for id in ["a1", "a2"] {
-        forward.hear();
-        forward.say(&response("202 Accepted", ""));
+        forward.receive();
+        forward.send(&response("202 Accepted", ""));
         stage.call_back(&format!(r#"{{"id":"{id}","from":"s-00000001","state":"done","result":"{id}"}}"#));
-        assert!(client.answer().ends_with(id));
+        assert!(client.receive_response().ends_with(id));
         // More than there are seats ask one thing and stay.
         for _ in 0..50 {
             let mut line = stage.connect();
-            line.say("GET /healthz HTTP/1.1\r\n\r\n");
-            assert!(line.answer().ends_with("ready"));
+            line.send("GET /healthz HTTP/1.1\r\n\r\n");
+            assert!(line.receive_response().ends_with("ready"));
             crowd.push(line);
         }
         if id == "a1" {
-            client.say(&job("view", "a2", "3.000"));
+            client.send(&job("view", "a2", "3.000"));
         }
     }
 }
@@ -439,28 +439,31 @@
         stage.call_back(&format!(r#"{{"id":"{id}","from":"s-00000001","state":"done","result":"{id}"}}"#))
     };
     let mut waits = stage.connect();
-    waits.say(&job("lodge", "a1", "4.900"));
+    waits.send(&job("lodge", "a1", "4.900"));
     let mut line = target.accept();
-    assert!(line.hear().contains("a1"));
-    line.say(&response("202 Accepted", ""));
+    assert!(line.receive().contains("a1"));
+    line.send(&response("202 Accepted", ""));
     let mut kept = Vec::new();
     for i in 0..18 {
         let (id, mut client) = (format!("b{i}"), stage.connect());
-        client.say(&job("view", &id, "3.000"));
-        assert!(line.hear().contains(&id));
-        line.say(&response("202 Accepted", ""));
+        client.send(&job("view", &id, "3.000"));
+        assert!(line.receive().contains(&id));
+        line.send(&response("202 Accepted", ""));
         done(&id);
-        assert!(client.answer().ends_with(&id));
+        assert!(client.receive_response().ends_with(&id));
         kept.push(client);
     }
     // Call-backs come on connections of their own: with each of them the client that was idle for longest leaves.
     let begun = std::time::Instant::now();
-    assert!(kept[0].closed() && begun.elapsed() < std::time::Duration::from_secs(10), "it is kept");
+    assert!(
+        kept[0].wait_until_closed() && begun.elapsed() < std::time::Duration::from_secs(10),
+        "it is kept"
+    );
     let last = kept.last_mut().unwrap();
-    last.say("GET /healthz HTTP/1.1\r\n\r\n");
-    assert!(last.answer().ends_with("ready"));
+    last.send("GET /healthz HTTP/1.1\r\n\r\n");
+    assert!(last.receive_response().ends_with("ready"));
     done("a1");
-    assert!(waits.answer().ends_with("a1"));
+    assert!(waits.receive_response().ends_with("a1"));
 }
 
 #[test]
@@ -468,14 +471,14 @@
     let (discovery, target) = (Server::new("d"), Server::new("s-00000001"));
     let stage = SchedulerProcess::start(&[&target], &discovery);
     let mut watch = discovery.accept();
-    watch.hear();
+    watch.receive();
     let strange = target
         .entry("active")
         .replace(r#""site":"z""#, r#""site":"far""#)
         .replace(r#""class":"k""#, r#""class":"odd""#);
     for seq in [2, 3] {
-        watch.say(&response("200 OK", &list(seq, true, std::slice::from_ref(&strange))));
-        watch.hear();
+        watch.send(&response("200 OK", &list(seq, true, std::slice::from_ref(&strange))));
+        watch.receive();
     }
     let said = [stage.logged("discovery: discovery: "), stage.logged("discovery: discovery: ")];
     assert_snapshot!(said.join("\n"), @r#"
@@ -483,11 +486,11 @@
     s-00000001: class "odd" is not in the settings, target used anyway
     "#);
     let mut client = stage.connect();
-    client.say(&job("view", "a1", "3.000"));
+    client.send(&job("view", "a1", "3.000"));
     let mut forward = target.accept();
-    assert!(forward.hear().contains("a1"));
-    forward.say(&response("202 Accepted", ""));
+    assert!(forward.receive().contains("a1"));
+    forward.send(&response("202 Accepted", ""));
     stage.call_back(r#"{"id":"a1","from":"s-00000001","state":"done","result":"yes"}"#);
-    assert!(client.answer().ends_with("yes"));
+    assert!(client.receive_response().ends_with("yes"));
     assert_snapshot!(stage.counters(&["list_strange", "served"]), @"served=1 list_strange=2");
 }
--- a/tests/standing_terms.rs
+++ b/tests/standing_terms.rs
@@ -3,7 +3,9 @@
 
 mod harness;
 
-use harness::{Agent, Comers, Line, Mode, Narrow, SchedulerProcess, Server, job, list, response, until};
+use harness::{
+    Agent, Comers, HttpConnection, Mode, Narrow, SchedulerProcess, Server, job, list, response, until,
+};
 use std::collections::HashMap;
 use std::net::{SocketAddr, TcpStream};
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -28,8 +30,8 @@
 const REJECTED_UNSTARTED: &str = "HTTP/1.1 503 Busy\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n";
 
 /// A new client's connection to a process.
-fn connect(at: SocketAddr) -> Line {
-    Line::new(TcpStream::connect(at).unwrap())
+fn connect(at: SocketAddr) -> HttpConnection {
+    HttpConnection::new(TcpStream::connect(at).unwrap())
 }
 
 /// A worker's report that a job is done, with the worker's name as the result.
@@ -64,10 +66,10 @@
 }
 
 /// Serves the next job on a connection.
-fn serve(scheduler: &SchedulerProcess, line: &mut Line, worker: &Server, id: &str) {
-    let head = line.hear();
+fn serve(scheduler: &SchedulerProcess, line: &mut HttpConnection, worker: &Server, id: &str) {
+    let head = line.receive();
     assert_eq!(job_id(&head).as_deref(), Some(id), "{head}");
-    line.say(&response("202 Accepted", ""));
+    line.send(&response("202 Accepted", ""));
     scheduler.call_back(&done(id, &worker.name));
 }
 
@@ -82,17 +84,17 @@
 }
 
 /// Serves every job that comes to a worker on a connection, of the process at this address.
-fn serve_connection(mut line: Line, worker: &str, at: SocketAddr) {
-    while let Some(id) = job_id(&line.hear()) {
-        if line.try_say(&response("202 Accepted", "")).is_err() {
+fn serve_connection(mut line: HttpConnection, worker: &str, at: SocketAddr) {
+    while let Some(id) = job_id(&line.receive()) {
+        if line.try_send(&response("202 Accepted", "")).is_err() {
             return;
         }
         let Ok(stream) = TcpStream::connect(at) else { return };
-        let (mut caller, body) = (Line::new(stream), done(&id, worker));
+        let (mut caller, body) = (HttpConnection::new(stream), done(&id, worker));
         let length = body.len();
         let call = format!("POST /v1/job-events HTTP/1.1\r\nContent-Length: {length}\r\n\r\n{body}");
-        if caller.try_say(&call).is_ok() {
-            caller.hear();
+        if caller.try_send(&call).is_ok() {
+            caller.receive();
         }
     }
 }
@@ -139,19 +141,19 @@
         });
     }
 
-    fn converse(self, mut line: Line) {
-        while job_id(&line.hear()).is_some() {
+    fn converse(self, mut line: HttpConnection) {
+        while job_id(&line.receive()).is_some() {
             let said = match self {
                 Trouble::Hangs | Trouble::Ignores => Ok(()),
-                Trouble::Forgets => line.try_say(&response("202 Accepted", "")),
+                Trouble::Forgets => line.try_send(&response("202 Accepted", "")),
                 Trouble::Resets => return line.reset(),
                 Trouble::Closes => return,
-                Trouble::SpeaksGarbage => line.try_say("\0\u{1} 202 for you\r\n\r\n"),
-                Trouble::IsCutOff => return line.say_and_go("HTTP/1.1 202 Acc"),
+                Trouble::SpeaksGarbage => line.try_send("\0\u{1} 202 for you\r\n\r\n"),
+                Trouble::IsCutOff => return line.send_and_close("HTTP/1.1 202 Acc"),
                 Trouble::NeverEnds => {
-                    line.try_say("HTTP/1.1 200 OK\r\nContent-Length: 60000\r\n\r\nand so on")
+                    line.try_send("HTTP/1.1 200 OK\r\nContent-Length: 60000\r\n\r\nand so on")
                 }
-                Trouble::RejectsUnstarted => line.try_say(REJECTED_UNSTARTED),
+                Trouble::RejectsUnstarted => line.try_send(REJECTED_UNSTARTED),
             };
             if said.is_err() {
                 return;
@@ -195,27 +197,27 @@
     let mut bad_clients = Vec::new();
     for n in 0..6 {
         let mut half = scheduler.connect();
-        half.say("POST /view/7f HTTP/1.1\r\nContent-Length: 9\r\n\r\nhi");
+        half.send("POST /view/7f HTTP/1.1\r\nContent-Length: 9\r\n\r\nhi");
         let mut malformed = scheduler.connect();
-        malformed.say("GARBAGE\r\n\r\n");
+        malformed.send("GARBAGE\r\n\r\n");
         let mut endless = scheduler.connect();
-        let _ = endless.try_say(&"x".repeat(200_000));
+        let _ = endless.try_send(&"x".repeat(200_000));
         bad_clients.extend([half, malformed, endless]);
-        scheduler.connect().say_and_go(&job("view", &format!("gone{n}"), "3.000"));
+        scheduler.connect().send_and_close(&job("view", &format!("gone{n}"), "3.000"));
     }
     std::thread::scope(|scope| {
         for n in 0..REQUESTS {
             let (at, class) = (scheduler.at, ["view", "lodge"][n % 2]);
             scope.spawn(move || {
                 let mut client = connect(at);
-                client.say(&last_job(class, &format!("a{n}"), "1.000"));
+                client.send(&last_job(class, &format!("a{n}"), "1.000"));
                 let sent = Instant::now();
-                let answer = client.answer();
+                let answer = client.receive_response();
                 let waited = sent.elapsed();
                 let codes = ["HTTP/1.1 502", "HTTP/1.1 503"];
                 assert!(codes.iter().any(|code| answer.starts_with(code)), "a{n}: {answer} after {waited:?}");
                 assert!(waited <= Duration::from_secs(1) + ANSWER_SLACK, "a{n}: {answer} after {waited:?}");
-                assert_eq!(client.hear(), "", "a{n}: a second answer after {answer}");
+                assert_eq!(client.receive(), "", "a{n}: a second answer after {answer}");
             });
         }
     });
@@ -243,12 +245,12 @@
     discovery.called("from=2", 1);
     for n in 0..12 {
         let mut client = scheduler.connect();
-        client.say(&last_job(["view", "lodge"][n % 2], &format!("a{n}"), "3.000"));
+        client.send(&last_job(["view", "lodge"][n % 2], &format!("a{n}"), "3.000"));
         let sent = Instant::now();
-        let answer = client.answer();
+        let answer = client.receive_response();
         assert!(answer.starts_with("HTTP/1.1 50"), "a{n}: {answer}");
         assert!(sent.elapsed() <= Duration::from_secs(3) + ANSWER_SLACK, "a{n}: {:?}", sent.elapsed());
-        assert_eq!(client.hear(), "", "a{n}: a second answer");
+        assert_eq!(client.receive(), "", "a{n}: a second answer");
     }
     let counters = scheduler.counters(&["flows", "forwards"]);
     let forwards: usize = counters.split_once("forwards=").unwrap().1.parse().unwrap();
@@ -286,14 +288,14 @@
                     let begun = Instant::now();
                     let mut client = connect(at);
                     if used_before {
-                        client.say("GET /healthz HTTP/1.1\r\n\r\n");
-                        assert!(client.answer().ends_with("ready"));
+                        client.send("GET /healthz HTTP/1.1\r\n\r\n");
+                        assert!(client.receive_response().ends_with("ready"));
                     }
-                    client.say(stop);
-                    let answer = client.answer();
+                    client.send(stop);
+                    let answer = client.receive_response();
                     assert!(answer.starts_with("HTTP/1.1 408") || stop.is_empty(), "{n}: {answer}");
                     assert!(begun.elapsed() < OWED, "{n}: {answer} after {:?}", begun.elapsed());
-                    assert_eq!(client.hear(), "", "{n}: more than its error");
+                    assert_eq!(client.receive(), "", "{n}: more than its error");
                 });
             }
         }
@@ -301,12 +303,12 @@
         let at = scheduler.at;
         scope.spawn(move || {
             let (begun, mut client) = (Instant::now(), connect(at));
-            client.say(&whole[..40]);
+            client.send(&whole[..40]);
             while begun.elapsed() < Duration::from_millis(2200) {
-                let _ = client.try_say("x");
+                let _ = client.try_send("x");
                 std::thread::sleep(Duration::from_millis(100));
             }
-            assert!(client.answer().starts_with("HTTP/1.1 408"));
+            assert!(client.receive_response().starts_with("HTTP/1.1 408"));
             assert!(begun.elapsed() < OWED, "{:?}", begun.elapsed());
         });
     });
@@ -326,8 +328,8 @@
             let at = scheduler.at;
             move || {
                 let mut client = connect(at);
-                let _ = client.try_say(&last_job("lodge", &format!("a{n}"), "0.600"));
-                client.answer()
+                let _ = client.try_send(&last_job("lodge", &format!("a{n}"), "0.600"));
+                client.receive_response()
             }
         };
         let all: Vec<_> = (0..CLIENTS).map(|n| scope.spawn(one(n))).collect();
@@ -368,8 +370,8 @@
 }
 
 /// Does so with the next job on a connection; false at the connection's end.
-fn reject_or_drop(line: &mut Line, told: &ToldByJob) -> bool {
-    let head = line.hear();
+fn reject_or_drop(line: &mut HttpConnection, told: &ToldByJob) -> bool {
+    let head = line.receive();
     // Its client has waited since before this moment.
     let heard = Instant::now();
     let Some(id) = job_id(&head) else { return false };
@@ -386,7 +388,7 @@
     std::thread::sleep(patience.mul_f64(0.4));
     let left = patience.as_secs_f64() - heard.elapsed().as_secs_f64();
     told.lock().unwrap().get_mut(&id).unwrap().left_at_rejection = Some(left);
-    line.try_say(REJECTED_UNSTARTED).is_ok()
+    line.try_send(REJECTED_UNSTARTED).is_ok()
 }
 
 /// How long the client of a job waits, by the end of its id.
@@ -410,13 +412,13 @@
             scope.spawn(move || {
                 let id = format!("a{n}-{millis}");
                 let mut client = connect(at);
-                client.say(&last_job(class, &id, &format!("{:.3}", patience(&id).as_secs_f64())));
+                client.send(&last_job(class, &id, &format!("{:.3}", patience(&id).as_secs_f64())));
                 let sent = Instant::now();
-                let answer = client.answer();
+                let answer = client.receive_response();
                 let waited = sent.elapsed();
                 assert!(answer.starts_with("HTTP/1.1 50"), "{id}: {answer}");
                 assert!(waited <= patience(&id) + ANSWER_SLACK, "{id}: {answer} after {waited:?}");
-                assert_eq!(client.hear(), "", "{id}: a second answer");
+                assert_eq!(client.receive(), "", "{id}: a second answer");
             });
         }
     });
@@ -441,7 +443,7 @@
     let mut narrow = Narrow::new("s-00000001");
     let scheduler = SchedulerProcess::start_with_changes(&[&narrow.server], &discovery.server, &[SLOW_DIALS]);
     let mut client = scheduler.connect();
-    client.say(&last_job("view", "a1", "5.000"));
+    client.send(&last_job("view", "a1", "5.000"));
     let sent = Instant::now();
     scheduler.until("forwards=1 dials=1");
     scheduler.freeze();
@@ -450,11 +452,11 @@
     std::thread::sleep(HOLD_UP);
     let left = 5.0 - sent.elapsed().as_secs_f64();
     scheduler.signal("CONT");
-    let told = number(&forward.hear(), "X-Time-Left");
+    let told = number(&forward.receive(), "X-Time-Left");
     assert!(told <= left + 0.001 && told > 0.0, "{told} told, {left} left");
-    forward.say(&response("202 Accepted", ""));
+    forward.send(&response("202 Accepted", ""));
     scheduler.call_back(&done("a1", "s-00000001"));
-    assert!(client.answer().ends_with("s-00000001"));
+    assert!(client.receive_response().ends_with("s-00000001"));
 }
 
 // ---- a process that is held up
@@ -478,13 +480,13 @@
                     for turn in 0..4 {
                         let whole = Duration::from_secs_f64(seconds.parse().unwrap());
                         let mut client = connect(at);
-                        client.say(&last_job(["view", "lodge"][n % 2], &format!("a{n}-{turn}"), seconds));
+                        client.send(&last_job(["view", "lodge"][n % 2], &format!("a{n}-{turn}"), seconds));
                         let sent = Instant::now();
-                        let answer = client.answer();
+                        let answer = client.receive_response();
                         assert!(answer.starts_with("HTTP/1.1 50"), "{answer}");
                         let waited = sent.elapsed();
                         assert!(waited <= whole + ANSWER_SLACK, "{seconds} s: {answer} after {waited:?}");
-                        assert_eq!(client.hear(), "", "a second answer");
+                        assert_eq!(client.receive(), "", "a second answer");
                     }
                 })
             })
@@ -510,7 +512,7 @@
     let scheduler = SchedulerProcess::start_with_changes(&[&narrow.server], &discovery.server, &changes);
     discovery.called("from=2", 1);
     let mut client = scheduler.connect();
-    client.say(&job("view", "a1", "19.000"));
+    client.send(&job("view", "a1", "19.000"));
     scheduler.until("forwards=1 dials=1");
     scheduler.freeze();
     narrow.widen();
@@ -522,7 +524,7 @@
     serve_all(&scheduler, &[&two]);
     std::thread::sleep(HOLD_UP);
     scheduler.signal("CONT");
-    let answer = client.answer();
+    let answer = client.receive_response();
     assert!(answer.ends_with(&two.name) || told.elapsed() < GRACE, "{answer} after {:?}", told.elapsed());
     discovery.called("from=3", 1);
     // So many that the odd one would try the other worker.
@@ -539,12 +541,12 @@
     let scheduler =
         SchedulerProcess::start_with_changes(&[&one], &discovery.server, &[LONG_DEADLINES, MANY_SOCKETS]);
     discovery.called("from=2", 1);
-    let pairs: Vec<(Line, Line)> = (0..8)
+    let pairs: Vec<(HttpConnection, HttpConnection)> = (0..8)
         .map(|n| {
             let mut client = scheduler.connect();
-            client.say(&job("view", &format!("a{n}"), "19.000"));
+            client.send(&job("view", &format!("a{n}"), "19.000"));
             let mut first = one.accept();
-            assert_eq!(job_id(&first.hear()), Some(format!("a{n}")));
+            assert_eq!(job_id(&first.receive()), Some(format!("a{n}")));
             (client, first)
         })
         .collect();
@@ -555,11 +557,11 @@
     for (n, (client, mut first)) in pairs.into_iter().enumerate() {
         // The order in which the kernel tells of both differs.
         if n % 2 == 0 {
-            first.say(REJECTED_UNSTARTED);
-            client.say_and_go("");
+            first.send(REJECTED_UNSTARTED);
+            client.send_and_close("");
         } else {
-            client.say_and_go("");
-            first.say(REJECTED_UNSTARTED);
+            client.send_and_close("");
+            first.send(REJECTED_UNSTARTED);
         }
         firsts.push(first);
     }
@@ -568,9 +570,9 @@
     scheduler.until("flows=8 gone=8");
     // The first job that the other worker hears is that of a client that waits.
     let mut client = scheduler.connect();
-    client.say(&job("view", "b1", "19.000"));
+    client.send(&job("view", "b1", "19.000"));
     serve(&scheduler, &mut two.accept(), &two, "b1");
-    assert!(client.answer().ends_with(&two.name));
+    assert!(client.receive_response().ends_with(&two.name));
 }
 
 // ---- shutdown
@@ -607,15 +609,15 @@
                 // So that their requests fall on all moments of the shutdown.
                 std::thread::sleep(Duration::from_millis(30 * n as u64));
                 while let Ok(stream) = TcpStream::connect(at) {
-                    let mut client = Line::new(stream);
+                    let mut client = HttpConnection::new(stream);
                     loop {
                         turn += 1;
                         let sent = Instant::now();
                         let text = job(["view", "lodge"][n % 2], &format!("a{n}-{turn}"), "0.500");
-                        if client.try_say(&text).is_err() {
+                        if client.try_send(&text).is_err() {
                             break;
                         }
-                        let message = client.hear();
+                        let message = client.receive();
                         let ended = Instant::now();
                         requests.lock().unwrap().push(Sent { sent, ended, answered: !message.is_empty() });
                         if message.is_empty() || message.contains("Connection: close") {
@@ -630,13 +632,13 @@
         }
         for n in 0..8 {
             let mut resting = connect(at);
-            resting.say("GET /healthz HTTP/1.1\r\n\r\n");
-            assert!(resting.answer().ends_with("ready"));
+            resting.send("GET /healthz HTTP/1.1\r\n\r\n");
+            assert!(resting.receive_response().ends_with("ready"));
             scope.spawn(move || {
                 // Its next request crosses the end of its connection: it is read for nobody, and never forwarded.
-                assert!(resting.closed());
-                let _ = resting.try_say(&job("view", &format!("resting{n}"), "0.500"));
-                assert_eq!(resting.hear(), "");
+                assert!(resting.wait_until_closed());
+                let _ = resting.try_send(&job("view", &format!("resting{n}"), "0.500"));
+                assert_eq!(resting.receive(), "");
             });
         }
         std::thread::sleep(Duration::from_millis(600));
@@ -685,14 +687,14 @@
     let mut scheduler =
         SchedulerProcess::start_with_changes(&[&workers[0]], &discovery.server, &[short, TWO_SCHEDULERS]);
     let mut client = scheduler.connect();
-    client.say("GET /healthz HTTP/1.1\r\n\r\n");
-    assert!(client.answer().ends_with("ready"));
+    client.send("GET /healthz HTTP/1.1\r\n\r\n");
+    assert!(client.receive_response().ends_with("ready"));
     scheduler.signal("TERM");
     scheduler.logged("asked to end");
     std::thread::sleep(Duration::from_millis(800));
     let all: String = (0..4).map(|n| job("lodge", &format!("a{n}"), "3.000")).collect();
-    client.say(&all);
-    let answers: Vec<String> = (0..4).map(|_| client.answer()).collect();
+    client.send(&all);
+    let answers: Vec<String> = (0..4).map(|_| client.receive_response()).collect();
     assert_eq!(
         answers,
         [
@@ -702,7 +704,7 @@
             "HTTP/1.1 503 Service Unavailable | no room",
         ]
     );
-    assert!(client.closed());
+    assert!(client.wait_until_closed());
     assert!(scheduler.ended());
 }
 
@@ -713,21 +715,21 @@
 fn an_idle_connection_that_its_worker_ends_as_a_request_comes_is_not_used() {
     let (discovery, worker) = (Agent::new(Mode::Silent, &[]), Server::new("s-00000001"));
     let scheduler = SchedulerProcess::start(&[&worker], &discovery.server);
-    let ways: [fn(Line); 2] = [|line| line.say_and_go(""), Line::reset];
+    let ways: [fn(HttpConnection); 2] = [|line| line.send_and_close(""), HttpConnection::reset];
     for (n, end) in ways.into_iter().enumerate() {
         let (before, after) = (format!("a{n}"), format!("b{n}"));
         let mut client = scheduler.connect();
-        client.say(&job("lodge", &before, "3.000"));
+        client.send(&job("lodge", &before, "3.000"));
         let mut idle = worker.accept();
         serve(&scheduler, &mut idle, &worker, &before);
-        assert!(client.answer().ends_with(&worker.name));
+        assert!(client.receive_response().ends_with(&worker.name));
         scheduler.freeze();
-        client.say(&job("lodge", &after, "3.000"));
+        client.send(&job("lodge", &after, "3.000"));
         end(idle);
         scheduler.signal("CONT");
         let mut fresh = worker.accept();
         serve(&scheduler, &mut fresh, &worker, &after);
-        assert!(client.answer().ends_with(&worker.name), "{after}");
+        assert!(client.receive_response().ends_with(&worker.name), "{after}");
         fresh.reset();
     }
     assert_eq!(scheduler.counters(&["dials", "reused", "Reset"]), "Reset=0 dials=4 reused=0");
@@ -743,15 +745,15 @@
     let mut client = scheduler.connect();
     let mut forgotten = Vec::new();
     for id in ["a1", "a2", "a3"] {
-        client.say(&job("lodge", id, "3.000"));
+        client.send(&job("lodge", id, "3.000"));
         let mut line = worker.accept();
         serve(&scheduler, &mut line, &worker, id);
-        assert!(client.answer().ends_with(&worker.name), "{id}");
+        assert!(client.receive_response().ends_with(&worker.name), "{id}");
         forgotten.push(line);
         std::thread::sleep(Duration::from_millis(800));
     }
     assert_eq!(scheduler.counters(&["dials", "reused"]), "dials=3 reused=0");
-    assert!(forgotten.iter_mut().all(Line::closed));
+    assert!(forgotten.iter_mut().all(HttpConnection::wait_until_closed));
 }
 
 // ---- discovery
@@ -765,12 +767,12 @@
             let (list, tell) = (list.clone(), tell.clone());
             std::thread::spawn(move || {
                 loop {
-                    let call = line.hear();
+                    let call = line.receive();
                     if call.is_empty() || tell.send(call).is_err() {
                         return;
                     }
                     std::thread::sleep(after);
-                    if line.try_say(&response("200 OK", &list)).is_err() {
+                    if line.try_send(&response("200 OK", &list)).is_err() {
                         return;
                     }
                 }
@@ -794,9 +796,9 @@
     until("a list", || scheduler.counters(&["lists"]) != "lists=0");
     assert!(first_call.elapsed() < Duration::from_secs(6), "{:?}", first_call.elapsed());
     let mut client = scheduler.connect();
-    client.say(&job("view", "a1", "3.000"));
+    client.send(&job("view", "a1", "3.000"));
     serve(&scheduler, &mut worker.accept(), &worker, "a1");
-    assert!(client.answer().ends_with(&worker.name));
+    assert!(client.receive_response().ends_with(&worker.name));
 }
 
 /// Discovery is down for longer than any disruption of the bench: the last list serves all the while, and what has changed
@@ -819,9 +821,9 @@
     // Each scheduler's call-backs go to itself, so each job is served by hand.
     let serve_at = |scheduler: &SchedulerProcess, worker: &Server, id: &str| {
         let mut client = scheduler.connect();
-        client.say(&job("view", id, "19.000"));
+        client.send(&job("view", id, "19.000"));
         serve(scheduler, &mut worker.accept(), worker, id);
-        assert!(client.answer().ends_with(&worker.name), "{id}");
+        assert!(client.receive_response().ends_with(&worker.name), "{id}");
     };
     let begun = Instant::now();
     let mut turn = 0;
@@ -871,8 +873,8 @@
             scope.spawn(move || {
                 for turn in 0.. {
                     let mut client = connect(at);
-                    client.say(&job("view", &format!("a{n}-{turn}"), "3.000"));
-                    let answer = client.answer();
+                    client.send(&job("view", &format!("a{n}-{turn}"), "3.000"));
+                    let answer = client.receive_response();
                     assert!(answer.starts_with("HTTP/1.1 "), "a{n}-{turn}: {answer}");
                     *served.lock().unwrap() += usize::from(answer.starts_with("HTTP/1.1 200"));
                     if over.load(Ordering::Relaxed) {
--- a/tests/system_calls.rs
+++ b/tests/system_calls.rs
@@ -33,9 +33,9 @@
 /// Has the target take the next forward and call back, and says how often it has heard the job by then.
 fn serve(stage: &SchedulerProcess, target: &Server, id: &str) {
     let mut forward = target.accept();
-    let heard = forward.hear();
+    let heard = forward.receive();
     assert!(heard.contains(&format!("X-Correlation-Id: {id}\r\n")), "{heard}");
-    forward.say(&response("202 Accepted", ""));
+    forward.send(&response("202 Accepted", ""));
     stage.call_back(&done(target, id));
 }
 
@@ -117,17 +117,17 @@
         SchedulerProcess::start_with_faults(&plan, &[&target], &discovery, r#""control":"127.0.0.1:0","#);
     // Idle and never of use: the first to make room.
     let mut idle = stage.connect();
-    idle.say(HEALTH);
-    assert_eq!(idle.answer(), "HTTP/1.1 200 OK | ready");
+    idle.send(HEALTH);
+    assert_eq!(idle.receive_response(), "HTTP/1.1 200 OK | ready");
     for errno in GONE {
         plan.fail(Call::Accept, errno, 5);
         let mut client = stage.connect();
-        client.say(&job("view", &format!("a{errno}"), "3.0"));
+        client.send(&job("view", &format!("a{errno}"), "3.0"));
         serve(&stage, &target, &format!("a{errno}"));
-        assert_eq!(client.answer(), "HTTP/1.1 200 OK | yes", "{errno}");
-        idle.say(HEALTH);
+        assert_eq!(client.receive_response(), "HTTP/1.1 200 OK | yes", "{errno}");
+        idle.send(HEALTH);
         assert_eq!(
-            idle.answer(),
+            idle.receive_response(),
             "HTTP/1.1 200 OK | ready",
             "closed for a connection that was gone: {errno}"
         );
@@ -144,14 +144,14 @@
         let plan = FaultPlan::new().unwrap();
         let stage = SchedulerProcess::start_with_faults(&plan, &[&target], &discovery, "");
         let mut idle = stage.connect();
-        idle.say(HEALTH);
-        assert_eq!(idle.answer(), "HTTP/1.1 200 OK | ready");
+        idle.send(HEALTH);
+        assert_eq!(idle.receive_response(), "HTTP/1.1 200 OK | ready");
         plan.fail(Call::Accept, errno, WITHOUT_END);
         let mut client = stage.connect();
-        assert!(idle.closed());
+        assert!(idle.wait_until_closed());
         plan.pass(Call::Accept);
-        client.say(HEALTH);
-        assert_eq!(client.answer(), "HTTP/1.1 200 OK | ready", "{errno}");
+        client.send(HEALTH);
+        assert_eq!(client.receive_response(), "HTTP/1.1 200 OK | ready", "{errno}");
     }
 }
 
@@ -195,12 +195,12 @@
         let stage = SchedulerProcess::start_with_faults(&plan, &[&target], &discovery, "");
         plan.fail(call, errno, WITHOUT_END);
         let mut client = stage.connect();
-        client.say(&job("lodge", "a", "3.0"));
+        client.send(&job("lodge", "a", "3.0"));
         let before = plan.hits(call);
         until("it is tried again", || plan.hits(call) >= before + 4);
         plan.pass(call);
         serve(&stage, &target, "a");
-        assert_eq!(client.answer(), "HTTP/1.1 200 OK | yes", "{call:?}: {errno}");
+        assert_eq!(client.receive_response(), "HTTP/1.1 200 OK | yes", "{call:?}: {errno}");
         let counted = stage.counters(&["served", "forwards", "NoConnection", "NotSent", "dials"]);
         assert_eq!(counted, "served=1 forwards=1 NoConnection=0 NotSent=0 dials=1", "{call:?}: {errno}");
         assert_ne!(stage.counters(&["dials_again"]), "dials_again=0");
@@ -230,22 +230,22 @@
     let ids: Vec<String> = (0..64).map(|number| format!("a{number}")).collect();
     for some in ids.chunks(8) {
         let mut clients: Vec<_> = some.iter().map(|_| stage.connect()).collect();
-        clients.iter_mut().zip(some).for_each(|(client, id)| client.say(&job("lodge", id, "0.2")));
-        assert!(clients.iter_mut().all(|client| client.answer().starts_with("HTTP/1.1 50")));
+        clients.iter_mut().zip(some).for_each(|(client, id)| client.send(&job("lodge", id, "0.2")));
+        assert!(clients.iter_mut().all(|client| client.receive_response().starts_with("HTTP/1.1 50")));
     }
     narrow.widen();
     let mut client = stage.connect();
-    client.say(&job("lodge", "b", "3.0"));
+    client.send(&job("lodge", "b", "3.0"));
     let mut forward = loop {
         // Dials that were given up may have come up all the same, and say nothing.
         let mut line = narrow.server.accept();
-        if line.hear().contains("X-Correlation-Id: b\r\n") {
+        if line.receive().contains("X-Correlation-Id: b\r\n") {
             break line;
         }
     };
-    forward.say(&response("202 Accepted", ""));
+    forward.send(&response("202 Accepted", ""));
     stage.call_back(&done(&narrow.server, "b"));
-    assert_eq!(client.answer(), "HTTP/1.1 200 OK | yes");
+    assert_eq!(client.receive_response(), "HTTP/1.1 200 OK | yes");
 }
 
 #[test]
@@ -255,9 +255,9 @@
         let (plan, stage, _discovery) = settled(&[&target]);
         plan.fail(Call::Connect, errno, 1);
         let mut client = stage.connect();
-        client.say(&job("lodge", "a", "3.0"));
+        client.send(&job("lodge", "a", "3.0"));
         serve(&stage, &target, "a");
-        assert_eq!(client.answer(), "HTTP/1.1 200 OK | yes", "{errno}");
+        assert_eq!(client.receive_response(), "HTTP/1.1 200 OK | yes", "{errno}");
         // Another process, as the idle connection to the target would be used again.
         let (plan, stage, _discovery) = settled(&[&target]);
         plan.fail(Call::Connect, errno, WITHOUT_END);
@@ -294,16 +294,19 @@
             SchedulerProcess::start_with_faults(&plan, &[], &discovery.server, r#""control":"127.0.0.1:0","#);
         discovery.called("from=2", 1);
         let mut client = stage.connect();
-        client.say(&job("lodge", "a", "3.0"));
+        client.send(&job("lodge", "a", "3.0"));
         let mut forward = target.accept();
         for id in ["a", "b", "c"] {
             if id != "a" {
-                client.say(&job("lodge", id, "3.0"));
+                client.send(&job("lodge", id, "3.0"));
             }
-            assert!(forward.hear().contains(&format!("X-Correlation-Id: {id}\r\n")), "{bytes} bytes: {id}");
-            forward.say(&response("202 Accepted", ""));
+            assert!(
+                forward.receive().contains(&format!("X-Correlation-Id: {id}\r\n")),
+                "{bytes} bytes: {id}"
+            );
+            forward.send(&response("202 Accepted", ""));
             stage.call_back(&done(&target, id));
-            assert_eq!(client.answer(), "HTTP/1.1 200 OK | yes", "{bytes} bytes: {id}");
+            assert_eq!(client.receive_response(), "HTTP/1.1 200 OK | yes", "{bytes} bytes: {id}");
         }
         assert!(stage.order("GET /control/ready").starts_with("HTTP/1.1 200"));
         assert_eq!(
@@ -323,9 +326,9 @@
     plan.short_reads(HEALTH.len() as u64);
     let stage = SchedulerProcess::start_with_faults(&plan, &[&target], &discovery, "");
     let mut client = stage.connect();
-    client.say(&HEALTH.repeat(3));
+    client.send(&HEALTH.repeat(3));
     for _ in 0..3 {
-        assert_eq!(client.answer(), "HTTP/1.1 200 OK | ready");
+        assert_eq!(client.receive_response(), "HTTP/1.1 200 OK | ready");
     }
 }
 
@@ -336,13 +339,13 @@
         let alone = Server::new("t");
         let (plan, stage, _discovery) = settled(&[&alone]);
         let mut client = stage.connect();
-        client.say(&job("lodge", "a", "3.0"));
+        client.send(&job("lodge", "a", "3.0"));
         let mut forward = alone.accept();
-        forward.hear();
+        forward.receive();
         plan.fail(Call::SocketRead, errno, 1);
         // Its connection is the only one on which something comes.
-        forward.say("HTTP/1.1 202");
-        assert_eq!(client.answer(), "HTTP/1.1 502 Bad Gateway | failed", "{errno}");
+        forward.send("HTTP/1.1 202");
+        assert_eq!(client.receive_response(), "HTTP/1.1 502 Bad Gateway | failed", "{errno}");
         assert_eq!(plan.hits(Call::SocketRead), 1);
         assert_eq!(stage.counters(&["forwards", "Reset"]), "forwards=1 Reset=1", "{errno}");
         // Before the last byte is written it cannot have run.
@@ -351,17 +354,17 @@
         let comers = Comers::new(&[&first, &second]);
         plan.fail(Call::SocketWrite, errno, 1);
         let mut client = stage.connect();
-        client.say(&job("lodge", "b", "3.0"));
+        client.send(&job("lodge", "b", "3.0"));
         let (name, mut forward) = loop {
             let (name, mut forward) = comers.next();
-            if forward.hear().contains("X-Correlation-Id: b\r\n") {
+            if forward.receive().contains("X-Correlation-Id: b\r\n") {
                 break (name, forward);
             }
         };
-        forward.say(&response("202 Accepted", ""));
+        forward.send(&response("202 Accepted", ""));
         let target = if name == "t" { &first } else { &second };
         stage.call_back(&done(target, "b"));
-        assert_eq!(client.answer(), "HTTP/1.1 200 OK | yes", "{errno}");
+        assert_eq!(client.receive_response(), "HTTP/1.1 200 OK | yes", "{errno}");
         assert_eq!(stage.counters(&["forwards", "NoConnection"]), "forwards=2 NoConnection=1", "{errno}");
     }
 }
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -2,7 +2,7 @@
 
 mod harness;
 
-use harness::{Line, Platform, SchedulerProcess, Server, job, response, until};
+use harness::{HttpConnection, Platform, SchedulerProcess, Server, job, response, until};
 use loomlb_fault_plan::{Call, FaultPlan, Limit, WITHOUT_END};
 use loomlb_hot_restart::message::{FrameDecoder, PROTOCOL_VERSION, RestartMessage};
 use std::io::{Read, Write};
@@ -12,9 +12,9 @@
 use std::time::Duration;
 
 /// Hears a job at a target and takes it.
-fn take(line: &mut Line, id: &str) {
-    assert!(line.hear().contains(id));
-    line.say(&response("202 Accepted", ""));
+fn take(line: &mut HttpConnection, id: &str) {
+    assert!(line.receive().contains(id));
+    line.send(&response("202 Accepted", ""));
 }
 
 fn done(target: &Server, id: &str) -> String {
@@ -30,12 +30,12 @@
     assert!(old.order("PUT /control/workers/s-00000002/offline").starts_with("HTTP/1.1 200"));
     // One client has had an answer and keeps its connection, one has said nothing yet, one waits for its job.
     let (mut kept, mut silent, mut waits) = (old.connect(), old.connect(), old.connect());
-    kept.say(&job("view", "a1", "3.000"));
+    kept.send(&job("view", "a1", "3.000"));
     let mut target = one.accept();
     take(&mut target, "a1");
     old.call_back(&done(&one, "a1"));
-    assert!(kept.answer().ends_with("a1"));
-    waits.say(&job("lodge", "a2", "4.000"));
+    assert!(kept.receive_response().ends_with("a1"));
+    waits.send(&job("lodge", "a2", "4.000"));
     take(&mut target, "a2");
     let new = SchedulerProcess::start_on_platform(&[&one, &two], &discovery, &platform);
     new.ready();
@@ -46,19 +46,19 @@
     assert!(new.order("PUT /control/in-service").contains(r#""service":"in","workers_out":["s-00000002"]"#));
     // Kept connections go on: the new process serves what comes on them, over the connection to the target.
     for (client, id) in [(&mut kept, "b1"), (&mut silent, "b2")] {
-        client.say(&job("view", id, "3.000"));
+        client.send(&job("view", id, "3.000"));
         take(&mut target, id);
         new.call_back(&done(&one, id));
-        assert!(client.answer().ends_with(id));
+        assert!(client.receive_response().ends_with(id));
     }
     // The call-back for the open flow comes to the process that does not have it.
     assert!(new.call_back(&done(&one, "a2")).ends_with("noted"));
-    assert!(waits.answer().ends_with("a2"));
+    assert!(waits.receive_response().ends_with("a2"));
     assert!(old.ended(), "the old process ends by itself");
-    waits.say(&job("view", "b3", "3.000"));
+    waits.send(&job("view", "b3", "3.000"));
     take(&mut target, "b3");
     new.call_back(&done(&one, "b3"));
-    assert!(waits.answer().ends_with("b3"));
+    assert!(waits.receive_response().ends_with("b3"));
     insta::assert_snapshot!(
         new.counters(&["adopted", "call_backs_passed", "call_backs_unknown", "dials"]),
         @"dials=0 call_backs_unknown=0 adopted=4 call_backs_passed=1"
@@ -76,7 +76,7 @@
     let old = SchedulerProcess::start_on_platform(&[&target], &discovery, &platform);
     old.ready();
     let mut waits = old.connect();
-    waits.say(&job("lodge", "a1", "4.900"));
+    waits.send(&job("lodge", "a1", "4.900"));
     let mut line = target.accept();
     take(&mut line, "a1");
     for _ in 0..2 {
@@ -87,7 +87,7 @@
         assert!(old.ask("GET /healthz HTTP/1.1\r\n\r\n").ends_with("ready"));
     }
     old.call_back(&done(&target, "a1"));
-    assert!(waits.answer().ends_with("a1"));
+    assert!(waits.receive_response().ends_with("a1"));
 }
 
 #[test]
@@ -146,8 +146,8 @@
         let said = new.ask(&job("lodge", "a1", "3.000"));
         assert!(said.ends_with("unknown class"), "{text}: {said:?}");
         let mut client = new.connect();
-        client.say(&job("sign", "a2", "3.000"));
-        let heard = target.accept().hear();
+        client.send(&job("sign", "a2", "3.000"));
+        let heard = target.accept().receive();
         assert!(heard.contains("a2"), "{text}: {heard:?}");
     }
 }
--- a/tests/wall_clock.rs
+++ b/tests/wall_clock.rs
@@ -51,8 +51,8 @@
                     if begun.elapsed() > long {
                         break;
                     }
-                    line.say(&job("view", &format!("c{client}-{n}"), "0.300"));
-                    line.answer();
+                    line.send(&job("view", &format!("c{client}-{n}"), "0.300"));
+                    line.receive_response();
                 }
             });
         }
@@ -148,14 +148,14 @@
         let mut kept = old.connect();
         assert!(old.order("PUT /control/out-of-service").starts_with("HTTP/1.1 200"));
         plan.step_wall_clock(step);
-        assert!(kept.closed(), "{step} ns");
+        assert!(kept.wait_until_closed(), "{step} ns");
         let new = SchedulerProcess::start_on_platform_with_faults(&plan, &[&target], &discovery, &platform);
         new.ready();
         assert!(new.order("GET /control/ready").contains(r#""service":"draining""#));
         // The time for jobs is over, as the first process has shown: none is taken any more.
         let mut late = new.connect();
-        let _ = late.try_say(&job("view", "a1", "0.500"));
-        late.hear();
+        let _ = late.try_send(&job("view", "a1", "0.500"));
+        late.receive();
         assert_eq!(new.counters(&["forwards"]), "forwards=0", "{step} ns: a job is taken");
     }
 }
@@ -176,9 +176,9 @@
     let stage = SchedulerProcess::start_with_changes_and_faults(&plan, &discovery.server, &changes);
     stage.until("lists=1");
     let mut client = stage.connect();
-    client.say(&job("view", "a1", "19.000").replace("X-Service", "Idempotency-Key: k\r\nX-Service"));
+    client.send(&job("view", "a1", "19.000").replace("X-Service", "Idempotency-Key: k\r\nX-Service"));
     let mut first = one.accept();
-    assert!(first.hear().contains("Idempotency-Key: k\r\n"));
+    assert!(first.receive().contains("Idempotency-Key: k\r\n"));
     discovery.lists(&[one.entry("leaving"), narrow.server.entry("active")]);
     stage.until("forwards=1 lists=2");
     drop(first);
@@ -187,10 +187,10 @@
     std::thread::sleep(wait);
     narrow.widen();
     if wait.is_zero() {
-        let heard = narrow.server.accept().hear();
+        let heard = narrow.server.accept().receive();
         return (stage, narrow.server, heard);
     }
-    let answer = client.answer();
+    let answer = client.receive_response();
     (stage, narrow.server, answer)
 }
 
