--- a/tests/endings.rs
+++ b/tests/endings.rs
@@ -4,7 +4,9 @@
 
 mod harness;
 
-use harness::{Agent, HttpConnection, Mode, Narrow, SchedulerProcess, Server, job, list, response};
+use harness::{
+    Agent, FullBacklogServer, HttpConnection, Mode, SchedulerProcess, Server, job, list, response,
+};
 use insta::assert_snapshot;
 use std::time::{Duration, Instant};
 
@@ -97,7 +99,7 @@
 /// The first byte of a forward is what counts: its dial may have begun long before the client left.
 #[test]
 fn a_forward_whose_dial_comes_up_after_its_client_left_is_not_written() {
-    let (discovery, mut narrow) = (Agent::new(Mode::Silent, &[]), Narrow::new("s-00000001"));
+    let (discovery, mut narrow) = (Agent::new(Mode::Silent, &[]), FullBacklogServer::new("s-00000001"));
     let scheduler = SchedulerProcess::start_with_changes(
         &[&narrow.server],
         &discovery.server,
@@ -108,7 +110,7 @@
     scheduler.until("forwards=1 NotSent=0 dials=1");
     drop(client);
     scheduler.until("gone=1 forwards=1 NotSent=0");
-    narrow.widen();
+    narrow.free_backlog();
     scheduler.until("gone=1 forwards=1 NotSent=1 dials=1");
     // The connection that came up is kept, and the next job is the first that is ever said on it.
     goes_to(&scheduler, &narrow.server, "b1", "19.000");
@@ -142,7 +144,7 @@
 /// more than what is left to the client by then.
 #[test]
 fn a_further_attempt_tells_its_worker_no_more_than_what_is_left_to_the_client() {
-    let (one, mut narrow) = (Server::new("s-00000001"), Narrow::new("s-00000002"));
+    let (one, mut narrow) = (Server::new("s-00000001"), FullBacklogServer::new("s-00000002"));
     let discovery = Agent::new(Mode::Answers, &[one.entry("active")]);
     let scheduler = SchedulerProcess::start_with_changes(&[&one], &discovery.server, &[PATIENT, SLOW_DIALS]);
     scheduler.until("lists=1");
@@ -164,7 +166,7 @@
     scheduler.until("forwards=2 Full=1 dials=2");
     std::thread::sleep(Duration::from_millis(700));
     let left = 15.0 - heard.elapsed().as_secs_f64();
-    narrow.widen();
+    narrow.free_backlog();
     let mut second = narrow.server.accept();
     let at_second = told(&second.receive());
     assert!(at_second <= left + 0.001 && at_second > 0.0, "{at_second} told, {left} left");
@@ -308,7 +310,7 @@
 /// A job is on its way to one worker, whose connection hangs; then this news of that worker comes, and only then the
 /// connection. The job has to go to the other one.
 fn news_overtakes_a_dial(news: fn(&Server) -> String) {
-    let (mut narrow, two) = (Narrow::new("s-00000001"), Server::new("s-00000002"));
+    let (mut narrow, two) = (FullBacklogServer::new("s-00000001"), Server::new("s-00000002"));
     let discovery = Agent::new(Mode::Answers, &[narrow.server.entry("active")]);
     // A grace of a minute: not even the grace is ours to use up.
     let grace = (r#""drain_grace":1000000000"#, r#""drain_grace":60000000000"#);
@@ -323,7 +325,7 @@
     scheduler.until("forwards=1 dials=1");
     discovery.lists(&[news(&narrow.server), two.entry("active")]);
     scheduler.until("lists=2");
-    narrow.widen();
+    narrow.free_backlog();
     serve(&scheduler, &mut two.accept(), &two, "a1");
     assert!(client.receive_response().ends_with("a1"));
     assert_eq!(scheduler.counters(&["forwards", "NotSent", "served"]), "served=1 forwards=2 NotSent=1");
@@ -344,7 +346,7 @@
 /// comes up after it.
 #[test]
 fn a_repeat_whose_dial_comes_up_after_its_keys_window_is_not_written() {
-    let (one, mut narrow) = (Server::new("s-00000001"), Narrow::new("s-00000002"));
+    let (one, mut narrow) = (Server::new("s-00000001"), FullBacklogServer::new("s-00000002"));
     let discovery = Agent::new(Mode::Answers, &[one.entry("active")]);
     let keyed = r#""effect":"deduplicated","group":"cell","repeat_window":2000000000"#;
     let keyed = (r#""effect":"idempotent""#, keyed);
@@ -360,7 +362,7 @@
     drop(first);
     scheduler.until("forwards=2 Reset=1 dials=2");
     std::thread::sleep(Duration::from_millis(2100));
-    narrow.widen();
+    narrow.free_backlog();
     assert_snapshot!(client.receive_response(), @"HTTP/1.1 502 Bad Gateway | failed");
     assert_snapshot!(scheduler.counters(&["forwards", "NotSent"]), @"forwards=2 NotSent=1");
 }
@@ -533,19 +535,19 @@
 /// What a worker was not told to drop would run for nobody.
 #[test]
 fn a_process_that_ends_tells_a_worker_to_drop_a_job_though_the_connection_comes_up_late() {
-    let (discovery, mut narrow) = (Agent::new(Mode::Silent, &[]), Narrow::new("s-00000001"));
+    let (discovery, mut narrow) = (Agent::new(Mode::Silent, &[]), FullBacklogServer::new("s-00000001"));
     let mut scheduler =
         SchedulerProcess::start_with_changes(&[&narrow.server], &discovery.server, &[SLOW_DIALS]);
     let mut client = scheduler.connect();
     client.send(&job("lodge", "a1", "4.500"));
     scheduler.until("forwards=1 dials=1");
-    narrow.widen();
+    narrow.free_backlog();
     let mut forward = narrow.server.accept();
     forward.receive();
     forward.send(&response("202 Accepted", "").replace("Content", "Connection: close\r\nContent"));
     scheduler.until("forwards=1 dials=1");
     // The worker's machine is full again: the call that gives the job up hangs in its dial.
-    let crowd = std::net::TcpStream::connect(narrow.server.at()).unwrap();
+    let crowd = std::net::TcpStream::connect(narrow.server.address()).unwrap();
     scheduler.signal("TERM");
     assert_snapshot!(client.receive_response(), @"HTTP/1.1 502 Bad Gateway | failed");
     std::thread::sleep(Duration::from_millis(100));
--- a/tests/harness/mod.rs
+++ b/tests/harness/mod.rs
@@ -87,7 +87,7 @@
     pub fn new(name: &str) -> Server {
         Server { name: name.to_string(), listener: TcpListener::bind("127.0.0.1:0").unwrap() }
     }
-    pub fn at(&self) -> SocketAddr {
+    pub fn address(&self) -> SocketAddr {
         self.listener.local_addr().unwrap()
     }
     /// The next connection; a story in which none comes has failed.
@@ -104,7 +104,7 @@
     }
     /// Its entry in discovery's list.
     pub fn entry(&self, health: &str) -> String {
-        let (host, dial) = (&self.name, self.at());
+        let (host, dial) = (&self.name, self.address());
         format!(
             r#"{{"host":"{host}","dial":"{dial}","site":"z","class":"k","block":0,"health":"{health}","share":1.0,"born_ms":0}}"#
         )
@@ -112,24 +112,24 @@
 }
 
 /// A server whose machine has no room for one more connection: dials to it hang until there is.
-pub struct Narrow {
+pub struct FullBacklogServer {
     pub server: Server,
-    crowd: Vec<TcpStream>,
+    queued: Vec<TcpStream>,
 }
 
-impl Narrow {
-    pub fn new(name: &str) -> Narrow {
+impl FullBacklogServer {
+    pub fn new(name: &str) -> FullBacklogServer {
         let socket = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
         socket.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).unwrap();
         socket.listen(0).unwrap();
         let server = Server { name: name.to_string(), listener: socket.into() };
         // Behind a backlog of none there is room for one that is not accepted yet.
-        let crowd = vec![TcpStream::connect(server.at()).unwrap()];
-        Narrow { server, crowd }
+        let queued = vec![TcpStream::connect(server.address()).unwrap()];
+        FullBacklogServer { server, queued }
     }
     /// Makes room: the dials that hang come up, late.
-    pub fn widen(&mut self) {
-        for _ in self.crowd.drain(..) {
+    pub fn free_backlog(&mut self) {
+        for _ in self.queued.drain(..) {
             self.server.accept();
         }
     }
@@ -243,10 +243,10 @@
 }
 
 /// The connections that come to any of these servers from now on, with the servers' names.
-pub struct Comers(Receiver<(String, TcpStream)>);
+pub struct IncomingConnections(Receiver<(String, TcpStream)>);
 
-impl Comers {
-    pub fn new(servers: &[&Server]) -> Comers {
+impl IncomingConnections {
+    pub fn new(servers: &[&Server]) -> IncomingConnections {
         let (tell, came) = channel();
         for server in servers {
             let (tell, listener) = (tell.clone(), server.listener.try_clone().unwrap());
@@ -256,22 +256,22 @@
                 all.all(|stream| tell.send((name.clone(), stream)).is_ok())
             });
         }
-        Comers(came)
+        IncomingConnections(came)
     }
     pub fn next(&self) -> (String, HttpConnection) {
         let (name, stream) = self.0.recv_timeout(LONG).unwrap();
         (name, HttpConnection::new(stream))
     }
     /// The next connection, however late it comes; none once the servers are gone.
-    pub fn wait(&self) -> Option<(String, HttpConnection)> {
+    pub fn next_unbounded(&self) -> Option<(String, HttpConnection)> {
         let (name, stream) = self.0.recv().ok()?;
         Some((name, HttpConnection::new(stream)))
     }
 }
 
 /// The first connection that comes to any of these servers.
-pub fn first(servers: &[&Server]) -> HttpConnection {
-    Comers::new(servers).next().1
+pub fn first_connection(servers: &[&Server]) -> HttpConnection {
+    IncomingConnections::new(servers).next().1
 }
 
 /// A list in discovery's form.
@@ -422,7 +422,7 @@
         let entries: Vec<String> = known.iter().map(|t| t.entry("active")).collect();
         let mut config = format!(
             r#"{{"name":"n","listen":"127.0.0.1:0","discovery":"{}","seed":"2a","limits":{{"sockets":64}},{more}"known":{},"settings":{SETTINGS}}}"#,
-            discovery.at(),
+            discovery.address(),
             list(1, true, &entries)
         );
         for (old, new) in changes {
@@ -434,7 +434,7 @@
         std::fs::write(&file, &config).unwrap();
         let mut command = Command::new(env!("CARGO_BIN_EXE_loomlb"));
         command.args(["serve", "--config"]).arg(&file).env_clear();
-        command.env("LB_DISCOVERY", discovery.at().to_string()).stderr(Stdio::piped());
+        command.env("LB_DISCOVERY", discovery.address().to_string()).stderr(Stdio::piped());
         with(&mut command);
         let mut child = command.spawn().unwrap();
         let (tell, log) = channel();
--- a/tests/operation.rs
+++ b/tests/operation.rs
@@ -2,7 +2,7 @@
 
 mod harness;
 
-use harness::{Comers, HttpConnection, SchedulerProcess, Server, job, list, response};
+use harness::{HttpConnection, IncomingConnections, SchedulerProcess, Server, job, list, response};
 use insta::assert_snapshot;
 use std::net::TcpStream;
 use std::time::{Duration, Instant};
@@ -178,7 +178,7 @@
     let (discovery, one, two) = (Server::new("d"), Server::new("s-00000001"), Server::new("s-00000002"));
     let mut stage = SchedulerProcess::start_with_control(&[&one, &two], &discovery);
     // Each forward comes on a connection of its own, to whichever target.
-    let comers = Comers::new(&[&one, &two]);
+    let comers = IncomingConnections::new(&[&one, &two]);
     let accept = |id: &str| {
         let (name, mut line) = comers.next();
         assert!(line.receive().contains(id));
--- a/tests/pins/forwards.rs
+++ b/tests/pins/forwards.rs
@@ -5,7 +5,7 @@
 
 /// A message with the address of its receiver and the time left masked.
 fn masked(message: &str, server: &Server) -> String {
-    let message = message.replace(&server.at().to_string(), &format!("<{}>", server.name));
+    let message = message.replace(&server.address().to_string(), &format!("<{}>", server.name));
     golden::visible(golden::mask_number_after(&message, "X-Time-Left: ").as_bytes())
 }
 
@@ -53,7 +53,7 @@
     let stage = SchedulerProcess::start_with_changes(&[&target], &discovery.server, &changes);
     let mut client = stage.connect();
     client.send(&job("view", "a1", "3.000"));
-    let comers = crate::harness::Comers::new(&[&target]);
+    let comers = crate::harness::IncomingConnections::new(&[&target]);
     let probe = loop {
         let (_, mut line) = comers.next();
         let heard = line.receive();
@@ -83,7 +83,7 @@
     text += &format!("== after a reload\n{}\n", masked(&again.receive(), &first));
     again.send(&response("200 OK", &list(3, true, &[target.entry("active")])));
     again.receive();
-    let (old, new) = (first.at().to_string(), second.at().to_string());
+    let (old, new) = (first.address().to_string(), second.address().to_string());
     stage.reload(&old, &new);
     text +=
         &format!("== after a reload that names another\n{}\n", masked(&second.accept().receive(), &second));
--- a/tests/pins/restart.rs
+++ b/tests/pins/restart.rs
@@ -85,7 +85,7 @@
     }
     mask(&mut value, "");
     let text = serde_json::to_string_pretty(&value).unwrap() + "\n";
-    let text = text.replace(&one.at().to_string(), "<one>").replace(&two.at().to_string(), "<two>");
+    let text = text.replace(&one.address().to_string(), "<one>").replace(&two.address().to_string(), "<two>");
     golden::check("snapshot.txt", text.as_bytes());
 }
 
@@ -128,7 +128,7 @@
         (Agent::new(Mode::Silent, &[]), Server::new("s-00000001"), Server::new("s-00000002"));
     let platform = Platform::new();
     let text = String::from_utf8(golden::fixture("snapshot.json")).unwrap();
-    let text = text.replace("<one>", &one.at().to_string()).replace("<two>", &two.at().to_string());
+    let text = text.replace("<one>", &one.address().to_string()).replace("<two>", &two.address().to_string());
     let mut offered: Value = serde_json::from_str(&text).unwrap();
     let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap().as_nanos() as i64;
     make_recent(&mut offered, now - RECORDED);
--- a/tests/sockets.rs
+++ b/tests/sockets.rs
@@ -71,7 +71,7 @@
     let mut news = discovery.accept();
     news.receive();
     // No test listens at port 1; a port just given up could be another test's by now.
-    let entry = dead.entry("active").replace(&dead.at().to_string(), "127.0.0.1:1");
+    let entry = dead.entry("active").replace(&dead.address().to_string(), "127.0.0.1:1");
     news.send(&response("200 OK", &list(2, true, &[entry])));
     news.receive();
     client = stage.connect();
@@ -279,7 +279,7 @@
     old.receive();
     old.send(&response("200 OK", &list(7, true, &[one.entry("active")])));
     old.receive();
-    let (here, there) = (discovery.at().to_string(), elsewhere.at().to_string());
+    let (here, there) = (discovery.address().to_string(), elsewhere.address().to_string());
     stage.reload(&here, "here");
     assert_snapshot!(stage.logged("configuration: "), @r#"discovery: "here" is not an address of the form IP:PORT; keeping the active one"#);
     stage.reload(
@@ -359,7 +359,7 @@
     let stage = SchedulerProcess::start(&[&one, &two], &discovery);
     let mut client = stage.connect();
     client.send(&job("view", "a1", "3.000"));
-    let mut forward = harness::first(&[&one, &two]);
+    let mut forward = harness::first_connection(&[&one, &two]);
     forward.receive();
     forward.send(&response("400 Bad Request", "known id"));
     assert_snapshot!(client.receive_response(), @"HTTP/1.1 502 Bad Gateway | failed");
--- a/tests/standing_terms.rs
+++ b/tests/standing_terms.rs
@@ -4,7 +4,8 @@
 mod harness;
 
 use harness::{
-    Agent, Comers, HttpConnection, Mode, Narrow, SchedulerProcess, Server, job, list, response, until,
+    Agent, FullBacklogServer, HttpConnection, IncomingConnections, Mode, SchedulerProcess, Server, job, list,
+    response, until,
 };
 use std::collections::HashMap;
 use std::net::{SocketAddr, TcpStream};
@@ -75,9 +76,9 @@
 
 /// Serves every job that comes to these workers from now on, for as long as the test runs.
 fn serve_all(scheduler: &SchedulerProcess, workers: &[&Server]) {
-    let (comers, at) = (Comers::new(workers), scheduler.at);
+    let (comers, at) = (IncomingConnections::new(workers), scheduler.at);
     std::thread::spawn(move || {
-        while let Some((worker, line)) = comers.wait() {
+        while let Some((worker, line)) = comers.next_unbounded() {
             std::thread::spawn(move || serve_connection(line, &worker, at));
         }
     });
@@ -129,10 +130,10 @@
 impl Trouble {
     /// Has a worker behave like this from now on, for as long as the test runs.
     fn at(self, worker: &Server) {
-        let comers = Comers::new(&[worker]);
+        let comers = IncomingConnections::new(&[worker]);
         std::thread::spawn(move || {
             let mut unread = Vec::new();
-            while let Some((_, line)) = comers.wait() {
+            while let Some((_, line)) = comers.next_unbounded() {
                 match self {
                     Trouble::Hangs => unread.push(line),
                     _ => _ = std::thread::spawn(move || self.converse(line)),
@@ -359,9 +360,9 @@
 /// id ends with the milliseconds that its client waits.
 fn reject_then_drop(workers: &[&Server]) -> ToldByJob {
     let told = ToldByJob::default();
-    let (comers, all) = (Comers::new(workers), Arc::clone(&told));
+    let (comers, all) = (IncomingConnections::new(workers), Arc::clone(&told));
     std::thread::spawn(move || {
-        while let Some((_, mut line)) = comers.wait() {
+        while let Some((_, mut line)) = comers.next_unbounded() {
             let told = Arc::clone(&all);
             std::thread::spawn(move || while reject_or_drop(&mut line, &told) {});
         }
@@ -440,14 +441,14 @@
 #[test]
 fn a_process_held_up_before_its_first_byte_tells_what_is_left_after_it() {
     let discovery = Agent::new(Mode::Silent, &[]);
-    let mut narrow = Narrow::new("s-00000001");
+    let mut narrow = FullBacklogServer::new("s-00000001");
     let scheduler = SchedulerProcess::start_with_changes(&[&narrow.server], &discovery.server, &[SLOW_DIALS]);
     let mut client = scheduler.connect();
     client.send(&last_job("view", "a1", "5.000"));
     let sent = Instant::now();
     scheduler.until("forwards=1 dials=1");
     scheduler.freeze();
-    narrow.widen();
+    narrow.free_backlog();
     let mut forward = narrow.server.accept();
     std::thread::sleep(HOLD_UP);
     let left = 5.0 - sent.elapsed().as_secs_f64();
@@ -506,7 +507,7 @@
 #[test]
 fn a_process_held_up_while_a_worker_begins_to_drain_keeps_within_the_grace() {
     const GRACE: Duration = Duration::from_secs(1);
-    let (mut narrow, two) = (Narrow::new("s-00000001"), Server::new("s-00000002"));
+    let (mut narrow, two) = (FullBacklogServer::new("s-00000001"), Server::new("s-00000002"));
     let discovery = Agent::new(Mode::Answers, &[narrow.server.entry("active")]);
     let changes = [LONG_DEADLINES, SLOW_DIALS];
     let scheduler = SchedulerProcess::start_with_changes(&[&narrow.server], &discovery.server, &changes);
@@ -515,7 +516,7 @@
     client.send(&job("view", "a1", "19.000"));
     scheduler.until("forwards=1 dials=1");
     scheduler.freeze();
-    narrow.widen();
+    narrow.free_backlog();
     let line = narrow.server.accept();
     discovery.lists(&[narrow.server.entry("leaving"), two.entry("active")]);
     let told = Instant::now();
@@ -761,9 +762,9 @@
 /// Each call is answered after this long.
 fn answer_slowly(discovery: &Server, list: String, after: Duration) -> Receiver<String> {
     let (tell, calls) = channel();
-    let comers = Comers::new(&[discovery]);
+    let comers = IncomingConnections::new(&[discovery]);
     std::thread::spawn(move || {
-        while let Some((_, mut line)) = comers.wait() {
+        while let Some((_, mut line)) = comers.next_unbounded() {
             let (list, tell) = (list.clone(), tell.clone());
             std::thread::spawn(move || {
                 loop {
@@ -886,7 +887,7 @@
         }
         for pair in agents.windows(2) {
             let [old, new] = pair else { unreachable!() };
-            scheduler.reload(&old.server.at().to_string(), &new.server.at().to_string());
+            scheduler.reload(&old.server.address().to_string(), &new.server.address().to_string());
             // Less than a call of discovery may take; sometimes no time at all.
             std::thread::sleep(Duration::from_millis(if std::ptr::eq(old, &agents[1]) { 0 } else { 120 }));
         }
--- a/tests/system_calls.rs
+++ b/tests/system_calls.rs
@@ -2,7 +2,10 @@
 
 mod harness;
 
-use harness::{Agent, Comers, Mode, Narrow, Platform, SchedulerProcess, Server, job, response, until};
+use harness::{
+    Agent, FullBacklogServer, IncomingConnections, Mode, Platform, SchedulerProcess, Server, job, response,
+    until,
+};
 use loomlb_emulator::rig::{self, Rig};
 use loomlb_emulator::{Options, Stop};
 use loomlb_fault_plan::{Call, FaultPlan, Limit, WITHOUT_END};
@@ -89,8 +92,8 @@
     let (taken, discovery) = (Server::new("taken"), Server::new("d"));
     let config = format!(
         r#"{{"listen":"{}","discovery":"{}","settings":{{"classes":[{{"name":"view"}}]}}}}"#,
-        taken.at(),
-        discovery.at()
+        taken.address(),
+        discovery.address()
     );
     std::fs::write(&file, config).unwrap();
     for (errno, code) in [(libc::ENFILE, "socket-machine-files"), (0, "socket-in-use")] {
@@ -103,7 +106,7 @@
         let output = command.output().unwrap();
         let said = String::from_utf8(output.stderr).unwrap();
         assert_eq!(output.status.code(), Some(1), "{said}");
-        assert!(said.contains(&format!("loomlb: listen: {}: ", taken.at())), "{said}");
+        assert!(said.contains(&format!("loomlb: listen: {}: ", taken.address())), "{said}");
         assert!(said.contains(&format!("[{code}]")), "{said}");
         assert!(begun.elapsed() < Duration::from_secs(9), "{:?}", begun.elapsed());
     }
@@ -225,7 +228,7 @@
 /// More dials than there may be connections, each given up with its job's time while it hangs.
 #[test]
 fn dials_that_are_given_up_take_no_place_of_later_ones() {
-    let (mut narrow, discovery) = (Narrow::new("t"), Server::new("d"));
+    let (mut narrow, discovery) = (FullBacklogServer::new("t"), Server::new("d"));
     let stage = SchedulerProcess::start(&[&narrow.server], &discovery);
     let ids: Vec<String> = (0..64).map(|number| format!("a{number}")).collect();
     for some in ids.chunks(8) {
@@ -233,7 +236,7 @@
         clients.iter_mut().zip(some).for_each(|(client, id)| client.send(&job("lodge", id, "0.2")));
         assert!(clients.iter_mut().all(|client| client.receive_response().starts_with("HTTP/1.1 50")));
     }
-    narrow.widen();
+    narrow.free_backlog();
     let mut client = stage.connect();
     client.send(&job("lodge", "b", "3.0"));
     let mut forward = loop {
@@ -351,7 +354,7 @@
         // Before the last byte is written it cannot have run.
         let (first, second) = (Server::new("t"), Server::new("u"));
         let (plan, stage, _discovery) = settled(&[&first, &second]);
-        let comers = Comers::new(&[&first, &second]);
+        let comers = IncomingConnections::new(&[&first, &second]);
         plan.fail(Call::SocketWrite, errno, 1);
         let mut client = stage.connect();
         client.send(&job("lodge", "b", "3.0"));
--- a/tests/wall_clock.rs
+++ b/tests/wall_clock.rs
@@ -3,7 +3,7 @@
 
 mod harness;
 
-use harness::{Agent, Mode, Narrow, Platform, SchedulerProcess, Server, job, until};
+use harness::{Agent, FullBacklogServer, Mode, Platform, SchedulerProcess, Server, job, until};
 use loomlb_fault_plan::FaultPlan;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
@@ -169,7 +169,7 @@
 /// A job with an idempotency key whose first attempt breaks; its repeat hangs in a dial while the wall clock is stepped,
 /// and the dial comes up after `wait`. The client's answer, and what became of the attempts.
 fn repeat_across_a_step(window: &str, step: i64, wait: Duration) -> (SchedulerProcess, Server, String) {
-    let (one, mut narrow) = (Server::new("s-00000001"), Narrow::new("s-00000002"));
+    let (one, mut narrow) = (Server::new("s-00000001"), FullBacklogServer::new("s-00000002"));
     let (discovery, plan) = (Agent::new(Mode::Answers, &[one.entry("active")]), FaultPlan::new().unwrap());
     let keyed = format!(r#""effect":"deduplicated","group":"cell","repeat_window":{window}"#);
     let changes = [PATIENT, SLOW_DIALS, (r#""effect":"idempotent""#, &*keyed)];
@@ -185,7 +185,7 @@
     stage.until("forwards=2 Reset=1 dials=2");
     plan.step_wall_clock(step);
     std::thread::sleep(wait);
-    narrow.widen();
+    narrow.free_backlog();
     if wait.is_zero() {
         let heard = narrow.server.accept().receive();
         return (stage, narrow.server, heard);
