--- a/tests/endings.rs
+++ b/tests/endings.rs
@@ -5,7 +5,8 @@
 mod harness;
 
 use harness::{
-    Agent, FullBacklogServer, HttpConnection, Mode, SchedulerProcess, Server, job, list, response,
+    AgentMode, DiscoveryAgent, FullBacklogServer, HttpConnection, SchedulerProcess, Server, job, list,
+    response,
 };
 use insta::assert_snapshot;
 use std::time::{Duration, Instant};
@@ -46,7 +47,7 @@
 /// Whatever a client does as it goes, and with a crowd of others at once: nothing of its is sent once there is a worker.
 #[test]
 fn a_client_that_leaves_while_its_job_waits_is_noticed_whatever_it_says_as_it_goes() {
-    let (discovery, target) = (Agent::new(Mode::Silent, &[]), Server::new("s-00000001"));
+    let (discovery, target) = (DiscoveryAgent::new(AgentMode::Silent, &[]), Server::new("s-00000001"));
     let scheduler = SchedulerProcess::start_with_changes(&[], &discovery.server, &[PATIENT, ROOMY]);
     type Way = (&'static str, fn(HttpConnection));
     let ways: [Way; 5] = [
@@ -67,8 +68,8 @@
     waiting.into_iter().for_each(|(line, (_, go))| go(line));
     scheduler.until("flows=20 gone=20 forwards=0");
     // There is a worker now, and one job that is still wanted.
-    discovery.lists(&[target.entry("active")]);
-    discovery.mode(Mode::Answers);
+    discovery.publish(&[target.entry("active")]);
+    discovery.set_mode(AgentMode::Answers);
     goes_to(&scheduler, &target, "b1", "19.000");
     scheduler.until("flows=21 gone=20 forwards=1");
 }
@@ -76,8 +77,8 @@
 /// A process that stands still, as one without its core does, finds requests whose clients have gone long ago.
 #[test]
 fn a_request_whose_client_left_before_it_was_read_is_never_taken() {
-    let (discovery, target) = (Agent::new(Mode::Answers, &[]), Server::new("s-00000001"));
-    discovery.lists(&[target.entry("active")]);
+    let (discovery, target) = (DiscoveryAgent::new(AgentMode::Answers, &[]), Server::new("s-00000001"));
+    discovery.publish(&[target.entry("active")]);
     let scheduler = SchedulerProcess::start(&[&target], &discovery.server);
     let mut kept = scheduler.connect();
     kept.send("GET /healthz HTTP/1.1\r\n\r\n");
@@ -99,7 +100,8 @@
 /// The first byte of a forward is what counts: its dial may have begun long before the client left.
 #[test]
 fn a_forward_whose_dial_comes_up_after_its_client_left_is_not_written() {
-    let (discovery, mut narrow) = (Agent::new(Mode::Silent, &[]), FullBacklogServer::new("s-00000001"));
+    let (discovery, mut narrow) =
+        (DiscoveryAgent::new(AgentMode::Silent, &[]), FullBacklogServer::new("s-00000001"));
     let scheduler = SchedulerProcess::start_with_changes(
         &[&narrow.server],
         &discovery.server,
@@ -120,14 +122,14 @@
 #[test]
 fn a_first_attempt_that_comes_back_after_its_client_left_is_followed_by_none() {
     let (one, two) = (Server::new("s-00000001"), Server::new("s-00000002"));
-    let discovery = Agent::new(Mode::Answers, &[one.entry("active")]);
+    let discovery = DiscoveryAgent::new(AgentMode::Answers, &[one.entry("active")]);
     let scheduler = SchedulerProcess::start_with_changes(&[&one], &discovery.server, &[PATIENT, NO_CANCEL]);
     scheduler.until("lists=1");
     let mut client = scheduler.connect();
     client.send(&job("view", "a1", "19.000"));
     let mut first = one.accept();
     assert!(first.receive().contains("a1"));
-    discovery.lists(&[one.entry("leaving"), two.entry("active")]);
+    discovery.publish(&[one.entry("leaving"), two.entry("active")]);
     scheduler.until("lists=2");
     drop(client);
     scheduler.until("gone=1 forwards=1");
@@ -145,7 +147,7 @@
 #[test]
 fn a_further_attempt_tells_its_worker_no_more_than_what_is_left_to_the_client() {
     let (one, mut narrow) = (Server::new("s-00000001"), FullBacklogServer::new("s-00000002"));
-    let discovery = Agent::new(Mode::Answers, &[one.entry("active")]);
+    let discovery = DiscoveryAgent::new(AgentMode::Answers, &[one.entry("active")]);
     let scheduler = SchedulerProcess::start_with_changes(&[&one], &discovery.server, &[PATIENT, SLOW_DIALS]);
     scheduler.until("lists=1");
     let told = |head: &str| -> f64 {
@@ -159,7 +161,7 @@
     // Its client has waited since before this moment.
     let heard = Instant::now();
     assert!(at_first <= 15.0, "{at_first}");
-    discovery.lists(&[one.entry("leaving"), narrow.server.entry("active")]);
+    discovery.publish(&[one.entry("leaving"), narrow.server.entry("active")]);
     scheduler.until("lists=2");
     std::thread::sleep(Duration::from_millis(700));
     first.send(TURNED_AWAY);
@@ -268,7 +270,7 @@
 /// A client's time counts from its request's last byte, and while it writes it holds nobody up.
 #[test]
 fn a_slow_writers_time_counts_from_its_last_byte_and_others_are_served_meanwhile() {
-    let (discovery, target) = (Agent::new(Mode::Silent, &[]), Server::new("s-00000001"));
+    let (discovery, target) = (DiscoveryAgent::new(AgentMode::Silent, &[]), Server::new("s-00000001"));
     let scheduler = SchedulerProcess::start(&[&target], &discovery.server);
     let mut slow = scheduler.connect();
     let text = job("view", "a1", "0.900");
@@ -290,7 +292,7 @@
 #[test]
 fn many_commands_in_one_piece_are_answered_one_by_one_in_their_order() {
     const MANY: usize = 30;
-    let (discovery, target) = (Agent::new(Mode::Silent, &[]), Server::new("s-00000001"));
+    let (discovery, target) = (DiscoveryAgent::new(AgentMode::Silent, &[]), Server::new("s-00000001"));
     let scheduler = SchedulerProcess::start_with_changes(&[&target], &discovery.server, &[PATIENT]);
     let mut client = scheduler.connect();
     let health = "GET /healthz HTTP/1.1\r\n\r\n";
@@ -311,7 +313,7 @@
 /// connection. The job has to go to the other one.
 fn news_overtakes_a_dial(news: fn(&Server) -> String) {
     let (mut narrow, two) = (FullBacklogServer::new("s-00000001"), Server::new("s-00000002"));
-    let discovery = Agent::new(Mode::Answers, &[narrow.server.entry("active")]);
+    let discovery = DiscoveryAgent::new(AgentMode::Answers, &[narrow.server.entry("active")]);
     // A grace of a minute: not even the grace is ours to use up.
     let grace = (r#""drain_grace":1000000000"#, r#""drain_grace":60000000000"#);
     let scheduler = SchedulerProcess::start_with_changes(
@@ -323,7 +325,7 @@
     let mut client = scheduler.connect();
     client.send(&job("lodge", "a1", "19.000"));
     scheduler.until("forwards=1 dials=1");
-    discovery.lists(&[news(&narrow.server), two.entry("active")]);
+    discovery.publish(&[news(&narrow.server), two.entry("active")]);
     scheduler.until("lists=2");
     narrow.free_backlog();
     serve(&scheduler, &mut two.accept(), &two, "a1");
@@ -347,7 +349,7 @@
 #[test]
 fn a_repeat_whose_dial_comes_up_after_its_keys_window_is_not_written() {
     let (one, mut narrow) = (Server::new("s-00000001"), FullBacklogServer::new("s-00000002"));
-    let discovery = Agent::new(Mode::Answers, &[one.entry("active")]);
+    let discovery = DiscoveryAgent::new(AgentMode::Answers, &[one.entry("active")]);
     let keyed = r#""effect":"deduplicated","group":"cell","repeat_window":2000000000"#;
     let keyed = (r#""effect":"idempotent""#, keyed);
     let scheduler =
@@ -357,7 +359,7 @@
     client.send(&job("view", "a1", "19.000").replace("X-Service", "Idempotency-Key: k\r\nX-Service"));
     let mut first = one.accept();
     assert!(first.receive().contains("Idempotency-Key: k\r\n"));
-    discovery.lists(&[one.entry("leaving"), narrow.server.entry("active")]);
+    discovery.publish(&[one.entry("leaving"), narrow.server.entry("active")]);
     scheduler.until("forwards=1 lists=2");
     drop(first);
     scheduler.until("forwards=2 Reset=1 dials=2");
@@ -378,16 +380,16 @@
     for mode in ["automatic", "subscribe"] {
         let asks = (r#""registry_mode":"automatic""#, &*format!(r#""registry_mode":"{mode}""#));
         let bound = (r#""obligations":{"#, r#""obligations":{"must_ask_in":10000000000,"#);
-        let discovery = Agent::new(Mode::Answers, &[one.entry("active")]);
+        let discovery = DiscoveryAgent::new(AgentMode::Answers, &[one.entry("active")]);
         let start = || SchedulerProcess::start_with_changes(&[&one], &discovery.server, &[asks, bound]);
         let schedulers: Vec<SchedulerProcess> = (0..FLEET).map(|_| start()).collect();
-        discovery.called("from=2&hold_ms=", FLEET);
-        discovery.mode(Mode::Silent);
-        discovery.lists(&[one.entry("leaving"), two.entry("active")]);
-        let (silent, before) = (Instant::now(), discovery.calls("from=2").len());
-        discovery.called("from=2", before + FLEET);
-        discovery.mode(Mode::Answers);
-        discovery.called("from=3", FLEET);
+        discovery.wait_for_calls("from=2&hold_ms=", FLEET);
+        discovery.set_mode(AgentMode::Silent);
+        discovery.publish(&[one.entry("leaving"), two.entry("active")]);
+        let (silent, before) = (Instant::now(), discovery.calls_containing("from=2").len());
+        discovery.wait_for_calls("from=2", before + FLEET);
+        discovery.set_mode(AgentMode::Answers);
+        discovery.wait_for_calls("from=3", FLEET);
         assert!(silent.elapsed() < Duration::from_secs(6), "{mode}: {:?}", silent.elapsed());
         for scheduler in &schedulers {
             goes_to(scheduler, &two, "a1", "3.000");
@@ -400,21 +402,21 @@
 #[test]
 fn a_watch_that_falls_silent_late_at_a_process_that_is_to_end_is_opened_anew_in_time() {
     let (one, two) = (Server::new("s-00000001"), Server::new("s-00000002"));
-    let discovery = Agent::new(Mode::Answers, &[one.entry("leaving")]);
+    let discovery = DiscoveryAgent::new(AgentMode::Answers, &[one.entry("leaving")]);
     let mut scheduler = SchedulerProcess::start_with_changes(&[&one], &discovery.server, &[PATIENT]);
     scheduler.until("lists=1");
-    discovery.called("from=2", 4);
+    discovery.wait_for_calls("from=2", 4);
     let mut client = scheduler.connect();
     client.send(&job("view", "a1", "19.000"));
     scheduler.until("flows=1 forwards=0");
-    let before = discovery.calls("from=2").len();
-    discovery.mode(Mode::Silent);
-    discovery.lists(&[two.entry("active")]);
+    let before = discovery.calls_containing("from=2").len();
+    discovery.set_mode(AgentMode::Silent);
+    discovery.publish(&[two.entry("active")]);
     let silent = Instant::now();
     scheduler.signal("TERM");
     scheduler.logged("asked to end");
-    discovery.called("from=2", before + 1);
-    discovery.mode(Mode::Answers);
+    discovery.wait_for_calls("from=2", before + 1);
+    discovery.set_mode(AgentMode::Answers);
     serve(&scheduler, &mut two.accept(), &two, "a1");
     assert!(silent.elapsed() < Duration::from_secs(6), "{:?}", silent.elapsed());
     assert!(client.receive_response().ends_with("a1"));
@@ -428,14 +430,14 @@
     let (one, two) = (Server::new("s-00000001"), Server::new("s-00000002"));
     let asks = (r#""registry_mode":"automatic""#, r#""registry_mode":"subscribe""#);
     let bound = (r#""obligations":{"#, r#""obligations":{"must_ask_in":10000000000,"#);
-    let discovery = Agent::new(Mode::Refuses, &[one.entry("leaving"), two.entry("active")]);
+    let discovery = DiscoveryAgent::new(AgentMode::Refuses, &[one.entry("leaving"), two.entry("active")]);
     let scheduler = SchedulerProcess::start_with_changes(&[&one], &discovery.server, &[asks, bound]);
-    discovery.called("GET", 7);
-    let calls = discovery.calls("GET");
+    discovery.wait_for_calls("GET", 7);
+    let calls = discovery.calls_containing("GET");
     let longest = calls.windows(2).map(|pair| pair[1] - pair[0]).max().unwrap();
     assert!(longest < Duration::from_secs(2), "{longest:?}");
-    discovery.mode(Mode::Answers);
-    discovery.called("from=2", 1);
+    discovery.set_mode(AgentMode::Answers);
+    discovery.wait_for_calls("from=2", 1);
     goes_to(&scheduler, &two, "a1", "3.000");
 }
 
@@ -460,7 +462,7 @@
 #[test]
 fn idle_clients_that_fill_the_descriptors_keep_neither_health_nor_the_list_out() {
     let (one, two) = (Server::new("s-00000001"), Server::new("s-00000002"));
-    let discovery = Agent::new(Mode::Silent, &[two.entry("active")]);
+    let discovery = DiscoveryAgent::new(AgentMode::Silent, &[two.entry("active")]);
     let scheduler = SchedulerProcess::start(&[&one], &discovery.server);
     let begun = Instant::now();
     let mut idle = Vec::new();
@@ -474,7 +476,7 @@
     }
     assert!(begun.elapsed() < Duration::from_secs(10), "ready in time: {:?}", begun.elapsed());
     assert!(scheduler.descriptors() <= 64);
-    discovery.mode(Mode::Answers);
+    discovery.set_mode(AgentMode::Answers);
     scheduler.until("lists=1");
     goes_to(&scheduler, &two, "a1", "3.000");
 }
@@ -485,7 +487,7 @@
 /// writes as soon as it sees the end.
 #[test]
 fn bytes_that_cross_the_close_of_an_idle_connection_neither_reset_it_nor_are_sent_on() {
-    let (discovery, target) = (Agent::new(Mode::Silent, &[]), Server::new("s-00000001"));
+    let (discovery, target) = (DiscoveryAgent::new(AgentMode::Silent, &[]), Server::new("s-00000001"));
     let scheduler = SchedulerProcess::start(&[&target], &discovery.server);
     let (tell, ended) = std::sync::mpsc::channel();
     // More than a quarter of the descriptors: the oldest make room.
@@ -510,8 +512,11 @@
 #[test]
 fn a_process_that_ends_does_not_reset_a_connection_on_which_something_still_comes() {
     let others = (r#""balancers":1"#, r#""balancers":2"#);
-    let mut scheduler =
-        SchedulerProcess::start_with_changes(&[], &Agent::new(Mode::Silent, &[]).server, &[others]);
+    let mut scheduler = SchedulerProcess::start_with_changes(
+        &[],
+        &DiscoveryAgent::new(AgentMode::Silent, &[]).server,
+        &[others],
+    );
     scheduler.signal("TERM");
     scheduler.logged("asked to end");
     let asked = Instant::now();
@@ -535,7 +540,8 @@
 /// What a worker was not told to drop would run for nobody.
 #[test]
 fn a_process_that_ends_tells_a_worker_to_drop_a_job_though_the_connection_comes_up_late() {
-    let (discovery, mut narrow) = (Agent::new(Mode::Silent, &[]), FullBacklogServer::new("s-00000001"));
+    let (discovery, mut narrow) =
+        (DiscoveryAgent::new(AgentMode::Silent, &[]), FullBacklogServer::new("s-00000001"));
     let mut scheduler =
         SchedulerProcess::start_with_changes(&[&narrow.server], &discovery.server, &[SLOW_DIALS]);
     let mut client = scheduler.connect();
@@ -562,7 +568,7 @@
 
 #[test]
 fn a_job_whose_202_has_no_end_is_given_up_by_a_word_of_its_own() {
-    let (discovery, target) = (Agent::new(Mode::Silent, &[]), Server::new("s-00000001"));
+    let (discovery, target) = (DiscoveryAgent::new(AgentMode::Silent, &[]), Server::new("s-00000001"));
     let scheduler = SchedulerProcess::start(&[&target], &discovery.server);
     let mut client = scheduler.connect();
     client.send(&job("lodge", "a1", "0.500"));
@@ -576,7 +582,7 @@
 
 #[test]
 fn a_job_whose_202_was_cut_after_its_head_is_served_by_its_call_back() {
-    let (discovery, target) = (Agent::new(Mode::Silent, &[]), Server::new("s-00000001"));
+    let (discovery, target) = (DiscoveryAgent::new(AgentMode::Silent, &[]), Server::new("s-00000001"));
     let scheduler = SchedulerProcess::start(&[&target], &discovery.server);
     for (id, cut) in [("a1", "Content-Length: 9\r\n\r\nabc"), ("a2", "Transfer-Encoding: chunked\r\n\r\nzz")]
     {
@@ -597,7 +603,7 @@
 /// A reset of the connection long after the 202 says nothing of the job.
 #[test]
 fn a_reset_long_after_the_202_leaves_the_job_to_its_call_back() {
-    let (discovery, target) = (Agent::new(Mode::Silent, &[]), Server::new("s-00000001"));
+    let (discovery, target) = (DiscoveryAgent::new(AgentMode::Silent, &[]), Server::new("s-00000001"));
     let scheduler = SchedulerProcess::start(&[&target], &discovery.server);
     let mut client = scheduler.connect();
     client.send(&job("lodge", "a1", "4.500"));
@@ -615,7 +621,7 @@
 /// A second answer that comes while its connection rests is not taken for the answer to the next job.
 #[test]
 fn a_second_answer_on_a_resting_connection_is_never_taken_for_the_next_jobs() {
-    let (discovery, target) = (Agent::new(Mode::Silent, &[]), Server::new("s-00000001"));
+    let (discovery, target) = (DiscoveryAgent::new(AgentMode::Silent, &[]), Server::new("s-00000001"));
     let scheduler = SchedulerProcess::start(&[&target], &discovery.server);
     let mut twice = None;
     for id in ["a1", "a2"] {
@@ -646,7 +652,7 @@
     let cold = Server::new("s-00000001");
     let born = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap().as_millis();
     let entry = cold.entry("active").replace(r#""born_ms":0"#, &format!(r#""born_ms":{born}"#));
-    let discovery = Agent::new(Mode::Answers, std::slice::from_ref(&entry));
+    let discovery = DiscoveryAgent::new(AgentMode::Answers, std::slice::from_ref(&entry));
     let rule = (
         r#""obligations":{"#,
         r#""obligations":{"cold":600000000000,"cold_from":0.3,"overload_factor":2.5,"overload_for":4000000000,"#,
@@ -657,7 +663,7 @@
     let alone = (r#""may_tell":true"#, r#""may_tell":false"#);
     let start = |_| SchedulerProcess::start_with_changes(&[], &discovery.server, &[rule, fleet, aim, alone]);
     let mut schedulers: Vec<SchedulerProcess> = (0..FLEET).map(start).collect();
-    discovery.called("from=2", FLEET);
+    discovery.wait_for_calls("from=2", FLEET);
     // Each is asked again as soon as it has answered, for two seconds: half a window of the rule.
     std::thread::scope(|scope| {
         for (n, scheduler) in schedulers.iter().enumerate() {
--- a/tests/harness/mod.rs
+++ b/tests/harness/mod.rs
@@ -137,7 +137,7 @@
 
 /// What an agent does with calls.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Mode {
+pub enum AgentMode {
     /// It answers them, watches when there is news or their wait is over.
     Answers,
     /// It leaves those that wait and those that come without an answer, for ever.
@@ -147,38 +147,38 @@
 }
 
 #[derive(Debug)]
-struct Told {
-    mode: Mode,
+struct AgentState {
+    mode: AgentMode,
     seq: u32,
     entries: Vec<String>,
     calls: Vec<(Instant, String)>,
 }
 
 /// Discovery that answers by itself, for any number of processes.
-pub struct Agent {
+pub struct DiscoveryAgent {
     pub server: Server,
-    told: Arc<Mutex<Told>>,
+    state: Arc<Mutex<AgentState>>,
 }
 
-impl Agent {
+impl DiscoveryAgent {
     /// It answers with this list, as version 2.
-    pub fn new(mode: Mode, entries: &[String]) -> Agent {
+    pub fn new(mode: AgentMode, entries: &[String]) -> DiscoveryAgent {
         let server = Server::new("d");
-        let told = Told { mode, seq: 2, entries: entries.to_vec(), calls: Vec::new() };
-        let told = Arc::new(Mutex::new(told));
-        let (listener, all) = (server.listener.try_clone().unwrap(), Arc::clone(&told));
+        let state = AgentState { mode, seq: 2, entries: entries.to_vec(), calls: Vec::new() };
+        let state = Arc::new(Mutex::new(state));
+        let (listener, all) = (server.listener.try_clone().unwrap(), Arc::clone(&state));
         std::thread::spawn(move || {
             for stream in listener.incoming().map_while(Result::ok) {
-                let told = Arc::clone(&all);
-                std::thread::spawn(move || Agent::serve(HttpConnection::new(stream), &told));
+                let state = Arc::clone(&all);
+                std::thread::spawn(move || DiscoveryAgent::serve(HttpConnection::new(stream), &state));
             }
         });
-        Agent { server, told }
+        DiscoveryAgent { server, state }
     }
-    fn told(told: &Mutex<Told>) -> MutexGuard<'_, Told> {
-        told.lock().unwrap_or_else(std::sync::PoisonError::into_inner)
+    fn lock(state: &Mutex<AgentState>) -> MutexGuard<'_, AgentState> {
+        state.lock().unwrap_or_else(std::sync::PoisonError::into_inner)
     }
-    fn serve(mut line: HttpConnection, told: &Mutex<Told>) {
+    fn serve(mut line: HttpConnection, state: &Mutex<AgentState>) {
         loop {
             let call = line.receive();
             let Some(first) = call.lines().next().map(str::to_string) else { return };
@@ -188,25 +188,25 @@
             };
             let (from, hold) = (number("from="), Duration::from_millis(number("hold_ms=").unwrap_or(0)));
             let begun = Instant::now();
-            Agent::told(told).calls.push((begun, first));
+            DiscoveryAgent::lock(state).calls.push((begun, first));
             let text = loop {
-                let told = Agent::told(told);
-                match told.mode {
-                    Mode::Silent => {
-                        drop(told);
+                let state = DiscoveryAgent::lock(state);
+                match state.mode {
+                    AgentMode::Silent => {
+                        drop(state);
                         line.wait_until_closed();
                         return;
                     }
-                    Mode::Refuses => break response("503 Service Unavailable", ""),
-                    Mode::Answers if from != Some(told.seq.into()) => {
-                        break response("200 OK", &list(told.seq, true, &told.entries));
+                    AgentMode::Refuses => break response("503 Service Unavailable", ""),
+                    AgentMode::Answers if from != Some(state.seq.into()) => {
+                        break response("200 OK", &list(state.seq, true, &state.entries));
                     }
-                    Mode::Answers if begun.elapsed() >= hold => {
-                        break response("200 OK", &list(told.seq, false, &[]));
+                    AgentMode::Answers if begun.elapsed() >= hold => {
+                        break response("200 OK", &list(state.seq, false, &[]));
                     }
-                    Mode::Answers => {}
+                    AgentMode::Answers => {}
                 }
-                drop(told);
+                drop(state);
                 std::thread::sleep(Duration::from_millis(2));
             };
             if line.try_send(&text).is_err() {
@@ -214,22 +214,22 @@
             }
         }
     }
-    pub fn mode(&self, mode: Mode) {
-        Agent::told(&self.told).mode = mode;
+    pub fn set_mode(&self, mode: AgentMode) {
+        DiscoveryAgent::lock(&self.state).mode = mode;
     }
     /// The list is another one from now on.
-    pub fn lists(&self, entries: &[String]) {
-        let mut told = Agent::told(&self.told);
-        (told.seq, told.entries) = (told.seq + 1, entries.to_vec());
+    pub fn publish(&self, entries: &[String]) {
+        let mut state = DiscoveryAgent::lock(&self.state);
+        (state.seq, state.entries) = (state.seq + 1, entries.to_vec());
     }
     /// The calls so far with these words in them.
-    pub fn calls(&self, words: &str) -> Vec<Instant> {
-        let told = Agent::told(&self.told);
-        told.calls.iter().filter(|c| c.1.contains(words)).map(|c| c.0).collect()
+    pub fn calls_containing(&self, words: &str) -> Vec<Instant> {
+        let state = DiscoveryAgent::lock(&self.state);
+        state.calls.iter().filter(|c| c.1.contains(words)).map(|c| c.0).collect()
     }
     /// Waits until there have been so many calls with these words in them.
-    pub fn called(&self, words: &str, count: usize) {
-        until(&format!("{count} calls with {words}"), || self.calls(words).len() >= count);
+    pub fn wait_for_calls(&self, words: &str, count: usize) {
+        until(&format!("{count} calls with {words}"), || self.calls_containing(words).len() >= count);
     }
 }
 
--- a/tests/pins/answers.rs
+++ b/tests/pins/answers.rs
@@ -1,7 +1,7 @@
 //! Answers of the program at its listening address and at the address for staff.
 
 use crate::golden;
-use crate::harness::{Agent, HttpConnection, Mode, SchedulerProcess, Server, job, response};
+use crate::harness::{AgentMode, DiscoveryAgent, HttpConnection, SchedulerProcess, Server, job, response};
 use std::net::TcpStream;
 
 /// Adds a message under a heading.
@@ -25,7 +25,7 @@
 #[test]
 fn answers_to_requests_that_are_no_jobs_stay() {
     let target = Server::new("s-00000001");
-    let discovery = Agent::new(Mode::Answers, &[target.entry("active")]);
+    let discovery = DiscoveryAgent::new(AgentMode::Answers, &[target.entry("active")]);
     let stage = SchedulerProcess::start(&[&target], &discovery.server);
     let good = good_job("view", "a1");
     let long = format!("GET /healthz HTTP/1.1\r\nX: {}\r\n\r\n", "x".repeat(17_000));
@@ -72,7 +72,7 @@
 #[test]
 fn answers_to_jobs_stay() {
     let target = Server::new("s-00000001");
-    let discovery = Agent::new(Mode::Answers, &[target.entry("active")]);
+    let discovery = DiscoveryAgent::new(AgentMode::Answers, &[target.entry("active")]);
     let changes = [("\"max_attempts\":2", "\"max_open\":1,\"max_attempts\":2")];
     let stage = SchedulerProcess::start_with_changes(&[&target], &discovery.server, &changes);
     let mut text = String::new();
@@ -101,7 +101,7 @@
 #[test]
 fn answers_of_a_drained_program_stay() {
     let target = Server::new("s-00000001");
-    let discovery = Agent::new(Mode::Answers, &[target.entry("active")]);
+    let discovery = DiscoveryAgent::new(AgentMode::Answers, &[target.entry("active")]);
     let stage = SchedulerProcess::start_with_control(&[&target], &discovery.server);
     let mut text = String::new();
     stage.order("PUT /control/workers/s-00000001/offline");
@@ -128,7 +128,7 @@
 #[test]
 fn answers_to_staff_stay() {
     let target = Server::new("s-00000001");
-    let discovery = Agent::new(Mode::Answers, &[target.entry("active")]);
+    let discovery = DiscoveryAgent::new(AgentMode::Answers, &[target.entry("active")]);
     let mut stage = SchedulerProcess::start_with_control(&[&target], &discovery.server);
     let ask = |stage: &SchedulerProcess, request: &str| {
         let mut line = HttpConnection::new(TcpStream::connect(stage.control).unwrap());
--- a/tests/pins/forwards.rs
+++ b/tests/pins/forwards.rs
@@ -1,7 +1,9 @@
 //! What the program sends to workers and to discovery.
 
 use crate::golden;
-use crate::harness::{Agent, HttpConnection, Mode, SchedulerProcess, Server, job, list, response};
+use crate::harness::{
+    AgentMode, DiscoveryAgent, HttpConnection, SchedulerProcess, Server, job, list, response,
+};
 
 /// A message with the address of its receiver and the time left masked.
 fn masked(message: &str, server: &Server) -> String {
@@ -21,7 +23,7 @@
 #[test]
 fn what_a_worker_is_sent_stays() {
     let target = Server::new("s-00000001");
-    let discovery = Agent::new(Mode::Answers, &[target.entry("active")]);
+    let discovery = DiscoveryAgent::new(AgentMode::Answers, &[target.entry("active")]);
     let stage = SchedulerProcess::start(&[&target], &discovery.server);
     let mut text = String::new();
     let mut add =
@@ -47,7 +49,7 @@
 #[test]
 fn what_a_worker_is_probed_with_stays() {
     let target = Server::new("s-00000001");
-    let discovery = Agent::new(Mode::Answers, &[target.entry("active")]);
+    let discovery = DiscoveryAgent::new(AgentMode::Answers, &[target.entry("active")]);
     let changes =
         [("\"may_tell\":true", "\"may_tell\":true,\"probing\":true"), ("\"inline\"", "\"on_probe\"")];
     let stage = SchedulerProcess::start_with_changes(&[&target], &discovery.server, &changes);
--- a/tests/pins/log.rs
+++ b/tests/pins/log.rs
@@ -1,7 +1,7 @@
 //! The log: lines for people and for machines, and the counters in them.
 
 use crate::golden;
-use crate::harness::{Agent, Mode, SchedulerProcess, Server, job, response};
+use crate::harness::{AgentMode, DiscoveryAgent, SchedulerProcess, Server, job, response};
 use serde_json::Value;
 use std::io::{BufRead, BufReader};
 use std::process::{Command, Stdio};
@@ -11,7 +11,7 @@
 #[test]
 fn the_counters_keep_their_names_and_their_order() {
     let target = Server::new("s-00000001");
-    let discovery = Agent::new(Mode::Answers, &[target.entry("active")]);
+    let discovery = DiscoveryAgent::new(AgentMode::Answers, &[target.entry("active")]);
     let stage = SchedulerProcess::start_with_control(&[&target], &discovery.server);
     stage.order("PUT /control/ready");
     stage.signal("USR1");
@@ -28,7 +28,7 @@
 #[test]
 fn lines_on_calls_of_staff_stay() {
     let target = Server::new("s-00000001");
-    let discovery = Agent::new(Mode::Answers, &[target.entry("active")]);
+    let discovery = DiscoveryAgent::new(AgentMode::Answers, &[target.entry("active")]);
     let stage = SchedulerProcess::start_with_control(&[&target], &discovery.server);
     let (_, first) = stage.first_line.split_once(' ').unwrap();
     let mut text = format!("<time> {}\n", first.replace(&stage.at.to_string(), "<listen>"));
@@ -55,7 +55,7 @@
 #[test]
 fn json_lines_keep_their_shape() {
     let target = Server::new("s-00000001");
-    let discovery = Agent::new(Mode::Answers, &[target.entry("active")]);
+    let discovery = DiscoveryAgent::new(AgentMode::Answers, &[target.entry("active")]);
     // A scheduler process of its own has the configuration written; another process runs by it with the operator file.
     let known = SchedulerProcess::start(&[&target], &discovery.server);
     let files = tempfile::tempdir().unwrap();
--- a/tests/pins/restart.rs
+++ b/tests/pins/restart.rs
@@ -2,7 +2,7 @@
 //! successor starts from. Frames and messages are pinned in their own package.
 
 use crate::golden;
-use crate::harness::{Agent, Mode, Platform, SchedulerProcess, Server, job, response, until};
+use crate::harness::{AgentMode, DiscoveryAgent, Platform, SchedulerProcess, Server, job, response, until};
 use loomlb_hot_restart::message::{FrameDecoder, PROTOCOL_VERSION, RestartMessage};
 use serde_json::Value;
 use std::io::{Read, Write};
@@ -125,7 +125,7 @@
 #[expect(clippy::disallowed_methods, reason = "a build before dates its snapshot by the wall clock")]
 fn a_successor_starts_from_the_snapshot_of_an_earlier_build() {
     let (discovery, one, two) =
-        (Agent::new(Mode::Silent, &[]), Server::new("s-00000001"), Server::new("s-00000002"));
+        (DiscoveryAgent::new(AgentMode::Silent, &[]), Server::new("s-00000001"), Server::new("s-00000002"));
     let platform = Platform::new();
     let text = String::from_utf8(golden::fixture("snapshot.json")).unwrap();
     let text = text.replace("<one>", &one.address().to_string()).replace("<two>", &two.address().to_string());
--- a/tests/pins/tier.rs
+++ b/tests/pins/tier.rs
@@ -183,8 +183,8 @@
 /// One program without a tier, and nobody at the address.
 #[test]
 fn what_the_command_line_says_without_a_tier_stays() {
-    use crate::harness::{Agent, Mode, SchedulerProcess};
-    let discovery = Agent::new(Mode::Answers, &[]);
+    use crate::harness::{AgentMode, DiscoveryAgent, SchedulerProcess};
+    let discovery = DiscoveryAgent::new(AgentMode::Answers, &[]);
     let stage = SchedulerProcess::start_with_control(&[], &discovery.server);
     let call = |at: String, order: &str| {
         let mut command = Command::new(env!("CARGO_BIN_EXE_loomlb"));
--- a/tests/standing_terms.rs
+++ b/tests/standing_terms.rs
@@ -4,8 +4,8 @@
 mod harness;
 
 use harness::{
-    Agent, FullBacklogServer, HttpConnection, IncomingConnections, Mode, SchedulerProcess, Server, job, list,
-    response, until,
+    AgentMode, DiscoveryAgent, FullBacklogServer, HttpConnection, IncomingConnections, SchedulerProcess,
+    Server, job, list, response, until,
 };
 use std::collections::HashMap;
 use std::net::{SocketAddr, TcpStream};
@@ -192,7 +192,7 @@
         RejectsUnstarted,
     ]);
     let known: Vec<&Server> = workers.iter().collect();
-    let discovery = Agent::new(Mode::Silent, &[]);
+    let discovery = DiscoveryAgent::new(AgentMode::Silent, &[]);
     let scheduler = SchedulerProcess::start_with_changes(&known, &discovery.server, &[MANY_SOCKETS]);
     // Clients in trouble beside them: most stay as they are until the end of the test.
     let mut bad_clients = Vec::new();
@@ -241,9 +241,9 @@
     };
     let mut entries: Vec<String> = (2..=6).map(refusing).collect();
     entries.push(worker.entry("active"));
-    let discovery = Agent::new(Mode::Answers, &entries);
+    let discovery = DiscoveryAgent::new(AgentMode::Answers, &entries);
     let scheduler = SchedulerProcess::start(&[], &discovery.server);
-    discovery.called("from=2", 1);
+    discovery.wait_for_calls("from=2", 1);
     for n in 0..12 {
         let mut client = scheduler.connect();
         client.send(&last_job(["view", "lodge"][n % 2], &format!("a{n}"), "3.000"));
@@ -263,7 +263,7 @@
 #[test]
 fn a_client_that_stops_in_the_middle_of_a_request_and_stays_gets_its_error_or_close_in_time() {
     const OWED: Duration = Duration::from_secs(3);
-    let (discovery, worker) = (Agent::new(Mode::Silent, &[]), Server::new("s-00000001"));
+    let (discovery, worker) = (DiscoveryAgent::new(AgentMode::Silent, &[]), Server::new("s-00000001"));
     let scheduler = SchedulerProcess::start_with_changes(&[&worker], &discovery.server, &[MANY_SOCKETS]);
     let whole = job("view", "a1", "3.000");
     let chunked = whole.replace("Content-Length: 2\r\n\r\nhi", "Transfer-Encoding: chunked\r\n\r\n");
@@ -322,7 +322,7 @@
     const CLIENTS: usize = 70;
     let workers = workers_in_trouble(&[Trouble::Ignores, Trouble::Forgets]);
     let known: Vec<&Server> = workers.iter().collect();
-    let discovery = Agent::new(Mode::Silent, &[]);
+    let discovery = DiscoveryAgent::new(AgentMode::Silent, &[]);
     let scheduler = SchedulerProcess::start(&known, &discovery.server);
     let answers: Vec<String> = std::thread::scope(|scope| {
         let one = |n: usize| {
@@ -404,7 +404,7 @@
     let workers: Vec<Server> = (1..=3).map(|n| Server::new(&format!("s-{n:08x}"))).collect();
     let known: Vec<&Server> = workers.iter().collect();
     let told = reject_then_drop(&known);
-    let discovery = Agent::new(Mode::Silent, &[]);
+    let discovery = DiscoveryAgent::new(AgentMode::Silent, &[]);
     let scheduler = SchedulerProcess::start_with_changes(&known, &discovery.server, &[MANY_SOCKETS]);
     std::thread::scope(|scope| {
         for n in 0..30 {
@@ -440,7 +440,7 @@
 /// then, or nothing if nothing is.
 #[test]
 fn a_process_held_up_before_its_first_byte_tells_what_is_left_after_it() {
-    let discovery = Agent::new(Mode::Silent, &[]);
+    let discovery = DiscoveryAgent::new(AgentMode::Silent, &[]);
     let mut narrow = FullBacklogServer::new("s-00000001");
     let scheduler = SchedulerProcess::start_with_changes(&[&narrow.server], &discovery.server, &[SLOW_DIALS]);
     let mut client = scheduler.connect();
@@ -471,7 +471,7 @@
     Trouble::Ignores.at(&workers[0]);
     Trouble::Forgets.at(&workers[1]);
     Trouble::Resets.at(&workers[2]);
-    let discovery = Agent::new(Mode::Silent, &[]);
+    let discovery = DiscoveryAgent::new(AgentMode::Silent, &[]);
     let scheduler = SchedulerProcess::start_with_changes(&known, &discovery.server, &[MANY_SOCKETS]);
     std::thread::scope(|scope| {
         let clients: Vec<_> = (0..24)
@@ -508,17 +508,17 @@
 fn a_process_held_up_while_a_worker_begins_to_drain_keeps_within_the_grace() {
     const GRACE: Duration = Duration::from_secs(1);
     let (mut narrow, two) = (FullBacklogServer::new("s-00000001"), Server::new("s-00000002"));
-    let discovery = Agent::new(Mode::Answers, &[narrow.server.entry("active")]);
+    let discovery = DiscoveryAgent::new(AgentMode::Answers, &[narrow.server.entry("active")]);
     let changes = [LONG_DEADLINES, SLOW_DIALS];
     let scheduler = SchedulerProcess::start_with_changes(&[&narrow.server], &discovery.server, &changes);
-    discovery.called("from=2", 1);
+    discovery.wait_for_calls("from=2", 1);
     let mut client = scheduler.connect();
     client.send(&job("view", "a1", "19.000"));
     scheduler.until("forwards=1 dials=1");
     scheduler.freeze();
     narrow.free_backlog();
     let line = narrow.server.accept();
-    discovery.lists(&[narrow.server.entry("leaving"), two.entry("active")]);
+    discovery.publish(&[narrow.server.entry("leaving"), two.entry("active")]);
     let told = Instant::now();
     let (at, draining) = (scheduler.at, narrow.server.name.clone());
     std::thread::spawn(move || serve_connection(line, &draining, at));
@@ -527,7 +527,7 @@
     scheduler.signal("CONT");
     let answer = client.receive_response();
     assert!(answer.ends_with(&two.name) || told.elapsed() < GRACE, "{answer} after {:?}", told.elapsed());
-    discovery.called("from=3", 1);
+    discovery.wait_for_calls("from=3", 1);
     // So many that the odd one would try the other worker.
     for n in 0..80 {
         assert!(is_served_by(&scheduler, &two, &format!("b{n}")), "b{n}");
@@ -538,10 +538,10 @@
 #[test]
 fn no_attempt_begins_for_a_client_that_closed_while_the_process_was_held_up() {
     let (one, two) = (Server::new("s-00000001"), Server::new("s-00000002"));
-    let discovery = Agent::new(Mode::Answers, &[one.entry("active")]);
+    let discovery = DiscoveryAgent::new(AgentMode::Answers, &[one.entry("active")]);
     let scheduler =
         SchedulerProcess::start_with_changes(&[&one], &discovery.server, &[LONG_DEADLINES, MANY_SOCKETS]);
-    discovery.called("from=2", 1);
+    discovery.wait_for_calls("from=2", 1);
     let pairs: Vec<(HttpConnection, HttpConnection)> = (0..8)
         .map(|n| {
             let mut client = scheduler.connect();
@@ -551,8 +551,8 @@
             (client, first)
         })
         .collect();
-    discovery.lists(&[one.entry("leaving"), two.entry("active")]);
-    discovery.called("from=3", 1);
+    discovery.publish(&[one.entry("leaving"), two.entry("active")]);
+    discovery.wait_for_calls("from=3", 1);
     scheduler.freeze();
     let mut firsts = Vec::new();
     for (n, (client, mut first)) in pairs.into_iter().enumerate() {
@@ -594,7 +594,7 @@
     const STAYS_OPEN: Duration = Duration::from_millis(850);
     let workers = workers_in_trouble(&[Trouble::Ignores, Trouble::Forgets, Trouble::Hangs]);
     let known: Vec<&Server> = workers.iter().collect();
-    let discovery = Agent::new(Mode::Silent, &[]);
+    let discovery = DiscoveryAgent::new(AgentMode::Silent, &[]);
     let short = (r#""aim":900000000,"give_up":5000000000"#, r#""aim":200000000,"give_up":500000000"#);
     let changes = [short, TWO_SCHEDULERS, MANY_SOCKETS];
     let mut scheduler = SchedulerProcess::start_with_changes(&known, &discovery.server, &changes);
@@ -683,7 +683,7 @@
 #[test]
 fn requests_read_together_are_all_answered_when_the_process_ends() {
     let workers = workers_in_trouble(&[Trouble::Ignores]);
-    let discovery = Agent::new(Mode::Silent, &[]);
+    let discovery = DiscoveryAgent::new(AgentMode::Silent, &[]);
     let short = (r#""aim":900000000,"give_up":5000000000"#, r#""aim":900000000,"give_up":3000000000"#);
     let mut scheduler =
         SchedulerProcess::start_with_changes(&[&workers[0]], &discovery.server, &[short, TWO_SCHEDULERS]);
@@ -714,7 +714,7 @@
 /// A worker closes or resets an idle connection in the moment in which the next request comes: nothing is written to it.
 #[test]
 fn an_idle_connection_that_its_worker_ends_as_a_request_comes_is_not_used() {
-    let (discovery, worker) = (Agent::new(Mode::Silent, &[]), Server::new("s-00000001"));
+    let (discovery, worker) = (DiscoveryAgent::new(AgentMode::Silent, &[]), Server::new("s-00000001"));
     let scheduler = SchedulerProcess::start(&[&worker], &discovery.server);
     let ways: [fn(HttpConnection); 2] = [|line| line.send_and_close(""), HttpConnection::reset];
     for (n, end) in ways.into_iter().enumerate() {
@@ -740,7 +740,7 @@
 /// to it from then on would end as a reset.
 #[test]
 fn an_idle_connection_is_not_used_beyond_the_time_for_which_workers_keep_it() {
-    let (discovery, worker) = (Agent::new(Mode::Silent, &[]), Server::new("s-00000001"));
+    let (discovery, worker) = (DiscoveryAgent::new(AgentMode::Silent, &[]), Server::new("s-00000001"));
     let keepalive = (r#""keepalive":60000000000"#, r#""keepalive":800000000"#);
     let scheduler = SchedulerProcess::start_with_changes(&[&worker], &discovery.server, &[keepalive]);
     let mut client = scheduler.connect();
@@ -810,15 +810,15 @@
     const TOLD: Duration = Duration::from_secs(6);
     let (one, two) = (Server::new("s-00000001"), Server::new("s-00000002"));
     let bound = (r#""obligations":{"#, r#""obligations":{"must_ask_in":10000000000,"#);
-    let agents = [(); 3].map(|()| Agent::new(Mode::Answers, &[one.entry("active")]));
-    let start = |agent: &Agent, mode: &str| {
+    let agents = [(); 3].map(|()| DiscoveryAgent::new(AgentMode::Answers, &[one.entry("active")]));
+    let start = |agent: &DiscoveryAgent, mode: &str| {
         let mode = format!(r#""registry_mode":"{mode}""#);
         let changes = [(r#""registry_mode":"automatic""#, &*mode), bound, LONG_DEADLINES];
         SchedulerProcess::start_with_changes(&[&one], &agent.server, &changes)
     };
     let (pushed, asked) = (start(&agents[0], "automatic"), start(&agents[1], "subscribe"));
     let mut ending = start(&agents[2], "automatic");
-    agents.iter().for_each(|agent| agent.called("from=2", 1));
+    agents.iter().for_each(|agent| agent.wait_for_calls("from=2", 1));
     // Each scheduler's call-backs go to itself, so each job is served by hand.
     let serve_at = |scheduler: &SchedulerProcess, worker: &Server, id: &str| {
         let mut client = scheduler.connect();
@@ -829,8 +829,8 @@
     let begun = Instant::now();
     let mut turn = 0;
     while begun.elapsed() < OUTAGE {
-        let mode = if turn % 2 == 0 { Mode::Silent } else { Mode::Refuses };
-        agents.iter().for_each(|agent| agent.mode(mode));
+        let mode = if turn % 2 == 0 { AgentMode::Silent } else { AgentMode::Refuses };
+        agents.iter().for_each(|agent| agent.set_mode(mode));
         for scheduler in [&pushed, &asked, &ending] {
             serve_at(scheduler, &one, &format!("a{turn}"));
         }
@@ -839,13 +839,13 @@
     }
     let returned = Instant::now();
     for agent in &agents {
-        agent.lists(&[one.entry("leaving"), two.entry("active")]);
-        agent.mode(Mode::Answers);
+        agent.publish(&[one.entry("leaving"), two.entry("active")]);
+        agent.set_mode(AgentMode::Answers);
     }
     ending.signal("TERM");
-    agents[2].called("from=3", 1);
+    agents[2].wait_for_calls("from=3", 1);
     serve_at(&ending, &two, "b1");
-    agents.iter().for_each(|agent| agent.called("from=3", 1));
+    agents.iter().for_each(|agent| agent.wait_for_calls("from=3", 1));
     assert!(returned.elapsed() < TOLD, "{:?}", returned.elapsed());
     serve_at(&pushed, &two, "b2");
     serve_at(&asked, &two, "b3");
@@ -858,14 +858,14 @@
 fn the_last_of_many_configurations_in_quick_succession_holds_and_no_request_is_lost() {
     const CONFIGURATIONS: usize = 5;
     let workers: Vec<Server> = (1..=CONFIGURATIONS).map(|n| Server::new(&format!("s-{n:08x}"))).collect();
-    let agents: Vec<Agent> =
-        workers.iter().map(|w| Agent::new(Mode::Answers, &[w.entry("active")])).collect();
+    let agents: Vec<DiscoveryAgent> =
+        workers.iter().map(|w| DiscoveryAgent::new(AgentMode::Answers, &[w.entry("active")])).collect();
     // One of those on the way says nothing: a call hangs there when the next configuration comes.
-    agents[2].mode(Mode::Silent);
+    agents[2].set_mode(AgentMode::Silent);
     let mut scheduler =
         SchedulerProcess::start_with_changes(&[&workers[0]], &agents[0].server, &[MANY_SOCKETS]);
     serve_all(&scheduler, &workers.iter().collect::<Vec<_>>());
-    agents[0].called("from=2", 1);
+    agents[0].wait_for_calls("from=2", 1);
     let (at, over, served) = (scheduler.at, AtomicBool::new(false), Mutex::new(0));
     std::thread::scope(|scope| {
         let ends_clients = EndsClients(&over);
@@ -892,7 +892,7 @@
             std::thread::sleep(Duration::from_millis(if std::ptr::eq(old, &agents[1]) { 0 } else { 120 }));
         }
         let last = &agents[CONFIGURATIONS - 1];
-        last.called("GET /v1/servers HTTP", 1);
+        last.wait_for_calls("GET /v1/servers HTTP", 1);
         let asked = Instant::now();
         until("the last list", || is_served_by(&scheduler, &workers[CONFIGURATIONS - 1], "b0"));
         // After SIGHUP what discovery has counts 4 s later.
--- a/tests/system_calls.rs
+++ b/tests/system_calls.rs
@@ -3,8 +3,8 @@
 mod harness;
 
 use harness::{
-    Agent, FullBacklogServer, IncomingConnections, Mode, Platform, SchedulerProcess, Server, job, response,
-    until,
+    AgentMode, DiscoveryAgent, FullBacklogServer, IncomingConnections, Platform, SchedulerProcess, Server,
+    job, response, until,
 };
 use loomlb_emulator::rig::{self, Rig};
 use loomlb_emulator::{Options, Stop};
@@ -43,11 +43,11 @@
 }
 
 /// The program with these targets and its plan, once its discovery has told all and nothing is under way for a while.
-fn settled(targets: &[&Server]) -> (FaultPlan, SchedulerProcess, Agent) {
+fn settled(targets: &[&Server]) -> (FaultPlan, SchedulerProcess, DiscoveryAgent) {
     let entries: Vec<String> = targets.iter().map(|target| target.entry("active")).collect();
-    let (plan, discovery) = (FaultPlan::new().unwrap(), Agent::new(Mode::Answers, &entries));
+    let (plan, discovery) = (FaultPlan::new().unwrap(), DiscoveryAgent::new(AgentMode::Answers, &entries));
     let stage = SchedulerProcess::start_with_faults(&plan, targets, &discovery.server, "");
-    discovery.called("from=2", 1);
+    discovery.wait_for_calls("from=2", 1);
     (plan, stage, discovery)
 }
 
@@ -274,11 +274,11 @@
 fn discovery_is_asked_again_at_once_after_a_connect_that_failed_on_this_machine() {
     let target = Server::new("t");
     for errno in LOCAL {
-        let discovery = Agent::new(Mode::Answers, &[target.entry("active")]);
+        let discovery = DiscoveryAgent::new(AgentMode::Answers, &[target.entry("active")]);
         let plan = FaultPlan::new().unwrap();
         plan.fail(Call::Connect, errno, 3);
         let stage = SchedulerProcess::start_with_faults(&plan, &[], &discovery.server, "");
-        discovery.called("servers", 2);
+        discovery.wait_for_calls("servers", 2);
         assert_eq!(plan.hits(Call::Connect), 3, "{errno}");
         assert_eq!(stage.counters(&["list_faults"]), "list_faults=0", "{errno}");
     }
@@ -288,14 +288,14 @@
 fn short_and_interrupted_reads_and_writes_lose_nothing() {
     let target = Server::new("t");
     for bytes in [1, 7, 64] {
-        let discovery = Agent::new(Mode::Answers, &[target.entry("active")]);
+        let discovery = DiscoveryAgent::new(AgentMode::Answers, &[target.entry("active")]);
         let plan = FaultPlan::new().unwrap();
         plan.short_reads(bytes).short_writes(bytes);
         plan.fail_every(Call::SocketRead, libc::EINTR, 3).fail_every(Call::SocketWrite, libc::EINTR, 3);
         plan.fail_every(Call::Wait, libc::EINTR, 3);
         let stage =
             SchedulerProcess::start_with_faults(&plan, &[], &discovery.server, r#""control":"127.0.0.1:0","#);
-        discovery.called("from=2", 1);
+        discovery.wait_for_calls("from=2", 1);
         let mut client = stage.connect();
         client.send(&job("lodge", "a", "3.0"));
         let mut forward = target.accept();
--- a/tests/wall_clock.rs
+++ b/tests/wall_clock.rs
@@ -3,7 +3,7 @@
 
 mod harness;
 
-use harness::{Agent, FullBacklogServer, Mode, Platform, SchedulerProcess, Server, job, until};
+use harness::{AgentMode, DiscoveryAgent, FullBacklogServer, Platform, SchedulerProcess, Server, job, until};
 use loomlb_fault_plan::FaultPlan;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
@@ -74,13 +74,13 @@
     for step in STEPS {
         let plan = FaultPlan::new().unwrap();
         plan.step_wall_clock(step);
-        let (worker, discovery) = (Server::new("s-00000001"), Agent::new(Mode::Answers, &[]));
+        let (worker, discovery) = (Server::new("s-00000001"), DiscoveryAgent::new(AgentMode::Answers, &[]));
         let rule = slow_start("600000000000");
         let changes = [(r#""obligations":{"#, &*rule), AIM];
         let stage = SchedulerProcess::start_with_changes_and_faults(&plan, &discovery.server, &changes);
-        discovery.called("from=2", 1);
-        discovery.lists(&[born_now(&worker)]);
-        discovery.called("from=3", 1);
+        discovery.wait_for_calls("from=2", 1);
+        discovery.publish(&[born_now(&worker)]);
+        discovery.wait_for_calls("from=3", 1);
         plan.step_wall_clock(-step);
         stays_within_the_cold_budget(&stage, step);
     }
@@ -92,13 +92,13 @@
     for step in [-HOUR, HOUR] {
         let plan = FaultPlan::new().unwrap();
         plan.step_wall_clock(step);
-        let (worker, discovery) = (Server::new("s-00000001"), Agent::new(Mode::Answers, &[]));
+        let (worker, discovery) = (Server::new("s-00000001"), DiscoveryAgent::new(AgentMode::Answers, &[]));
         let rule = slow_start("2000000000");
         let changes = [(r#""obligations":{"#, &*rule), AIM];
         let stage = SchedulerProcess::start_with_changes_and_faults(&plan, &discovery.server, &changes);
-        discovery.called("from=2", 1);
-        discovery.lists(&[born_now(&worker)]);
-        discovery.called("from=3", 1);
+        discovery.wait_for_calls("from=2", 1);
+        discovery.publish(&[born_now(&worker)]);
+        discovery.wait_for_calls("from=3", 1);
         until(&format!("{step} ns: {WARM_SENDS} calls"), || {
             ask_all_the_time(&stage, Duration::from_millis(500));
             forwards(&stage) >= WARM_SENDS
@@ -111,7 +111,7 @@
 fn a_cold_worker_stays_cold_through_a_hot_restart_across_a_step() {
     for step in STEPS {
         let plan = FaultPlan::new().unwrap();
-        let (worker, discovery) = (Server::new("s-00000001"), Agent::new(Mode::Answers, &[]));
+        let (worker, discovery) = (Server::new("s-00000001"), DiscoveryAgent::new(AgentMode::Answers, &[]));
         let (platform, rule) = (Platform::new(), slow_start("600000000000"));
         let changes = [(r#""obligations":{"#, &*rule), AIM];
         let old = SchedulerProcess::start_on_platform_with_changes_and_faults(
@@ -121,9 +121,9 @@
             &changes,
         );
         old.ready();
-        discovery.called("from=2", 1);
-        discovery.lists(&[born_now(&worker)]);
-        discovery.called("from=3", 1);
+        discovery.wait_for_calls("from=2", 1);
+        discovery.publish(&[born_now(&worker)]);
+        discovery.wait_for_calls("from=3", 1);
         plan.step_wall_clock(step);
         let new = SchedulerProcess::start_on_platform_with_changes_and_faults(
             &plan,
@@ -170,7 +170,8 @@
 /// and the dial comes up after `wait`. The client's answer, and what became of the attempts.
 fn repeat_across_a_step(window: &str, step: i64, wait: Duration) -> (SchedulerProcess, Server, String) {
     let (one, mut narrow) = (Server::new("s-00000001"), FullBacklogServer::new("s-00000002"));
-    let (discovery, plan) = (Agent::new(Mode::Answers, &[one.entry("active")]), FaultPlan::new().unwrap());
+    let (discovery, plan) =
+        (DiscoveryAgent::new(AgentMode::Answers, &[one.entry("active")]), FaultPlan::new().unwrap());
     let keyed = format!(r#""effect":"deduplicated","group":"cell","repeat_window":{window}"#);
     let changes = [PATIENT, SLOW_DIALS, (r#""effect":"idempotent""#, &*keyed)];
     let stage = SchedulerProcess::start_with_changes_and_faults(&plan, &discovery.server, &changes);
@@ -179,7 +180,7 @@
     client.send(&job("view", "a1", "19.000").replace("X-Service", "Idempotency-Key: k\r\nX-Service"));
     let mut first = one.accept();
     assert!(first.receive().contains("Idempotency-Key: k\r\n"));
-    discovery.lists(&[one.entry("leaving"), narrow.server.entry("active")]);
+    discovery.publish(&[one.entry("leaving"), narrow.server.entry("active")]);
     stage.until("forwards=1 lists=2");
     drop(first);
     stage.until("forwards=2 Reset=1 dials=2");
@@ -213,17 +214,17 @@
 #[test]
 fn a_silent_discovery_is_asked_again_across_a_step() {
     for step in STEPS {
-        let (discovery, plan) = (Agent::new(Mode::Answers, &[]), FaultPlan::new().unwrap());
+        let (discovery, plan) = (DiscoveryAgent::new(AgentMode::Answers, &[]), FaultPlan::new().unwrap());
         let stage = SchedulerProcess::start_with_faults(&plan, &[], &discovery.server, "");
-        discovery.called("from=2", 1);
-        discovery.mode(Mode::Silent);
+        discovery.wait_for_calls("from=2", 1);
+        discovery.set_mode(AgentMode::Silent);
         plan.step_wall_clock(step);
-        let before = discovery.calls("from=2").len();
-        discovery.called("from=2", before + 2);
-        discovery.mode(Mode::Answers);
+        let before = discovery.calls_containing("from=2").len();
+        discovery.wait_for_calls("from=2", before + 2);
+        discovery.set_mode(AgentMode::Answers);
         let worker = Server::new("s-00000001");
-        discovery.lists(&[worker.entry("active")]);
-        discovery.called("from=3", 1);
+        discovery.publish(&[worker.entry("active")]);
+        discovery.wait_for_calls("from=3", 1);
         drop(stage);
     }
 }
