--- a/tests/endings.rs
+++ b/tests/endings.rs
@@ -64,14 +64,14 @@
             (line, ways[n % ways.len()])
         })
         .collect();
-    scheduler.until("flows=20 forwards=0");
+    scheduler.wait_for_counters("flows=20 forwards=0");
     waiting.into_iter().for_each(|(line, (_, go))| go(line));
-    scheduler.until("flows=20 gone=20 forwards=0");
+    scheduler.wait_for_counters("flows=20 gone=20 forwards=0");
     // There is a worker now, and one job that is still wanted.
     discovery.publish(&[target.entry("active")]);
     discovery.set_mode(AgentMode::Answers);
     goes_to(&scheduler, &target, "b1", "19.000");
-    scheduler.until("flows=21 gone=20 forwards=1");
+    scheduler.wait_for_counters("flows=21 gone=20 forwards=1");
 }
 
 /// A process that stands still, as one without its core does, finds requests whose clients have gone long ago.
@@ -109,11 +109,11 @@
     );
     let mut client = scheduler.connect();
     client.send(&job("view", "a1", "19.000"));
-    scheduler.until("forwards=1 NotSent=0 dials=1");
+    scheduler.wait_for_counters("forwards=1 NotSent=0 dials=1");
     drop(client);
-    scheduler.until("gone=1 forwards=1 NotSent=0");
+    scheduler.wait_for_counters("gone=1 forwards=1 NotSent=0");
     narrow.free_backlog();
-    scheduler.until("gone=1 forwards=1 NotSent=1 dials=1");
+    scheduler.wait_for_counters("gone=1 forwards=1 NotSent=1 dials=1");
     // The connection that came up is kept, and the next job is the first that is ever said on it.
     goes_to(&scheduler, &narrow.server, "b1", "19.000");
 }
@@ -124,20 +124,20 @@
     let (one, two) = (Server::new("s-00000001"), Server::new("s-00000002"));
     let discovery = DiscoveryAgent::new(AgentMode::Answers, &[one.entry("active")]);
     let scheduler = SchedulerProcess::start_with_changes(&[&one], &discovery.server, &[PATIENT, NO_CANCEL]);
-    scheduler.until("lists=1");
+    scheduler.wait_for_counters("lists=1");
     let mut client = scheduler.connect();
     client.send(&job("view", "a1", "19.000"));
     let mut first = one.accept();
     assert!(first.receive().contains("a1"));
     discovery.publish(&[one.entry("leaving"), two.entry("active")]);
-    scheduler.until("lists=2");
+    scheduler.wait_for_counters("lists=2");
     drop(client);
-    scheduler.until("gone=1 forwards=1");
+    scheduler.wait_for_counters("gone=1 forwards=1");
     first.send(TURNED_AWAY);
-    scheduler.until("gone=1 forwards=1 Full=1");
+    scheduler.wait_for_counters("gone=1 forwards=1 Full=1");
     // The first that the other worker hears is the next client's job.
     goes_to(&scheduler, &two, "b1", "19.000");
-    scheduler.until("gone=1 forwards=2 Full=1");
+    scheduler.wait_for_counters("gone=1 forwards=2 Full=1");
 }
 
 // ---- the time that an attempt tells its worker
@@ -149,7 +149,7 @@
     let (one, mut narrow) = (Server::new("s-00000001"), FullBacklogServer::new("s-00000002"));
     let discovery = DiscoveryAgent::new(AgentMode::Answers, &[one.entry("active")]);
     let scheduler = SchedulerProcess::start_with_changes(&[&one], &discovery.server, &[PATIENT, SLOW_DIALS]);
-    scheduler.until("lists=1");
+    scheduler.wait_for_counters("lists=1");
     let told = |head: &str| -> f64 {
         let line = head.lines().find_map(|l| l.strip_prefix("X-Time-Left: "));
         line.expect("it tells its time").parse().unwrap()
@@ -162,10 +162,10 @@
     let heard = Instant::now();
     assert!(at_first <= 15.0, "{at_first}");
     discovery.publish(&[one.entry("leaving"), narrow.server.entry("active")]);
-    scheduler.until("lists=2");
+    scheduler.wait_for_counters("lists=2");
     std::thread::sleep(Duration::from_millis(700));
     first.send(TURNED_AWAY);
-    scheduler.until("forwards=2 Full=1 dials=2");
+    scheduler.wait_for_counters("forwards=2 Full=1 dials=2");
     std::thread::sleep(Duration::from_millis(700));
     let left = 15.0 - heard.elapsed().as_secs_f64();
     narrow.free_backlog();
@@ -210,7 +210,7 @@
         &mut line,
         &format!("HTTP/1.1 200 Fine\r\ntransfer-encoding: Chunked\r\n\r\n{chunked}"),
     );
-    scheduler.until("lists=1");
+    scheduler.wait_for_counters("lists=1");
     // What a client may send: names in any case, blanks or none, decimals or whole seconds, a query, a body of any bytes
     // and in chunks, more headers than anybody knows.
     let head =
@@ -321,12 +321,12 @@
         &discovery.server,
         &[PATIENT, SLOW_DIALS, grace],
     );
-    scheduler.until("lists=1");
+    scheduler.wait_for_counters("lists=1");
     let mut client = scheduler.connect();
     client.send(&job("lodge", "a1", "19.000"));
-    scheduler.until("forwards=1 dials=1");
+    scheduler.wait_for_counters("forwards=1 dials=1");
     discovery.publish(&[news(&narrow.server), two.entry("active")]);
-    scheduler.until("lists=2");
+    scheduler.wait_for_counters("lists=2");
     narrow.free_backlog();
     serve(&scheduler, &mut two.accept(), &two, "a1");
     assert!(client.receive_response().ends_with("a1"));
@@ -354,15 +354,15 @@
     let keyed = (r#""effect":"idempotent""#, keyed);
     let scheduler =
         SchedulerProcess::start_with_changes(&[&one], &discovery.server, &[PATIENT, SLOW_DIALS, keyed]);
-    scheduler.until("lists=1");
+    scheduler.wait_for_counters("lists=1");
     let mut client = scheduler.connect();
     client.send(&job("view", "a1", "19.000").replace("X-Service", "Idempotency-Key: k\r\nX-Service"));
     let mut first = one.accept();
     assert!(first.receive().contains("Idempotency-Key: k\r\n"));
     discovery.publish(&[one.entry("leaving"), narrow.server.entry("active")]);
-    scheduler.until("forwards=1 lists=2");
+    scheduler.wait_for_counters("forwards=1 lists=2");
     drop(first);
-    scheduler.until("forwards=2 Reset=1 dials=2");
+    scheduler.wait_for_counters("forwards=2 Reset=1 dials=2");
     std::thread::sleep(Duration::from_millis(2100));
     narrow.free_backlog();
     assert_snapshot!(client.receive_response(), @"HTTP/1.1 502 Bad Gateway | failed");
@@ -404,23 +404,23 @@
     let (one, two) = (Server::new("s-00000001"), Server::new("s-00000002"));
     let discovery = DiscoveryAgent::new(AgentMode::Answers, &[one.entry("leaving")]);
     let mut scheduler = SchedulerProcess::start_with_changes(&[&one], &discovery.server, &[PATIENT]);
-    scheduler.until("lists=1");
+    scheduler.wait_for_counters("lists=1");
     discovery.wait_for_calls("from=2", 4);
     let mut client = scheduler.connect();
     client.send(&job("view", "a1", "19.000"));
-    scheduler.until("flows=1 forwards=0");
+    scheduler.wait_for_counters("flows=1 forwards=0");
     let before = discovery.calls_containing("from=2").len();
     discovery.set_mode(AgentMode::Silent);
     discovery.publish(&[two.entry("active")]);
     let silent = Instant::now();
     scheduler.signal("TERM");
-    scheduler.logged("asked to end");
+    scheduler.wait_for_log("asked to end");
     discovery.wait_for_calls("from=2", before + 1);
     discovery.set_mode(AgentMode::Answers);
     serve(&scheduler, &mut two.accept(), &two, "a1");
     assert!(silent.elapsed() < Duration::from_secs(6), "{:?}", silent.elapsed());
     assert!(client.receive_response().ends_with("a1"));
-    assert!(scheduler.ended());
+    assert!(scheduler.wait_for_exit());
 }
 
 /// Where the list is asked for, calls that are turned away are made again so soon that discovery's first answer after an
@@ -475,9 +475,9 @@
         idle.push(line);
     }
     assert!(begun.elapsed() < Duration::from_secs(10), "ready in time: {:?}", begun.elapsed());
-    assert!(scheduler.descriptors() <= 64);
+    assert!(scheduler.descriptor_count() <= 64);
     discovery.set_mode(AgentMode::Answers);
-    scheduler.until("lists=1");
+    scheduler.wait_for_counters("lists=1");
     goes_to(&scheduler, &two, "a1", "3.000");
 }
 
@@ -518,7 +518,7 @@
         &[others],
     );
     scheduler.signal("TERM");
-    scheduler.logged("asked to end");
+    scheduler.wait_for_log("asked to end");
     let asked = Instant::now();
     let mut client = None;
     while asked.elapsed() < Duration::from_millis(2900) {
@@ -534,7 +534,7 @@
     let mut client = client.unwrap();
     assert_snapshot!(client.receive_response(), @"HTTP/1.1 413 Content Too Large | body too large");
     drop(client);
-    assert!(scheduler.ended());
+    assert!(scheduler.wait_for_exit());
 }
 
 /// What a worker was not told to drop would run for nobody.
@@ -546,21 +546,21 @@
         SchedulerProcess::start_with_changes(&[&narrow.server], &discovery.server, &[SLOW_DIALS]);
     let mut client = scheduler.connect();
     client.send(&job("lodge", "a1", "4.500"));
-    scheduler.until("forwards=1 dials=1");
+    scheduler.wait_for_counters("forwards=1 dials=1");
     narrow.free_backlog();
     let mut forward = narrow.server.accept();
     forward.receive();
     forward.send(&response("202 Accepted", "").replace("Content", "Connection: close\r\nContent"));
-    scheduler.until("forwards=1 dials=1");
+    scheduler.wait_for_counters("forwards=1 dials=1");
     // The worker's machine is full again: the call that gives the job up hangs in its dial.
     let crowd = std::net::TcpStream::connect(narrow.server.address()).unwrap();
     scheduler.signal("TERM");
     assert_snapshot!(client.receive_response(), @"HTTP/1.1 502 Bad Gateway | failed");
     std::thread::sleep(Duration::from_millis(100));
-    assert!(scheduler.lives(), "it ended with a word to a worker unsaid");
+    assert!(scheduler.is_running(), "it ended with a word to a worker unsaid");
     narrow.server.accept();
     assert_eq!(narrow.server.accept().receive().lines().next(), Some("DELETE /jobs/a1 HTTP/1.1"));
-    assert!(scheduler.ended());
+    assert!(scheduler.wait_for_exit());
     drop((crowd, forward));
 }
 
@@ -685,7 +685,7 @@
     let sent: usize = schedulers.iter().map(forwards).sum();
     let n: f64 = 2.5 * 0.3 * 4.0;
     assert!((sent as f64) <= n + 2.0 * n.sqrt() + 2.0, "{sent} calls, {n} allowed");
-    assert!(schedulers.iter_mut().all(SchedulerProcess::lives));
+    assert!(schedulers.iter_mut().all(SchedulerProcess::is_running));
 }
 
 // ---- lists of large fleets
@@ -703,9 +703,9 @@
     let text = list(3, true, &many);
     assert!(text.len() > 200_000, "{}", text.len());
     line.send(&response("200 OK", &text));
-    scheduler.until("lists=1 list_faults=0");
+    scheduler.wait_for_counters("lists=1 list_faults=0");
     assert!(line.receive().contains("from=3"), "it goes on from this list");
     line.send(&format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", 64 << 20));
-    scheduler.until("lists=1 list_faults=1");
+    scheduler.wait_for_counters("lists=1 list_faults=1");
     assert!(discovery.accept().receive().contains("from=3"), "the last list stays");
 }
--- a/tests/harness/mod.rs
+++ b/tests/harness/mod.rs
@@ -303,13 +303,13 @@
         Platform { listener: TcpListener::bind("127.0.0.1:0").unwrap(), folder: tempfile::tempdir().unwrap() }
     }
     /// Has a process inherit the socket, as its standard input.
-    fn lend(&self, command: &mut Command) {
+    fn pass_listener(&self, command: &mut Command) {
         let socket: OwnedFd = self.listener.try_clone().unwrap().into();
         command.stdin(Stdio::from(socket)).env("LB_FD", "0").env("TMPDIR", self.folder.path());
         command.env("LB_LISTEN", "127.0.0.1:0");
     }
     /// Where a process finds the one before it.
-    pub fn link(&self) -> std::path::PathBuf {
+    pub fn restart_socket(&self) -> std::path::PathBuf {
         self.folder.path().join("loomlb-127.0.0.1-0.sock")
     }
 }
@@ -317,11 +317,11 @@
 /// The program, running.
 pub struct SchedulerProcess {
     child: Child,
-    pub at: SocketAddr,
+    pub address: SocketAddr,
     /// The second address, where it was asked for.
     pub control: SocketAddr,
     /// The first line of its log.
-    pub first_line: String,
+    pub first_log_line: String,
     log: Receiver<String>,
     config: String,
     files: tempfile::TempDir,
@@ -347,7 +347,7 @@
     /// The same on a listening socket that the platform holds, beside whatever process has it already.
     pub fn start_on_platform(known: &[&Server], discovery: &Server, platform: &Platform) -> SchedulerProcess {
         SchedulerProcess::spawn_with_keys(known, discovery, r#""control":"127.0.0.1:0","#, |command| {
-            platform.lend(command)
+            platform.pass_listener(command)
         })
     }
     /// The same with a text in place of its configuration.
@@ -358,7 +358,7 @@
     ) -> SchedulerProcess {
         let text = text.to_string();
         SchedulerProcess::spawn_with_keys(&[], discovery, r#""control":"127.0.0.1:0","#, move |command| {
-            platform.lend(command);
+            platform.pass_listener(command);
             let file = command.get_args().last().unwrap().to_owned();
             std::fs::write(file, text).unwrap();
         })
@@ -388,7 +388,7 @@
         changes: &[(&str, &str)],
     ) -> SchedulerProcess {
         SchedulerProcess::spawn(&[], discovery, r#""control":"127.0.0.1:0","#, changes, |command| {
-            platform.lend(command);
+            platform.pass_listener(command);
             plan.apply(command);
         })
     }
@@ -400,7 +400,7 @@
         platform: &Platform,
     ) -> SchedulerProcess {
         SchedulerProcess::spawn_with_keys(known, discovery, r#""control":"127.0.0.1:0","#, |command| {
-            platform.lend(command);
+            platform.pass_listener(command);
             plan.apply(command);
         })
     }
@@ -441,14 +441,25 @@
         let lines = BufReader::new(child.stderr.take().unwrap()).lines();
         std::thread::spawn(move || lines.map_while(Result::ok).all(|line| tell.send(line).is_ok()));
         let nowhere = ([127, 0, 0, 1], 0).into();
-        let first_line: String = log.recv_timeout(LONG).unwrap();
-        let mut scheduler =
-            SchedulerProcess { child, at: nowhere, control: nowhere, first_line, log, config, files };
-        assert!(!scheduler.first_line.starts_with("loomlb: "), "it does not start: {}", scheduler.first_line);
-        let at = scheduler.first_line.split_once("serves at ").map(|(_, at)| at.to_string());
-        scheduler.at = at.unwrap_or_else(|| scheduler.logged("serves at ")).parse().unwrap();
+        let first_log_line: String = log.recv_timeout(LONG).unwrap();
+        let mut scheduler = SchedulerProcess {
+            child,
+            address: nowhere,
+            control: nowhere,
+            first_log_line,
+            log,
+            config,
+            files,
+        };
+        assert!(
+            !scheduler.first_log_line.starts_with("loomlb: "),
+            "it does not start: {}",
+            scheduler.first_log_line
+        );
+        let at = scheduler.first_log_line.split_once("serves at ").map(|(_, at)| at.to_string());
+        scheduler.address = at.unwrap_or_else(|| scheduler.wait_for_log("serves at ")).parse().unwrap();
         if scheduler.config.contains("\"control\"") {
-            scheduler.control = scheduler.logged("control at ").parse().unwrap();
+            scheduler.control = scheduler.wait_for_log("control at ").parse().unwrap();
         }
         scheduler
     }
@@ -460,19 +471,19 @@
     pub fn reload(&mut self, old: &str, new: &str) {
         assert!(self.config.contains(old), "{old}");
         self.config = self.config.replacen(old, new, 1);
-        self.reload_as(&self.config);
+        self.reload_with(&self.config);
     }
     /// Its configuration, as it was last written.
     pub fn config(&self) -> &str {
         &self.config
     }
     /// Has another text read in place of its configuration.
-    pub fn reload_as(&self, text: &str) {
+    pub fn reload_with(&self, text: &str) {
         std::fs::write(self.files.path().join("config.json"), text).unwrap();
         self.signal("HUP");
     }
     /// What follows these words in the log.
-    pub fn logged(&self, words: &str) -> String {
+    pub fn wait_for_log(&self, words: &str) -> String {
         loop {
             let line = self.log.recv_timeout(LONG).unwrap();
             if let Some((_, rest)) = line.split_once(words) {
@@ -481,7 +492,7 @@
         }
     }
     /// Whether these words come in the log within this time.
-    pub fn says(&self, words: &str, within: Duration) -> bool {
+    pub fn logs_within(&self, words: &str, within: Duration) -> bool {
         let until = Instant::now() + within;
         let mut lines = std::iter::from_fn(|| {
             self.log.recv_timeout(until.saturating_duration_since(Instant::now())).ok()
@@ -489,15 +500,15 @@
         lines.any(|line| line.contains(words))
     }
     /// The number of its process.
-    pub fn id(&self) -> u32 {
+    pub fn process_id(&self) -> u32 {
         self.child.id()
     }
     pub fn connect(&self) -> HttpConnection {
-        HttpConnection::new(TcpStream::connect(self.at).unwrap())
+        HttpConnection::new(TcpStream::connect(self.address).unwrap())
     }
     /// The answer to one request on a connection of its own. The end of that is said by a shutdown: a process that another
     /// story starts in this moment may hold a copy of the descriptor until it runs, and the connection would rest meanwhile.
-    pub fn ask(&self, text: &str) -> String {
+    pub fn request(&self, text: &str) -> String {
         let mut line = self.connect();
         line.send(text);
         let answer = line.receive_response();
@@ -505,15 +516,15 @@
         answer
     }
     /// The answer to a call at the second address.
-    pub fn order(&self, call: &str) -> String {
+    pub fn control_request(&self, call: &str) -> String {
         let mut line = HttpConnection::new(TcpStream::connect(self.control).unwrap());
         line.send(&format!("{call} HTTP/1.1\r\nHost: h\r\n\r\n"));
         line.receive_response()
     }
     /// Waits until it says yes to `ready`.
-    pub fn ready(&self) {
+    pub fn wait_until_ready(&self) {
         for _ in 0..1000 {
-            if self.order("GET /control/ready").starts_with("HTTP/1.1 200") {
+            if self.control_request("GET /control/ready").starts_with("HTTP/1.1 200") {
                 return;
             }
             std::thread::sleep(Duration::from_millis(10));
@@ -522,7 +533,7 @@
     }
     pub fn call_back(&self, body: &str) -> String {
         let length = body.len();
-        self.ask(&format!("POST /v1/job-events HTTP/1.1\r\nContent-Length: {length}\r\n\r\n{body}"))
+        self.request(&format!("POST /v1/job-events HTTP/1.1\r\nContent-Length: {length}\r\n\r\n{body}"))
     }
     pub fn signal(&self, name: &str) {
         let pid = self.child.id().to_string();
@@ -537,12 +548,12 @@
     /// The counters named, as of now.
     pub fn counters(&self, names: &[&str]) -> String {
         self.signal("USR1");
-        let all = self.logged("counters: ");
+        let all = self.wait_for_log("counters: ");
         let words = all.split([' ', ';']).filter(|w| names.iter().any(|n| w.starts_with(&format!("{n}="))));
         words.collect::<Vec<_>>().join(" ")
     }
     /// Waits until these counters are as said, in the order of the report.
-    pub fn until(&self, counters: &str) {
+    pub fn wait_for_counters(&self, counters: &str) {
         let names: Vec<&str> = counters.split(' ').filter_map(|c| c.split('=').next()).collect();
         let mut last = String::new();
         let begun = Instant::now();
@@ -552,15 +563,15 @@
         }
     }
     /// Whether its process has not ended.
-    pub fn lives(&mut self) -> bool {
+    pub fn is_running(&mut self) -> bool {
         self.child.try_wait().unwrap().is_none()
     }
     /// Descriptors that it holds.
-    pub fn descriptors(&self) -> usize {
+    pub fn descriptor_count(&self) -> usize {
         std::fs::read_dir(format!("/proc/{}/fd", self.child.id())).unwrap().count()
     }
     /// Waits for its end; whether that was orderly.
-    pub fn ended(&mut self) -> bool {
+    pub fn wait_for_exit(&mut self) -> bool {
         self.child.wait().unwrap().success()
     }
 }
--- a/tests/operation.rs
+++ b/tests/operation.rs
@@ -38,7 +38,7 @@
         holders.push(line);
     }
     let begun = Instant::now();
-    let mut said = vec![stage.order("GET /control/ready")];
+    let mut said = vec![stage.control_request("GET /control/ready")];
     // The answer comes at once, not when a holder's time is over.
     assert!(begun.elapsed() < Duration::from_secs(2), "{:?}", begun.elapsed());
     for call in [
@@ -51,7 +51,7 @@
         "GET /healthz",
         "no http at all",
     ] {
-        said.push(stage.order(call));
+        said.push(stage.control_request(call));
     }
     let mut pieces = HttpConnection::new(TcpStream::connect(stage.control).unwrap());
     for byte in "GET /control/ready HTTP/1.1\r\nHost: h\r\n\r\n".chars() {
@@ -77,7 +77,7 @@
     "#);
     assert_snapshot!(stage.counters(&["calls", "calls_400", "calls_404", "calls_405", "calls_431"]), @"calls=3 calls_400=2 calls_404=3 calls_405=2 calls_431=1");
     // Clients' places are untouched.
-    assert!(stage.ask("GET /healthz HTTP/1.1\r\n\r\n").ends_with("ready"));
+    assert!(stage.request("GET /healthz HTTP/1.1\r\n\r\n").ends_with("ready"));
 }
 
 #[test]
@@ -86,8 +86,8 @@
     let stage = SchedulerProcess::start_with_control(&[&one, &two], &discovery);
     let mut watch = discovery.accept();
     watch.receive();
-    assert!(stage.order("PUT /control/workers/s-00000001/offline").starts_with("HTTP/1.1 200"));
-    assert!(stage.order("PUT /control/workers/s-00000001/offline").starts_with("HTTP/1.1 200"));
+    assert!(stage.control_request("PUT /control/workers/s-00000001/offline").starts_with("HTTP/1.1 200"));
+    assert!(stage.control_request("PUT /control/workers/s-00000001/offline").starts_with("HTTP/1.1 200"));
     let mut at_two = None;
     let mut next = |id: &str| {
         let mut client = stage.connect();
@@ -118,13 +118,15 @@
     }
     // All out: refused at once.
     assert!(
-        stage.order("PUT /control/workers/s-00000002/offline").contains(r#"["s-00000001","s-00000002"]"#)
+        stage
+            .control_request("PUT /control/workers/s-00000002/offline")
+            .contains(r#"["s-00000001","s-00000002"]"#)
     );
     let begun = Instant::now();
-    assert!(stage.ask(&job("lodge", "d1", "0.700")).starts_with("HTTP/1.1 503"));
+    assert!(stage.request(&job("lodge", "d1", "0.700")).starts_with("HTTP/1.1 503"));
     assert!(begun.elapsed() < Duration::from_secs(2));
     // One call back is enough, though two took it out.
-    assert!(stage.order("PUT /control/workers/s-00000001/online").contains(r#"["s-00000002"]"#));
+    assert!(stage.control_request("PUT /control/workers/s-00000001/online").contains(r#"["s-00000002"]"#));
     let mut client = stage.connect();
     client.send(&job("lodge", "e1", "3.000"));
     serve(&stage, &one, "e1");
@@ -135,7 +137,7 @@
 fn a_drain_answers_what_is_open_closes_what_is_idle_and_is_over_at_a_word() {
     let (discovery, target) = (Server::new("d"), Server::new("s-00000001"));
     let stage = SchedulerProcess::start_with_control(&[&target], &discovery);
-    let health = || stage.ask("GET /healthz HTTP/1.1\r\n\r\n");
+    let health = || stage.request("GET /healthz HTTP/1.1\r\n\r\n");
     let (mut idle, mut silent, mut open) = (stage.connect(), stage.connect(), stage.connect());
     idle.send("GET /healthz HTTP/1.1\r\n\r\n");
     assert!(idle.receive_response().ends_with("ready"));
@@ -144,7 +146,7 @@
     held.receive();
     held.send(&response("202 Accepted", ""));
     let begun = Instant::now();
-    assert!(stage.order("PUT /control/out-of-service").contains(r#""service":"draining""#));
+    assert!(stage.control_request("PUT /control/out-of-service").contains(r#""service":"draining""#));
     assert!(health().starts_with("HTTP/1.1 503"));
     // A client whose connection was on its way is served, and told to leave.
     let mut late = stage.connect();
@@ -154,11 +156,11 @@
     assert!(idle.wait_until_closed() && silent.wait_until_closed());
     assert!(begun.elapsed() < Duration::from_millis(3500), "{:?}", begun.elapsed());
     // What comes all the same hears a refusal, and what is open its answer.
-    assert!(stage.ask(&job("view", "a3", "3.000")).starts_with("HTTP/1.1 503"));
+    assert!(stage.request(&job("view", "a3", "3.000")).starts_with("HTTP/1.1 503"));
     done(&stage, &target, "a1");
     let text = open.receive();
     assert!(text.starts_with("HTTP/1.1 200") && text.contains("Connection: close"), "{text}");
-    assert!(stage.order("PUT /control/in-service").contains(r#""service":"in""#));
+    assert!(stage.control_request("PUT /control/in-service").contains(r#""service":"in""#));
     assert!(health().ends_with("ready"));
     let mut again = stage.connect();
     again.send(&job("view", "a4", "3.000"));
@@ -166,8 +168,8 @@
     let mut held = serve(&stage, &target, "a4");
     assert!(again.receive_response().ends_with("a4"));
     // Put back in the midst of a drain, it serves on.
-    stage.order("PUT /control/out-of-service");
-    stage.order("PUT /control/in-service");
+    stage.control_request("PUT /control/out-of-service");
+    stage.control_request("PUT /control/in-service");
     again.send(&job("view", "a5", "3.000"));
     finish(&stage, &target, &mut held, "a5");
     assert!(again.receive_response().ends_with("a5"));
@@ -199,17 +201,17 @@
     let view = r#"{"name":"view","aim":900000000,"give_up":5000000000,"worth":1.0,"effect":"idempotent"}"#;
     let changed = view.replace("idempotent", "at_most_once");
     stage.reload(view, &changed);
-    stage.logged("configuration reloaded");
+    stage.wait_for_log("configuration reloaded");
     stage.reload(r#""name":"lodge""#, r#""name":"sign""#);
-    stage.logged("configuration reloaded");
+    stage.wait_for_log("configuration reloaded");
     stage.reload(r#""max_attempts":2"#, r#""max_attempts":1"#);
-    assert!(stage.logged("configuration reloaded").contains("0 classes"));
+    assert!(stage.wait_for_log("configuration reloaded").contains("0 classes"));
     // By the old rules a failed safe job goes to the other target, though attempts are fewer now.
     ends(&stage, &at, "a1", "failed");
     ends(&stage, &accept("a1"), "a1", "done");
     assert!(safe.receive_response().ends_with("a1"));
     // The dropped class is unknown to new requests, and its open job has its answer.
-    assert!(stage.ask(&job("lodge", "a3", "3.000")).ends_with("unknown class"));
+    assert!(stage.request(&job("lodge", "a3", "3.000")).ends_with("unknown class"));
     ends(&stage, &elsewhere, "a2", "done");
     assert!(once.receive_response().ends_with("a2"));
     // By the new rules a failed job of the changed class, which may have run, is over.
@@ -232,8 +234,8 @@
     let said: Vec<String> = faults
         .iter()
         .map(|text| {
-            stage.reload_as(text);
-            let said = stage.logged("configuration: ");
+            stage.reload_with(text);
+            let said = stage.wait_for_log("configuration: ");
             said.split(" at line").next().unwrap().to_string()
         })
         .collect();
@@ -244,7 +246,7 @@
     settings.classes[0].give_up: 0 is no number above 0, and up to 86400000000000; keeping the active one
     settings.ceilings.max_attempts: 0 is no number above 0, and up to 1000; keeping the active one
     ");
-    assert!(stage.ask(&job("other", "c1", "3.000")).starts_with("HTTP/1.1 4"));
+    assert!(stage.request(&job("other", "c1", "3.000")).starts_with("HTTP/1.1 4"));
     taken(&stage, "c2", "sign");
     assert_snapshot!(stage.counters(&["reloads", "reload_faults", "panics"]), @"reloads=3 reload_faults=5 panics=0");
 }
--- a/tests/pins/answers.rs
+++ b/tests/pins/answers.rs
@@ -104,12 +104,12 @@
     let discovery = DiscoveryAgent::new(AgentMode::Answers, &[target.entry("active")]);
     let stage = SchedulerProcess::start_with_control(&[&target], &discovery.server);
     let mut text = String::new();
-    stage.order("PUT /control/workers/s-00000001/offline");
+    stage.control_request("PUT /control/workers/s-00000001/offline");
     let mut client = stage.connect();
     client.send(&good_job("lodge", "a1"));
     let refused = golden::mask_number_after(&client.receive(), "Retry-After: ");
     add(&mut text, "refused: no worker", &refused);
-    stage.order("PUT /control/out-of-service");
+    stage.control_request("PUT /control/out-of-service");
     let mut line = stage.connect();
     line.send("GET /healthz HTTP/1.1\r\nConnection: close\r\n\r\n");
     add(&mut text, "health", &line.receive());
@@ -169,9 +169,9 @@
     client.send(&good_job("lodge", "a1"));
     let _worker = target.accept();
     stage.signal("TERM");
-    stage.logged("asked to end");
+    stage.wait_for_log("asked to end");
     add(&mut text, "ready, while it ends", &ask(&stage, "GET /control/ready HTTP/1.1\r\n\r\n"));
     drop(client);
-    assert!(stage.ended());
+    assert!(stage.wait_for_exit());
     golden::check("answers-staff.txt", text.as_bytes());
 }
--- a/tests/pins/forwards.rs
+++ b/tests/pins/forwards.rs
@@ -38,7 +38,7 @@
     client.send(&job("lodge", "a2", "3.000").replace("/lodge/7f", "/lodge/7f?x=1"));
     add("a plain job, over the same connection", &worker.receive());
     worker.send(&response("202 Accepted", ""));
-    stage.until("undone=0 call_backs=1");
+    stage.wait_for_counters("undone=0 call_backs=1");
     // The client goes: the job is given up by a call.
     client.send_and_close("");
     add("a job that is given up", &worker.receive());
--- a/tests/pins/log.rs
+++ b/tests/pins/log.rs
@@ -13,9 +13,9 @@
     let target = Server::new("s-00000001");
     let discovery = DiscoveryAgent::new(AgentMode::Answers, &[target.entry("active")]);
     let stage = SchedulerProcess::start_with_control(&[&target], &discovery.server);
-    stage.order("PUT /control/ready");
+    stage.control_request("PUT /control/ready");
     stage.signal("USR1");
-    let line = stage.logged("counters: ");
+    let line = stage.wait_for_log("counters: ");
     let words = line.split(' ').map(|word| match word.split_once('=') {
         Some((name, value)) => format!("{name}={}", if value.ends_with(';') { ";" } else { "" }),
         None => word.to_string(),
@@ -30,13 +30,13 @@
     let target = Server::new("s-00000001");
     let discovery = DiscoveryAgent::new(AgentMode::Answers, &[target.entry("active")]);
     let stage = SchedulerProcess::start_with_control(&[&target], &discovery.server);
-    let (_, first) = stage.first_line.split_once(' ').unwrap();
-    let mut text = format!("<time> {}\n", first.replace(&stage.at.to_string(), "<listen>"));
+    let (_, first) = stage.first_log_line.split_once(' ').unwrap();
+    let mut text = format!("<time> {}\n", first.replace(&stage.address.to_string(), "<listen>"));
     for call in ["workers/s-00000001/offline", "workers/s-00000001/online", "out-of-service", "in-service"] {
         for _ in 0..2 {
-            stage.order(&format!("PUT /control/{call}"));
+            stage.control_request(&format!("PUT /control/{call}"));
             // The name of the module stands before the message, and may be the same word.
-            let said = stage.logged("control: ");
+            let said = stage.wait_for_log("control: ");
             text += &format!("control: {}\n", said.trim_start_matches("control: "));
         }
     }
--- a/tests/pins/restart.rs
+++ b/tests/pins/restart.rs
@@ -38,7 +38,7 @@
 
 /// What the process that serves tells one that starts.
 fn snapshot(platform: &Platform) -> Value {
-    let mut partner = Partner::new(UnixStream::connect(platform.link()).unwrap());
+    let mut partner = Partner::new(UnixStream::connect(platform.restart_socket()).unwrap());
     partner.send(&RestartMessage::Hello { version: PROTOCOL_VERSION });
     match partner.receive() {
         RestartMessage::Snapshot(value) => value,
@@ -65,10 +65,10 @@
     let (discovery, one, two) = (Server::new("d"), Server::new("s-00000001"), Server::new("s-00000002"));
     let platform = Platform::new();
     let stage = SchedulerProcess::start_on_platform(&[&one, &two], &discovery, &platform);
-    stage.ready();
-    stage.order("PUT /control/workers/s-00000002/offline");
-    stage.order("PUT /control/workers/s-00000001/offline");
-    stage.order("PUT /control/workers/s-00000001/online");
+    stage.wait_until_ready();
+    stage.control_request("PUT /control/workers/s-00000002/offline");
+    stage.control_request("PUT /control/workers/s-00000001/offline");
+    stage.control_request("PUT /control/workers/s-00000001/online");
     let mut client = stage.connect();
     client.send(&job("view", "a1", "3.000"));
     let mut worker = one.accept();
@@ -76,7 +76,7 @@
     worker.send("HTTP/1.1 202 Accepted\r\nX-Backend-Load: inflight=1,x0=3\r\nContent-Length: 0\r\n\r\n");
     stage.call_back(r#"{"id":"a1","from":"s-00000001","state":"done","result":"r"}"#);
     client.receive();
-    stage.order("PUT /control/out-of-service");
+    stage.control_request("PUT /control/out-of-service");
     let mut value = snapshot(&platform);
     // The order of the list is none.
     for list in ["/list/hosts", "/carried/workers"] {
@@ -95,9 +95,9 @@
     let (discovery, target) = (Server::new("d"), Server::new("s-00000001"));
     let platform = Platform::new();
     let mut stage = SchedulerProcess::start_on_platform(&[&target], &discovery, &platform);
-    stage.ready();
+    stage.wait_until_ready();
     stage.reload(r#""name":"lodge""#, r#""name":"sign""#);
-    stage.logged("configuration reloaded");
+    stage.wait_for_log("configuration reloaded");
     let kept = std::fs::read_to_string(platform.folder.path().join("loomlb-127.0.0.1-0.json")).unwrap();
     let in_force: Value = serde_json::from_str(stage.config()).unwrap();
     assert_eq!(kept, in_force.to_string());
@@ -132,7 +132,7 @@
     let mut offered: Value = serde_json::from_str(&text).unwrap();
     let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap().as_nanos() as i64;
     make_recent(&mut offered, now - RECORDED);
-    let predecessor = UnixListener::bind(platform.link()).unwrap();
+    let predecessor = UnixListener::bind(platform.restart_socket()).unwrap();
     let told = offered.clone();
     let link = std::thread::spawn(move || {
         let (stream, _) = predecessor.accept().unwrap();
@@ -146,11 +146,11 @@
     });
     let stage = SchedulerProcess::start_on_platform(&[], &discovery.server, &platform);
     let _partner = link.join().unwrap();
-    stage.ready();
+    stage.wait_until_ready();
     // Orders, the state of the service and the list are the predecessor's.
-    let state = stage.order("GET /control/ready");
+    let state = stage.control_request("GET /control/ready");
     assert!(state.contains(r#""service":"draining","workers_out":["s-00000002"]"#), "{state}");
-    stage.order("PUT /control/in-service");
+    stage.control_request("PUT /control/in-service");
     let mut client = stage.connect();
     client.send(&job("view", "b1", "3.000"));
     let mut worker = one.accept();
@@ -159,7 +159,7 @@
     // What it passes on itself is what it was told, but for what the job and the orders have changed.
     let mut passed_on = Value::Null;
     until("its own socket", || {
-        if platform.link().exists() && UnixStream::connect(platform.link()).is_ok() {
+        if platform.restart_socket().exists() && UnixStream::connect(platform.restart_socket()).is_ok() {
             passed_on = snapshot(&platform);
         }
         !passed_on.is_null()
--- a/tests/sockets.rs
+++ b/tests/sockets.rs
@@ -90,7 +90,7 @@
     let (discovery, one, two) = (Server::new("d"), Server::new("s-00000001"), Server::new("s-00000002"));
     let stage = SchedulerProcess::start(&[&one], &discovery);
     let silent = discovery.accept();
-    assert_snapshot!(stage.ask("GET /healthz HTTP/1.1\r\n\r\n"), @"HTTP/1.1 200 OK | ready");
+    assert_snapshot!(stage.request("GET /healthz HTTP/1.1\r\n\r\n"), @"HTTP/1.1 200 OK | ready");
     let mut news = discovery.accept();
     let mut said = vec![news.receive()];
     news.send(&response("200 OK", &list(7, true, &[two.entry("active")])));
@@ -132,7 +132,7 @@
         "POST /v1/job-events HTTP/1.1\r\nContent-Length: 2\r\n\r\n{}",
     ]
     .iter()
-    .map(|text| stage.ask(text))
+    .map(|text| stage.request(text))
     .collect();
     assert_snapshot!(said.join("\n"), @r"
     HTTP/1.1 400 Bad Request | malformed request
@@ -168,7 +168,7 @@
         assert!(line.receive_response().contains("ready"));
         open.push(line);
     }
-    assert!(stage.descriptors() <= 64, "{}", stage.descriptors());
+    assert!(stage.descriptor_count() <= 64, "{}", stage.descriptor_count());
 }
 
 #[test]
@@ -205,7 +205,7 @@
     forward.receive();
     forward.send(&response("202 Accepted", ""));
     stage.signal("TERM");
-    stage.logged("asked to end");
+    stage.wait_for_log("asked to end");
     let mut late = stage.connect();
     late.send(&job("view", "a2", "5.000"));
     forward.receive();
@@ -226,7 +226,7 @@
     assert!(left < 3.5, "{left}");
     forward.send(&response("202 Accepted", ""));
     assert!(client.receive_response().starts_with("HTTP/1.1 5"));
-    assert!(late.wait_until_closed() && stage.ended());
+    assert!(late.wait_until_closed() && stage.wait_for_exit());
 }
 
 #[test]
@@ -281,12 +281,12 @@
     old.receive();
     let (here, there) = (discovery.address().to_string(), elsewhere.address().to_string());
     stage.reload(&here, "here");
-    assert_snapshot!(stage.logged("configuration: "), @r#"discovery: "here" is not an address of the form IP:PORT; keeping the active one"#);
+    assert_snapshot!(stage.wait_for_log("configuration: "), @r#"discovery: "here" is not an address of the form IP:PORT; keeping the active one"#);
     stage.reload(
         r#""here","seed":"2a","limits":{"#,
         &format!(r#""{there}","seed":"2b","limits":{{"cores":1,"#),
     );
-    assert_snapshot!(stage.logged("configuration: "), @"limits: changed, takes effect at the next start");
+    assert_snapshot!(stage.wait_for_log("configuration: "), @"limits: changed, takes effect at the next start");
     let mut new = elsewhere.accept();
     let mut said = vec![new.receive().lines().next().unwrap().to_string()];
     assert!(old.wait_until_closed());
@@ -311,7 +311,7 @@
     drop((client, other, held));
     stage.signal("TERM");
     stage.signal("HUP");
-    assert!(stage.ended());
+    assert!(stage.wait_for_exit());
 }
 
 #[test]
@@ -480,7 +480,7 @@
         watch.send(&response("200 OK", &list(seq, true, std::slice::from_ref(&strange))));
         watch.receive();
     }
-    let said = [stage.logged("discovery: discovery: "), stage.logged("discovery: discovery: ")];
+    let said = [stage.wait_for_log("discovery: discovery: "), stage.wait_for_log("discovery: discovery: ")];
     assert_snapshot!(said.join("\n"), @r#"
     s-00000001: site "far" is not in the settings, target used anyway
     s-00000001: class "odd" is not in the settings, target used anyway
--- a/tests/standing_terms.rs
+++ b/tests/standing_terms.rs
@@ -76,7 +76,7 @@
 
 /// Serves every job that comes to these workers from now on, for as long as the test runs.
 fn serve_all(scheduler: &SchedulerProcess, workers: &[&Server]) {
-    let (comers, at) = (IncomingConnections::new(workers), scheduler.at);
+    let (comers, at) = (IncomingConnections::new(workers), scheduler.address);
     std::thread::spawn(move || {
         while let Some((worker, line)) = comers.next_unbounded() {
             std::thread::spawn(move || serve_connection(line, &worker, at));
@@ -103,7 +103,7 @@
 /// Whether a job of a new client is served by this worker.
 fn is_served_by(scheduler: &SchedulerProcess, worker: &Server, id: &str) -> bool {
     // A subject of its own, so that no worker is preferred for it.
-    scheduler.ask(&job("view", id, "3.000").replace("/7f", &format!("/{id}")))
+    scheduler.request(&job("view", id, "3.000").replace("/7f", &format!("/{id}")))
         == format!("HTTP/1.1 200 OK | {}", worker.name)
 }
 
@@ -208,7 +208,7 @@
     }
     std::thread::scope(|scope| {
         for n in 0..REQUESTS {
-            let (at, class) = (scheduler.at, ["view", "lodge"][n % 2]);
+            let (at, class) = (scheduler.address, ["view", "lodge"][n % 2]);
             scope.spawn(move || {
                 let mut client = connect(at);
                 client.send(&last_job(class, &format!("a{n}"), "1.000"));
@@ -284,7 +284,7 @@
                 if used_before && stop.is_empty() {
                     continue;
                 }
-                let at = scheduler.at;
+                let at = scheduler.address;
                 scope.spawn(move || {
                     let begun = Instant::now();
                     let mut client = connect(at);
@@ -301,7 +301,7 @@
             }
         }
         // One that goes on byte by byte, and never comes to an end, is no better.
-        let at = scheduler.at;
+        let at = scheduler.address;
         scope.spawn(move || {
             let (begun, mut client) = (Instant::now(), connect(at));
             client.send(&whole[..40]);
@@ -326,7 +326,7 @@
     let scheduler = SchedulerProcess::start(&known, &discovery.server);
     let answers: Vec<String> = std::thread::scope(|scope| {
         let one = |n: usize| {
-            let at = scheduler.at;
+            let at = scheduler.address;
             move || {
                 let mut client = connect(at);
                 let _ = client.try_send(&last_job("lodge", &format!("a{n}"), "0.600"));
@@ -409,7 +409,7 @@
     std::thread::scope(|scope| {
         for n in 0..30 {
             let (millis, class) = ([5, 50, 200][n % 3], ["view", "lodge"][n % 2]);
-            let at = scheduler.at;
+            let at = scheduler.address;
             scope.spawn(move || {
                 let id = format!("a{n}-{millis}");
                 let mut client = connect(at);
@@ -446,7 +446,7 @@
     let mut client = scheduler.connect();
     client.send(&last_job("view", "a1", "5.000"));
     let sent = Instant::now();
-    scheduler.until("forwards=1 dials=1");
+    scheduler.wait_for_counters("forwards=1 dials=1");
     scheduler.freeze();
     narrow.free_backlog();
     let mut forward = narrow.server.accept();
@@ -476,7 +476,7 @@
     std::thread::scope(|scope| {
         let clients: Vec<_> = (0..24)
             .map(|n| {
-                let (at, seconds) = (scheduler.at, ["0.050", "0.200", "0.700"][n % 3]);
+                let (at, seconds) = (scheduler.address, ["0.050", "0.200", "0.700"][n % 3]);
                 scope.spawn(move || {
                     for turn in 0..4 {
                         let whole = Duration::from_secs_f64(seconds.parse().unwrap());
@@ -514,13 +514,13 @@
     discovery.wait_for_calls("from=2", 1);
     let mut client = scheduler.connect();
     client.send(&job("view", "a1", "19.000"));
-    scheduler.until("forwards=1 dials=1");
+    scheduler.wait_for_counters("forwards=1 dials=1");
     scheduler.freeze();
     narrow.free_backlog();
     let line = narrow.server.accept();
     discovery.publish(&[narrow.server.entry("leaving"), two.entry("active")]);
     let told = Instant::now();
-    let (at, draining) = (scheduler.at, narrow.server.name.clone());
+    let (at, draining) = (scheduler.address, narrow.server.name.clone());
     std::thread::spawn(move || serve_connection(line, &draining, at));
     serve_all(&scheduler, &[&two]);
     std::thread::sleep(HOLD_UP);
@@ -568,7 +568,7 @@
     }
     std::thread::sleep(HOLD_UP);
     scheduler.signal("CONT");
-    scheduler.until("flows=8 gone=8");
+    scheduler.wait_for_counters("flows=8 gone=8");
     // The first job that the other worker hears is that of a client that waits.
     let mut client = scheduler.connect();
     client.send(&job("view", "b1", "19.000"));
@@ -598,7 +598,7 @@
     let short = (r#""aim":900000000,"give_up":5000000000"#, r#""aim":200000000,"give_up":500000000"#);
     let changes = [short, TWO_SCHEDULERS, MANY_SOCKETS];
     let mut scheduler = SchedulerProcess::start_with_changes(&known, &discovery.server, &changes);
-    let at = scheduler.at;
+    let at = scheduler.address;
     let requests: Mutex<Vec<Sent>> = Mutex::default();
     let over = AtomicBool::new(false);
     let (asked, kill) = std::thread::scope(|scope| {
@@ -646,7 +646,7 @@
         scheduler.signal("TERM");
         let asked = Instant::now();
         std::thread::sleep(KILL_AFTER.saturating_sub(asked.elapsed()));
-        let kill = scheduler.lives().then(Instant::now);
+        let kill = scheduler.is_running().then(Instant::now);
         drop(ends_clients);
         if kill.is_some() {
             scheduler.signal("KILL");
@@ -667,7 +667,7 @@
             found_open.map(|request| kill.saturating_duration_since(request.sent)).collect();
         assert!(waited.iter().all(|waited| *waited < HOLD_UP), "{waited:?}");
     } else {
-        let counters = scheduler.logged("counters: ");
+        let counters = scheduler.wait_for_log("counters: ");
         let number = |name: &str| -> usize {
             let mut words = counters.split([' ', ';']).filter_map(|word| word.split_once('='));
             words.find(|word| word.0 == name).unwrap().1.parse().unwrap()
@@ -691,7 +691,7 @@
     client.send("GET /healthz HTTP/1.1\r\n\r\n");
     assert!(client.receive_response().ends_with("ready"));
     scheduler.signal("TERM");
-    scheduler.logged("asked to end");
+    scheduler.wait_for_log("asked to end");
     std::thread::sleep(Duration::from_millis(800));
     let all: String = (0..4).map(|n| job("lodge", &format!("a{n}"), "3.000")).collect();
     client.send(&all);
@@ -706,7 +706,7 @@
         ]
     );
     assert!(client.wait_until_closed());
-    assert!(scheduler.ended());
+    assert!(scheduler.wait_for_exit());
 }
 
 // ---- connections of workers that end
@@ -849,7 +849,7 @@
     assert!(returned.elapsed() < TOLD, "{:?}", returned.elapsed());
     serve_at(&pushed, &two, "b2");
     serve_at(&asked, &two, "b3");
-    assert!(ending.ended());
+    assert!(ending.wait_for_exit());
 }
 
 /// New configurations come in quick succession, each with another discovery, and requests cross them: every one is served,
@@ -866,7 +866,7 @@
         SchedulerProcess::start_with_changes(&[&workers[0]], &agents[0].server, &[MANY_SOCKETS]);
     serve_all(&scheduler, &workers.iter().collect::<Vec<_>>());
     agents[0].wait_for_calls("from=2", 1);
-    let (at, over, served) = (scheduler.at, AtomicBool::new(false), Mutex::new(0));
+    let (at, over, served) = (scheduler.address, AtomicBool::new(false), Mutex::new(0));
     std::thread::scope(|scope| {
         let ends_clients = EndsClients(&over);
         for n in 0..4 {
@@ -903,5 +903,5 @@
         drop(ends_clients);
     });
     assert!(*served.lock().unwrap() > 20, "{served:?}");
-    assert!(scheduler.lives());
+    assert!(scheduler.is_running());
 }
--- a/tests/system_calls.rs
+++ b/tests/system_calls.rs
@@ -60,7 +60,7 @@
                 let plan = FaultPlan::new().unwrap();
                 plan.fail_after(call, errno, place as u64, 3);
                 let stage = SchedulerProcess::start_with_faults(&plan, &[&target], &discovery, ALL_ADDRESSES);
-                assert_eq!(stage.ask(HEALTH), "HTTP/1.1 200 OK | ready", "{call:?} of {key}: {errno}");
+                assert_eq!(stage.request(HEALTH), "HTTP/1.1 200 OK | ready", "{call:?} of {key}: {errno}");
                 assert!(plan.hits(call) == 3, "{call:?} of {key}: {errno}: {}", plan.hits(call));
             }
         }
@@ -80,7 +80,7 @@
         });
         SchedulerProcess::start_with_faults(&plan, &[&target], &discovery, ALL_ADDRESSES)
     });
-    assert_eq!(stage.ask(HEALTH), "HTTP/1.1 200 OK | ready");
+    assert_eq!(stage.request(HEALTH), "HTTP/1.1 200 OK | ready");
     assert!(plan.hits(Call::Socket) > 3);
 }
 
@@ -166,7 +166,7 @@
         SchedulerProcess::start_with_faults(&plan, &[&target], &discovery, r#""control":"127.0.0.1:0","#);
     for errno in GONE.into_iter().chain([libc::EMFILE, libc::ENFILE, libc::ENOBUFS, libc::ENOMEM]) {
         plan.fail(Call::Accept, errno, 3);
-        assert!(stage.order("GET /control/ready").starts_with("HTTP/1.1 200"), "{errno}");
+        assert!(stage.control_request("GET /control/ready").starts_with("HTTP/1.1 200"), "{errno}");
     }
 }
 
@@ -177,13 +177,13 @@
     // Of the process before: its second address is bound first, then the socket by which it is found.
     plan.fail_after(Call::Bind, libc::ENOBUFS, 1, 2);
     let before = SchedulerProcess::start_on_platform_with_faults(&plan, &[&target], &discovery, &platform);
-    until("it can be found", || platform.link().exists());
+    until("it can be found", || platform.restart_socket().exists());
     plan.fail(Call::Accept, libc::ECONNABORTED, 3);
     let its = FaultPlan::new().unwrap();
     // The process after binds its second address, then connects to the one before.
     its.fail(Call::Connect, libc::EAGAIN, 2);
     let after = SchedulerProcess::start_on_platform_with_faults(&its, &[], &discovery, &platform);
-    after.logged("taken over from the predecessor");
+    after.wait_for_log("taken over from the predecessor");
     assert_eq!((plan.hits(Call::Accept), its.hits(Call::Connect)), (3, 2));
     drop(before);
 }
@@ -219,7 +219,7 @@
         plan.fail(Call::Connect, errno, WITHOUT_END);
         // One ends with the time to connect, the other with its own.
         for (id, seconds) in [("a", "3.0"), ("b", "0.3")] {
-            assert!(stage.ask(&job("lodge", id, seconds)).starts_with("HTTP/1.1 503"), "{errno}");
+            assert!(stage.request(&job("lodge", id, seconds)).starts_with("HTTP/1.1 503"), "{errno}");
         }
         assert_eq!(stage.counters(&["NoConnection", "NotSent"]), "NoConnection=0 NotSent=2", "{errno}");
     }
@@ -264,7 +264,7 @@
         // Another process, as the idle connection to the target would be used again.
         let (plan, stage, _discovery) = settled(&[&target]);
         plan.fail(Call::Connect, errno, WITHOUT_END);
-        assert!(stage.ask(&job("lodge", "b", "3.0")).starts_with("HTTP/1.1 503"), "{errno}");
+        assert!(stage.request(&job("lodge", "b", "3.0")).starts_with("HTTP/1.1 503"), "{errno}");
         assert_eq!(stage.counters(&["NoConnection", "NotSent"]), "NoConnection=1 NotSent=0", "{errno}");
     }
 }
@@ -311,7 +311,7 @@
             stage.call_back(&done(&target, id));
             assert_eq!(client.receive_response(), "HTTP/1.1 200 OK | yes", "{bytes} bytes: {id}");
         }
-        assert!(stage.order("GET /control/ready").starts_with("HTTP/1.1 200"));
+        assert!(stage.control_request("GET /control/ready").starts_with("HTTP/1.1 200"));
         assert_eq!(
             stage.counters(&["served", "forwards", "list_faults"]),
             "served=3 forwards=3 list_faults=0"
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -26,8 +26,8 @@
     let (discovery, one, two) = (Server::new("d"), Server::new("s-00000001"), Server::new("s-00000002"));
     let platform = Platform::new();
     let mut old = SchedulerProcess::start_on_platform(&[&one, &two], &discovery, &platform);
-    old.ready();
-    assert!(old.order("PUT /control/workers/s-00000002/offline").starts_with("HTTP/1.1 200"));
+    old.wait_until_ready();
+    assert!(old.control_request("PUT /control/workers/s-00000002/offline").starts_with("HTTP/1.1 200"));
     // One client has had an answer and keeps its connection, one has said nothing yet, one waits for its job.
     let (mut kept, mut silent, mut waits) = (old.connect(), old.connect(), old.connect());
     kept.send(&job("view", "a1", "3.000"));
@@ -38,12 +38,15 @@
     waits.send(&job("lodge", "a2", "4.000"));
     take(&mut target, "a2");
     let new = SchedulerProcess::start_on_platform(&[&one, &two], &discovery, &platform);
-    new.ready();
-    assert!(old.order("GET /control/ready").ends_with(r#"{"why":"handed over","yes":false}"#));
+    new.wait_until_ready();
+    assert!(old.control_request("GET /control/ready").ends_with(r#"{"why":"handed over","yes":false}"#));
     // An order at either address is one of the scheduler's, and what was ordered before still holds.
-    assert!(old.order("PUT /control/out-of-service").starts_with("HTTP/1.1 200"));
-    assert!(new.ask("GET /healthz HTTP/1.1\r\n\r\n").starts_with("HTTP/1.1 503"));
-    assert!(new.order("PUT /control/in-service").contains(r#""service":"in","workers_out":["s-00000002"]"#));
+    assert!(old.control_request("PUT /control/out-of-service").starts_with("HTTP/1.1 200"));
+    assert!(new.request("GET /healthz HTTP/1.1\r\n\r\n").starts_with("HTTP/1.1 503"));
+    assert!(
+        new.control_request("PUT /control/in-service")
+            .contains(r#""service":"in","workers_out":["s-00000002"]"#)
+    );
     // Kept connections go on: the new process serves what comes on them, over the connection to the target.
     for (client, id) in [(&mut kept, "b1"), (&mut silent, "b2")] {
         client.send(&job("view", id, "3.000"));
@@ -54,7 +57,7 @@
     // The call-back for the open flow comes to the process that does not have it.
     assert!(new.call_back(&done(&one, "a2")).ends_with("noted"));
     assert!(waits.receive_response().ends_with("a2"));
-    assert!(old.ended(), "the old process ends by itself");
+    assert!(old.wait_for_exit(), "the old process ends by itself");
     waits.send(&job("view", "b3", "3.000"));
     take(&mut target, "b3");
     new.call_back(&done(&one, "b3"));
@@ -65,8 +68,8 @@
     );
     // A second upgrade after the first.
     let third = SchedulerProcess::start_on_platform(&[&one, &two], &discovery, &platform);
-    third.ready();
-    assert!(third.order("GET /control/ready").contains(r#""workers_out":["s-00000002"]"#));
+    third.wait_until_ready();
+    assert!(third.control_request("GET /control/ready").contains(r#""workers_out":["s-00000002"]"#));
 }
 
 #[test]
@@ -74,17 +77,17 @@
     let (discovery, target) = (Server::new("d"), Server::new("s-00000001"));
     let platform = Platform::new();
     let old = SchedulerProcess::start_on_platform(&[&target], &discovery, &platform);
-    old.ready();
+    old.wait_until_ready();
     let mut waits = old.connect();
     waits.send(&job("lodge", "a1", "4.900"));
     let mut line = target.accept();
     take(&mut line, "a1");
     for _ in 0..2 {
         let new = SchedulerProcess::start_on_platform(&[&target], &discovery, &platform);
-        new.ready();
+        new.wait_until_ready();
         drop(new);
-        old.ready();
-        assert!(old.ask("GET /healthz HTTP/1.1\r\n\r\n").ends_with("ready"));
+        old.wait_until_ready();
+        assert!(old.request("GET /healthz HTTP/1.1\r\n\r\n").ends_with("ready"));
     }
     old.call_back(&done(&target, "a1"));
     assert!(waits.receive_response().ends_with("a1"));
@@ -94,19 +97,19 @@
 fn a_process_starts_from_its_configuration_beside_leftovers_and_strangers() {
     let (discovery, target) = (Server::new("d"), Server::new("s-00000001"));
     let platform = Platform::new();
-    std::fs::write(platform.link(), "leftover").unwrap();
+    std::fs::write(platform.restart_socket(), "leftover").unwrap();
     let left = SchedulerProcess::start_on_platform(&[&target], &discovery, &platform);
-    left.ready();
+    left.wait_until_ready();
     drop(left);
-    assert!(platform.link().exists(), "a socket that nobody listens at stays behind");
+    assert!(platform.restart_socket().exists(), "a socket that nobody listens at stays behind");
     let old = SchedulerProcess::start_on_platform(&[&target], &discovery, &platform);
-    old.ready();
+    old.wait_until_ready();
     drop(old);
     // Partners that refuse, that end in the midst of a word, that speak another tongue, that say nothing.
     let refused = RestartMessage::Refused("another version".into()).encode(false).unwrap();
     for said in [&refused[..], &refused[..4], b"\x03\0\0\0\0abc", b""] {
-        std::fs::remove_file(platform.link()).unwrap();
-        let stranger = UnixListener::bind(platform.link()).unwrap();
+        std::fs::remove_file(platform.restart_socket()).unwrap();
+        let stranger = UnixListener::bind(platform.restart_socket()).unwrap();
         let (say, stays) = (said.to_vec(), said.is_empty());
         let partner = std::thread::spawn(move || {
             let (mut stream, _) = stranger.accept().unwrap();
@@ -122,9 +125,9 @@
             let _ = if stays { stream.read(&mut piece) } else { Ok(0) };
         });
         let new = SchedulerProcess::start_on_platform(&[&target], &discovery, &platform);
-        new.ready();
+        new.wait_until_ready();
         partner.join().unwrap();
-        assert!(new.ask("GET /healthz HTTP/1.1\r\n\r\n").ends_with("ready"));
+        assert!(new.request("GET /healthz HTTP/1.1\r\n\r\n").ends_with("ready"));
     }
 }
 
@@ -133,17 +136,17 @@
     let (discovery, target) = (Server::new("d"), Server::new("s-00000001"));
     let platform = Platform::new();
     let mut old = SchedulerProcess::start_on_platform(&[&target], &discovery, &platform);
-    old.ready();
+    old.wait_until_ready();
     old.reload(r#""name":"lodge""#, r#""name":"sign""#);
-    old.logged("configuration reloaded");
+    old.wait_for_log("configuration reloaded");
     let faulty = old.config().replacen("5000000000", "0", 1);
     for (text, fault) in [(&*faulty, "settings.classes[0].give_up: 0 is no number"), ("{", "the file: EOF")] {
         let new = SchedulerProcess::start_on_platform_with_config(&discovery, &platform, text);
-        let said = &new.first_line;
+        let said = &new.first_log_line;
         assert!(said.contains(fault) && said.ends_with("starting with the last accepted one"), "{said}");
-        new.ready();
+        new.wait_until_ready();
         // It runs by what the old one had taken in last.
-        let said = new.ask(&job("lodge", "a1", "3.000"));
+        let said = new.request(&job("lodge", "a1", "3.000"));
         assert!(said.ends_with("unknown class"), "{text}: {said:?}");
         let mut client = new.connect();
         client.send(&job("sign", "a2", "3.000"));
@@ -159,8 +162,8 @@
     let (discovery, target) = (Server::new("d"), Server::new("s-00000001"));
     let platform = Platform::new();
     let mut old = SchedulerProcess::start_on_platform(&[&target], &discovery, &platform);
-    old.ready();
-    let pipe = platform.folder.path().join(format!("loomlb-127.0.0.1-0.{}", old.id()));
+    old.wait_until_ready();
+    let pipe = platform.folder.path().join(format!("loomlb-127.0.0.1-0.{}", old.process_id()));
     assert!(Command::new("mkfifo").arg(&pipe).status().unwrap().success());
     let (begun, go_on) = (channel(), channel());
     let reader = std::thread::spawn(move || {
@@ -174,10 +177,10 @@
     let long = format!(r#""name":"sign","note":"{}""#, "x".repeat(200_000));
     old.reload(r#""name":"lodge""#, &long);
     begun.1.recv_timeout(Duration::from_secs(20)).expect("the file is written");
-    let early = old.says("configuration reloaded", Duration::from_millis(300));
+    let early = old.logs_within("configuration reloaded", Duration::from_millis(300));
     assert!(!early, "a process that starts now would not find what has been reloaded");
     go_on.0.send(()).unwrap();
-    old.logged("configuration reloaded");
+    old.wait_for_log("configuration reloaded");
     assert!(reader.join().unwrap().contains(r#""name":"sign""#));
 }
 
@@ -186,7 +189,7 @@
     let (discovery, target) = (Server::new("d"), Server::new("s-00000001"));
     let (platform, plan) = (Platform::new(), FaultPlan::new().unwrap());
     let mut old = SchedulerProcess::start_on_platform_with_faults(&plan, &[&target], &discovery, &platform);
-    old.ready();
+    old.wait_until_ready();
     let file = platform.folder.path().join("loomlb-127.0.0.1-0.json");
     let kept = || std::fs::read_to_string(&file).unwrap();
     let before = kept();
@@ -195,10 +198,10 @@
     plan.limit(Limit::FileWrite, 40);
     plan.fail_after(Call::FileWrite, libc::ENOSPC, 1, WITHOUT_END);
     old.reload(r#""name":"lodge""#, r#""name":"sign""#);
-    old.logged("configuration reloaded");
+    old.wait_for_log("configuration reloaded");
     assert_eq!(kept(), before, "the file of before, complete");
     let names = || std::fs::read_dir(platform.folder.path()).unwrap().map(|entry| entry.unwrap().file_name());
-    let fresh = format!("loomlb-127.0.0.1-0.{}", old.id());
+    let fresh = format!("loomlb-127.0.0.1-0.{}", old.process_id());
     assert!(!names().any(|name| name == *fresh), "a half-written file is left");
     plan.pass(Call::FileWrite);
     plan.limit(Limit::FileWrite, 0);
--- a/tests/wall_clock.rs
+++ b/tests/wall_clock.rs
@@ -120,7 +120,7 @@
             &platform,
             &changes,
         );
-        old.ready();
+        old.wait_until_ready();
         discovery.wait_for_calls("from=2", 1);
         discovery.publish(&[born_now(&worker)]);
         discovery.wait_for_calls("from=3", 1);
@@ -131,7 +131,7 @@
             &platform,
             &changes,
         );
-        new.ready();
+        new.wait_until_ready();
         stays_within_the_cold_budget(&new, step);
     }
 }
@@ -144,14 +144,14 @@
         let (discovery, target) = (Server::new("d"), Server::new("s-00000001"));
         let (platform, plan) = (Platform::new(), FaultPlan::new().unwrap());
         let old = SchedulerProcess::start_on_platform_with_faults(&plan, &[&target], &discovery, &platform);
-        old.ready();
+        old.wait_until_ready();
         let mut kept = old.connect();
-        assert!(old.order("PUT /control/out-of-service").starts_with("HTTP/1.1 200"));
+        assert!(old.control_request("PUT /control/out-of-service").starts_with("HTTP/1.1 200"));
         plan.step_wall_clock(step);
         assert!(kept.wait_until_closed(), "{step} ns");
         let new = SchedulerProcess::start_on_platform_with_faults(&plan, &[&target], &discovery, &platform);
-        new.ready();
-        assert!(new.order("GET /control/ready").contains(r#""service":"draining""#));
+        new.wait_until_ready();
+        assert!(new.control_request("GET /control/ready").contains(r#""service":"draining""#));
         // The time for jobs is over, as the first process has shown: none is taken any more.
         let mut late = new.connect();
         let _ = late.try_send(&job("view", "a1", "0.500"));
@@ -175,15 +175,15 @@
     let keyed = format!(r#""effect":"deduplicated","group":"cell","repeat_window":{window}"#);
     let changes = [PATIENT, SLOW_DIALS, (r#""effect":"idempotent""#, &*keyed)];
     let stage = SchedulerProcess::start_with_changes_and_faults(&plan, &discovery.server, &changes);
-    stage.until("lists=1");
+    stage.wait_for_counters("lists=1");
     let mut client = stage.connect();
     client.send(&job("view", "a1", "19.000").replace("X-Service", "Idempotency-Key: k\r\nX-Service"));
     let mut first = one.accept();
     assert!(first.receive().contains("Idempotency-Key: k\r\n"));
     discovery.publish(&[one.entry("leaving"), narrow.server.entry("active")]);
-    stage.until("forwards=1 lists=2");
+    stage.wait_for_counters("forwards=1 lists=2");
     drop(first);
-    stage.until("forwards=2 Reset=1 dials=2");
+    stage.wait_for_counters("forwards=2 Reset=1 dials=2");
     plan.step_wall_clock(step);
     std::thread::sleep(wait);
     narrow.free_backlog();
