--- a/tests/harness/mod.rs
+++ b/tests/harness/mod.rs
@@ -94,7 +94,7 @@
     pub fn accept(&self) -> HttpConnection {
         self.listener.set_nonblocking(true).unwrap();
         let mut came = None;
-        until("a connection", || {
+        wait_until("a connection", || {
             came = self.listener.accept().ok();
             came.is_some()
         });
@@ -229,12 +229,12 @@
     }
     /// Waits until there have been so many calls with these words in them.
     pub fn wait_for_calls(&self, words: &str, count: usize) {
-        until(&format!("{count} calls with {words}"), || self.calls_containing(words).len() >= count);
+        wait_until(&format!("{count} calls with {words}"), || self.calls_containing(words).len() >= count);
     }
 }
 
 /// Waits for something to become true.
-pub fn until(what: &str, mut is: impl FnMut() -> bool) {
+pub fn wait_until(what: &str, mut is: impl FnMut() -> bool) {
     let begun = Instant::now();
     while !is() {
         assert!(begun.elapsed() < LONG, "{what}: not within {LONG:?}");
@@ -543,7 +543,7 @@
     pub fn freeze(&self) {
         self.signal("STOP");
         let state = format!("/proc/{}/stat", self.child.id());
-        until("it stands still", || std::fs::read_to_string(&state).unwrap().contains(") T "));
+        wait_until("it stands still", || std::fs::read_to_string(&state).unwrap().contains(") T "));
     }
     /// The counters named, as of now.
     pub fn counters(&self, names: &[&str]) -> String {
--- a/tests/pins/answers.rs
+++ b/tests/pins/answers.rs
@@ -114,7 +114,7 @@
     line.send("GET /healthz HTTP/1.1\r\nConnection: close\r\n\r\n");
     add(&mut text, "health", &line.receive());
     let mut last = String::new();
-    crate::harness::until("jobs are taken no more", || {
+    crate::harness::wait_until("jobs are taken no more", || {
         let mut line = stage.connect();
         line.send(&good_job("lodge", "b1"));
         last = line.receive();
--- a/tests/pins/restart.rs
+++ b/tests/pins/restart.rs
@@ -2,7 +2,9 @@
 //! successor starts from. Frames and messages are pinned in their own package.
 
 use crate::golden;
-use crate::harness::{AgentMode, DiscoveryAgent, Platform, SchedulerProcess, Server, job, response, until};
+use crate::harness::{
+    AgentMode, DiscoveryAgent, Platform, SchedulerProcess, Server, job, response, wait_until,
+};
 use loomlb_hot_restart::message::{FrameDecoder, PROTOCOL_VERSION, RestartMessage};
 use serde_json::Value;
 use std::io::{Read, Write};
@@ -158,7 +160,7 @@
     worker.send(&response("202 Accepted", ""));
     // What it passes on itself is what it was told, but for what the job and the orders have changed.
     let mut passed_on = Value::Null;
-    until("its own socket", || {
+    wait_until("its own socket", || {
         if platform.restart_socket().exists() && UnixStream::connect(platform.restart_socket()).is_ok() {
             passed_on = snapshot(&platform);
         }
--- a/tests/pins/tier.rs
+++ b/tests/pins/tier.rs
@@ -21,7 +21,7 @@
 /// The same, again while no majority has agreed in time: on a busy machine that is an answer to any proposal.
 fn agreed(rig: &Rig, n: usize, what: &str, body: &str) -> String {
     let mut answer = String::new();
-    crate::harness::until(what, || {
+    crate::harness::wait_until(what, || {
         answer = call(rig, n, what, body);
         !answer.contains("no majority")
     });
@@ -134,7 +134,7 @@
     assert!(rig.until(|rig| rig.all_on(&all, 4)));
     add("a worker that is out already", &call(&rig, 1, "PUT /control/workers/s-00000001/offline", ""));
     let (mut head, mut status) = (String::new(), Value::Null);
-    crate::harness::until("a status at rest", || {
+    crate::harness::wait_until("a status at rest", || {
         let answer = call(&rig, 0, "GET /control/tier", "");
         let (first, body) = answer.split_once("\r\n\r\n").unwrap();
         head = first.into();
@@ -153,7 +153,7 @@
         (out.status.code(), serde_json::from_slice::<Value>(&out.stdout).unwrap(), out.stdout)
     };
     let (mut code, mut value, mut bytes) = printed(&["status"]);
-    crate::harness::until("a status at rest", || {
+    crate::harness::wait_until("a status at rest", || {
         (code, value, bytes) = printed(&["status"]);
         at_rest(&value, 4)
     });
@@ -166,7 +166,7 @@
     let masks = [(path, "<file>"), (&*rig.control(0).to_string(), "<control>")];
     for args in [&["propose", path][..], &["propose", path, "--after", "1"], &["wait", "4"]] {
         let mut said = String::new();
-        crate::harness::until("an outcome", || {
+        crate::harness::wait_until("an outcome", || {
             said = command_line(&rig, args, &masks);
             !said.contains("no majority")
         });
--- a/tests/standing_terms.rs
+++ b/tests/standing_terms.rs
@@ -5,7 +5,7 @@
 
 use harness::{
     AgentMode, DiscoveryAgent, FullBacklogServer, HttpConnection, IncomingConnections, SchedulerProcess,
-    Server, job, list, response, until,
+    Server, job, list, response, wait_until,
 };
 use std::collections::HashMap;
 use std::net::{SocketAddr, TcpStream};
@@ -794,7 +794,7 @@
     let scheduler = SchedulerProcess::start_with_changes(&[], &discovery, &[asks, bound]);
     calls.recv_timeout(Duration::from_secs(10)).unwrap();
     let first_call = Instant::now();
-    until("a list", || scheduler.counters(&["lists"]) != "lists=0");
+    wait_until("a list", || scheduler.counters(&["lists"]) != "lists=0");
     assert!(first_call.elapsed() < Duration::from_secs(6), "{:?}", first_call.elapsed());
     let mut client = scheduler.connect();
     client.send(&job("view", "a1", "3.000"));
@@ -894,7 +894,7 @@
         let last = &agents[CONFIGURATIONS - 1];
         last.wait_for_calls("GET /v1/servers HTTP", 1);
         let asked = Instant::now();
-        until("the last list", || is_served_by(&scheduler, &workers[CONFIGURATIONS - 1], "b0"));
+        wait_until("the last list", || is_served_by(&scheduler, &workers[CONFIGURATIONS - 1], "b0"));
         // After SIGHUP what discovery has counts 4 s later.
         assert!(asked.elapsed() < Duration::from_secs(4), "{:?}", asked.elapsed());
         for n in 0..10 {
--- a/tests/system_calls.rs
+++ b/tests/system_calls.rs
@@ -4,7 +4,7 @@
 
 use harness::{
     AgentMode, DiscoveryAgent, FullBacklogServer, IncomingConnections, Platform, SchedulerProcess, Server,
-    job, response, until,
+    job, response, wait_until,
 };
 use loomlb_emulator::rig::{self, Rig};
 use loomlb_emulator::{Options, Stop};
@@ -177,7 +177,7 @@
     // Of the process before: its second address is bound first, then the socket by which it is found.
     plan.fail_after(Call::Bind, libc::ENOBUFS, 1, 2);
     let before = SchedulerProcess::start_on_platform_with_faults(&plan, &[&target], &discovery, &platform);
-    until("it can be found", || platform.restart_socket().exists());
+    wait_until("it can be found", || platform.restart_socket().exists());
     plan.fail(Call::Accept, libc::ECONNABORTED, 3);
     let its = FaultPlan::new().unwrap();
     // The process after binds its second address, then connects to the one before.
@@ -200,7 +200,7 @@
         let mut client = stage.connect();
         client.send(&job("lodge", "a", "3.0"));
         let before = plan.hits(call);
-        until("it is tried again", || plan.hits(call) >= before + 4);
+        wait_until("it is tried again", || plan.hits(call) >= before + 4);
         plan.pass(call);
         serve(&stage, &target, "a");
         assert_eq!(client.receive_response(), "HTTP/1.1 200 OK | yes", "{call:?}: {errno}");
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -2,7 +2,7 @@
 
 mod harness;
 
-use harness::{HttpConnection, Platform, SchedulerProcess, Server, job, response, until};
+use harness::{HttpConnection, Platform, SchedulerProcess, Server, job, response, wait_until};
 use loomlb_fault_plan::{Call, FaultPlan, Limit, WITHOUT_END};
 use loomlb_hot_restart::message::{FrameDecoder, PROTOCOL_VERSION, RestartMessage};
 use std::io::{Read, Write};
@@ -205,7 +205,7 @@
     assert!(!names().any(|name| name == *fresh), "a half-written file is left");
     plan.pass(Call::FileWrite);
     plan.limit(Limit::FileWrite, 0);
-    until("the reload is kept", || kept().contains(r#""name":"sign""#));
+    wait_until("the reload is kept", || kept().contains(r#""name":"sign""#));
 }
 
 #[test]
--- a/tests/wall_clock.rs
+++ b/tests/wall_clock.rs
@@ -3,7 +3,9 @@
 
 mod harness;
 
-use harness::{AgentMode, DiscoveryAgent, FullBacklogServer, Platform, SchedulerProcess, Server, job, until};
+use harness::{
+    AgentMode, DiscoveryAgent, FullBacklogServer, Platform, SchedulerProcess, Server, job, wait_until,
+};
 use loomlb_fault_plan::FaultPlan;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
@@ -99,7 +101,7 @@
         discovery.wait_for_calls("from=2", 1);
         discovery.publish(&[born_now(&worker)]);
         discovery.wait_for_calls("from=3", 1);
-        until(&format!("{step} ns: {WARM_SENDS} calls"), || {
+        wait_until(&format!("{step} ns: {WARM_SENDS} calls"), || {
             ask_all_the_time(&stage, Duration::from_millis(500));
             forwards(&stage) >= WARM_SENDS
         });
