--- a/tests/harness/mod.rs
+++ b/tests/harness/mod.rs
@@ -1,5 +1,5 @@
-//! A scheduler for stories: the built program between scripted clients, targets and discovery on loopback.
-#![allow(dead_code, reason = "each file of stories uses a part of it")]
+//! A test harness that runs the built program between scripted clients, targets and discovery on loopback.
+#![allow(dead_code, reason = "each test binary uses only some of the harness")]
 
 use loomlb_fault_plan::FaultPlan;
 use socket2::{Domain, SockRef, Socket, Type};
@@ -11,9 +11,10 @@
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::{Duration, Instant};
 
-/// Longer than anything here takes; only a failure waits for it.
-const LONG: Duration = Duration::from_secs(20);
+/// How long the harness waits for an event before the test fails.
+const TIMEOUT: Duration = Duration::from_secs(20);
 
+/// The `settings` of every configuration, unless a test replaces parts of them.
 const SETTINGS: &str = r#"{"balancers":1,"zones":["z"],"my_zone":"z","kinds":["k"],"tick":2000000,
 "registry_mode":"automatic","load_report":{"how":"inline","fields":["rif","x0"]},
 "classes":[{"name":"view","aim":900000000,"give_up":5000000000,"worth":1.0,"effect":"idempotent"},
@@ -21,18 +22,19 @@
 "ceilings":{"cancel":true,"may_tell":true,"max_attempts":2,"retry_after":true,"max_retry_after":2000000000,
 "dial_timeout":1000000000,"keepalive":60000000000},"obligations":{"drain_grace":1000000000}}"#;
 
-/// One side of a connection that speaks HTTP by hand.
+/// One end of a TCP connection, on which HTTP messages are sent and received as text.
 pub struct HttpConnection(BufReader<TcpStream>);
 
 impl HttpConnection {
     pub fn new(stream: TcpStream) -> HttpConnection {
-        stream.set_read_timeout(Some(LONG)).unwrap();
+        stream.set_read_timeout(Some(TIMEOUT)).unwrap();
         HttpConnection(BufReader::new(stream))
     }
+    /// Sends text as it is.
     pub fn send(&mut self, text: &str) {
         self.0.get_mut().write_all(text.as_bytes()).unwrap();
     }
-    /// The next message, or what came of it before the other side closed.
+    /// Receives the next message, or the part of it that arrived before the peer closed the connection.
     pub fn receive(&mut self) -> String {
         let (mut text, mut length) = (String::new(), 0);
         loop {
@@ -51,58 +53,63 @@
             }
         }
     }
-    /// The status line and the body of the next message.
+    /// Receives the next message and returns its status line and body, separated by ` | `. The status line is `closed` if
+    /// the peer closed the connection instead.
     pub fn receive_response(&mut self) -> String {
         let text = self.receive();
         let (head, body) = text.split_once("\r\n\r\n").unwrap_or((&text, ""));
         format!("{} | {}", head.lines().next().unwrap_or("closed"), body.trim())
     }
-    /// The same, or none if the connection is closed already.
+    /// Sends text, and returns the error if the connection is already closed.
     pub fn try_send(&mut self, text: &str) -> std::io::Result<()> {
         self.0.get_mut().write_all(text.as_bytes())
     }
-    /// Says something, or a part of it, and goes: the connection ends behind all of it. The end is said by a shutdown: a
-    /// process that another story starts in this moment may hold a copy of the descriptor until it runs.
+    /// Sends the text, or as much of it as the connection takes, and closes the connection. The shutdown is
+    /// explicit because a process that another test is just starting may hold a copy of the descriptor until it
+    /// calls `exec`.
     pub fn send_and_close(mut self, text: &str) {
         let _ = self.0.get_mut().write_all(text.as_bytes());
         let _ = self.0.get_ref().shutdown(std::net::Shutdown::Both);
     }
-    /// Resets the connection.
+    /// Resets the connection by closing it without lingering.
     pub fn reset(self) {
         SockRef::from(self.0.get_ref()).set_linger(Some(Duration::ZERO)).unwrap();
     }
-    /// Waits until the other side closes.
+    /// Waits until the peer closes. Returns false if it sends data instead.
     pub fn wait_until_closed(&mut self) -> bool {
         matches!(self.0.read(&mut [0]), Ok(0) | Err(_))
     }
 }
 
-/// A scripted server: a target or discovery.
+/// A scripted server: a target or discovery. It accepts connections only when a test says so.
 pub struct Server {
+    /// Its host name in the endpoint list.
     pub name: String,
     listener: TcpListener,
 }
 
 impl Server {
+    /// Listens on a free port of loopback.
     pub fn new(name: &str) -> Server {
         Server { name: name.to_string(), listener: TcpListener::bind("127.0.0.1:0").unwrap() }
     }
+    /// The address at which it listens.
     pub fn address(&self) -> SocketAddr {
         self.listener.local_addr().unwrap()
     }
-    /// The next connection; a story in which none comes has failed.
+    /// Accepts the next connection. Panics if none arrives in time.
     pub fn accept(&self) -> HttpConnection {
         self.listener.set_nonblocking(true).unwrap();
-        let mut came = None;
+        let mut accepted = None;
         wait_until("a connection", || {
-            came = self.listener.accept().ok();
-            came.is_some()
+            accepted = self.listener.accept().ok();
+            accepted.is_some()
         });
-        let (stream, _) = came.unwrap();
+        let (stream, _) = accepted.unwrap();
         stream.set_nonblocking(false).unwrap();
         HttpConnection::new(stream)
     }
-    /// Its entry in discovery's list.
+    /// Its entry in discovery's endpoint list.
     pub fn entry(&self, health: &str) -> String {
         let (host, dial) = (&self.name, self.address());
         format!(
@@ -111,23 +118,26 @@
     }
 }
 
-/// A server whose machine has no room for one more connection: dials to it hang until there is.
+/// A server whose listen backlog is full: connection attempts hang until it is freed.
 pub struct FullBacklogServer {
+    /// The server.
     pub server: Server,
+    /// The connections that fill the backlog.
     queued: Vec<TcpStream>,
 }
 
 impl FullBacklogServer {
+    /// Listens with a backlog of 0 and fills it.
     pub fn new(name: &str) -> FullBacklogServer {
         let socket = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
         socket.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).unwrap();
         socket.listen(0).unwrap();
         let server = Server { name: name.to_string(), listener: socket.into() };
-        // Behind a backlog of none there is room for one that is not accepted yet.
+        // A backlog of 0 still holds one connection that is not yet accepted.
         let queued = vec![TcpStream::connect(server.address()).unwrap()];
         FullBacklogServer { server, queued }
     }
-    /// Makes room: the dials that hang come up, late.
+    /// Accepts the queued connections, so that the hanging connection attempts succeed.
     pub fn free_backlog(&mut self) {
         for _ in self.queued.drain(..) {
             self.server.accept();
@@ -135,41 +145,44 @@
     }
 }
 
-/// What an agent does with calls.
+/// How the discovery agent responds to calls.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AgentMode {
-    /// It answers them, watches when there is news or their wait is over.
+    /// It responds; to a watch once the list has changed or the hold time is over.
     Answers,
-    /// It leaves those that wait and those that come without an answer, for ever.
+    /// It never responds, neither to pending calls nor to new ones.
     Silent,
-    /// It turns them away.
+    /// It responds with 503.
     Refuses,
 }
 
 #[derive(Debug)]
 struct AgentState {
     mode: AgentMode,
+    /// The version of the endpoint list.
     seq: u32,
     entries: Vec<String>,
+    /// The time and the request line of each call.
     calls: Vec<(Instant, String)>,
 }
 
-/// Discovery that answers by itself, for any number of processes.
+/// A discovery service that responds by itself to any number of processes.
 pub struct DiscoveryAgent {
+    /// The server to whose address the processes connect.
     pub server: Server,
     state: Arc<Mutex<AgentState>>,
 }
 
 impl DiscoveryAgent {
-    /// It answers with this list, as version 2.
+    /// Starts serving this endpoint list as version 2.
     pub fn new(mode: AgentMode, entries: &[String]) -> DiscoveryAgent {
         let server = Server::new("d");
         let state = AgentState { mode, seq: 2, entries: entries.to_vec(), calls: Vec::new() };
         let state = Arc::new(Mutex::new(state));
-        let (listener, all) = (server.listener.try_clone().unwrap(), Arc::clone(&state));
+        let (listener, shared_state) = (server.listener.try_clone().unwrap(), Arc::clone(&state));
         std::thread::spawn(move || {
             for stream in listener.incoming().map_while(Result::ok) {
-                let state = Arc::clone(&all);
+                let state = Arc::clone(&shared_state);
                 std::thread::spawn(move || DiscoveryAgent::serve(HttpConnection::new(stream), &state));
             }
         });
@@ -178,30 +191,31 @@
     fn lock(state: &Mutex<AgentState>) -> MutexGuard<'_, AgentState> {
         state.lock().unwrap_or_else(std::sync::PoisonError::into_inner)
     }
-    fn serve(mut line: HttpConnection, state: &Mutex<AgentState>) {
+    fn serve(mut connection: HttpConnection, state: &Mutex<AgentState>) {
         loop {
-            let call = line.receive();
-            let Some(first) = call.lines().next().map(str::to_string) else { return };
-            let number = |name: &str| {
-                let rest = first.split_once(name)?.1;
+            let call = connection.receive();
+            let Some(request_line) = call.lines().next().map(str::to_string) else { return };
+            let query_number = |name: &str| {
+                let rest = request_line.split_once(name)?.1;
                 rest.split(|c: char| !c.is_ascii_digit()).next()?.parse::<u64>().ok()
             };
-            let (from, hold) = (number("from="), Duration::from_millis(number("hold_ms=").unwrap_or(0)));
-            let begun = Instant::now();
-            DiscoveryAgent::lock(state).calls.push((begun, first));
+            let (from, hold) =
+                (query_number("from="), Duration::from_millis(query_number("hold_ms=").unwrap_or(0)));
+            let received = Instant::now();
+            DiscoveryAgent::lock(state).calls.push((received, request_line));
             let text = loop {
                 let state = DiscoveryAgent::lock(state);
                 match state.mode {
                     AgentMode::Silent => {
                         drop(state);
-                        line.wait_until_closed();
+                        connection.wait_until_closed();
                         return;
                     }
                     AgentMode::Refuses => break response("503 Service Unavailable", ""),
                     AgentMode::Answers if from != Some(state.seq.into()) => {
                         break response("200 OK", &list(state.seq, true, &state.entries));
                     }
-                    AgentMode::Answers if begun.elapsed() >= hold => {
+                    AgentMode::Answers if received.elapsed() >= hold => {
                         break response("200 OK", &list(state.seq, false, &[]));
                     }
                     AgentMode::Answers => {}
@@ -209,82 +223,85 @@
                 drop(state);
                 std::thread::sleep(Duration::from_millis(2));
             };
-            if line.try_send(&text).is_err() {
+            if connection.try_send(&text).is_err() {
                 return;
             }
         }
     }
+    /// Changes how it responds, also to pending calls.
     pub fn set_mode(&self, mode: AgentMode) {
         DiscoveryAgent::lock(&self.state).mode = mode;
     }
-    /// The list is another one from now on.
+    /// Replaces the endpoint list and increments its version.
     pub fn publish(&self, entries: &[String]) {
         let mut state = DiscoveryAgent::lock(&self.state);
         (state.seq, state.entries) = (state.seq + 1, entries.to_vec());
     }
-    /// The calls so far with these words in them.
-    pub fn calls_containing(&self, words: &str) -> Vec<Instant> {
+    /// The times of the calls so far whose request line contains this text.
+    pub fn calls_containing(&self, text: &str) -> Vec<Instant> {
         let state = DiscoveryAgent::lock(&self.state);
-        state.calls.iter().filter(|c| c.1.contains(words)).map(|c| c.0).collect()
+        state.calls.iter().filter(|call| call.1.contains(text)).map(|call| call.0).collect()
     }
-    /// Waits until there have been so many calls with these words in them.
-    pub fn wait_for_calls(&self, words: &str, count: usize) {
-        wait_until(&format!("{count} calls with {words}"), || self.calls_containing(words).len() >= count);
+    /// Waits until there have been at least `count` calls whose request line contains this text.
+    pub fn wait_for_calls(&self, text: &str, count: usize) {
+        wait_until(&format!("{count} calls with {text}"), || self.calls_containing(text).len() >= count);
     }
 }
 
-/// Waits for something to become true.
-pub fn wait_until(what: &str, mut is: impl FnMut() -> bool) {
-    let begun = Instant::now();
-    while !is() {
-        assert!(begun.elapsed() < LONG, "{what}: not within {LONG:?}");
+/// Waits until a condition holds. Panics with `what` if it does not hold in time.
+pub fn wait_until(what: &str, mut condition: impl FnMut() -> bool) {
+    let start = Instant::now();
+    while !condition() {
+        assert!(start.elapsed() < TIMEOUT, "{what}: not within {TIMEOUT:?}");
         std::thread::sleep(Duration::from_millis(2));
     }
 }
 
-/// The connections that come to any of these servers from now on, with the servers' names.
+/// The connections that arrive at any of several servers, with the servers' names.
 pub struct IncomingConnections(Receiver<(String, TcpStream)>);
 
 impl IncomingConnections {
+    /// Accepts connections at these servers from now on.
     pub fn new(servers: &[&Server]) -> IncomingConnections {
-        let (tell, came) = channel();
+        let (sender, accepted) = channel();
         for server in servers {
-            let (tell, listener) = (tell.clone(), server.listener.try_clone().unwrap());
+            let (sender, listener) = (sender.clone(), server.listener.try_clone().unwrap());
             let name = server.name.clone();
             std::thread::spawn(move || {
-                let mut all = listener.incoming().map_while(Result::ok);
-                all.all(|stream| tell.send((name.clone(), stream)).is_ok())
+                let mut streams = listener.incoming().map_while(Result::ok);
+                streams.all(|stream| sender.send((name.clone(), stream)).is_ok())
             });
         }
-        IncomingConnections(came)
+        IncomingConnections(accepted)
     }
+    /// The next connection. Panics if none arrives in time.
     pub fn next(&self) -> (String, HttpConnection) {
-        let (name, stream) = self.0.recv_timeout(LONG).unwrap();
+        let (name, stream) = self.0.recv_timeout(TIMEOUT).unwrap();
         (name, HttpConnection::new(stream))
     }
-    /// The next connection, however late it comes; none once the servers are gone.
-    pub fn next_unbounded(&self) -> Option<(String, HttpConnection)> {
+    /// The next connection, without a timeout; `None` once no listener accepts any more.
+    pub fn next_without_timeout(&self) -> Option<(String, HttpConnection)> {
         let (name, stream) = self.0.recv().ok()?;
         Some((name, HttpConnection::new(stream)))
     }
 }
 
-/// The first connection that comes to any of these servers.
+/// The first connection that arrives at any of these servers.
 pub fn first_connection(servers: &[&Server]) -> HttpConnection {
     IncomingConnections::new(servers).next().1
 }
 
-/// A list in discovery's form.
+/// An endpoint list in discovery's format: the full list if `whole`, otherwise the changes.
 pub fn list(seq: u32, whole: bool, entries: &[String]) -> String {
     format!(r#"{{"seq":{seq},"whole":{whole},"hosts":[{}]}}"#, entries.join(","))
 }
 
-/// A response with a body.
+/// An HTTP response with a body.
 pub fn response(status: &str, body: &str) -> String {
     format!("HTTP/1.1 {status}\r\nContent-Length: {}\r\n\r\n{body}", body.len())
 }
 
-/// A job of a class, as a client sends it.
+/// A job request of a class, as a client sends it. The job has an id, and the client waits for `seconds`.
 pub fn job(class: &str, id: &str, seconds: &str) -> String {
     format!(
         "POST /{class}/7f HTTP/1.1\r\nHost: h\r\nX-Correlation-Id: {id}\r\nX-Service-Class: {class}\r\n\
@@ -292,65 +309,75 @@
     )
 }
 
-/// A platform that holds the listening socket, and a folder that all processes of a scheduler share.
+/// A platform that owns the listening socket, and a folder that successive processes of a scheduler share.
 pub struct Platform {
     listener: TcpListener,
+    /// The shared folder (`TMPDIR`).
     pub folder: tempfile::TempDir,
 }
 
 impl Platform {
+    /// Binds the listening socket and creates the folder.
     pub fn new() -> Platform {
         Platform { listener: TcpListener::bind("127.0.0.1:0").unwrap(), folder: tempfile::tempdir().unwrap() }
     }
-    /// Has a process inherit the socket, as its standard input.
+    /// Passes the socket to a process as its standard input.
     fn pass_listener(&self, command: &mut Command) {
         let socket: OwnedFd = self.listener.try_clone().unwrap().into();
         command.stdin(Stdio::from(socket)).env("LB_FD", "0").env("TMPDIR", self.folder.path());
         command.env("LB_LISTEN", "127.0.0.1:0");
     }
-    /// Where a process finds the one before it.
+    /// The path of the socket at which a process finds its predecessor.
     pub fn restart_socket(&self) -> std::path::PathBuf {
         self.folder.path().join("loomlb-127.0.0.1-0.sock")
     }
 }
 
-/// The program, running.
+/// A running process of the program.
 pub struct SchedulerProcess {
     child: Child,
+    /// The address of the listener for clients and workers.
     pub address: SocketAddr,
-    /// The second address, where it was asked for.
+    /// The address of the control listener, if the configuration has one.
     pub control: SocketAddr,
     /// The first line of its log.
     pub first_log_line: String,
     log: Receiver<String>,
+    /// The configuration at the start, with the changes of [`Self::reload`].
     config: String,
+    /// The folder of the configuration file.
     files: tempfile::TempDir,
 }
 
 impl SchedulerProcess {
-    /// Starts it knowing these targets.
-    pub fn start(known: &[&Server], discovery: &Server) -> SchedulerProcess {
-        SchedulerProcess::start_with_keys(known, discovery, "")
+    /// Starts a process with these targets in its initial endpoint list.
+    pub fn start(targets: &[&Server], discovery: &Server) -> SchedulerProcess {
+        SchedulerProcess::start_with_keys(targets, discovery, "")
     }
-    /// The same with further keys of the configuration.
-    pub fn start_with_keys(known: &[&Server], discovery: &Server, more: &str) -> SchedulerProcess {
-        SchedulerProcess::spawn_with_keys(known, discovery, more, |_| {})
+    /// Like [`Self::start`], with further keys in the configuration.
+    pub fn start_with_keys(targets: &[&Server], discovery: &Server, extra_keys: &str) -> SchedulerProcess {
+        SchedulerProcess::spawn_with_keys(targets, discovery, extra_keys, |_| {})
     }
-    /// The same with words of its configuration changed, wherever they stand.
+    /// Like [`Self::start`], with every occurrence of some texts in the configuration replaced.
     pub fn start_with_changes(
-        known: &[&Server],
+        targets: &[&Server],
         discovery: &Server,
         changes: &[(&str, &str)],
     ) -> SchedulerProcess {
-        SchedulerProcess::spawn(known, discovery, "", changes, |_| {})
+        SchedulerProcess::spawn(targets, discovery, "", changes, |_| {})
     }
-    /// The same on a listening socket that the platform holds, beside whatever process has it already.
-    pub fn start_on_platform(known: &[&Server], discovery: &Server, platform: &Platform) -> SchedulerProcess {
-        SchedulerProcess::spawn_with_keys(known, discovery, r#""control":"127.0.0.1:0","#, |command| {
+    /// Starts a process with a control listener on the platform's listening socket, beside any process that
+    /// already uses it.
+    pub fn start_on_platform(
+        targets: &[&Server],
+        discovery: &Server,
+        platform: &Platform,
+    ) -> SchedulerProcess {
+        SchedulerProcess::spawn_with_keys(targets, discovery, r#""control":"127.0.0.1:0","#, |command| {
             platform.pass_listener(command)
         })
     }
-    /// The same with a text in place of its configuration.
+    /// Like [`Self::start_on_platform`], with this text as the configuration file.
     pub fn start_on_platform_with_config(
         discovery: &Server,
         platform: &Platform,
@@ -363,16 +390,16 @@
             std::fs::write(file, text).unwrap();
         })
     }
-    /// The same with further keys of the configuration and system calls that fail as planned.
+    /// Like [`Self::start_with_keys`], with system calls that fail as planned.
     pub fn start_with_faults(
         plan: &FaultPlan,
-        known: &[&Server],
+        targets: &[&Server],
         discovery: &Server,
-        more: &str,
+        extra_keys: &str,
     ) -> SchedulerProcess {
-        SchedulerProcess::spawn_with_keys(known, discovery, more, |command| plan.apply(command))
+        SchedulerProcess::spawn_with_keys(targets, discovery, extra_keys, |command| plan.apply(command))
     }
-    /// Under a plan, with words of its configuration changed.
+    /// Like [`Self::start_with_changes`], with system calls that fail as planned.
     pub fn start_with_changes_and_faults(
         plan: &FaultPlan,
         discovery: &Server,
@@ -380,7 +407,8 @@
     ) -> SchedulerProcess {
         SchedulerProcess::spawn(&[], discovery, "", changes, |command| plan.apply(command))
     }
-    /// The same beside the process that has the platform's socket already.
+    /// Like [`Self::start_on_platform`], with texts in the configuration replaced and system calls that fail as
+    /// planned.
     pub fn start_on_platform_with_changes_and_faults(
         plan: &FaultPlan,
         discovery: &Server,
@@ -392,36 +420,37 @@
             plan.apply(command);
         })
     }
-    /// Beside the process that has the platform's socket already, with system calls that fail as planned.
+    /// Like [`Self::start_on_platform`], with system calls that fail as planned.
     pub fn start_on_platform_with_faults(
         plan: &FaultPlan,
-        known: &[&Server],
+        targets: &[&Server],
         discovery: &Server,
         platform: &Platform,
     ) -> SchedulerProcess {
-        SchedulerProcess::spawn_with_keys(known, discovery, r#""control":"127.0.0.1:0","#, |command| {
+        SchedulerProcess::spawn_with_keys(targets, discovery, r#""control":"127.0.0.1:0","#, |command| {
             platform.pass_listener(command);
             plan.apply(command);
         })
     }
     fn spawn_with_keys(
-        known: &[&Server],
+        targets: &[&Server],
         discovery: &Server,
-        more: &str,
-        with: impl FnOnce(&mut Command),
+        extra_keys: &str,
+        configure: impl FnOnce(&mut Command),
     ) -> SchedulerProcess {
-        SchedulerProcess::spawn(known, discovery, more, &[], with)
+        SchedulerProcess::spawn(targets, discovery, extra_keys, &[], configure)
     }
+    /// Writes the configuration, starts the process and waits until it serves.
     fn spawn(
-        known: &[&Server],
+        targets: &[&Server],
         discovery: &Server,
-        more: &str,
+        extra_keys: &str,
         changes: &[(&str, &str)],
-        with: impl FnOnce(&mut Command),
+        configure: impl FnOnce(&mut Command),
     ) -> SchedulerProcess {
-        let entries: Vec<String> = known.iter().map(|t| t.entry("active")).collect();
+        let entries: Vec<String> = targets.iter().map(|target| target.entry("active")).collect();
         let mut config = format!(
-            r#"{{"name":"n","listen":"127.0.0.1:0","discovery":"{}","seed":"2a","limits":{{"sockets":64}},{more}"known":{},"settings":{SETTINGS}}}"#,
+            r#"{{"name":"n","listen":"127.0.0.1:0","discovery":"{}","seed":"2a","limits":{{"sockets":64}},{extra_keys}"known":{},"settings":{SETTINGS}}}"#,
             discovery.address(),
             list(1, true, &entries)
         );
@@ -435,17 +464,17 @@
         let mut command = Command::new(env!("CARGO_BIN_EXE_loomlb"));
         command.args(["serve", "--config"]).arg(&file).env_clear();
         command.env("LB_DISCOVERY", discovery.address().to_string()).stderr(Stdio::piped());
-        with(&mut command);
+        configure(&mut command);
         let mut child = command.spawn().unwrap();
-        let (tell, log) = channel();
+        let (sender, log) = channel();
         let lines = BufReader::new(child.stderr.take().unwrap()).lines();
-        std::thread::spawn(move || lines.map_while(Result::ok).all(|line| tell.send(line).is_ok()));
-        let nowhere = ([127, 0, 0, 1], 0).into();
-        let first_log_line: String = log.recv_timeout(LONG).unwrap();
+        std::thread::spawn(move || lines.map_while(Result::ok).all(|line| sender.send(line).is_ok()));
+        let unknown = ([127, 0, 0, 1], 0).into();
+        let first_log_line: String = log.recv_timeout(TIMEOUT).unwrap();
         let mut scheduler = SchedulerProcess {
             child,
-            address: nowhere,
-            control: nowhere,
+            address: unknown,
+            control: unknown,
             first_log_line,
             log,
             config,
@@ -453,75 +482,78 @@
         };
         assert!(
             !scheduler.first_log_line.starts_with("loomlb: "),
-            "it does not start: {}",
+            "the process does not start: {}",
             scheduler.first_log_line
         );
-        let at = scheduler.first_log_line.split_once("serves at ").map(|(_, at)| at.to_string());
-        scheduler.address = at.unwrap_or_else(|| scheduler.wait_for_log("serves at ")).parse().unwrap();
+        let address =
+            scheduler.first_log_line.split_once("serves at ").map(|(_, address)| address.to_string());
+        scheduler.address = address.unwrap_or_else(|| scheduler.wait_for_log("serves at ")).parse().unwrap();
         if scheduler.config.contains("\"control\"") {
             scheduler.control = scheduler.wait_for_log("control at ").parse().unwrap();
         }
         scheduler
     }
-    /// The same with a second address.
-    pub fn start_with_control(known: &[&Server], discovery: &Server) -> SchedulerProcess {
-        SchedulerProcess::start_with_keys(known, discovery, r#""control":"127.0.0.1:0","#)
+    /// Like [`Self::start`], with a control listener.
+    pub fn start_with_control(targets: &[&Server], discovery: &Server) -> SchedulerProcess {
+        SchedulerProcess::start_with_keys(targets, discovery, r#""control":"127.0.0.1:0","#)
     }
-    /// Changes words of its configuration and has it read again.
+    /// Replaces the first occurrence of a text in the configuration and makes the process reload it.
     pub fn reload(&mut self, old: &str, new: &str) {
         assert!(self.config.contains(old), "{old}");
         self.config = self.config.replacen(old, new, 1);
         self.reload_with(&self.config);
     }
-    /// Its configuration, as it was last written.
+    /// The configuration with which the process started, with the changes of [`Self::reload`].
     pub fn config(&self) -> &str {
         &self.config
     }
-    /// Has another text read in place of its configuration.
+    /// Makes the process reload another text as its configuration.
     pub fn reload_with(&self, text: &str) {
         std::fs::write(self.files.path().join("config.json"), text).unwrap();
         self.signal("HUP");
     }
-    /// What follows these words in the log.
-    pub fn wait_for_log(&self, words: &str) -> String {
+    /// Waits for a log line that contains this text and returns the rest of the line.
+    pub fn wait_for_log(&self, text: &str) -> String {
         loop {
-            let line = self.log.recv_timeout(LONG).unwrap();
-            if let Some((_, rest)) = line.split_once(words) {
+            let line = self.log.recv_timeout(TIMEOUT).unwrap();
+            if let Some((_, rest)) = line.split_once(text) {
                 return rest.to_string();
             }
         }
     }
-    /// Whether these words come in the log within this time.
-    pub fn logs_within(&self, words: &str, within: Duration) -> bool {
-        let until = Instant::now() + within;
+    /// Whether a log line that contains this text arrives within this time.
+    pub fn logs_within(&self, text: &str, within: Duration) -> bool {
+        let deadline = Instant::now() + within;
         let mut lines = std::iter::from_fn(|| {
-            self.log.recv_timeout(until.saturating_duration_since(Instant::now())).ok()
+            self.log.recv_timeout(deadline.saturating_duration_since(Instant::now())).ok()
         });
-        lines.any(|line| line.contains(words))
+        lines.any(|line| line.contains(text))
     }
-    /// The number of its process.
+    /// The process id.
     pub fn process_id(&self) -> u32 {
         self.child.id()
     }
+    /// Opens a connection to the listener.
     pub fn connect(&self) -> HttpConnection {
         HttpConnection::new(TcpStream::connect(self.address).unwrap())
     }
-    /// The answer to one request on a connection of its own. The end of that is said by a shutdown: a process that another
-    /// story starts in this moment may hold a copy of the descriptor until it runs, and the connection would rest meanwhile.
+    /// Sends one request on a new connection and returns the status line and body of the response. The shutdown
+    /// is explicit because a process that another test is just starting may hold a copy of the descriptor until
+    /// it calls `exec`, which would keep the connection open.
     pub fn request(&self, text: &str) -> String {
-        let mut line = self.connect();
-        line.send(text);
-        let answer = line.receive_response();
-        let _ = line.0.get_ref().shutdown(std::net::Shutdown::Both);
+        let mut connection = self.connect();
+        connection.send(text);
+        let answer = connection.receive_response();
+        let _ = connection.0.get_ref().shutdown(std::net::Shutdown::Both);
         answer
     }
-    /// The answer to a call at the second address.
+    /// Sends a call to the control listener and returns the status line and body of the response.
     pub fn control_request(&self, call: &str) -> String {
-        let mut line = HttpConnection::new(TcpStream::connect(self.control).unwrap());
-        line.send(&format!("{call} HTTP/1.1\r\nHost: h\r\n\r\n"));
-        line.receive_response()
+        let mut connection = HttpConnection::new(TcpStream::connect(self.control).unwrap());
+        connection.send(&format!("{call} HTTP/1.1\r\nHost: h\r\n\r\n"));
+        connection.receive_response()
     }
-    /// Waits until it says yes to `ready`.
+    /// Waits until the control listener reports the process as ready.
     pub fn wait_until_ready(&self) {
         for _ in 0..1000 {
             if self.control_request("GET /control/ready").starts_with("HTTP/1.1 200") {
@@ -529,48 +561,52 @@
             }
             std::thread::sleep(Duration::from_millis(10));
         }
-        panic!("it does not become ready");
+        panic!("the process does not become ready");
     }
+    /// Sends a call-back of a worker and returns the response.
     pub fn call_back(&self, body: &str) -> String {
         let length = body.len();
         self.request(&format!("POST /v1/job-events HTTP/1.1\r\nContent-Length: {length}\r\n\r\n{body}"))
     }
+    /// Sends a signal to the process by its name without `SIG`.
     pub fn signal(&self, name: &str) {
         let pid = self.child.id().to_string();
         assert!(Command::new("kill").args(["-s", name, &pid]).status().unwrap().success());
     }
-    /// Has it stand still, and waits until it does.
+    /// Stops the process with SIGSTOP and waits until it is stopped. SIGCONT resumes it.
     pub fn freeze(&self) {
         self.signal("STOP");
         let state = format!("/proc/{}/stat", self.child.id());
-        wait_until("it stands still", || std::fs::read_to_string(&state).unwrap().contains(") T "));
+        wait_until("the process is stopped", || std::fs::read_to_string(&state).unwrap().contains(") T "));
     }
-    /// The counters named, as of now.
+    /// The current values of these counters, in the order of the report.
     pub fn counters(&self, names: &[&str]) -> String {
         self.signal("USR1");
         let all = self.wait_for_log("counters: ");
-        let words = all.split([' ', ';']).filter(|w| names.iter().any(|n| w.starts_with(&format!("{n}="))));
-        words.collect::<Vec<_>>().join(" ")
+        let entries = all
+            .split([' ', ';'])
+            .filter(|entry| names.iter().any(|name| entry.starts_with(&format!("{name}="))));
+        entries.collect::<Vec<_>>().join(" ")
     }
-    /// Waits until these counters are as said, in the order of the report.
+    /// Waits until these counters have these values; they are listed in the order of the report.
     pub fn wait_for_counters(&self, counters: &str) {
         let names: Vec<&str> = counters.split(' ').filter_map(|c| c.split('=').next()).collect();
         let mut last = String::new();
-        let begun = Instant::now();
+        let start = Instant::now();
         while last != counters {
-            assert!(begun.elapsed() < LONG, "{last}, not {counters}");
+            assert!(start.elapsed() < TIMEOUT, "{last}, not {counters}");
             last = self.counters(&names);
         }
     }
-    /// Whether its process has not ended.
+    /// Whether the process has not exited.
     pub fn is_running(&mut self) -> bool {
         self.child.try_wait().unwrap().is_none()
     }
-    /// Descriptors that it holds.
+    /// The number of open file descriptors of the process.
     pub fn descriptor_count(&self) -> usize {
         std::fs::read_dir(format!("/proc/{}/fd", self.child.id())).unwrap().count()
     }
-    /// Waits for its end; whether that was orderly.
+    /// Waits until the process exits. Returns whether its exit code is 0.
     pub fn wait_for_exit(&mut self) -> bool {
         self.child.wait().unwrap().success()
     }
--- a/tests/standing_terms.rs
+++ b/tests/standing_terms.rs
@@ -78,7 +78,7 @@
 fn serve_all(scheduler: &SchedulerProcess, workers: &[&Server]) {
     let (comers, at) = (IncomingConnections::new(workers), scheduler.address);
     std::thread::spawn(move || {
-        while let Some((worker, line)) = comers.next_unbounded() {
+        while let Some((worker, line)) = comers.next_without_timeout() {
             std::thread::spawn(move || serve_connection(line, &worker, at));
         }
     });
@@ -133,7 +133,7 @@
         let comers = IncomingConnections::new(&[worker]);
         std::thread::spawn(move || {
             let mut unread = Vec::new();
-            while let Some((_, line)) = comers.next_unbounded() {
+            while let Some((_, line)) = comers.next_without_timeout() {
                 match self {
                     Trouble::Hangs => unread.push(line),
                     _ => _ = std::thread::spawn(move || self.converse(line)),
@@ -362,7 +362,7 @@
     let told = ToldByJob::default();
     let (comers, all) = (IncomingConnections::new(workers), Arc::clone(&told));
     std::thread::spawn(move || {
-        while let Some((_, mut line)) = comers.next_unbounded() {
+        while let Some((_, mut line)) = comers.next_without_timeout() {
             let told = Arc::clone(&all);
             std::thread::spawn(move || while reject_or_drop(&mut line, &told) {});
         }
@@ -764,7 +764,7 @@
     let (tell, calls) = channel();
     let comers = IncomingConnections::new(&[discovery]);
     std::thread::spawn(move || {
-        while let Some((_, mut line)) = comers.next_unbounded() {
+        while let Some((_, mut line)) = comers.next_without_timeout() {
             let (list, tell) = (list.clone(), tell.clone());
             std::thread::spawn(move || {
                 loop {
