--- a/tests/golden/mod.rs
+++ b/tests/golden/mod.rs
@@ -1,51 +1,56 @@
-//! Golden files: every byte that another process, an operator or a later version reads, as it was recorded first.
+//! Golden files record the exact bytes that other processes, operators and later versions read.
 //!
-//! `UPDATE_PINS=1 cargo test --workspace --test pins` records all of them anew. Read the difference before committing it:
-//! an old build beside a new one, a file of an earlier version and an operator's script see that difference too.
+//! `UPDATE_PINS=1 cargo test --workspace --test pins` updates all of them. Review the difference before committing it:
+//! older builds that run beside this one, files of earlier versions and operators' scripts are affected by it.
 //!
-//! Included by path from the `pins` test of each package; a file lies in that package's `tests/pins`.
-#![allow(dead_code, reason = "each package uses a part of it")]
+//! The `pins` test of each package includes this module by path; its golden files are in the package's `tests/pins`.
+#![allow(dead_code, reason = "each package uses only some of the functions")]
 
 use std::path::{Path, PathBuf};
 
-/// The environment variable that has the files recorded anew.
-const UPDATE: &str = "UPDATE_PINS";
+/// The environment variable that makes [`check`] update the golden files.
+const UPDATE_VARIABLE: &str = "UPDATE_PINS";
 
-fn file(name: &str) -> PathBuf {
+/// The path of a file in the `tests` folder of the package.
+fn test_file(name: &str) -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("tests").join(name)
 }
 
-/// Compares bytes with the golden file of this name in `tests/pins`, or records them.
+/// Compares bytes with the golden file of this name in `tests/pins`, after updating it if `UPDATE_PINS` is set.
 pub fn check(name: &str, bytes: &[u8]) {
-    let path = file(&format!("pins/{name}"));
-    if std::env::var_os(UPDATE).is_some() {
+    let path = test_file(&format!("pins/{name}"));
+    if std::env::var_os(UPDATE_VARIABLE).is_some() {
         std::fs::create_dir_all(path.parent().unwrap()).unwrap();
         std::fs::write(&path, bytes).unwrap();
     }
     compare(&path, bytes);
 }
 
-/// Compares bytes with a file in `tests/fixtures`, which an earlier build wrote and which is never recorded anew: where
-/// builds write other bytes from now on, that is a new fixture beside the old one.
+/// Compares bytes with a file in `tests/fixtures`. An earlier build wrote it, and it is never updated: if the format
+/// changes, a new fixture is added beside it.
 pub fn check_fixture(name: &str, bytes: &[u8]) {
-    compare(&file(&format!("fixtures/{name}")), bytes);
+    compare(&test_file(&format!("fixtures/{name}")), bytes);
 }
 
+/// Panics unless the file holds exactly these bytes.
 fn compare(path: &Path, bytes: &[u8]) {
     let recorded = std::fs::read(path).unwrap_or_default();
     if recorded != bytes {
-        let (recorded, now) = (String::from_utf8_lossy(&recorded), String::from_utf8_lossy(bytes));
-        panic!("{}: not as recorded\n--- recorded\n{recorded}\n--- now\n{now}", path.display());
+        let (recorded, actual) = (String::from_utf8_lossy(&recorded), String::from_utf8_lossy(bytes));
+        panic!(
+            "{}: differs from the recorded bytes\n--- recorded\n{recorded}\n--- actual\n{actual}",
+            path.display()
+        );
     }
 }
 
 /// The bytes of a file in `tests/fixtures`.
 pub fn fixture(name: &str) -> Vec<u8> {
-    std::fs::read(file(&format!("fixtures/{name}"))).unwrap()
+    std::fs::read(test_file(&format!("fixtures/{name}"))).unwrap()
 }
 
-/// Bytes as lines of text, without loss: control characters, `\` and bytes that are no UTF-8 are written as escapes; a
-/// line feed is written as an escape too and ends the line.
+/// Converts bytes to lines of text without loss. Control characters, `\` and bytes that are not valid UTF-8 are escaped;
+/// an escaped line feed also ends the line.
 pub fn visible(bytes: &[u8]) -> String {
     let mut out = String::new();
     for chunk in bytes.utf8_chunks() {
@@ -63,12 +68,12 @@
     out
 }
 
-/// Bytes as hexadecimal digits.
+/// Converts bytes to hexadecimal digits.
 pub fn hex(bytes: &[u8]) -> String {
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-/// Masks the number that follows each occurrence of `key`, digits and points alike.
+/// Replaces each number that directly follows `key` with `<number>`. A number consists of digits and points.
 pub fn mask_number_after(text: &str, key: &str) -> String {
     let mut parts = text.split(key);
     let mut out = parts.next().unwrap_or_default().to_string();
