--- a/tests/operation.rs
+++ b/tests/operation.rs
@@ -1,27 +1,27 @@
 //! End-to-end tests of operations: the control listener, workers taken offline by an operator, drains and reloads.
 
-mod stage;
+mod harness;
 
+use harness::{HttpConnection, IncomingConnections, SchedulerProcess, Server, job, list, response};
 use insta::assert_snapshot;
-use stage::{Comers, Line, Server, Stage, job, list, response};
 use std::net::TcpStream;
 use std::time::{Duration, Instant};
 
 /// Accepts a connection at the target, serves the job on it, and returns the connection.
-fn accept_and_serve(stage: &Stage, target: &Server, id: &str) -> Line {
+fn accept_and_serve(stage: &SchedulerProcess, target: &Server, id: &str) -> HttpConnection {
     let mut connection = target.accept();
     serve(stage, target, &mut connection, id);
     connection
 }
 
 /// Serves the next job on an open connection to the target.
-fn serve(stage: &Stage, target: &Server, connection: &mut Line, id: &str) {
-    assert!(connection.hear().contains(id), "{} did not receive {id}", target.name);
-    connection.say(&response("202 Accepted", ""));
+fn serve(stage: &SchedulerProcess, target: &Server, connection: &mut HttpConnection, id: &str) {
+    assert!(connection.receive().contains(id), "{} did not receive {id}", target.name);
+    connection.send(&response("202 Accepted", ""));
     report_done(stage, target, id);
 }
 
-fn report_done(stage: &Stage, target: &Server, id: &str) {
+fn report_done(stage: &SchedulerProcess, target: &Server, id: &str) {
     let name = &target.name;
     stage.call_back(&format!(r#"{{"id":"{id}","from":"{name}","state":"done","result":"{id}"}}"#));
 }
@@ -29,16 +29,16 @@
 #[test]
 fn control_calls_are_answered_beside_stalled_callers_and_invalid_ones_get_an_error() {
     let (discovery, target) = (Server::new("d"), Server::new("s-00000001"));
-    let stage = Stage::operated(&[&target], &discovery);
+    let stage = SchedulerProcess::start_with_control(&[&target], &discovery);
     // Far more connections than the limit: silent ones, and ones with a partial request.
-    let mut stalled: Vec<Line> = Vec::new();
+    let mut stalled: Vec<HttpConnection> = Vec::new();
     for i in 0..60 {
-        let mut connection = Line::new(TcpStream::connect(stage.control).unwrap());
-        connection.say(["", "GET /control/rea", "P"][i % 3]);
+        let mut connection = HttpConnection::new(TcpStream::connect(stage.control).unwrap());
+        connection.send(["", "GET /control/rea", "P"][i % 3]);
         stalled.push(connection);
     }
     let started_at = Instant::now();
-    let mut answers = vec![stage.order("GET /control/ready")];
+    let mut answers = vec![stage.control_request("GET /control/ready")];
     // The answer comes at once, not when the stalled connections time out.
     assert!(started_at.elapsed() < Duration::from_secs(2), "{:?}", started_at.elapsed());
     for call in [
@@ -51,17 +51,17 @@
         "GET /healthz",
         "no http at all",
     ] {
-        answers.push(stage.order(call));
+        answers.push(stage.control_request(call));
     }
-    let mut bytewise = Line::new(TcpStream::connect(stage.control).unwrap());
+    let mut bytewise = HttpConnection::new(TcpStream::connect(stage.control).unwrap());
     for byte in "GET /control/ready HTTP/1.1\r\nHost: h\r\n\r\n".chars() {
-        bytewise.say(&byte.to_string());
+        bytewise.send(&byte.to_string());
     }
-    answers.push(bytewise.answer());
-    assert!(bytewise.closed(), "the connection stays open after a call");
-    let mut oversized = Line::new(TcpStream::connect(stage.control).unwrap());
-    oversized.say(&format!("GET /control/ready HTTP/1.1\r\nX: {}\r\n\r\n", "x".repeat(17_000)));
-    answers.push(oversized.answer());
+    answers.push(bytewise.receive_response());
+    assert!(bytewise.wait_until_closed(), "the connection stays open after a call");
+    let mut oversized = HttpConnection::new(TcpStream::connect(stage.control).unwrap());
+    oversized.send(&format!("GET /control/ready HTTP/1.1\r\nX: {}\r\n\r\n", "x".repeat(17_000)));
+    answers.push(oversized.receive_response());
     assert_snapshot!(answers.join("\n"), @r#"
     HTTP/1.1 200 OK | {"flows":0,"service":"in","workers_out":[],"yes":true}
     HTTP/1.1 405 Method Not Allowed | {"why":"wrong method","yes":false}
@@ -77,26 +77,26 @@
     "#);
     assert_snapshot!(stage.counters(&["calls", "calls_400", "calls_404", "calls_405", "calls_431"]), @"calls=3 calls_400=2 calls_404=3 calls_405=2 calls_431=1");
     // The connection limit of clients is not affected.
-    assert!(stage.ask("GET /healthz HTTP/1.1\r\n\r\n").ends_with("ready"));
+    assert!(stage.request("GET /healthz HTTP/1.1\r\n\r\n").ends_with("ready"));
 }
 
 #[test]
 fn a_worker_taken_offline_receives_no_job_whatever_the_list_says_until_it_is_put_online() {
     let (discovery, one, two) = (Server::new("d"), Server::new("s-00000001"), Server::new("s-00000002"));
-    let stage = Stage::operated(&[&one, &two], &discovery);
+    let stage = SchedulerProcess::start_with_control(&[&one, &two], &discovery);
     let mut watch = discovery.accept();
-    watch.hear();
-    assert!(stage.order("PUT /control/workers/s-00000001/offline").starts_with("HTTP/1.1 200"));
-    assert!(stage.order("PUT /control/workers/s-00000001/offline").starts_with("HTTP/1.1 200"));
+    watch.receive();
+    assert!(stage.control_request("PUT /control/workers/s-00000001/offline").starts_with("HTTP/1.1 200"));
+    assert!(stage.control_request("PUT /control/workers/s-00000001/offline").starts_with("HTTP/1.1 200"));
     let mut connection_to_two = None;
     let mut serve_at_two = |id: &str| {
         let mut client = stage.connect();
-        client.say(&job("view", id, "3.000"));
+        client.send(&job("view", id, "3.000"));
         match &mut connection_to_two {
             None => connection_to_two = Some(accept_and_serve(&stage, &two, id)),
             Some(connection) => serve(&stage, &two, connection, id),
         }
-        assert!(client.answer().ends_with(id));
+        assert!(client.receive_response().ends_with(id));
     };
     for id in ["a1", "a2", "a3", "a4"] {
         serve_at_two(id);
@@ -111,86 +111,88 @@
     .into_iter()
     .enumerate()
     {
-        watch.say(&response("200 OK", &list(seq as u32 + 2, complete, &entries)));
-        watch.hear();
+        watch.send(&response("200 OK", &list(seq as u32 + 2, complete, &entries)));
+        watch.receive();
         serve_at_two(&format!("b{seq}"));
         serve_at_two(&format!("c{seq}"));
     }
     // With all workers offline, a job is rejected at once.
     assert!(
-        stage.order("PUT /control/workers/s-00000002/offline").contains(r#"["s-00000001","s-00000002"]"#)
+        stage
+            .control_request("PUT /control/workers/s-00000002/offline")
+            .contains(r#"["s-00000001","s-00000002"]"#)
     );
     let started_at = Instant::now();
-    assert!(stage.ask(&job("lodge", "d1", "0.700")).starts_with("HTTP/1.1 503"));
+    assert!(stage.request(&job("lodge", "d1", "0.700")).starts_with("HTTP/1.1 503"));
     assert!(started_at.elapsed() < Duration::from_secs(2));
     // One call puts it back online, although two took it offline.
-    assert!(stage.order("PUT /control/workers/s-00000001/online").contains(r#"["s-00000002"]"#));
+    assert!(stage.control_request("PUT /control/workers/s-00000001/online").contains(r#"["s-00000002"]"#));
     let mut client = stage.connect();
-    client.say(&job("lodge", "e1", "3.000"));
+    client.send(&job("lodge", "e1", "3.000"));
     accept_and_serve(&stage, &one, "e1");
-    assert!(client.answer().ends_with("e1"));
+    assert!(client.receive_response().ends_with("e1"));
 }
 
 #[test]
 fn a_drain_answers_open_jobs_closes_idle_connections_and_can_be_cancelled() {
     let (discovery, target) = (Server::new("d"), Server::new("s-00000001"));
-    let stage = Stage::operated(&[&target], &discovery);
-    let health = || stage.ask("GET /healthz HTTP/1.1\r\n\r\n");
+    let stage = SchedulerProcess::start_with_control(&[&target], &discovery);
+    let health = || stage.request("GET /healthz HTTP/1.1\r\n\r\n");
     let (mut idle, mut silent, mut open) = (stage.connect(), stage.connect(), stage.connect());
-    idle.say("GET /healthz HTTP/1.1\r\n\r\n");
-    assert!(idle.answer().ends_with("ready"));
-    open.say(&job("lodge", "a1", "4.500"));
+    idle.send("GET /healthz HTTP/1.1\r\n\r\n");
+    assert!(idle.receive_response().ends_with("ready"));
+    open.send(&job("lodge", "a1", "4.500"));
     let mut forward = target.accept();
-    forward.hear();
-    forward.say(&response("202 Accepted", ""));
+    forward.receive();
+    forward.send(&response("202 Accepted", ""));
     let drained_at = Instant::now();
-    assert!(stage.order("PUT /control/out-of-service").contains(r#""service":"draining""#));
+    assert!(stage.control_request("PUT /control/out-of-service").contains(r#""service":"draining""#));
     assert!(health().starts_with("HTTP/1.1 503"));
     // A client that was already connecting is still served.
     let mut late = stage.connect();
-    late.say(&job("view", "a2", "3.000"));
+    late.send(&job("view", "a2", "3.000"));
     serve(&stage, &target, &mut forward, "a2");
-    assert!(late.hear().starts_with("HTTP/1.1 200"));
-    assert!(idle.closed() && silent.closed());
+    assert!(late.receive().starts_with("HTTP/1.1 200"));
+    assert!(idle.wait_until_closed() && silent.wait_until_closed());
     assert!(drained_at.elapsed() < Duration::from_millis(3500), "{:?}", drained_at.elapsed());
     // Later jobs are rejected, and the open job is answered.
-    assert!(stage.ask(&job("view", "a3", "3.000")).starts_with("HTTP/1.1 503"));
+    assert!(stage.request(&job("view", "a3", "3.000")).starts_with("HTTP/1.1 503"));
     report_done(&stage, &target, "a1");
-    let answer = open.hear();
+    let answer = open.receive();
     assert!(answer.starts_with("HTTP/1.1 200") && answer.contains("Connection: close"), "{answer}");
-    assert!(stage.order("PUT /control/in-service").contains(r#""service":"in""#));
+    assert!(stage.control_request("PUT /control/in-service").contains(r#""service":"in""#));
     assert!(health().ends_with("ready"));
     let mut client = stage.connect();
-    client.say(&job("view", "a4", "3.000"));
+    client.send(&job("view", "a4", "3.000"));
     // The decision module closed the idle connections to the target after two jobs had finished.
     let mut forward = accept_and_serve(&stage, &target, "a4");
-    assert!(client.answer().ends_with("a4"));
+    assert!(client.receive_response().ends_with("a4"));
     // Putting it back into service during a drain keeps its connections open.
-    stage.order("PUT /control/out-of-service");
-    stage.order("PUT /control/in-service");
-    client.say(&job("view", "a5", "3.000"));
+    stage.control_request("PUT /control/out-of-service");
+    stage.control_request("PUT /control/in-service");
+    client.send(&job("view", "a5", "3.000"));
     serve(&stage, &target, &mut forward, "a5");
-    assert!(client.answer().ends_with("a5"));
+    assert!(client.receive_response().ends_with("a5"));
 }
 
 #[test]
 fn open_flows_keep_the_settings_of_their_admission_when_the_settings_change() {
     let (discovery, one, two) = (Server::new("d"), Server::new("s-00000001"), Server::new("s-00000002"));
-    let mut stage = Stage::operated(&[&one, &two], &discovery);
+    let mut stage = SchedulerProcess::start_with_control(&[&one, &two], &discovery);
     // Each forward arrives on a connection of its own, at either target.
-    let connections = Comers::new(&[&one, &two]);
+    let connections = IncomingConnections::new(&[&one, &two]);
     let accept_forward = |id: &str| {
         let (name, mut connection) = connections.next();
-        assert!(connection.hear().contains(id));
-        connection.say("HTTP/1.1 202 Accepted\r\nConnection: close\r\nContent-Length: 0\r\n\r\n");
+        assert!(connection.receive().contains(id));
+        connection.send("HTTP/1.1 202 Accepted\r\nConnection: close\r\nContent-Length: 0\r\n\r\n");
         name
     };
-    let send_job = |stage: &Stage, id: &str, class: &str| {
+    let send_job = |stage: &SchedulerProcess, id: &str, class: &str| {
         let mut client = stage.connect();
-        client.say(&job(class, id, "4.500"));
+        client.send(&job(class, id, "4.500"));
         (client, accept_forward(id))
     };
-    let report_state = |stage: &Stage, target: &str, id: &str, state: &str| {
+    let report_state = |stage: &SchedulerProcess, target: &str, id: &str, state: &str| {
         stage.call_back(&format!(r#"{{"id":"{id}","from":"{target}","state":"{state}","result":"{id}"}}"#));
     };
     let (mut idempotent, first_target) = send_job(&stage, "a1", "view");
@@ -199,24 +201,24 @@
     let view = r#"{"name":"view","aim":900000000,"give_up":5000000000,"worth":1.0,"effect":"idempotent"}"#;
     let at_most_once_view = view.replace("idempotent", "at_most_once");
     stage.reload(view, &at_most_once_view);
-    stage.logged("configuration reloaded");
+    stage.wait_for_log("configuration reloaded");
     stage.reload(r#""name":"lodge""#, r#""name":"sign""#);
-    stage.logged("configuration reloaded");
+    stage.wait_for_log("configuration reloaded");
     stage.reload(r#""max_attempts":2"#, r#""max_attempts":1"#);
-    assert!(stage.logged("configuration reloaded").contains("0 classes"));
+    assert!(stage.wait_for_log("configuration reloaded").contains("0 classes"));
     // By its old rules the failed idempotent job is retried at the other target, although new jobs get only one
     // attempt.
     report_state(&stage, &first_target, "a1", "failed");
     report_state(&stage, &accept_forward("a1"), "a1", "done");
-    assert!(idempotent.answer().ends_with("a1"));
+    assert!(idempotent.receive_response().ends_with("a1"));
     // The removed class is unknown to new requests, and its open job is answered.
-    assert!(stage.ask(&job("lodge", "a3", "3.000")).ends_with("unknown class"));
+    assert!(stage.request(&job("lodge", "a3", "3.000")).ends_with("unknown class"));
     report_state(&stage, &second_target, "a2", "done");
-    assert!(dropped_class.answer().ends_with("a2"));
+    assert!(dropped_class.receive_response().ends_with("a2"));
     // By the new rules a failed job of the changed class is not retried, because it may have run.
     let (mut at_most_once, third_target) = send_job(&stage, "b1", "view");
     report_state(&stage, &third_target, "b1", "failed");
-    assert!(at_most_once.answer().starts_with("HTTP/1.1 502"));
+    assert!(at_most_once.receive_response().starts_with("HTTP/1.1 502"));
     // An invalid configuration changes nothing.
     let config = stage.config().to_string();
     let invalid_configs = [
@@ -233,8 +235,8 @@
     let messages: Vec<String> = invalid_configs
         .iter()
         .map(|text| {
-            stage.reload_as(text);
-            let message = stage.logged("configuration: ");
+            stage.reload_with(text);
+            let message = stage.wait_for_log("configuration: ");
             message.split(" at line").next().unwrap().to_string()
         })
         .collect();
@@ -245,7 +247,7 @@
     settings.classes[0].give_up: 0 is no number above 0, and up to 86400000000000; keeping the active one
     settings.ceilings.max_attempts: 0 is no number above 0, and up to 1000; keeping the active one
     ");
-    assert!(stage.ask(&job("other", "c1", "3.000")).starts_with("HTTP/1.1 4"));
+    assert!(stage.request(&job("other", "c1", "3.000")).starts_with("HTTP/1.1 4"));
     send_job(&stage, "c2", "sign");
     assert_snapshot!(stage.counters(&["reloads", "reload_faults", "panics"]), @"reloads=3 reload_faults=5 panics=0");
 }
--- a/tests/pins.rs
+++ b/tests/pins.rs
@@ -7,7 +7,7 @@
 //! ...), numbers after a key (`mask_number_after`), and the keys that each test names.
 
 mod golden;
-mod stage;
+mod harness;
 
 #[path = "pins/answers.rs"]
 mod answers;
--- a/tests/pins/answers.rs
+++ b/tests/pins/answers.rs
@@ -1,7 +1,7 @@
 //! Golden files of the answers at the clients' listener and at the control listener.
 
 use crate::golden;
-use crate::stage::{Agent, Line, Mode, Server, Stage, job, response};
+use crate::harness::{AgentMode, DiscoveryAgent, HttpConnection, SchedulerProcess, Server, job, response};
 use std::net::TcpStream;
 
 /// Appends a message under a heading.
@@ -25,8 +25,8 @@
 #[test]
 fn answers_to_invalid_and_other_requests_match_the_golden_file() {
     let target = Server::new("s-00000001");
-    let discovery = Agent::new(Mode::Answers, &[target.entry("active")]);
-    let stage = Stage::new(&[&target], &discovery.server);
+    let discovery = DiscoveryAgent::new(AgentMode::Answers, &[target.entry("active")]);
+    let stage = SchedulerProcess::start(&[&target], &discovery.server);
     let valid = valid_job("view", "a1");
     let oversized = format!("GET /healthz HTTP/1.1\r\nX: {}\r\n\r\n", "x".repeat(17_000));
     let requests = [
@@ -54,17 +54,17 @@
     let mut text = String::new();
     for (heading, request) in requests {
         let mut connection = stage.connect();
-        connection.say(&request);
-        append_section(&mut text, heading, &connection.hear());
+        connection.send(&request);
+        append_section(&mut text, heading, &connection.receive());
     }
     let mut awaiting_continue = stage.connect();
-    awaiting_continue.say("POST /view/1 HTTP/1.1\r\nExpect: 100-continue\r\nContent-Length: 2\r\n\r\n");
-    append_section(&mut text, "a body that is asked for", &awaiting_continue.hear());
+    awaiting_continue.send("POST /view/1 HTTP/1.1\r\nExpect: 100-continue\r\nContent-Length: 2\r\n\r\n");
+    append_section(&mut text, "a body that is asked for", &awaiting_continue.receive());
     // The rest never arrives, so the request is answered when it times out.
     let mut incomplete = stage.connect();
-    incomplete.say("POST /view/1 HT");
-    append_section(&mut text, "a request that does not end", &incomplete.hear());
-    assert!(incomplete.closed());
+    incomplete.send("POST /view/1 HT");
+    append_section(&mut text, "a request that does not end", &incomplete.receive());
+    assert!(incomplete.wait_until_closed());
     golden::check("answers-no-jobs.txt", text.as_bytes());
 }
 
@@ -72,28 +72,28 @@
 #[test]
 fn answers_to_jobs_match_the_golden_file() {
     let target = Server::new("s-00000001");
-    let discovery = Agent::new(Mode::Answers, &[target.entry("active")]);
+    let discovery = DiscoveryAgent::new(AgentMode::Answers, &[target.entry("active")]);
     let changes = [("\"max_attempts\":2", "\"max_open\":1,\"max_attempts\":2")];
-    let stage = Stage::changed(&[&target], &discovery.server, &changes);
+    let stage = SchedulerProcess::start_with_changes(&[&target], &discovery.server, &changes);
     let mut text = String::new();
     let (mut client, mut other) = (stage.connect(), stage.connect());
-    client.say(&valid_job("view", "a1"));
+    client.send(&valid_job("view", "a1"));
     let mut worker = target.accept();
-    worker.hear();
-    other.say(&valid_job("view", "a1"));
-    append_section(&mut text, "an id that is in use", &other.hear());
-    other.say(&valid_job("view", "a2"));
-    append_section(&mut text, "no room", &other.hear());
-    worker.say(&response("202 Accepted", ""));
+    worker.receive();
+    other.send(&valid_job("view", "a1"));
+    append_section(&mut text, "an id that is in use", &other.receive());
+    other.send(&valid_job("view", "a2"));
+    append_section(&mut text, "no room", &other.receive());
+    worker.send(&response("202 Accepted", ""));
     let mut call_back_connection = stage.connect();
-    call_back_connection.say(&call_back_request("a1", "done"));
-    append_section(&mut text, "a call-back", &call_back_connection.hear());
-    append_section(&mut text, "served, kept", &client.hear());
-    client.say(&valid_job("view", "a3").replace("Host: h", "Host: h\r\nConnection: close"));
-    worker.hear();
-    worker.say(&response("404 Not Found", "no"));
-    append_section(&mut text, "failed, closed", &client.hear());
-    assert!(client.closed());
+    call_back_connection.send(&call_back_request("a1", "done"));
+    append_section(&mut text, "a call-back", &call_back_connection.receive());
+    append_section(&mut text, "served, kept", &client.receive());
+    client.send(&valid_job("view", "a3").replace("Host: h", "Host: h\r\nConnection: close"));
+    worker.receive();
+    worker.send(&response("404 Not Found", "no"));
+    append_section(&mut text, "failed, closed", &client.receive());
+    assert!(client.wait_until_closed());
     golden::check("answers-jobs.txt", text.as_bytes());
 }
 
@@ -101,23 +101,23 @@
 #[test]
 fn answers_of_a_drained_program_match_the_golden_file() {
     let target = Server::new("s-00000001");
-    let discovery = Agent::new(Mode::Answers, &[target.entry("active")]);
-    let stage = Stage::operated(&[&target], &discovery.server);
+    let discovery = DiscoveryAgent::new(AgentMode::Answers, &[target.entry("active")]);
+    let stage = SchedulerProcess::start_with_control(&[&target], &discovery.server);
     let mut text = String::new();
-    stage.order("PUT /control/workers/s-00000001/offline");
+    stage.control_request("PUT /control/workers/s-00000001/offline");
     let mut client = stage.connect();
-    client.say(&valid_job("lodge", "a1"));
-    let rejection = golden::mask_number_after(&client.hear(), "Retry-After: ");
+    client.send(&valid_job("lodge", "a1"));
+    let rejection = golden::mask_number_after(&client.receive(), "Retry-After: ");
     append_section(&mut text, "refused: no worker", &rejection);
-    stage.order("PUT /control/out-of-service");
+    stage.control_request("PUT /control/out-of-service");
     let mut connection = stage.connect();
-    connection.say("GET /healthz HTTP/1.1\r\nConnection: close\r\n\r\n");
-    append_section(&mut text, "health", &connection.hear());
+    connection.send("GET /healthz HTTP/1.1\r\nConnection: close\r\n\r\n");
+    append_section(&mut text, "health", &connection.receive());
     let mut last_answer = String::new();
-    crate::stage::until("jobs are rejected", || {
+    crate::harness::wait_until("jobs are rejected", || {
         let mut connection = stage.connect();
-        connection.say(&valid_job("lodge", "b1"));
-        last_answer = connection.hear();
+        connection.send(&valid_job("lodge", "b1"));
+        last_answer = connection.receive();
         last_answer.contains("no room")
     });
     append_section(&mut text, "a job", &last_answer);
@@ -128,13 +128,13 @@
 #[test]
 fn answers_of_the_control_listener_match_the_golden_file() {
     let target = Server::new("s-00000001");
-    let discovery = Agent::new(Mode::Answers, &[target.entry("active")]);
-    let mut stage = Stage::operated(&[&target], &discovery.server);
-    let send_call = |stage: &Stage, request: &str| {
-        let mut connection = Line::new(TcpStream::connect(stage.control).unwrap());
-        connection.say(request);
-        let answer = connection.hear();
-        assert!(connection.closed(), "the connection stays open after a call");
+    let discovery = DiscoveryAgent::new(AgentMode::Answers, &[target.entry("active")]);
+    let mut stage = SchedulerProcess::start_with_control(&[&target], &discovery.server);
+    let send_call = |stage: &SchedulerProcess, request: &str| {
+        let mut connection = HttpConnection::new(TcpStream::connect(stage.control).unwrap());
+        connection.send(request);
+        let answer = connection.receive();
+        assert!(connection.wait_until_closed(), "the connection stays open after a call");
         answer
     };
     let mut text = String::new();
@@ -166,16 +166,16 @@
     append_section(&mut text, "a call that does not end", &send_call(&stage, "GET /control/rea"));
     // An unanswered job keeps the program running during the shutdown.
     let mut client = stage.connect();
-    client.say(&valid_job("lodge", "a1"));
+    client.send(&valid_job("lodge", "a1"));
     let _worker = target.accept();
     stage.signal("TERM");
-    stage.logged("asked to end");
+    stage.wait_for_log("asked to end");
     append_section(
         &mut text,
         "ready, while it ends",
         &send_call(&stage, "GET /control/ready HTTP/1.1\r\n\r\n"),
     );
     drop(client);
-    assert!(stage.ended());
+    assert!(stage.wait_for_exit());
     golden::check("answers-staff.txt", text.as_bytes());
 }
--- a/tests/pins/log.rs
+++ b/tests/pins/log.rs
@@ -1,7 +1,7 @@
 //! Golden files of the log: text lines, JSON lines, and the counters.
 
 use crate::golden;
-use crate::stage::{Agent, Mode, Server, Stage, job, response};
+use crate::harness::{AgentMode, DiscoveryAgent, SchedulerProcess, Server, job, response};
 use serde_json::Value;
 use std::io::{BufRead, BufReader};
 use std::process::{Command, Stdio};
@@ -11,11 +11,11 @@
 #[test]
 fn names_and_order_of_counters_match_the_golden_file() {
     let target = Server::new("s-00000001");
-    let discovery = Agent::new(Mode::Answers, &[target.entry("active")]);
-    let stage = Stage::operated(&[&target], &discovery.server);
-    stage.order("PUT /control/ready");
+    let discovery = DiscoveryAgent::new(AgentMode::Answers, &[target.entry("active")]);
+    let stage = SchedulerProcess::start_with_control(&[&target], &discovery.server);
+    stage.control_request("PUT /control/ready");
     stage.signal("USR1");
-    let line = stage.logged("counters: ");
+    let line = stage.wait_for_log("counters: ");
     let words = line.split(' ').map(|word| match word.split_once('=') {
         Some((name, value)) => format!("{name}={}", if value.ends_with(';') { ";" } else { "" }),
         None => word.to_string(),
@@ -28,15 +28,15 @@
 #[test]
 fn log_lines_of_control_calls_match_the_golden_file() {
     let target = Server::new("s-00000001");
-    let discovery = Agent::new(Mode::Answers, &[target.entry("active")]);
-    let stage = Stage::operated(&[&target], &discovery.server);
-    let (_, startup_message) = stage.first_line.split_once(' ').unwrap();
-    let mut text = format!("<time> {}\n", startup_message.replace(&stage.at.to_string(), "<listen>"));
+    let discovery = DiscoveryAgent::new(AgentMode::Answers, &[target.entry("active")]);
+    let stage = SchedulerProcess::start_with_control(&[&target], &discovery.server);
+    let (_, startup_message) = stage.first_log_line.split_once(' ').unwrap();
+    let mut text = format!("<time> {}\n", startup_message.replace(&stage.address.to_string(), "<listen>"));
     for call in ["workers/s-00000001/offline", "workers/s-00000001/online", "out-of-service", "in-service"] {
         for _ in 0..2 {
-            stage.order(&format!("PUT /control/{call}"));
+            stage.control_request(&format!("PUT /control/{call}"));
             // The log target precedes the message, and may be the same word.
-            let message = stage.logged("control: ");
+            let message = stage.wait_for_log("control: ");
             text += &format!("control: {}\n", message.trim_start_matches("control: "));
         }
     }
@@ -55,9 +55,9 @@
 #[test]
 fn json_log_lines_match_the_golden_file() {
     let target = Server::new("s-00000001");
-    let discovery = Agent::new(Mode::Answers, &[target.entry("active")]);
+    let discovery = DiscoveryAgent::new(AgentMode::Answers, &[target.entry("active")]);
     // This stage only provides a configuration; the process under test uses it with an operator file.
-    let config_source = Stage::new(&[&target], &discovery.server);
+    let config_source = SchedulerProcess::start(&[&target], &discovery.server);
     let files = tempfile::tempdir().unwrap();
     let (config, operator) = (files.path().join("config.json"), files.path().join("loomlb.toml"));
     std::fs::write(&config, config_source.config()).unwrap();
@@ -79,18 +79,19 @@
     };
     let startup: Value = serde_json::from_str(&read_until("serves at ")).unwrap();
     let address = startup["message"].as_str().unwrap().split_once("serves at ").unwrap().1.to_string();
-    let mut client = crate::stage::Line::new(std::net::TcpStream::connect(&address).unwrap());
-    client.say(&job("view", "a1", "3.000").replace("Host: h", "Host: h\r\nX-Account: acme"));
+    let mut client = crate::harness::HttpConnection::new(std::net::TcpStream::connect(&address).unwrap());
+    client.send(&job("view", "a1", "3.000").replace("Host: h", "Host: h\r\nX-Account: acme"));
     let mut worker = target.accept();
-    worker.hear();
-    worker.say(&response("202 Accepted", ""));
+    worker.receive();
+    worker.send(&response("202 Accepted", ""));
     read_until("\"forwarded\"");
     let body = r#"{"id":"a1","from":"s-00000001","state":"done","result":"r"}"#;
-    let mut call_back_connection = crate::stage::Line::new(std::net::TcpStream::connect(&address).unwrap());
+    let mut call_back_connection =
+        crate::harness::HttpConnection::new(std::net::TcpStream::connect(&address).unwrap());
     let length = body.len();
     call_back_connection
-        .say(&format!("POST /v1/job-events HTTP/1.1\r\nContent-Length: {length}\r\n\r\n{body}"));
-    client.hear();
+        .send(&format!("POST /v1/job-events HTTP/1.1\r\nContent-Length: {length}\r\n\r\n{body}"));
+    client.receive();
     read_until("\"ended\"");
     let _ = child.kill();
     let _ = child.wait();
--- a/tests/pins/restart.rs
+++ b/tests/pins/restart.rs
@@ -2,7 +2,9 @@
 //! which a successor starts. The golden files of frames and messages are in the package `loomlb-hot-restart`.
 
 use crate::golden;
-use crate::stage::{Agent, Mode, Platform, Server, Stage, job, response, until};
+use crate::harness::{
+    AgentMode, DiscoveryAgent, Platform, SchedulerProcess, Server, job, response, wait_until,
+};
 use loomlb_hot_restart::message::{FrameDecoder, PROTOCOL_VERSION, RestartMessage};
 use serde_json::Value;
 use std::io::{Read, Write};
@@ -38,7 +40,7 @@
 
 /// Requests the snapshot of the running process.
 fn request_snapshot(platform: &Platform) -> Value {
-    let mut connection = RestartConnection::new(UnixStream::connect(platform.link()).unwrap());
+    let mut connection = RestartConnection::new(UnixStream::connect(platform.restart_socket()).unwrap());
     connection.send(&RestartMessage::Hello { version: PROTOCOL_VERSION });
     match connection.receive() {
         RestartMessage::Snapshot(value) => value,
@@ -64,19 +66,19 @@
 fn the_snapshot_for_a_successor_matches_the_golden_file() {
     let (discovery, one, two) = (Server::new("d"), Server::new("s-00000001"), Server::new("s-00000002"));
     let platform = Platform::new();
-    let stage = Stage::beside(&[&one, &two], &discovery, &platform);
-    stage.ready();
-    stage.order("PUT /control/workers/s-00000002/offline");
-    stage.order("PUT /control/workers/s-00000001/offline");
-    stage.order("PUT /control/workers/s-00000001/online");
+    let stage = SchedulerProcess::start_on_platform(&[&one, &two], &discovery, &platform);
+    stage.wait_until_ready();
+    stage.control_request("PUT /control/workers/s-00000002/offline");
+    stage.control_request("PUT /control/workers/s-00000001/offline");
+    stage.control_request("PUT /control/workers/s-00000001/online");
     let mut client = stage.connect();
-    client.say(&job("view", "a1", "3.000"));
+    client.send(&job("view", "a1", "3.000"));
     let mut worker = one.accept();
-    worker.hear();
-    worker.say("HTTP/1.1 202 Accepted\r\nX-Backend-Load: inflight=1,x0=3\r\nContent-Length: 0\r\n\r\n");
+    worker.receive();
+    worker.send("HTTP/1.1 202 Accepted\r\nX-Backend-Load: inflight=1,x0=3\r\nContent-Length: 0\r\n\r\n");
     stage.call_back(r#"{"id":"a1","from":"s-00000001","state":"done","result":"r"}"#);
-    client.hear();
-    stage.order("PUT /control/out-of-service");
+    client.receive();
+    stage.control_request("PUT /control/out-of-service");
     let mut value = request_snapshot(&platform);
     // The order of the entries is not defined.
     for list in ["/list/hosts", "/carried/workers"] {
@@ -85,7 +87,7 @@
     }
     mask_numbers(&mut value, "");
     let text = serde_json::to_string_pretty(&value).unwrap() + "\n";
-    let text = text.replace(&one.at().to_string(), "<one>").replace(&two.at().to_string(), "<two>");
+    let text = text.replace(&one.address().to_string(), "<one>").replace(&two.address().to_string(), "<two>");
     golden::check("snapshot.txt", text.as_bytes());
 }
 
@@ -94,10 +96,10 @@
 fn the_configuration_saved_for_a_successor_is_the_active_one() {
     let (discovery, target) = (Server::new("d"), Server::new("s-00000001"));
     let platform = Platform::new();
-    let mut stage = Stage::beside(&[&target], &discovery, &platform);
-    stage.ready();
+    let mut stage = SchedulerProcess::start_on_platform(&[&target], &discovery, &platform);
+    stage.wait_until_ready();
     stage.reload(r#""name":"lodge""#, r#""name":"sign""#);
-    stage.logged("configuration reloaded");
+    stage.wait_for_log("configuration reloaded");
     let saved = std::fs::read_to_string(platform.folder.path().join("loomlb-127.0.0.1-0.json")).unwrap();
     let active: Value = serde_json::from_str(stage.config()).unwrap();
     assert_eq!(saved, active.to_string());
@@ -125,14 +127,14 @@
 #[expect(clippy::disallowed_methods, reason = "an earlier build dates its snapshot by the wall clock")]
 fn a_successor_starts_from_the_snapshot_of_an_earlier_build() {
     let (discovery, one, two) =
-        (Agent::new(Mode::Silent, &[]), Server::new("s-00000001"), Server::new("s-00000002"));
+        (DiscoveryAgent::new(AgentMode::Silent, &[]), Server::new("s-00000001"), Server::new("s-00000002"));
     let platform = Platform::new();
     let text = String::from_utf8(golden::fixture("snapshot.json")).unwrap();
-    let text = text.replace("<one>", &one.at().to_string()).replace("<two>", &two.at().to_string());
+    let text = text.replace("<one>", &one.address().to_string()).replace("<two>", &two.address().to_string());
     let mut received: Value = serde_json::from_str(&text).unwrap();
     let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap().as_nanos() as i64;
     shift_times(&mut received, now - RECORDED_AT);
-    let listener = UnixListener::bind(platform.link()).unwrap();
+    let listener = UnixListener::bind(platform.restart_socket()).unwrap();
     let sent_snapshot = received.clone();
     let predecessor = std::thread::spawn(move || {
         let (stream, _) = listener.accept().unwrap();
@@ -144,22 +146,22 @@
         connection.send(&RestartMessage::Bye);
         connection
     });
-    let stage = Stage::beside(&[], &discovery.server, &platform);
+    let stage = SchedulerProcess::start_on_platform(&[], &discovery.server, &platform);
     let _connection = predecessor.join().unwrap();
-    stage.ready();
+    stage.wait_until_ready();
     // The offline workers, the service state and the worker list are those of the predecessor.
-    let state = stage.order("GET /control/ready");
+    let state = stage.control_request("GET /control/ready");
     assert!(state.contains(r#""service":"draining","workers_out":["s-00000002"]"#), "{state}");
-    stage.order("PUT /control/in-service");
+    stage.control_request("PUT /control/in-service");
     let mut client = stage.connect();
-    client.say(&job("view", "b1", "3.000"));
+    client.send(&job("view", "b1", "3.000"));
     let mut worker = one.accept();
-    assert!(worker.hear().contains("b1"));
-    worker.say(&response("202 Accepted", ""));
+    assert!(worker.receive().contains("b1"));
+    worker.send(&response("202 Accepted", ""));
     // Its own snapshot equals the received one, except for what the job and the control calls have changed.
     let mut own_snapshot = Value::Null;
-    until("the successor opens its own hot-restart socket", || {
-        if platform.link().exists() && UnixStream::connect(platform.link()).is_ok() {
+    wait_until("the successor opens its own hot-restart socket", || {
+        if platform.restart_socket().exists() && UnixStream::connect(platform.restart_socket()).is_ok() {
             own_snapshot = request_snapshot(&platform);
         }
         !own_snapshot.is_null()
--- a/tests/pins/tier.rs
+++ b/tests/pins/tier.rs
@@ -21,7 +21,7 @@
 /// Repeats a call while the answer is that no majority agreed in time, which any proposal can get on a busy machine.
 fn control_call_with_majority(rig: &TierHarness, n: usize, call: &str, body: &str) -> String {
     let mut answer = String::new();
-    crate::stage::until(call, || {
+    crate::harness::wait_until(call, || {
         answer = control_call(rig, n, call, body);
         !answer.contains("no majority")
     });
@@ -149,7 +149,7 @@
         &control_call(&rig, 1, "PUT /control/workers/s-00000001/offline", ""),
     );
     let (mut head, mut status) = (String::new(), Value::Null);
-    crate::stage::until("a stable status", || {
+    crate::harness::wait_until("a stable status", || {
         let answer = control_call(&rig, 0, "GET /control/tier", "");
         let (first, body) = answer.split_once("\r\n\r\n").unwrap();
         head = first.into();
@@ -171,7 +171,7 @@
         (output.status.code(), serde_json::from_slice::<Value>(&output.stdout).unwrap(), output.stdout)
     };
     let (mut code, mut value, mut printed) = run_json_command(&["status"]);
-    crate::stage::until("a stable status", || {
+    crate::harness::wait_until("a stable status", || {
         (code, value, printed) = run_json_command(&["status"]);
         is_stable(&value, 4)
     });
@@ -188,7 +188,7 @@
     let masks = [(path, "<file>"), (&*rig.control_address(0).to_string(), "<control>")];
     for args in [&["propose", path][..], &["propose", path, "--after", "1"], &["wait", "4"]] {
         let mut output = String::new();
-        crate::stage::until("an outcome", || {
+        crate::harness::wait_until("an outcome", || {
             output = run_tier_command(&rig, args, &masks);
             !output.contains("no majority")
         });
@@ -205,9 +205,9 @@
 /// Covers a program without a tier, and an address at which no program listens.
 #[test]
 fn command_line_output_without_a_tier_matches_the_golden_file() {
-    use crate::stage::{Agent, Mode, Stage};
-    let discovery = Agent::new(Mode::Answers, &[]);
-    let stage = Stage::operated(&[], &discovery.server);
+    use crate::harness::{AgentMode, DiscoveryAgent, SchedulerProcess};
+    let discovery = DiscoveryAgent::new(AgentMode::Answers, &[]);
+    let stage = SchedulerProcess::start_with_control(&[], &discovery.server);
     let run_command = |address: String, subcommand: &str| {
         let mut command = Command::new(env!("CARGO_BIN_EXE_loomlb"));
         let output = command.args(["tier", "--at", &address, subcommand]).env_clear().output().unwrap();
--- a/tests/system_calls.rs
+++ b/tests/system_calls.rs
@@ -1,12 +1,15 @@
 //! Injects failures that Linux documents into the system calls of the built program, at each place that makes the call.
 
-mod stage;
+mod harness;
 
+use harness::{
+    AgentMode, DiscoveryAgent, FullBacklogServer, IncomingConnections, Platform, SchedulerProcess, Server,
+    job, response, wait_until,
+};
 use loomlb_emulator::tier_harness::{self, TierHarness};
 use loomlb_emulator::{Options, StopFlag};
 use loomlb_fault_plan::{Call, FaultPlan, Limit, UNLIMITED};
 use loomlb_simulation::Scenario;
-use stage::{Agent, Comers, Mode, Narrow, Platform, Server, Stage, job, response, until};
 use std::process::{Command, Stdio};
 use std::time::{Duration, Instant};
 
@@ -32,20 +35,20 @@
 }
 
 /// Accepts the next forward at the target, checks its id, and reports the job as done.
-fn serve_next_forward(stage: &Stage, target: &Server, id: &str) {
+fn serve_next_forward(stage: &SchedulerProcess, target: &Server, id: &str) {
     let mut forward = target.accept();
-    let request = forward.hear();
+    let request = forward.receive();
     assert!(request.contains(&format!("X-Correlation-Id: {id}\r\n")), "{request}");
-    forward.say(&response("202 Accepted", ""));
+    forward.send(&response("202 Accepted", ""));
     stage.call_back(&done_call_back(target, id));
 }
 
 /// Starts the program with a fault plan and waits until it has the list of these targets and asks for the next one.
-fn start_with_list(targets: &[&Server]) -> (FaultPlan, Stage, Agent) {
+fn start_with_list(targets: &[&Server]) -> (FaultPlan, SchedulerProcess, DiscoveryAgent) {
     let entries: Vec<String> = targets.iter().map(|target| target.entry("active")).collect();
-    let (plan, discovery) = (FaultPlan::new().unwrap(), Agent::new(Mode::Answers, &entries));
-    let stage = Stage::under(&plan, targets, &discovery.server, "");
-    discovery.called("from=2", 1);
+    let (plan, discovery) = (FaultPlan::new().unwrap(), DiscoveryAgent::new(AgentMode::Answers, &entries));
+    let stage = SchedulerProcess::start_with_faults(&plan, targets, &discovery.server, "");
+    discovery.wait_for_calls("from=2", 1);
     (plan, stage, discovery)
 }
 
@@ -57,8 +60,8 @@
             for errno in SOCKET_OPEN_ERRORS {
                 let plan = FaultPlan::new().unwrap();
                 plan.fail_after(call, errno, index as u64, 3);
-                let stage = Stage::under(&plan, &[&target], &discovery, ALL_ADDRESSES);
-                assert_eq!(stage.ask(HEALTH), "HTTP/1.1 200 OK | ready", "{call:?} of {key}: {errno}");
+                let stage = SchedulerProcess::start_with_faults(&plan, &[&target], &discovery, ALL_ADDRESSES);
+                assert_eq!(stage.request(HEALTH), "HTTP/1.1 200 OK | ready", "{call:?} of {key}: {errno}");
                 assert!(plan.hits(call) == 3, "{call:?} of {key}: {errno}: {}", plan.hits(call));
             }
         }
@@ -76,9 +79,9 @@
             std::thread::sleep(Duration::from_secs(1));
             plan.allow(Call::Socket);
         });
-        Stage::under(&plan, &[&target], &discovery, ALL_ADDRESSES)
+        SchedulerProcess::start_with_faults(&plan, &[&target], &discovery, ALL_ADDRESSES)
     });
-    assert_eq!(stage.ask(HEALTH), "HTTP/1.1 200 OK | ready");
+    assert_eq!(stage.request(HEALTH), "HTTP/1.1 200 OK | ready");
     assert!(plan.hits(Call::Socket) > 3);
 }
 
@@ -90,8 +93,8 @@
     let (occupied, discovery) = (Server::new("taken"), Server::new("d"));
     let config = format!(
         r#"{{"listen":"{}","discovery":"{}","settings":{{"classes":[{{"name":"view"}}]}}}}"#,
-        occupied.at(),
-        discovery.at()
+        occupied.address(),
+        discovery.address()
     );
     std::fs::write(&file, config).unwrap();
     for (errno, code) in [(libc::ENFILE, "socket-machine-files"), (0, "socket-in-use")] {
@@ -104,7 +107,7 @@
         let output = command.output().unwrap();
         let stderr = String::from_utf8(output.stderr).unwrap();
         assert_eq!(output.status.code(), Some(1), "{stderr}");
-        assert!(stderr.contains(&format!("loomlb: listen: {}: ", occupied.at())), "{stderr}");
+        assert!(stderr.contains(&format!("loomlb: listen: {}: ", occupied.address())), "{stderr}");
         assert!(stderr.contains(&format!("[{code}]")), "{stderr}");
         assert!(started_at.elapsed() < Duration::from_secs(9), "{:?}", started_at.elapsed());
     }
@@ -114,20 +117,21 @@
 fn an_aborted_accept_closes_no_other_connection_and_the_next_connection_is_accepted() {
     let (target, discovery) = (Server::new("t"), Server::new("d"));
     let plan = FaultPlan::new().unwrap();
-    let stage = Stage::under(&plan, &[&target], &discovery, r#""control":"127.0.0.1:0","#);
+    let stage =
+        SchedulerProcess::start_with_faults(&plan, &[&target], &discovery, r#""control":"127.0.0.1:0","#);
     // An idle connection that brought no job is the first to be closed when descriptors run out.
     let mut idle = stage.connect();
-    idle.say(HEALTH);
-    assert_eq!(idle.answer(), "HTTP/1.1 200 OK | ready");
+    idle.send(HEALTH);
+    assert_eq!(idle.receive_response(), "HTTP/1.1 200 OK | ready");
     for errno in ACCEPT_CONNECTION_ERRORS {
         plan.fail(Call::Accept, errno, 5);
         let mut client = stage.connect();
-        client.say(&job("view", &format!("a{errno}"), "3.0"));
+        client.send(&job("view", &format!("a{errno}"), "3.0"));
         serve_next_forward(&stage, &target, &format!("a{errno}"));
-        assert_eq!(client.answer(), "HTTP/1.1 200 OK | yes", "{errno}");
-        idle.say(HEALTH);
+        assert_eq!(client.receive_response(), "HTTP/1.1 200 OK | yes", "{errno}");
+        idle.send(HEALTH);
         assert_eq!(
-            idle.answer(),
+            idle.receive_response(),
             "HTTP/1.1 200 OK | ready",
             "the idle connection was closed after a failed accept: {errno}"
         );
@@ -142,16 +146,16 @@
     let (target, discovery) = (Server::new("t"), Server::new("d"));
     for errno in [libc::EMFILE, libc::ENFILE, libc::ENOBUFS, libc::ENOMEM] {
         let plan = FaultPlan::new().unwrap();
-        let stage = Stage::under(&plan, &[&target], &discovery, "");
+        let stage = SchedulerProcess::start_with_faults(&plan, &[&target], &discovery, "");
         let mut idle = stage.connect();
-        idle.say(HEALTH);
-        assert_eq!(idle.answer(), "HTTP/1.1 200 OK | ready");
+        idle.send(HEALTH);
+        assert_eq!(idle.receive_response(), "HTTP/1.1 200 OK | ready");
         plan.fail(Call::Accept, errno, UNLIMITED);
         let mut client = stage.connect();
-        assert!(idle.closed());
+        assert!(idle.wait_until_closed());
         plan.allow(Call::Accept);
-        client.say(HEALTH);
-        assert_eq!(client.answer(), "HTTP/1.1 200 OK | ready", "{errno}");
+        client.send(HEALTH);
+        assert_eq!(client.receive_response(), "HTTP/1.1 200 OK | ready", "{errno}");
     }
 }
 
@@ -159,12 +163,13 @@
 fn the_control_listener_answers_after_failed_accepts() {
     let (target, discovery) = (Server::new("t"), Server::new("d"));
     let plan = FaultPlan::new().unwrap();
-    let stage = Stage::under(&plan, &[&target], &discovery, r#""control":"127.0.0.1:0","#);
+    let stage =
+        SchedulerProcess::start_with_faults(&plan, &[&target], &discovery, r#""control":"127.0.0.1:0","#);
     for errno in
         ACCEPT_CONNECTION_ERRORS.into_iter().chain([libc::EMFILE, libc::ENFILE, libc::ENOBUFS, libc::ENOMEM])
     {
         plan.fail(Call::Accept, errno, 3);
-        assert!(stage.order("GET /control/ready").starts_with("HTTP/1.1 200"), "{errno}");
+        assert!(stage.control_request("GET /control/ready").starts_with("HTTP/1.1 200"), "{errno}");
     }
 }
 
@@ -174,14 +179,16 @@
     let plan = FaultPlan::new().unwrap();
     // The predecessor binds its control listener first, then its hot-restart socket.
     plan.fail_after(Call::Bind, libc::ENOBUFS, 1, 2);
-    let predecessor = Stage::beside_under(&plan, &[&target], &discovery, &platform);
-    until("the hot-restart socket of the predecessor exists", || platform.link().exists());
+    let predecessor =
+        SchedulerProcess::start_on_platform_with_faults(&plan, &[&target], &discovery, &platform);
+    wait_until("the hot-restart socket of the predecessor exists", || platform.restart_socket().exists());
     plan.fail(Call::Accept, libc::ECONNABORTED, 3);
     let successor_plan = FaultPlan::new().unwrap();
     // The successor binds its control listener, then connects to the predecessor.
     successor_plan.fail(Call::Connect, libc::EAGAIN, 2);
-    let successor = Stage::beside_under(&successor_plan, &[], &discovery, &platform);
-    successor.logged("taken over from the predecessor");
+    let successor =
+        SchedulerProcess::start_on_platform_with_faults(&successor_plan, &[], &discovery, &platform);
+    successor.wait_for_log("taken over from the predecessor");
     assert_eq!((plan.hits(Call::Accept), successor_plan.hits(Call::Connect)), (3, 2));
     drop(predecessor);
 }
@@ -195,15 +202,15 @@
         .chain([(Call::Socket, libc::EMFILE)])
     {
         let plan = FaultPlan::new().unwrap();
-        let stage = Stage::under(&plan, &[&target], &discovery, "");
+        let stage = SchedulerProcess::start_with_faults(&plan, &[&target], &discovery, "");
         plan.fail(call, errno, UNLIMITED);
         let mut client = stage.connect();
-        client.say(&job("lodge", "a", "3.0"));
+        client.send(&job("lodge", "a", "3.0"));
         let hits_before = plan.hits(call);
-        until("the connect is retried", || plan.hits(call) >= hits_before + 4);
+        wait_until("the connect is retried", || plan.hits(call) >= hits_before + 4);
         plan.allow(call);
         serve_next_forward(&stage, &target, "a");
-        assert_eq!(client.answer(), "HTTP/1.1 200 OK | yes", "{call:?}: {errno}");
+        assert_eq!(client.receive_response(), "HTTP/1.1 200 OK | yes", "{call:?}: {errno}");
         let counters = stage.counters(&["served", "forwards", "NoConnection", "NotSent", "dials"]);
         assert_eq!(counters, "served=1 forwards=1 NoConnection=0 NotSent=0 dials=1", "{call:?}: {errno}");
         assert_ne!(stage.counters(&["dials_again"]), "dials_again=0");
@@ -215,11 +222,11 @@
     let (target, discovery) = (Server::new("t"), Server::new("d"));
     for errno in LOCAL_CONNECT_ERRORS {
         let plan = FaultPlan::new().unwrap();
-        let stage = Stage::under(&plan, &[&target], &discovery, "");
+        let stage = SchedulerProcess::start_with_faults(&plan, &[&target], &discovery, "");
         plan.fail(Call::Connect, errno, UNLIMITED);
         // The first job ends at the connect timeout, the second at its own deadline.
         for (id, seconds) in [("a", "3.0"), ("b", "0.3")] {
-            assert!(stage.ask(&job("lodge", id, seconds)).starts_with("HTTP/1.1 503"), "{errno}");
+            assert!(stage.request(&job("lodge", id, seconds)).starts_with("HTTP/1.1 503"), "{errno}");
         }
         assert_eq!(stage.counters(&["NoConnection", "NotSent"]), "NoConnection=0 NotSent=2", "{errno}");
     }
@@ -229,27 +236,27 @@
 /// deadline, and there are more of them than connections allowed.
 #[test]
 fn cancelled_dials_do_not_use_up_the_connection_limit() {
-    let (mut narrow, discovery) = (Narrow::new("t"), Server::new("d"));
-    let stage = Stage::new(&[&narrow.server], &discovery);
+    let (mut narrow, discovery) = (FullBacklogServer::new("t"), Server::new("d"));
+    let stage = SchedulerProcess::start(&[&narrow.server], &discovery);
     let ids: Vec<String> = (0..64).map(|number| format!("a{number}")).collect();
     for chunk in ids.chunks(8) {
         let mut clients: Vec<_> = chunk.iter().map(|_| stage.connect()).collect();
-        clients.iter_mut().zip(chunk).for_each(|(client, id)| client.say(&job("lodge", id, "0.2")));
-        assert!(clients.iter_mut().all(|client| client.answer().starts_with("HTTP/1.1 50")));
+        clients.iter_mut().zip(chunk).for_each(|(client, id)| client.send(&job("lodge", id, "0.2")));
+        assert!(clients.iter_mut().all(|client| client.receive_response().starts_with("HTTP/1.1 50")));
     }
-    narrow.widen();
+    narrow.free_backlog();
     let mut client = stage.connect();
-    client.say(&job("lodge", "b", "3.0"));
+    client.send(&job("lodge", "b", "3.0"));
     let mut forward = loop {
         // Cancelled dials may still complete; they send nothing.
         let mut connection = narrow.server.accept();
-        if connection.hear().contains("X-Correlation-Id: b\r\n") {
+        if connection.receive().contains("X-Correlation-Id: b\r\n") {
             break connection;
         }
     };
-    forward.say(&response("202 Accepted", ""));
+    forward.send(&response("202 Accepted", ""));
     stage.call_back(&done_call_back(&narrow.server, "b"));
-    assert_eq!(client.answer(), "HTTP/1.1 200 OK | yes");
+    assert_eq!(client.receive_response(), "HTTP/1.1 200 OK | yes");
 }
 
 #[test]
@@ -259,13 +266,13 @@
         let (plan, stage, _discovery) = start_with_list(&[&target]);
         plan.fail(Call::Connect, errno, 1);
         let mut client = stage.connect();
-        client.say(&job("lodge", "a", "3.0"));
+        client.send(&job("lodge", "a", "3.0"));
         serve_next_forward(&stage, &target, "a");
-        assert_eq!(client.answer(), "HTTP/1.1 200 OK | yes", "{errno}");
+        assert_eq!(client.receive_response(), "HTTP/1.1 200 OK | yes", "{errno}");
         // Starts another process, because this one would reuse its idle connection to the target.
         let (plan, stage, _discovery) = start_with_list(&[&target]);
         plan.fail(Call::Connect, errno, UNLIMITED);
-        assert!(stage.ask(&job("lodge", "b", "3.0")).starts_with("HTTP/1.1 503"), "{errno}");
+        assert!(stage.request(&job("lodge", "b", "3.0")).starts_with("HTTP/1.1 503"), "{errno}");
         assert_eq!(stage.counters(&["NoConnection", "NotSent"]), "NoConnection=1 NotSent=0", "{errno}");
     }
 }
@@ -275,11 +282,11 @@
 fn discovery_is_retried_at_once_after_a_local_connect_error() {
     let target = Server::new("t");
     for errno in LOCAL_CONNECT_ERRORS {
-        let discovery = Agent::new(Mode::Answers, &[target.entry("active")]);
+        let discovery = DiscoveryAgent::new(AgentMode::Answers, &[target.entry("active")]);
         let plan = FaultPlan::new().unwrap();
         plan.fail(Call::Connect, errno, 3);
-        let stage = Stage::under(&plan, &[], &discovery.server, "");
-        discovery.called("servers", 2);
+        let stage = SchedulerProcess::start_with_faults(&plan, &[], &discovery.server, "");
+        discovery.wait_for_calls("servers", 2);
         assert_eq!(plan.hits(Call::Connect), 3, "{errno}");
         assert_eq!(stage.counters(&["list_faults"]), "list_faults=0", "{errno}");
     }
@@ -289,26 +296,30 @@
 fn short_and_interrupted_reads_and_writes_lose_no_data() {
     let target = Server::new("t");
     for bytes in [1, 7, 64] {
-        let discovery = Agent::new(Mode::Answers, &[target.entry("active")]);
+        let discovery = DiscoveryAgent::new(AgentMode::Answers, &[target.entry("active")]);
         let plan = FaultPlan::new().unwrap();
         plan.short_reads(bytes).short_writes(bytes);
         plan.fail_every(Call::SocketRead, libc::EINTR, 3).fail_every(Call::SocketWrite, libc::EINTR, 3);
         plan.fail_every(Call::EpollWait, libc::EINTR, 3);
-        let stage = Stage::under(&plan, &[], &discovery.server, r#""control":"127.0.0.1:0","#);
-        discovery.called("from=2", 1);
+        let stage =
+            SchedulerProcess::start_with_faults(&plan, &[], &discovery.server, r#""control":"127.0.0.1:0","#);
+        discovery.wait_for_calls("from=2", 1);
         let mut client = stage.connect();
-        client.say(&job("lodge", "a", "3.0"));
+        client.send(&job("lodge", "a", "3.0"));
         let mut forward = target.accept();
         for id in ["a", "b", "c"] {
             if id != "a" {
-                client.say(&job("lodge", id, "3.0"));
+                client.send(&job("lodge", id, "3.0"));
             }
-            assert!(forward.hear().contains(&format!("X-Correlation-Id: {id}\r\n")), "{bytes} bytes: {id}");
-            forward.say(&response("202 Accepted", ""));
+            assert!(
+                forward.receive().contains(&format!("X-Correlation-Id: {id}\r\n")),
+                "{bytes} bytes: {id}"
+            );
+            forward.send(&response("202 Accepted", ""));
             stage.call_back(&done_call_back(&target, id));
-            assert_eq!(client.answer(), "HTTP/1.1 200 OK | yes", "{bytes} bytes: {id}");
+            assert_eq!(client.receive_response(), "HTTP/1.1 200 OK | yes", "{bytes} bytes: {id}");
         }
-        assert!(stage.order("GET /control/ready").starts_with("HTTP/1.1 200"));
+        assert!(stage.control_request("GET /control/ready").starts_with("HTTP/1.1 200"));
         assert_eq!(
             stage.counters(&["served", "forwards", "list_faults"]),
             "served=3 forwards=3 list_faults=0"
@@ -326,11 +337,11 @@
     let (target, discovery) = (Server::new("t"), Server::new("d"));
     let plan = FaultPlan::new().unwrap();
     plan.short_reads(HEALTH.len() as u64);
-    let stage = Stage::under(&plan, &[&target], &discovery, "");
+    let stage = SchedulerProcess::start_with_faults(&plan, &[&target], &discovery, "");
     let mut client = stage.connect();
-    client.say(&HEALTH.repeat(3));
+    client.send(&HEALTH.repeat(3));
     for _ in 0..3 {
-        assert_eq!(client.answer(), "HTTP/1.1 200 OK | ready");
+        assert_eq!(client.receive_response(), "HTTP/1.1 200 OK | ready");
     }
 }
 
@@ -342,32 +353,32 @@
         let only_target = Server::new("t");
         let (plan, stage, _discovery) = start_with_list(&[&only_target]);
         let mut client = stage.connect();
-        client.say(&job("lodge", "a", "3.0"));
+        client.send(&job("lodge", "a", "3.0"));
         let mut forward = only_target.accept();
-        forward.hear();
+        forward.receive();
         plan.fail(Call::SocketRead, errno, 1);
         // No other connection receives data, so the fault hits the read of this one.
-        forward.say("HTTP/1.1 202");
-        assert_eq!(client.answer(), "HTTP/1.1 502 Bad Gateway | failed", "{errno}");
+        forward.send("HTTP/1.1 202");
+        assert_eq!(client.receive_response(), "HTTP/1.1 502 Bad Gateway | failed", "{errno}");
         assert_eq!(plan.hits(Call::SocketRead), 1);
         assert_eq!(stage.counters(&["forwards", "Reset"]), "forwards=1 Reset=1", "{errno}");
         // A job whose request was not completely written cannot have run.
         let (first, second) = (Server::new("t"), Server::new("u"));
         let (plan, stage, _discovery) = start_with_list(&[&first, &second]);
-        let connections = Comers::new(&[&first, &second]);
+        let connections = IncomingConnections::new(&[&first, &second]);
         plan.fail(Call::SocketWrite, errno, 1);
         let mut client = stage.connect();
-        client.say(&job("lodge", "b", "3.0"));
+        client.send(&job("lodge", "b", "3.0"));
         let (name, mut forward) = loop {
             let (name, mut forward) = connections.next();
-            if forward.hear().contains("X-Correlation-Id: b\r\n") {
+            if forward.receive().contains("X-Correlation-Id: b\r\n") {
                 break (name, forward);
             }
         };
-        forward.say(&response("202 Accepted", ""));
+        forward.send(&response("202 Accepted", ""));
         let target = if name == "t" { &first } else { &second };
         stage.call_back(&done_call_back(target, "b"));
-        assert_eq!(client.answer(), "HTTP/1.1 200 OK | yes", "{errno}");
+        assert_eq!(client.receive_response(), "HTTP/1.1 200 OK | yes", "{errno}");
         assert_eq!(stage.counters(&["forwards", "NoConnection"]), "forwards=2 NoConnection=1", "{errno}");
     }
 }
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -1,10 +1,10 @@
 //! End-to-end tests of the hot restart, in which one process takes over from another.
 
-mod stage;
+mod harness;
 
+use harness::{HttpConnection, Platform, SchedulerProcess, Server, job, response, wait_until};
 use loomlb_fault_plan::{Call, FaultPlan, Limit, UNLIMITED};
 use loomlb_hot_restart::message::{FrameDecoder, PROTOCOL_VERSION, RestartMessage};
-use stage::{Line, Platform, Server, Stage, job, response, until};
 use std::io::{Read, Write};
 use std::os::unix::net::UnixListener;
 use std::process::Command;
@@ -12,9 +12,9 @@
 use std::time::Duration;
 
 /// Reads a job on a connection to a target and accepts it.
-fn accept_job(connection: &mut Line, id: &str) {
-    assert!(connection.hear().contains(id));
-    connection.say(&response("202 Accepted", ""));
+fn accept_job(connection: &mut HttpConnection, id: &str) {
+    assert!(connection.receive().contains(id));
+    connection.send(&response("202 Accepted", ""));
 }
 
 /// Returns the call-back body with which a target reports a finished job.
@@ -26,91 +26,97 @@
 fn a_successor_takes_over_open_flows_and_connections_without_any_client_noticing() {
     let (discovery, one, two) = (Server::new("d"), Server::new("s-00000001"), Server::new("s-00000002"));
     let platform = Platform::new();
-    let mut predecessor = Stage::beside(&[&one, &two], &discovery, &platform);
-    predecessor.ready();
-    assert!(predecessor.order("PUT /control/workers/s-00000002/offline").starts_with("HTTP/1.1 200"));
+    let mut predecessor = SchedulerProcess::start_on_platform(&[&one, &two], &discovery, &platform);
+    predecessor.wait_until_ready();
+    assert!(
+        predecessor.control_request("PUT /control/workers/s-00000002/offline").starts_with("HTTP/1.1 200")
+    );
     // One client has been answered and stays connected, one has sent nothing yet, and one waits for its job.
     let (mut answered, mut silent, mut waiting) =
         (predecessor.connect(), predecessor.connect(), predecessor.connect());
-    answered.say(&job("view", "a1", "3.000"));
+    answered.send(&job("view", "a1", "3.000"));
     let mut forward = one.accept();
     accept_job(&mut forward, "a1");
     predecessor.call_back(&done_call_back(&one, "a1"));
-    assert!(answered.answer().ends_with("a1"));
-    waiting.say(&job("lodge", "a2", "4.000"));
+    assert!(answered.receive_response().ends_with("a1"));
+    waiting.send(&job("lodge", "a2", "4.000"));
     accept_job(&mut forward, "a2");
-    let successor = Stage::beside(&[&one, &two], &discovery, &platform);
-    successor.ready();
-    assert!(predecessor.order("GET /control/ready").ends_with(r#"{"why":"handed over","yes":false}"#));
+    let successor = SchedulerProcess::start_on_platform(&[&one, &two], &discovery, &platform);
+    successor.wait_until_ready();
+    assert!(
+        predecessor.control_request("GET /control/ready").ends_with(r#"{"why":"handed over","yes":false}"#)
+    );
     // A control call to either process applies to the scheduler, and the effect of earlier calls is kept.
-    assert!(predecessor.order("PUT /control/out-of-service").starts_with("HTTP/1.1 200"));
-    assert!(successor.ask("GET /healthz HTTP/1.1\r\n\r\n").starts_with("HTTP/1.1 503"));
+    assert!(predecessor.control_request("PUT /control/out-of-service").starts_with("HTTP/1.1 200"));
+    assert!(successor.request("GET /healthz HTTP/1.1\r\n\r\n").starts_with("HTTP/1.1 503"));
     assert!(
-        successor.order("PUT /control/in-service").contains(r#""service":"in","workers_out":["s-00000002"]"#)
+        successor
+            .control_request("PUT /control/in-service")
+            .contains(r#""service":"in","workers_out":["s-00000002"]"#)
     );
     // The successor serves requests on the connections it was handed, over the existing connection to the target.
     for (client, id) in [(&mut answered, "b1"), (&mut silent, "b2")] {
-        client.say(&job("view", id, "3.000"));
+        client.send(&job("view", id, "3.000"));
         accept_job(&mut forward, id);
         successor.call_back(&done_call_back(&one, id));
-        assert!(client.answer().ends_with(id));
+        assert!(client.receive_response().ends_with(id));
     }
     // The call-back for the open flow arrives at the process that does not hold the flow.
     assert!(successor.call_back(&done_call_back(&one, "a2")).ends_with("noted"));
-    assert!(waiting.answer().ends_with("a2"));
-    assert!(predecessor.ended(), "the predecessor did not exit by itself");
-    waiting.say(&job("view", "b3", "3.000"));
+    assert!(waiting.receive_response().ends_with("a2"));
+    assert!(predecessor.wait_for_exit(), "the predecessor did not exit by itself");
+    waiting.send(&job("view", "b3", "3.000"));
     accept_job(&mut forward, "b3");
     successor.call_back(&done_call_back(&one, "b3"));
-    assert!(waiting.answer().ends_with("b3"));
+    assert!(waiting.receive_response().ends_with("b3"));
     insta::assert_snapshot!(
         successor.counters(&["adopted", "call_backs_passed", "call_backs_unknown", "dials"]),
         @"dials=0 call_backs_unknown=0 adopted=4 call_backs_passed=1"
     );
     // Another hot restart works after the first.
-    let third = Stage::beside(&[&one, &two], &discovery, &platform);
-    third.ready();
-    assert!(third.order("GET /control/ready").contains(r#""workers_out":["s-00000002"]"#));
+    let third = SchedulerProcess::start_on_platform(&[&one, &two], &discovery, &platform);
+    third.wait_until_ready();
+    assert!(third.control_request("GET /control/ready").contains(r#""workers_out":["s-00000002"]"#));
 }
 
 #[test]
 fn the_predecessor_accepts_again_when_its_successor_dies() {
     let (discovery, target) = (Server::new("d"), Server::new("s-00000001"));
     let platform = Platform::new();
-    let predecessor = Stage::beside(&[&target], &discovery, &platform);
-    predecessor.ready();
+    let predecessor = SchedulerProcess::start_on_platform(&[&target], &discovery, &platform);
+    predecessor.wait_until_ready();
     let mut waiting = predecessor.connect();
-    waiting.say(&job("lodge", "a1", "4.900"));
+    waiting.send(&job("lodge", "a1", "4.900"));
     let mut forward = target.accept();
     accept_job(&mut forward, "a1");
     for _ in 0..2 {
-        let successor = Stage::beside(&[&target], &discovery, &platform);
-        successor.ready();
+        let successor = SchedulerProcess::start_on_platform(&[&target], &discovery, &platform);
+        successor.wait_until_ready();
         drop(successor);
-        predecessor.ready();
-        assert!(predecessor.ask("GET /healthz HTTP/1.1\r\n\r\n").ends_with("ready"));
+        predecessor.wait_until_ready();
+        assert!(predecessor.request("GET /healthz HTTP/1.1\r\n\r\n").ends_with("ready"));
     }
     predecessor.call_back(&done_call_back(&target, "a1"));
-    assert!(waiting.answer().ends_with("a1"));
+    assert!(waiting.receive_response().ends_with("a1"));
 }
 
 #[test]
 fn a_process_starts_from_its_configuration_despite_a_stale_socket_or_an_unusable_predecessor() {
     let (discovery, target) = (Server::new("d"), Server::new("s-00000001"));
     let platform = Platform::new();
-    std::fs::write(platform.link(), "leftover").unwrap();
-    let first = Stage::beside(&[&target], &discovery, &platform);
-    first.ready();
+    std::fs::write(platform.restart_socket(), "leftover").unwrap();
+    let first = SchedulerProcess::start_on_platform(&[&target], &discovery, &platform);
+    first.wait_until_ready();
     drop(first);
-    assert!(platform.link().exists(), "the killed process removed its socket");
-    let second = Stage::beside(&[&target], &discovery, &platform);
-    second.ready();
+    assert!(platform.restart_socket().exists(), "the killed process removed its socket");
+    let second = SchedulerProcess::start_on_platform(&[&target], &discovery, &platform);
+    second.wait_until_ready();
     drop(second);
     // Other processes that refuse, close in the middle of a message, send an unknown message, or stay silent.
     let refusal = RestartMessage::Refused("another version".into()).encode(false).unwrap();
     for bytes in [&refusal[..], &refusal[..4], b"\x03\0\0\0\0abc", b""] {
-        std::fs::remove_file(platform.link()).unwrap();
-        let listener = UnixListener::bind(platform.link()).unwrap();
+        std::fs::remove_file(platform.restart_socket()).unwrap();
+        let listener = UnixListener::bind(platform.restart_socket()).unwrap();
         let (reply, stays_silent) = (bytes.to_vec(), bytes.is_empty());
         let other_process = std::thread::spawn(move || {
             let (mut stream, _) = listener.accept().unwrap();
@@ -125,10 +131,10 @@
             // Stays silent until the starting process closes the connection.
             let _ = if stays_silent { stream.read(&mut buffer) } else { Ok(0) };
         });
-        let stage = Stage::beside(&[&target], &discovery, &platform);
-        stage.ready();
+        let stage = SchedulerProcess::start_on_platform(&[&target], &discovery, &platform);
+        stage.wait_until_ready();
         other_process.join().unwrap();
-        assert!(stage.ask("GET /healthz HTTP/1.1\r\n\r\n").ends_with("ready"));
+        assert!(stage.request("GET /healthz HTTP/1.1\r\n\r\n").ends_with("ready"));
     }
 }
 
@@ -136,26 +142,26 @@
 fn an_invalid_configuration_file_does_not_stop_a_successor_from_starting() {
     let (discovery, target) = (Server::new("d"), Server::new("s-00000001"));
     let platform = Platform::new();
-    let mut predecessor = Stage::beside(&[&target], &discovery, &platform);
-    predecessor.ready();
+    let mut predecessor = SchedulerProcess::start_on_platform(&[&target], &discovery, &platform);
+    predecessor.wait_until_ready();
     predecessor.reload(r#""name":"lodge""#, r#""name":"sign""#);
-    predecessor.logged("configuration reloaded");
+    predecessor.wait_for_log("configuration reloaded");
     let invalid = predecessor.config().replacen("5000000000", "0", 1);
     for (text, error) in [(&*invalid, "settings.classes[0].give_up: 0 is no number"), ("{", "the file: EOF")]
     {
-        let successor = Stage::beside_as(&discovery, &platform, text);
-        let log_line = &successor.first_line;
+        let successor = SchedulerProcess::start_on_platform_with_config(&discovery, &platform, text);
+        let log_line = &successor.first_log_line;
         assert!(
             log_line.contains(error) && log_line.ends_with("starting with the last accepted one"),
             "{log_line}"
         );
-        successor.ready();
+        successor.wait_until_ready();
         // It uses the last configuration that its predecessor accepted.
-        let answer = successor.ask(&job("lodge", "a1", "3.000"));
+        let answer = successor.request(&job("lodge", "a1", "3.000"));
         assert!(answer.ends_with("unknown class"), "{text}: {answer:?}");
         let mut client = successor.connect();
-        client.say(&job("sign", "a2", "3.000"));
-        let request = target.accept().hear();
+        client.send(&job("sign", "a2", "3.000"));
+        let request = target.accept().receive();
         assert!(request.contains("a2"), "{text}: {request:?}");
     }
 }
@@ -166,9 +172,9 @@
 fn a_reload_is_logged_only_after_it_is_saved_for_a_successor() {
     let (discovery, target) = (Server::new("d"), Server::new("s-00000001"));
     let platform = Platform::new();
-    let mut predecessor = Stage::beside(&[&target], &discovery, &platform);
-    predecessor.ready();
-    let pipe = platform.folder.path().join(format!("loomlb-127.0.0.1-0.{}", predecessor.id()));
+    let mut predecessor = SchedulerProcess::start_on_platform(&[&target], &discovery, &platform);
+    predecessor.wait_until_ready();
+    let pipe = platform.folder.path().join(format!("loomlb-127.0.0.1-0.{}", predecessor.process_id()));
     assert!(Command::new("mkfifo").arg(&pipe).status().unwrap().success());
     let (write_started, resume) = (channel(), channel());
     let reader = std::thread::spawn(move || {
@@ -183,10 +189,10 @@
     let large_class = format!(r#""name":"sign","note":"{}""#, "x".repeat(200_000));
     predecessor.reload(r#""name":"lodge""#, &large_class);
     write_started.1.recv_timeout(Duration::from_secs(20)).expect("the configuration was not written");
-    let logged_early = predecessor.says("configuration reloaded", Duration::from_millis(300));
+    let logged_early = predecessor.logs_within("configuration reloaded", Duration::from_millis(300));
     assert!(!logged_early, "the reload was logged before it was saved");
     resume.0.send(()).unwrap();
-    predecessor.logged("configuration reloaded");
+    predecessor.wait_for_log("configuration reloaded");
     assert!(reader.join().unwrap().contains(r#""name":"sign""#));
 }
 
@@ -194,8 +200,8 @@
 fn a_reload_on_a_full_disk_is_saved_for_a_successor_once_there_is_space() {
     let (discovery, target) = (Server::new("d"), Server::new("s-00000001"));
     let (platform, plan) = (Platform::new(), FaultPlan::new().unwrap());
-    let mut stage = Stage::beside_under(&plan, &[&target], &discovery, &platform);
-    stage.ready();
+    let mut stage = SchedulerProcess::start_on_platform_with_faults(&plan, &[&target], &discovery, &platform);
+    stage.wait_until_ready();
     let file = platform.folder.path().join("loomlb-127.0.0.1-0.json");
     let saved = || std::fs::read_to_string(&file).unwrap();
     let before = saved();
@@ -204,14 +210,14 @@
     plan.limit(Limit::FileWrite, 40);
     plan.fail_after(Call::FileWrite, libc::ENOSPC, 1, UNLIMITED);
     stage.reload(r#""name":"lodge""#, r#""name":"sign""#);
-    stage.logged("configuration reloaded");
+    stage.wait_for_log("configuration reloaded");
     assert_eq!(saved(), before, "the previous file was changed");
     let names = || std::fs::read_dir(platform.folder.path()).unwrap().map(|entry| entry.unwrap().file_name());
-    let temporary_file = format!("loomlb-127.0.0.1-0.{}", stage.id());
+    let temporary_file = format!("loomlb-127.0.0.1-0.{}", stage.process_id());
     assert!(!names().any(|name| name == *temporary_file), "a partly written file was left behind");
     plan.allow(Call::FileWrite);
     plan.limit(Limit::FileWrite, 0);
-    until("the reload is saved", || saved().contains(r#""name":"sign""#));
+    wait_until("the reload is saved", || saved().contains(r#""name":"sign""#));
 }
 
 #[test]
--- a/tests/wall_clock.rs
+++ b/tests/wall_clock.rs
@@ -1,10 +1,12 @@
 //! End-to-end tests with a wall clock that is wrong at the start or is stepped, which must not affect any duration. A
 //! preloaded library shifts the wall clock of the program, but not its monotonic clock or the clock of the test.
 
-mod stage;
+mod harness;
 
+use harness::{
+    AgentMode, DiscoveryAgent, FullBacklogServer, Platform, SchedulerProcess, Server, job, wait_until,
+};
 use loomlb_fault_plan::FaultPlan;
-use stage::{Agent, Mode, Narrow, Platform, Server, Stage, job, until};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 const SECOND: i64 = 1_000_000_000;
@@ -36,12 +38,12 @@
     worker.entry("active").replace(r#""born_ms":0"#, &format!(r#""born_ms":{start_ms}"#))
 }
 
-fn forward_count(stage: &Stage) -> usize {
+fn forward_count(stage: &SchedulerProcess) -> usize {
     stage.counters(&["forwards"])[9..].parse().unwrap()
 }
 
 /// Runs clients for this long that send the next job as soon as the previous one is answered. The worker answers none.
-fn send_jobs_continuously(stage: &Stage, duration: Duration) {
+fn send_jobs_continuously(stage: &SchedulerProcess, duration: Duration) {
     let started_at = Instant::now();
     std::thread::scope(|scope| {
         for client in 0..CLIENTS {
@@ -51,8 +53,8 @@
                     if started_at.elapsed() > duration {
                         break;
                     }
-                    connection.say(&job("view", &format!("c{client}-{number}"), "0.300"));
-                    connection.answer();
+                    connection.send(&job("view", &format!("c{client}-{number}"), "0.300"));
+                    connection.receive_response();
                 }
             });
         }
@@ -60,7 +62,7 @@
 }
 
 /// Sends jobs for two seconds, half of `overload_for`, and checks the number of forwards.
-fn assert_within_cold_budget(stage: &Stage, step: i64) {
+fn assert_within_cold_budget(stage: &SchedulerProcess, step: i64) {
     let forwards_before = forward_count(stage);
     send_jobs_continuously(stage, Duration::from_secs(2));
     let sent = forward_count(stage) - forwards_before;
@@ -74,13 +76,13 @@
     for step in STEPS {
         let plan = FaultPlan::new().unwrap();
         plan.step_wall_clock(step);
-        let (worker, discovery) = (Server::new("s-00000001"), Agent::new(Mode::Answers, &[]));
+        let (worker, discovery) = (Server::new("s-00000001"), DiscoveryAgent::new(AgentMode::Answers, &[]));
         let obligations = slow_start_settings("600000000000");
         let changes = [(r#""obligations":{"#, &*obligations), SHORT_OBJECTIVE];
-        let stage = Stage::changed_under(&plan, &discovery.server, &changes);
-        discovery.called("from=2", 1);
-        discovery.lists(&[entry_started_now(&worker)]);
-        discovery.called("from=3", 1);
+        let stage = SchedulerProcess::start_with_changes_and_faults(&plan, &discovery.server, &changes);
+        discovery.wait_for_calls("from=2", 1);
+        discovery.publish(&[entry_started_now(&worker)]);
+        discovery.wait_for_calls("from=3", 1);
         plan.step_wall_clock(-step);
         assert_within_cold_budget(&stage, step);
     }
@@ -92,14 +94,14 @@
     for step in [-HOUR, HOUR] {
         let plan = FaultPlan::new().unwrap();
         plan.step_wall_clock(step);
-        let (worker, discovery) = (Server::new("s-00000001"), Agent::new(Mode::Answers, &[]));
+        let (worker, discovery) = (Server::new("s-00000001"), DiscoveryAgent::new(AgentMode::Answers, &[]));
         let obligations = slow_start_settings("2000000000");
         let changes = [(r#""obligations":{"#, &*obligations), SHORT_OBJECTIVE];
-        let stage = Stage::changed_under(&plan, &discovery.server, &changes);
-        discovery.called("from=2", 1);
-        discovery.lists(&[entry_started_now(&worker)]);
-        discovery.called("from=3", 1);
-        until(&format!("{step} ns: {WARM_FORWARDS} forwards"), || {
+        let stage = SchedulerProcess::start_with_changes_and_faults(&plan, &discovery.server, &changes);
+        discovery.wait_for_calls("from=2", 1);
+        discovery.publish(&[entry_started_now(&worker)]);
+        discovery.wait_for_calls("from=3", 1);
+        wait_until(&format!("{step} ns: {WARM_FORWARDS} forwards"), || {
             send_jobs_continuously(&stage, Duration::from_millis(500));
             forward_count(&stage) >= WARM_FORWARDS
         });
@@ -111,17 +113,27 @@
 fn a_cold_worker_stays_cold_after_a_clock_step_and_a_hot_restart() {
     for step in STEPS {
         let plan = FaultPlan::new().unwrap();
-        let (worker, discovery) = (Server::new("s-00000001"), Agent::new(Mode::Answers, &[]));
+        let (worker, discovery) = (Server::new("s-00000001"), DiscoveryAgent::new(AgentMode::Answers, &[]));
         let (platform, obligations) = (Platform::new(), slow_start_settings("600000000000"));
         let changes = [(r#""obligations":{"#, &*obligations), SHORT_OBJECTIVE];
-        let predecessor = Stage::changed_beside_under(&plan, &discovery.server, &platform, &changes);
-        predecessor.ready();
-        discovery.called("from=2", 1);
-        discovery.lists(&[entry_started_now(&worker)]);
-        discovery.called("from=3", 1);
+        let predecessor = SchedulerProcess::start_on_platform_with_changes_and_faults(
+            &plan,
+            &discovery.server,
+            &platform,
+            &changes,
+        );
+        predecessor.wait_until_ready();
+        discovery.wait_for_calls("from=2", 1);
+        discovery.publish(&[entry_started_now(&worker)]);
+        discovery.wait_for_calls("from=3", 1);
         plan.step_wall_clock(step);
-        let successor = Stage::changed_beside_under(&plan, &discovery.server, &platform, &changes);
-        successor.ready();
+        let successor = SchedulerProcess::start_on_platform_with_changes_and_faults(
+            &plan,
+            &discovery.server,
+            &platform,
+            &changes,
+        );
+        successor.wait_until_ready();
         assert_within_cold_budget(&successor, step);
     }
 }
@@ -133,19 +145,21 @@
     for step in STEPS {
         let (discovery, target) = (Server::new("d"), Server::new("s-00000001"));
         let (platform, plan) = (Platform::new(), FaultPlan::new().unwrap());
-        let predecessor = Stage::beside_under(&plan, &[&target], &discovery, &platform);
-        predecessor.ready();
+        let predecessor =
+            SchedulerProcess::start_on_platform_with_faults(&plan, &[&target], &discovery, &platform);
+        predecessor.wait_until_ready();
         let mut idle = predecessor.connect();
-        assert!(predecessor.order("PUT /control/out-of-service").starts_with("HTTP/1.1 200"));
+        assert!(predecessor.control_request("PUT /control/out-of-service").starts_with("HTTP/1.1 200"));
         plan.step_wall_clock(step);
-        assert!(idle.closed(), "{step} ns");
-        let successor = Stage::beside_under(&plan, &[&target], &discovery, &platform);
-        successor.ready();
-        assert!(successor.order("GET /control/ready").contains(r#""service":"draining""#));
+        assert!(idle.wait_until_closed(), "{step} ns");
+        let successor =
+            SchedulerProcess::start_on_platform_with_faults(&plan, &[&target], &discovery, &platform);
+        successor.wait_until_ready();
+        assert!(successor.control_request("GET /control/ready").contains(r#""service":"draining""#));
         // The predecessor has closed its idle connection, so the drain period is over and no job is accepted.
         let mut late = successor.connect();
-        let _ = late.try_say(&job("view", "a1", "0.500"));
-        late.hear();
+        let _ = late.try_send(&job("view", "a1", "0.500"));
+        late.receive();
         assert_eq!(successor.counters(&["forwards"]), "forwards=0", "{step} ns: a job was accepted");
     }
 }
@@ -158,29 +172,30 @@
 
 /// Sends a job with an idempotency key and breaks its first attempt. The dial of the retry hangs while the wall clock
 /// is stepped, and completes after `wait`. Returns the client's answer, or the retry's request if `wait` is zero.
-fn retry_across_a_clock_step(window: &str, step: i64, wait: Duration) -> (Stage, Server, String) {
-    let (one, mut narrow) = (Server::new("s-00000001"), Narrow::new("s-00000002"));
-    let (discovery, plan) = (Agent::new(Mode::Answers, &[one.entry("active")]), FaultPlan::new().unwrap());
+fn retry_across_a_clock_step(window: &str, step: i64, wait: Duration) -> (SchedulerProcess, Server, String) {
+    let (one, mut narrow) = (Server::new("s-00000001"), FullBacklogServer::new("s-00000002"));
+    let (discovery, plan) =
+        (DiscoveryAgent::new(AgentMode::Answers, &[one.entry("active")]), FaultPlan::new().unwrap());
     let deduplicated = format!(r#""effect":"deduplicated","group":"cell","repeat_window":{window}"#);
     let changes = [LONG_CLIENT_TIMEOUT, LONG_DIAL_TIMEOUT, (r#""effect":"idempotent""#, &*deduplicated)];
-    let stage = Stage::changed_under(&plan, &discovery.server, &changes);
-    stage.until("lists=1");
+    let stage = SchedulerProcess::start_with_changes_and_faults(&plan, &discovery.server, &changes);
+    stage.wait_for_counters("lists=1");
     let mut client = stage.connect();
-    client.say(&job("view", "a1", "19.000").replace("X-Service", "Idempotency-Key: k\r\nX-Service"));
+    client.send(&job("view", "a1", "19.000").replace("X-Service", "Idempotency-Key: k\r\nX-Service"));
     let mut first_attempt = one.accept();
-    assert!(first_attempt.hear().contains("Idempotency-Key: k\r\n"));
-    discovery.lists(&[one.entry("leaving"), narrow.server.entry("active")]);
-    stage.until("forwards=1 lists=2");
+    assert!(first_attempt.receive().contains("Idempotency-Key: k\r\n"));
+    discovery.publish(&[one.entry("leaving"), narrow.server.entry("active")]);
+    stage.wait_for_counters("forwards=1 lists=2");
     drop(first_attempt);
-    stage.until("forwards=2 Reset=1 dials=2");
+    stage.wait_for_counters("forwards=2 Reset=1 dials=2");
     plan.step_wall_clock(step);
     std::thread::sleep(wait);
-    narrow.widen();
+    narrow.free_backlog();
     if wait.is_zero() {
-        let request = narrow.server.accept().hear();
+        let request = narrow.server.accept().receive();
         return (stage, narrow.server, request);
     }
-    let answer = client.answer();
+    let answer = client.receive_response();
     (stage, narrow.server, answer)
 }
 
@@ -204,17 +219,17 @@
 #[test]
 fn requests_to_a_silent_discovery_are_retried_despite_a_clock_step() {
     for step in STEPS {
-        let (discovery, plan) = (Agent::new(Mode::Answers, &[]), FaultPlan::new().unwrap());
-        let stage = Stage::under(&plan, &[], &discovery.server, "");
-        discovery.called("from=2", 1);
-        discovery.mode(Mode::Silent);
+        let (discovery, plan) = (DiscoveryAgent::new(AgentMode::Answers, &[]), FaultPlan::new().unwrap());
+        let stage = SchedulerProcess::start_with_faults(&plan, &[], &discovery.server, "");
+        discovery.wait_for_calls("from=2", 1);
+        discovery.set_mode(AgentMode::Silent);
         plan.step_wall_clock(step);
-        let calls_before = discovery.calls("from=2").len();
-        discovery.called("from=2", calls_before + 2);
-        discovery.mode(Mode::Answers);
+        let calls_before = discovery.calls_containing("from=2").len();
+        discovery.wait_for_calls("from=2", calls_before + 2);
+        discovery.set_mode(AgentMode::Answers);
         let worker = Server::new("s-00000001");
-        discovery.lists(&[worker.entry("active")]);
-        discovery.called("from=3", 1);
+        discovery.publish(&[worker.entry("active")]);
+        discovery.wait_for_calls("from=3", 1);
         drop(stage);
     }
 }
