--- a/crates/emulator/src/tier_harness.rs
+++ b/crates/emulator/src/tier_harness.rs
@@ -4,7 +4,7 @@
 //! Every connection from a scheduler to a voter passes a fault proxy. Each of its directions can be cut or delayed, and
 //! its connections can be broken. Bytes that are held back by a cut are delivered when the link opens again. A process
 //! can be killed, paused and resumed, restarted with other settings, or started twice. The proxies run in a thread of
-//! their addresses, and the methods of [`TierHarness`] block.
+//! their own, and the methods of [`TierHarness`] block.
 
 use crate::http::{self, Body, ClientConnection};
 use hyper::body::Incoming;
@@ -38,7 +38,7 @@
 /// Rates of the schedulers' clocks, as far apart as the drift permitted in a tier.
 const CLOCK_RATES: [f64; 3] = [0.99, 1.0, 1.01];
 
-/// Number of harnesses in this process, so that each gets its addresses addresses.
+/// Number of harnesses in this process, so that each gets its own addresses.
 static HARNESS_COUNT: AtomicUsize = AtomicUsize::new(0);
 
 /// Names of the workers.
