--- a/tests/pins/tier.rs
+++ b/tests/pins/tier.rs
@@ -9,8 +9,8 @@
 use std::process::Command;
 
 /// Makes a call at a scheduler's control listener and returns the complete response.
-fn control_call(rig: &TierHarness, n: usize, call: &str, body: &str) -> String {
-    let mut stream = TcpStream::connect(rig.control_address(n)).unwrap();
+fn control_call(harness: &TierHarness, n: usize, call: &str, body: &str) -> String {
+    let mut stream = TcpStream::connect(harness.control_address(n)).unwrap();
     let length = body.len();
     write!(stream, "{call} HTTP/1.1\r\nHost: h\r\nContent-Length: {length}\r\n\r\n{body}").unwrap();
     let mut answer = String::new();
@@ -19,10 +19,10 @@
 }
 
 /// Repeats a call while the answer is that no majority agreed in time, which any proposal can get on a busy machine.
-fn control_call_with_majority(rig: &TierHarness, n: usize, call: &str, body: &str) -> String {
+fn control_call_with_majority(harness: &TierHarness, n: usize, call: &str, body: &str) -> String {
     let mut answer = String::new();
     crate::harness::wait_until(call, || {
-        answer = control_call(rig, n, call, body);
+        answer = control_call(harness, n, call, body);
         !answer.contains("no majority")
     });
     answer
@@ -66,9 +66,9 @@
     status
 }
 
-fn run_tier_command(rig: &TierHarness, args: &[&str], masks: &[(&str, &str)]) -> String {
+fn run_tier_command(harness: &TierHarness, args: &[&str], masks: &[(&str, &str)]) -> String {
     let mut command = Command::new(env!("CARGO_BIN_EXE_loomlb"));
-    command.args(["tier", "--at", &rig.control_address(0).to_string()]).args(args).env_clear();
+    command.args(["tier", "--at", &harness.control_address(0).to_string()]).args(args).env_clear();
     let output = command.output().unwrap();
     let mut text = format!(
         "==== loomlb tier {}\nexit code {}\nstandard output:\n{}standard error:\n{}\n",
@@ -93,10 +93,10 @@
         job_interval: None,
         show_logs: false,
     };
-    let rig = TierHarness::start(options).unwrap();
+    let harness = TierHarness::start(options).unwrap();
     let all = [0, 1, 2];
-    assert!(all.iter().all(|n| rig.wait_until_ready(*n)));
-    assert!(rig.wait_until(|rig| rig.all_follow_version(&all, 1)));
+    assert!(all.iter().all(|n| harness.wait_until_ready(*n)));
+    assert!(harness.wait_until(|harness| harness.all_follow_version(&all, 1)));
     let file = tempfile::NamedTempFile::new().unwrap();
     let path = file.path().to_str().unwrap();
     let mut text = String::new();
@@ -104,53 +104,56 @@
         writeln!(text, "== {heading}\n{}", golden::visible(answer.as_bytes())).unwrap();
     };
     // A compatible change usually applies within one call; on a busy machine the call is repeated until it does.
-    let mut settings = rig.settings(1);
+    let mut settings = harness.settings(1);
     settings["classes"][0]["worth"] = 2.0.into();
-    assert!(rig.wait_until(|rig| {
-        control_call(rig, 1, "PUT /control/tier/settings/1", &settings.to_string());
-        rig.all_follow_version(&all, 2)
+    assert!(harness.wait_until(|harness| {
+        control_call(harness, 1, "PUT /control/tier/settings/1", &settings.to_string());
+        harness.all_follow_version(&all, 2)
     }));
     append_section(
         "the same again",
-        &control_call_with_majority(&rig, 1, "PUT /control/tier/settings", &settings.to_string()),
+        &control_call_with_majority(&harness, 1, "PUT /control/tier/settings", &settings.to_string()),
     );
     append_section(
         "after another version",
-        &control_call_with_majority(&rig, 1, "PUT /control/tier/settings/1", &settings.to_string()),
+        &control_call_with_majority(&harness, 1, "PUT /control/tier/settings/1", &settings.to_string()),
     );
     let mut zones = settings.clone();
     zones["zones"] = json!(["z", "y"]);
     append_section(
         "what needs a restart",
-        &control_call_with_majority(&rig, 1, "PUT /control/tier/settings", &zones.to_string()),
+        &control_call_with_majority(&harness, 1, "PUT /control/tier/settings", &zones.to_string()),
     );
     let mut bad = settings.clone();
     bad["classes"][0]["give_up"] = 0.into();
     append_section(
         "a bad figure",
-        &control_call_with_majority(&rig, 1, "PUT /control/tier/settings", &bad.to_string()),
+        &control_call_with_majority(&harness, 1, "PUT /control/tier/settings", &bad.to_string()),
+    );
+    append_section("no JSON", &control_call_with_majority(&harness, 1, "PUT /control/tier/settings", "{"));
+    append_section("no number", &control_call(&harness, 1, "PUT /control/tier/settings/x", "{}"));
+    append_section("another method", &control_call(&harness, 1, "GET /control/tier/settings", ""));
+    append_section(
+        "an unknown worker",
+        &control_call(&harness, 1, "PUT /control/workers/nobody/offline", ""),
     );
-    append_section("no JSON", &control_call_with_majority(&rig, 1, "PUT /control/tier/settings", "{"));
-    append_section("no number", &control_call(&rig, 1, "PUT /control/tier/settings/x", "{}"));
-    append_section("another method", &control_call(&rig, 1, "GET /control/tier/settings", ""));
-    append_section("an unknown worker", &control_call(&rig, 1, "PUT /control/workers/nobody/offline", ""));
     // A conflicting change waits for leases to expire, so the call may end before the change applies.
     settings["classes"][1]["effect"] = "at_most_once".into();
-    assert!(rig.wait_until(|rig| {
-        control_call(rig, 1, "PUT /control/tier/settings/2", &settings.to_string());
-        rig.all_follow_version(&all, 3)
+    assert!(harness.wait_until(|harness| {
+        control_call(harness, 1, "PUT /control/tier/settings/2", &settings.to_string());
+        harness.all_follow_version(&all, 3)
     }));
-    assert!(rig.wait_until(|rig| {
-        control_call(rig, 1, "PUT /control/workers/s-00000001/offline", "").contains("\"in_force\":true")
+    assert!(harness.wait_until(|harness| {
+        control_call(harness, 1, "PUT /control/workers/s-00000001/offline", "").contains("\"in_force\":true")
     }));
-    assert!(rig.wait_until(|rig| rig.all_follow_version(&all, 4)));
+    assert!(harness.wait_until(|harness| harness.all_follow_version(&all, 4)));
     append_section(
         "a worker that is out already",
-        &control_call(&rig, 1, "PUT /control/workers/s-00000001/offline", ""),
+        &control_call(&harness, 1, "PUT /control/workers/s-00000001/offline", ""),
     );
     let (mut head, mut status) = (String::new(), Value::Null);
     crate::harness::wait_until("a stable status", || {
-        let answer = control_call(&rig, 0, "GET /control/tier", "");
+        let answer = control_call(&harness, 0, "GET /control/tier", "");
         let (first, body) = answer.split_once("\r\n\r\n").unwrap();
         head = first.into();
         status = serde_json::from_str(body).unwrap();
@@ -166,7 +169,7 @@
     // The command line prints the same status, indented.
     let run_json_command = |args: &[&str]| {
         let mut command = Command::new(env!("CARGO_BIN_EXE_loomlb"));
-        command.args(["tier", "--at", &rig.control_address(0).to_string()]).args(args).env_clear();
+        command.args(["tier", "--at", &harness.control_address(0).to_string()]).args(args).env_clear();
         let output = command.output().unwrap();
         (output.status.code(), serde_json::from_slice::<Value>(&output.stdout).unwrap(), output.stdout)
     };
@@ -185,20 +188,20 @@
     value[0]["by"] = "<name>".into();
     append_section(&format!("loomlb tier history, exit code {code:?}"), &to_text(&value));
     std::fs::write(path, json!({ "settings": settings }).to_string()).unwrap();
-    let masks = [(path, "<file>"), (&*rig.control_address(0).to_string(), "<control>")];
+    let masks = [(path, "<file>"), (&*harness.control_address(0).to_string(), "<control>")];
     for args in [&["propose", path][..], &["propose", path, "--after", "1"], &["wait", "4"]] {
         let mut output = String::new();
         crate::harness::wait_until("an outcome", || {
-            output = run_tier_command(&rig, args, &masks);
+            output = run_tier_command(&harness, args, &masks);
             !output.contains("no majority")
         });
         text += &output;
     }
-    text += &run_tier_command(&rig, &["wait", "9", "--seconds", "0.1"], &masks);
+    text += &run_tier_command(&harness, &["wait", "9", "--seconds", "0.1"], &masks);
     std::fs::write(path, "{}").unwrap();
-    text += &run_tier_command(&rig, &["propose", path], &masks);
+    text += &run_tier_command(&harness, &["propose", path], &masks);
     std::fs::write(path, "{").unwrap();
-    text += &run_tier_command(&rig, &["propose", path], &masks);
+    text += &run_tier_command(&harness, &["propose", path], &masks);
     golden::check("tier.txt", text.as_bytes());
 }
 
--- a/tests/system_calls.rs
+++ b/tests/system_calls.rs
@@ -403,9 +403,9 @@
         job_interval: Some(Duration::from_millis(40)),
         show_logs: std::env::var_os("RUST_LOG").is_some(),
     };
-    let rig = TierHarness::start(options).unwrap();
-    assert!((0..3).all(|index| rig.wait_until_ready(index)), "not every scheduler is ready");
-    assert!(rig.wait_until(|rig| rig.all_follow_version(&[0, 1, 2], 1)));
+    let tier = TierHarness::start(options).unwrap();
+    assert!((0..3).all(|index| tier.wait_until_ready(index)), "not every scheduler is ready");
+    assert!(tier.wait_until(|tier| tier.all_follow_version(&[0, 1, 2], 1)));
     for call in [Call::Accept, Call::Connect, Call::EpollWait, Call::Socket, Call::Bind, Call::Listen] {
         assert!(plan.hits(call) > 0, "{call:?}");
     }
